--- a/lovagedock/tests/direct_listing.rs
+++ b/lovagedock/tests/direct_listing.rs
@@ -10,7 +10,7 @@
 };
 
 use lovagedock::{
-    DirectEndpoint, EndpointLife, EndpointListing, EndpointState, EndpointTable, ListingVersion,
+    DirectEndpoint, EndpointListing, EndpointProcess, EndpointState, EndpointTable, ListingVersion,
     StorePosition, prelude::*,
 };
 use proptest::{
@@ -94,11 +94,11 @@
         let after_outage = std::mem::take(&mut self.failing);
         let gone = self
             .listing
-            .take_reading(now, store.position, after_outage, missing);
+            .apply_read(now, store.position, after_outage, missing);
         let Some(gone) = gone else {
             return;
         };
-        self.table.drop_unlisted_doubts(&listed);
+        self.table.drop_unlisted_deferred(&listed);
         self.drop_all(&gone);
         for endpoint in listed {
             match is_restored {
@@ -112,13 +112,13 @@
         let listed = [state.endpoints.clone(), state.doubtful.clone()].concat();
         let unlisted = self.table.unlisted(&listed);
         let missing = unlisted.into_iter().chain(state.missing).collect();
-        let Some(gone) = self.listing.take_peer(state.version, missing) else {
+        let Some(gone) = self.listing.apply_peer_listing(state.version, missing) else {
             return;
         };
-        self.table.drop_unlisted_doubts(&listed);
+        self.table.drop_unlisted_deferred(&listed);
         self.drop_all(&gone);
         for endpoint in state.endpoints {
-            if !gone.contains(&endpoint.life.id) {
+            if !gone.contains(&endpoint.process.id) {
                 self.table.insert(now, endpoint);
             }
         }
@@ -128,7 +128,7 @@
     }
 
     fn tick(&mut self, now: Timestamp) {
-        self.table.settle(now);
+        self.table.apply_deferred(now);
         let gone = self.listing.settle(now);
         self.drop_all(&gone);
     }
@@ -144,14 +144,14 @@
             version: self.listing.version(),
             endpoints: self.table.all().cloned().collect(),
             missing: self.listing.missing().cloned().collect(),
-            doubtful: self.table.doubtful().cloned().collect(),
+            doubtful: self.table.deferred().cloned().collect(),
         }
     }
 
-    fn lives(&self) -> BTreeSet<EndpointLife> {
+    fn processes(&self) -> BTreeSet<EndpointProcess> {
         self.table
             .all()
-            .map(|endpoint| endpoint.life.clone())
+            .map(|endpoint| endpoint.process.clone())
             .collect()
     }
 }
@@ -182,7 +182,7 @@
         self.store.position.revision += 1;
         self.store
             .entries
-            .insert(endpoint.life.id.clone(), endpoint);
+            .insert(endpoint.process.id.clone(), endpoint);
     }
 
     fn leave(&mut self, id: &EndpointId) {
@@ -251,7 +251,7 @@
                 let id: EndpointId = format!("i-{engine}").into();
                 self.starts += u64::from(restarts);
                 let started = match self.engines.get(&id) {
-                    Some(known) if !restarts => known.life.started,
+                    Some(known) if !restarts => known.process.started,
                     // A name that was gone comes back with another process.
                     _ => {
                         self.starts += 1;
@@ -260,7 +260,7 @@
                 };
                 let endpoint = endpoint(id, started);
                 self.engines
-                    .insert(endpoint.life.id.clone(), endpoint.clone());
+                    .insert(endpoint.process.id.clone(), endpoint.clone());
                 self.write(endpoint);
             }
             ModelStep::Leave { engine } => {
@@ -290,7 +290,7 @@
             ModelStep::Restart { gateway } => self.gateways[gateway] = ModelGateway::default(),
             ModelStep::Outage { gateway } => {
                 self.gateways[gateway].failing = true;
-                self.gateways[gateway].listing.suspend();
+                self.gateways[gateway].listing.suspend_settling();
             }
             ModelStep::Wait { ms } => self.wait(Duration::from_millis(ms)),
         }
@@ -327,7 +327,7 @@
 
 fn endpoint(id: EndpointId, started: StartStamp) -> DirectEndpoint {
     DirectEndpoint {
-        life: EndpointLife::new(id, started),
+        process: EndpointProcess::new(id, started),
         service: "service".into(),
         address: ([10, 0, 0, 1], 80).into(),
         domain: "a".into(),
@@ -372,14 +372,14 @@
             model.step(step);
         }
         model.settle();
-        let listed: BTreeSet<EndpointLife> = model
+        let listed: BTreeSet<EndpointProcess> = model
             .store
             .entries
             .values()
-            .map(|endpoint| endpoint.life.clone())
+            .map(|endpoint| endpoint.process.clone())
             .collect();
         for (index, gateway) in model.gateways.iter().enumerate() {
-            prop_assert_eq!(&gateway.lives(), &listed, "gateway {}", index);
+            prop_assert_eq!(&gateway.processes(), &listed, "gateway {}", index);
             prop_assert!(gateway.listing.version().settled);
         }
         Ok(())
@@ -399,18 +399,22 @@
     let now = Duration::from_secs(1);
     assert!(
         listing
-            .take_reading(now, position(2, 10), false, Vec::new())
+            .apply_read(now, position(2, 10), false, Vec::new())
             .is_some()
     );
     assert!(
         listing
-            .take_reading(now, position(1, 900), false, Vec::new())
+            .apply_read(now, position(1, 900), false, Vec::new())
+            .is_none()
+    );
+    assert!(
+        listing
+            .apply_peer_listing(told(1, 900), Vec::new())
             .is_none()
     );
-    assert!(listing.take_peer(told(1, 900), Vec::new()).is_none());
     assert!(!listing.advance(position(1, 900)));
     assert!(listing.advance(position(2, 11)));
-    assert!(listing.take_peer(told(3, 1), Vec::new()).is_some());
+    assert!(listing.apply_peer_listing(told(3, 1), Vec::new()).is_some());
     assert!(!listing.advance(position(2, 900)));
 }
 
@@ -455,14 +459,14 @@
     for case in cases {
         let mut listing = EndpointListing::new();
         let start = Duration::from_secs(100);
-        listing.take_reading(start, StorePosition::new(1, 50), false, Vec::new());
+        listing.apply_read(start, StorePosition::new(1, 50), false, Vec::new());
         let settled = start + SETTLED;
         listing.settle(settled);
         let missing: Vec<EndpointId> = vec!["i-0".into()];
-        let gone = listing.take_reading(settled, StorePosition::new(2, 40), false, missing);
+        let gone = listing.apply_read(settled, StorePosition::new(2, 40), false, missing);
         assert_eq!(gone, Some(Vec::new()), "{}", case.name);
         if case.lost_again {
-            listing.suspend();
+            listing.suspend_settling();
         }
         let gone = listing.settle(settled + Duration::from_millis(case.after_ms));
         assert_eq!(!gone.is_empty(), case.gone, "{}", case.name);
--- a/lovagedock/tests/direct_lives.rs
+++ b/lovagedock/tests/direct_lives.rs
@@ -3,8 +3,8 @@
 use std::{net::SocketAddr, time::Duration};
 
 use lovagedock::{
-    DirectEndpoint, EndpointLife, EndpointState, EndpointTable, EntryNews, MessageNews,
-    PeerHearing, prelude::*,
+    DirectEndpoint, EndpointProcess, EndpointState, EndpointTable, EntryChange, MessageOrder,
+    PeerSequences, prelude::*,
 };
 use proptest::{
     prelude::*,
@@ -16,7 +16,7 @@
 
 fn entry(started: StartStamp, state: EndpointState) -> DirectEndpoint {
     DirectEndpoint {
-        life: EndpointLife::new("i-1", started),
+        process: EndpointProcess::new("i-1", started),
         service: "model".into(),
         address: SocketAddr::from(([127, 0, 0, 1], 9_000)),
         domain: "a".into(),
@@ -147,7 +147,7 @@
             }
             Told::Seconds(seconds) => {
                 now += Duration::from_secs(*seconds);
-                table.settle(now);
+                table.apply_deferred(now);
             }
         }
     }
@@ -156,7 +156,7 @@
 
 fn known(table: &EndpointTable) -> Option<(StartStamp, EndpointState)> {
     let endpoint = table.get(&"i-1".into());
-    endpoint.map(|endpoint| (endpoint.life.started, endpoint.state))
+    endpoint.map(|endpoint| (endpoint.process.started, endpoint.state))
 }
 
 /// Callers get the process that serves, and none that has promised to exit or has ended.
@@ -177,12 +177,12 @@
     let mut table = EndpointTable::new();
     let now = Duration::ZERO;
     table.insert(now, entry(5, READY));
-    let restarted = EntryNews::Restarted(entry(5, READY));
+    let restarted = EntryChange::Restarted(entry(5, READY));
     assert_eq!(table.insert(now, entry(9, READY)), restarted);
-    assert_eq!(table.insert(now, entry(9, READY)), EntryNews::Unchanged);
-    assert_eq!(table.insert(now, entry(5, READY)), EntryNews::Outdated);
-    assert!(table.is_replaced(&EndpointLife::new("i-1", 5)));
-    assert!(table.is_current(&EndpointLife::new("i-1", 9)));
+    assert_eq!(table.insert(now, entry(9, READY)), EntryChange::Unchanged);
+    assert_eq!(table.insert(now, entry(5, READY)), EntryChange::Outdated);
+    assert!(table.is_replaced(&EndpointProcess::new("i-1", 5)));
+    assert!(table.is_current(&EndpointProcess::new("i-1", 9)));
 }
 
 /// In any order of entries within the time of a late write, the latest process stays known, and one
@@ -219,29 +219,29 @@
 struct HearingCase {
     name: &'static str,
     /// Incarnation and sequence of each message, and what is made of it.
-    messages: &'static [(Incarnation, u64, MessageNews)],
+    messages: &'static [(Incarnation, u64, MessageOrder)],
 }
 
 const HEARING_CASES: &[HearingCase] = &[
     HearingCase {
         name: "messages in order",
-        messages: &[(7, 1, MessageNews::Latest), (7, 2, MessageNews::Latest)],
+        messages: &[(7, 1, MessageOrder::Latest), (7, 2, MessageOrder::Latest)],
     },
     HearingCase {
         name: "one comes twice, one is overtaken",
         messages: &[
-            (7, 2, MessageNews::Latest),
-            (7, 2, MessageNews::Overtaken),
-            (7, 1, MessageNews::Overtaken),
+            (7, 2, MessageOrder::Latest),
+            (7, 2, MessageOrder::Stale),
+            (7, 1, MessageOrder::Stale),
         ],
     },
     HearingCase {
-        name: "a message of the former life comes after the restart",
+        name: "a message of the former process comes after the restart",
         messages: &[
-            (7, 90, MessageNews::Latest),
-            (3, 1, MessageNews::Restarted),
-            (7, 91, MessageNews::Overtaken),
-            (3, 2, MessageNews::Latest),
+            (7, 90, MessageOrder::Latest),
+            (3, 1, MessageOrder::Restarted),
+            (7, 91, MessageOrder::Stale),
+            (3, 2, MessageOrder::Latest),
         ],
     },
 ];
@@ -253,9 +253,9 @@
 #[test]
 fn a_peers_former_life_is_not_heard_again() {
     for case in HEARING_CASES {
-        let mut hearing = PeerHearing::new();
+        let mut hearing = PeerSequences::new();
         for (incarnation, sequence, expected) in case.messages {
-            let news = hearing.hear(&"peer".into(), *incarnation, *sequence);
+            let news = hearing.record(&"peer".into(), *incarnation, *sequence);
             assert_eq!(news, *expected, "{}", case.name);
         }
     }
--- a/lovagedock/tests/direct_machine.rs
+++ b/lovagedock/tests/direct_machine.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use lovagedock::{AttemptEnd, DirectMachine, DirectStep, EndpointLife, RouteMode, prelude::*};
+use lovagedock::{AttemptEnd, DirectMachine, DirectStep, EndpointProcess, RouteMode, prelude::*};
 
 const STREAM: RouteMode = RouteMode::Stream { resumable: true };
 const ONE_WAY_STREAM: RouteMode = RouteMode::Stream { resumable: false };
@@ -147,7 +147,7 @@
             if *end != AttemptEnd::Unreachable {
                 machine.begin_sending();
             }
-            let endpoint = EndpointLife::new(format!("engine-{index}"), 1);
+            let endpoint = EndpointProcess::new(format!("engine-{index}"), 1);
             step = machine.attempt_ended(ms(10), &endpoint, *end, || case.retries);
             assert!(machine.excluded().contains(&endpoint), "{}", case.name);
         }
@@ -163,7 +163,7 @@
     machine.begin_sending();
     let step = machine.attempt_ended(
         ms(990),
-        &EndpointLife::new("engine", 1),
+        &EndpointProcess::new("engine", 1),
         AttemptEnd::Lost,
         || true,
     );
@@ -194,8 +194,8 @@
     loop {
         machine.begin_sending();
         sent += 1;
-        machine.excuse_attempt();
-        let endpoint = EndpointLife::new(format!("i-{sent}"), 1);
+        machine.grant_extra_attempt();
+        let endpoint = EndpointProcess::new(format!("i-{sent}"), 1);
         let step = machine.attempt_ended(ms(10), &endpoint, AttemptEnd::Lost, || true);
         if step != (DirectStep::Place { resume: false }) {
             break;
@@ -251,7 +251,7 @@
         let mut machine = DirectMachine::new(STREAM, 3, ms(10_000));
         for end in case.ends {
             machine.begin_sending();
-            let endpoint = EndpointLife::new("i-0", 1);
+            let endpoint = EndpointProcess::new("i-0", 1);
             machine.attempt_ended(ms(100), &endpoint, *end, || true);
         }
         if case.under_way {
--- a/lovagedock/tests/direct_pace.rs
+++ b/lovagedock/tests/direct_pace.rs
@@ -2,12 +2,12 @@
 
 mod direct_support;
 
-use lovagedock::{EndpointLife, PaceTracker};
+use lovagedock::{EndpointProcess, SlowdownTracker};
 
 use direct_support::{VirtualPool, ms, short};
 
-fn engine() -> EndpointLife {
-    EndpointLife::new("engine-00", 1)
+fn engine() -> EndpointProcess {
+    EndpointProcess::new("engine-00", 1)
 }
 
 /// Callers are not sent to an engine that takes four times as long, though nothing fails there.
@@ -16,41 +16,41 @@
 /// predicted four times as late, and short requests go elsewhere.
 #[test]
 fn a_slow_engine_is_found_by_its_events_and_avoided() {
-    let mut tracker = PaceTracker::new();
+    let mut tracker = SlowdownTracker::new();
     for event in 0..20 {
         tracker.record(ms(event * 240), &engine(), ms(240), ms(60));
     }
     let now = ms(20 * 240);
-    let pace = tracker.pace(now, &engine());
+    let pace = tracker.slowdown(now, &engine());
     assert!((3.5..=4.0).contains(&pace), "{pace}");
     let pool = VirtualPool::new(3);
     let mut candidates = pool.candidates();
-    candidates[0].load.pace = pace as f32;
+    candidates[0].load.slowdown = pace as f32;
     let placer = lovagedock::DirectPlacer::new(Some(&direct_support::PROFILE));
     let choice = placer.place(&short(), &candidates).expect("slots are free");
-    assert_ne!(candidates[choice.lead].endpoint.life, engine());
+    assert_ne!(candidates[choice.lead].endpoint.process, engine());
 }
 
 /// An engine that reads a prompt between two events is not taken for a slow one.
 #[test]
 fn single_long_gaps_do_not_count() {
-    let mut tracker = PaceTracker::new();
+    let mut tracker = SlowdownTracker::new();
     for event in 0..40 {
         let gap = if event % 3 == 0 { ms(500) } else { ms(62) };
         tracker.record(ms(event * 100), &engine(), gap, ms(60));
     }
-    assert_eq!(tracker.pace(ms(4_000), &engine()), 1.0);
+    assert_eq!(tracker.slowdown(ms(4_000), &engine()), 1.0);
 }
 
 /// An engine that was slow is tried again after a while, and one that is gone is forgotten.
 #[test]
 fn slowness_is_forgotten() {
-    let mut tracker = PaceTracker::new();
+    let mut tracker = SlowdownTracker::new();
     for event in 0..20 {
         tracker.record(ms(event * 240), &engine(), ms(240), ms(60));
     }
-    assert!(tracker.pace(ms(5_000), &engine()) > 3.0);
-    assert_eq!(tracker.pace(ms(12_000), &engine()), 1.0);
+    assert!(tracker.slowdown(ms(5_000), &engine()) > 3.0);
+    assert_eq!(tracker.slowdown(ms(12_000), &engine()), 1.0);
     tracker.forget(&engine());
-    assert_eq!(tracker.pace(ms(5_000), &engine()), 1.0);
+    assert_eq!(tracker.slowdown(ms(5_000), &engine()), 1.0);
 }
--- a/lovagedock/tests/direct_placement.rs
+++ b/lovagedock/tests/direct_placement.rs
@@ -5,7 +5,7 @@
 use std::{collections::HashSet, time::Duration};
 
 use lovagedock::{
-    CombinedLoad, DirectPlacer, DirectRequest, EndpointLife, PlacedWork, PlacerCandidate,
+    CombinedLoad, DirectPlacer, DirectRequest, EndpointProcess, PlacedWork, PlacerCandidate,
     prelude::*, short_lane_size,
 };
 
@@ -34,7 +34,7 @@
         },
     ];
     for case in cases {
-        let reading = PROFILE.read_time(case.prompt).as_millis() as u64;
+        let reading = PROFILE.prefill_time(case.prompt).as_millis() as u64;
         assert_eq!(reading, case.expected_ms, "{} tokens", case.prompt);
     }
 }
@@ -144,11 +144,11 @@
     let mut pool = VirtualPool::new(21);
     for _ in 0..4 {
         pool.advance(pool.now + ms(10));
-        let busy: HashSet<EndpointLife> = pool
+        let busy: HashSet<EndpointProcess> = pool
             .endpoints
             .iter()
-            .filter(|endpoint| pool.ledger.load(pool.now, &endpoint.life).backlog > ms(80))
-            .map(|endpoint| endpoint.life.clone())
+            .filter(|endpoint| pool.ledger.load(pool.now, &endpoint.process).backlog > ms(80))
+            .map(|endpoint| endpoint.process.clone())
             .collect();
         let Some(placed) = pool.place(&long(300_000)) else {
             continue;
@@ -210,8 +210,8 @@
 fn harm_counts_writers_that_a_read_delays() {
     let mut pool = VirtualPool::new(1);
     let writer = PlacedWork {
-        endpoint: pool.endpoints[0].life.clone(),
-        reading: Duration::ZERO,
+        endpoint: pool.endpoints[0].process.clone(),
+        prefill_time: Duration::ZERO,
         context: 5_000,
         gap: Some(ms(200)),
         short: true,
@@ -221,7 +221,7 @@
     pool.ledger.place(pool.now, writer);
     let candidates = vec![PlacerCandidate {
         endpoint: &pool.endpoints[0],
-        load: pool.ledger.load(pool.now, &pool.endpoints[0].life),
+        load: pool.ledger.load(pool.now, &pool.endpoints[0].process),
         rank: 0.0,
         short_lane: false,
         may_help: true,
@@ -232,8 +232,8 @@
     let harsh = placer
         .place(&long(60_000), &candidates)
         .expect("a slot is free");
-    assert_eq!(gentle.harm, 0.0);
-    assert_eq!(harsh.harm, 1.5);
+    assert_eq!(gentle.lost_value, 0.0);
+    assert_eq!(harsh.lost_value, 1.5);
 }
 
 /// Plain services get the endpoint with the largest share of free slots.
--- a/lovagedock/tests/direct_rate_limits.rs
+++ b/lovagedock/tests/direct_rate_limits.rs
@@ -3,8 +3,8 @@
 use std::{collections::VecDeque, time::Duration};
 
 use lovagedock::{
-    AdvertisedLimit, EndpointLife, GatewayCount, RateLimitEvent, RateLimits, RateNews, RateVerdict,
-    prelude::*,
+    AdvertisedLimit, EndpointProcess, GatewayCount, RateLimitEvent, RateLimits, RateUpdate,
+    RateVerdict, prelude::*,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -75,10 +75,10 @@
     policy: SharePolicy,
     fault: Fault,
     rate: f64,
-    endpoint: EndpointLife,
+    endpoint: EndpointProcess,
     gateways: Vec<ModelGateway>,
     /// Messages in transit, by arrival time: sender, receiver, content.
-    messages: VecDeque<(Timestamp, usize, usize, Vec<RateNews>)>,
+    messages: VecDeque<(Timestamp, usize, usize, Vec<RateUpdate>)>,
     arrivals: Vec<Timestamp>,
     /// Arrivals from gateways that had the limit for at least [`GRACE_TIME`].
     counted: Vec<Timestamp>,
@@ -105,7 +105,7 @@
             policy,
             fault,
             rate,
-            endpoint: EndpointLife::new("engine", 1),
+            endpoint: EndpointProcess::new("engine", 1),
             gateways: gateways.collect(),
             messages: VecDeque::new(),
             arrivals: Vec::new(),
@@ -170,7 +170,7 @@
             let gateway = &mut self.gateways[to];
             gateway.heard[from] = Some(self.now);
             for news in news {
-                gateway.limits.hear(self.now, &sender, news);
+                gateway.limits.apply_update(self.now, &sender, news);
             }
         }
     }
@@ -199,7 +199,7 @@
         let part = self.rate / count.known as f64;
         gateway.tokens = (gateway.tokens + part * STEP.as_secs_f64()).min(1.0);
         if self.random.random_bool(demand * STEP.as_secs_f64()) {
-            gateway.limits.note_demand(now, &endpoint);
+            gateway.limits.record_demand(now, &endpoint);
             if gateway.may_send(self.policy, now, &endpoint) {
                 gateway.answers.push_back((now + ANSWER_TIME, now));
                 self.arrivals.push(now);
@@ -211,7 +211,7 @@
                 }
             }
         }
-        let news = gateway.limits.take_news(now);
+        let news = gateway.limits.take_updates(now);
         let is_heartbeat = is_tick;
         if news.is_empty() && !is_heartbeat {
             return;
@@ -265,7 +265,12 @@
 }
 
 impl ModelGateway {
-    fn may_send(&mut self, policy: SharePolicy, now: Timestamp, endpoint: &EndpointLife) -> bool {
+    fn may_send(
+        &mut self,
+        policy: SharePolicy,
+        now: Timestamp,
+        endpoint: &EndpointProcess,
+    ) -> bool {
         if policy == SharePolicy::FewSenders || self.limits.rate(endpoint).is_none() {
             return !matches!(
                 self.limits.admit(now, endpoint),
@@ -403,7 +408,7 @@
             rate: Some(0.0),
         },
     ];
-    let endpoint = EndpointLife::new("engine", 1);
+    let endpoint = EndpointProcess::new("engine", 1);
     for case in cases {
         let mut limits = RateLimits::new("gateway".into());
         let limited = AdvertisedLimit::Limited(2.0);
@@ -422,8 +427,8 @@
 #[test]
 fn a_restarted_endpoint_has_no_limit() {
     let (former, next) = (
-        EndpointLife::new("engine", 1),
-        EndpointLife::new("engine", 2),
+        EndpointProcess::new("engine", 1),
+        EndpointProcess::new("engine", 2),
     );
     let mut limits = RateLimits::new("gateway".into());
     limits.record(ms(1_000), &former, ms(900), AdvertisedLimit::Limited(0.5));
@@ -435,10 +440,10 @@
 /// Guards against endpoints that never receive a request again because their limit is close to zero.
 #[test]
 fn a_zero_limit_admits_a_request_every_ten_seconds() {
-    let endpoint = EndpointLife::new("engine", 1);
+    let endpoint = EndpointProcess::new("engine", 1);
     let mut limits = RateLimits::new("gateway".into());
     limits.record(ms(1_000), &endpoint, ms(900), AdvertisedLimit::Limited(0.0));
-    limits.note_demand(ms(1_000), &endpoint);
+    limits.record_demand(ms(1_000), &endpoint);
     let limited = RateVerdict::RateLimited { until: ms(11_000) };
     assert_eq!(limits.verdict(ms(1_000), &endpoint), limited);
     assert_eq!(limits.admit(ms(11_000), &endpoint), RateVerdict::Admitted);
@@ -455,17 +460,17 @@
     // The longest delay is a third of the longest deadline.
     let longest_retry_after = ms(5_000);
     for rate in [0.5, 1.0, 4.0] {
-        let endpoint = EndpointLife::new("engine", 1);
+        let endpoint = EndpointProcess::new("engine", 1);
         let mut limits = RateLimits::new("gateway".into());
         limits.record(ms(900), &endpoint, ms(800), AdvertisedLimit::Limited(rate));
-        limits.note_demand(ms(1_000), &endpoint);
+        limits.record_demand(ms(1_000), &endpoint);
         let retried_at = ms(1_000) + longest_retry_after;
         let mut now = ms(1_000);
         while now < retried_at {
             now += TICK;
             limits.tick(now, GatewayCount { heard: 1, known: 1 }, |_| true);
         }
-        limits.note_demand(retried_at, &endpoint);
+        limits.record_demand(retried_at, &endpoint);
         let verdict = limits.admit(retried_at, &endpoint);
         assert_eq!(verdict, RateVerdict::Admitted, "{rate}");
     }
--- a/lovagedock/tests/direct_reading.rs
+++ b/lovagedock/tests/direct_reading.rs
@@ -77,7 +77,7 @@
             };
             let is_late = choice.first_event > request.objective_left;
             let is_taken = match (is_last, rule) {
-                (false, _) => choice.is_worth_taking(request, 0.5),
+                (false, _) => choice.is_acceptable(request, 0.5),
                 (true, LateRule::Worthwhile) => placer.is_worth_starting(request, &choice),
                 (true, LateRule::All) => !is_late || choice.backlog <= ms(300),
             };
@@ -169,10 +169,10 @@
         let choice = DirectChoice {
             lead: 0,
             helpers: Vec::new(),
-            part: ms(0),
+            part_time: ms(0),
             first_event: ms(case.first_event),
             backlog: ms(case.backlog),
-            harm: 0.0,
+            lost_value: 0.0,
             loss: 0.0,
         };
         let is_started = placer.is_worth_starting(&request, &choice);
--- a/lovagedock/tests/direct_state.rs
+++ b/lovagedock/tests/direct_state.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use lovagedock::{
-    DirectEndpoint, EndpointLife, EndpointState, EndpointTable, EntryNews, EventSplitter,
+    DirectEndpoint, EndpointProcess, EndpointState, EndpointTable, EntryChange, EventSplitter,
     PeerContact, RetryShare, RetryShareSettings, RouteMatch, RouteMode, RouteRule, RouteTarget,
-    TrafficConfig, WatchDuty, WatchRole, prelude::*,
+    TrafficConfig, WatchRole, WatcherSelection, prelude::*,
 };
 
 fn route(name: &str, host: &str, prefix: &str) -> RouteRule {
@@ -123,7 +123,7 @@
 
 fn endpoint(state: EndpointState) -> DirectEndpoint {
     DirectEndpoint {
-        life: EndpointLife::new("i-1", 1),
+        process: EndpointProcess::new("i-1", 1),
         service: "service".into(),
         address: ([127, 0, 0, 1], 9_000).into(),
         domain: "a".into(),
@@ -140,9 +140,9 @@
 fn a_draining_endpoint_stays_draining() {
     let mut table = EndpointTable::new();
     let mut insert = |state| table.insert(ms(0), endpoint(state));
-    assert_eq!(insert(EndpointState::Ready), EntryNews::Changed);
-    assert_eq!(insert(EndpointState::Draining), EntryNews::Changed);
-    assert_eq!(insert(EndpointState::Ready), EntryNews::Unchanged);
+    assert_eq!(insert(EndpointState::Ready), EntryChange::Changed);
+    assert_eq!(insert(EndpointState::Draining), EntryChange::Changed);
+    assert_eq!(insert(EndpointState::Ready), EntryChange::Unchanged);
     assert_eq!(table.ready(&"service".into()).count(), 0);
     assert_eq!(table.unlisted(&[]), vec![EndpointId::from("i-1")]);
     assert!(table.remove(&"i-1".into()).is_some());
@@ -181,7 +181,7 @@
             ("c1", 100, true),
             ("c2", 100, true),
         ],
-        role: WatchRole::Listener,
+        role: WatchRole::Follower,
     },
     DutyCase {
         name: "beside watchers of which one reaches the store",
@@ -193,7 +193,7 @@
             ("c1", 100, false),
             ("c2", 100, true),
         ],
-        role: WatchRole::Deputy,
+        role: WatchRole::Fallback,
     },
     DutyCase {
         name: "beside watchers that are silent",
@@ -212,13 +212,13 @@
 fn few_gateways_watch_and_nobody_is_left_blind() {
     for case in DUTY_CASES {
         let now = ms(10_000);
-        let mut duty = WatchDuty::new();
+        let mut duty = WatcherSelection::new();
         for (name, silent_ms, store_reachable) in case.peers {
             let contact = PeerContact {
-                heard_at: now - ms(*silent_ms),
+                received_at: now - ms(*silent_ms),
                 store_reachable: *store_reachable,
             };
-            duty.hear((*name).into(), contact);
+            duty.record_peer((*name).into(), contact);
         }
         assert_eq!(duty.role(now, &case.own.into()), case.role, "{}", case.name);
     }
--- a/lovagedock/tests/direct_stoppage.rs
+++ b/lovagedock/tests/direct_stoppage.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use lovagedock::StoppageWatch;
+use lovagedock::PauseDetector;
 
 const INTERVAL: Duration = Duration::from_millis(250);
 
@@ -52,18 +52,18 @@
         },
     ];
     for case in cases {
-        let mut watch = StoppageWatch::new();
+        let mut watch = PauseDetector::new();
         let start = Duration::from_secs(5);
-        watch.look(start, INTERVAL);
-        watch.look(start + INTERVAL, INTERVAL);
+        watch.record_tick(start, INTERVAL);
+        watch.record_tick(start + INTERVAL, INTERVAL);
         let woke = start + INTERVAL + Duration::from_millis(case.gap_ms);
-        let is_late = watch.wait(woke, INTERVAL).is_some();
+        let is_late = watch.remaining_wait(woke, INTERVAL).is_some();
         assert_eq!(is_late, case.stopped, "{}: before the look", case.name);
-        let stopped = watch.look(woke, INTERVAL).is_some();
+        let stopped = watch.record_tick(woke, INTERVAL).is_some();
         assert_eq!(stopped, case.stopped, "{}", case.name);
         let now = woke + Duration::from_millis(case.after_ms);
         assert_eq!(
-            watch.wait(now, INTERVAL).is_some(),
+            watch.remaining_wait(now, INTERVAL).is_some(),
             case.waits,
             "{}",
             case.name
--- a/lovagedock/tests/direct_support/mod.rs
+++ b/lovagedock/tests/direct_support/mod.rs
@@ -5,7 +5,7 @@
 use std::{cmp::Reverse, collections::BinaryHeap, time::Duration};
 
 use lovagedock::{
-    DirectChoice, DirectEndpoint, DirectPlacer, DirectRequest, EndpointLife, EndpointState,
+    DirectChoice, DirectEndpoint, DirectPlacer, DirectRequest, EndpointProcess, EndpointState,
     EngineProfile, PlacerCandidate, WorkKey, WorkLedger, prelude::*, short_lane_size,
 };
 
@@ -67,7 +67,7 @@
 impl VirtualPool {
     pub(crate) fn new(engines: usize) -> Self {
         let endpoints = (0..engines).map(|index| DirectEndpoint {
-            life: EndpointLife::new(format!("engine-{index:02}"), 1),
+            process: EndpointProcess::new(format!("engine-{index:02}"), 1),
             service: "model".into(),
             address: ([127, 0, 0, 1], 9_000 + index as u16).into(),
             domain: "a".into(),
@@ -90,7 +90,7 @@
             }
             self.events.pop();
             match event {
-                PoolEvent::Read(key) => self.ledger.finish_reading(at, key),
+                PoolEvent::Read(key) => self.ledger.finish_prefill(at, key),
                 PoolEvent::End(key) => self.ledger.finish(at, key),
             }
         }
@@ -101,7 +101,7 @@
     pub(crate) fn candidates(&self) -> Vec<PlacerCandidate<'_>> {
         let short = self.endpoints.iter();
         let short = short
-            .map(|endpoint| self.ledger.short_count(&endpoint.life))
+            .map(|endpoint| self.ledger.short_count(&endpoint.process))
             .sum();
         let lane = short_lane_size(short, PROFILE.slots, self.endpoints.len());
         let candidates = self
@@ -110,7 +110,7 @@
             .enumerate()
             .map(|(position, endpoint)| PlacerCandidate {
                 endpoint,
-                load: self.ledger.load(self.now, &endpoint.life),
+                load: self.ledger.load(self.now, &endpoint.process),
                 rank: position as f64 / self.endpoints.len() as f64,
                 short_lane: position < lane,
                 may_help: true,
@@ -127,11 +127,11 @@
         let placer = DirectPlacer::new(Some(&PROFILE));
         let choice = placer.place(request, &candidates)?;
         let lane = candidates.iter().filter(|c| c.short_lane);
-        let lane = lane.map(|c| c.endpoint.life.clone()).collect();
+        let lane = lane.map(|c| c.endpoint.process.clone()).collect();
         let works = placer.works(request, &choice, &candidates);
         let members = works.iter().map(|work| work.endpoint.clone()).collect();
         let read_at = self.now + choice.first_event;
-        let writing = PROFILE.write_time(request.answer, ms(60));
+        let writing = PROFILE.decode_time(request.answer, ms(60));
         for (index, work) in works.into_iter().enumerate() {
             let key = self.ledger.place(self.now, work);
             let end = if index == 0 {
@@ -153,7 +153,7 @@
 /// A choice and the names behind its indices, lead first.
 pub(crate) struct PlacedChoice {
     pub(crate) choice: DirectChoice,
-    pub(crate) members: Vec<EndpointLife>,
+    pub(crate) members: Vec<EndpointProcess>,
     /// The short lane at that moment.
-    pub(crate) lane: Vec<EndpointLife>,
+    pub(crate) lane: Vec<EndpointProcess>,
 }
--- a/lovagedock/tests/direct_suspect_wave/mod.rs
+++ b/lovagedock/tests/direct_suspect_wave/mod.rs
@@ -3,7 +3,7 @@
 use std::{collections::HashSet, time::Duration};
 
 use lovagedock::{
-    EndEvidence, EndpointLife, ProcessEnd, RequestFingerprint, SuspectLedger, Timestamp,
+    EndEvidence, EndpointProcess, ProcessEnd, RequestFingerprint, SuspectLedger, Timestamp,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -69,7 +69,7 @@
     ledger: SuspectLedger,
     runs: Vec<WaveRun>,
     down_until: Vec<Timestamp>,
-    lives: u64,
+    ended_processes: u64,
     ends: usize,
     next: RequestFingerprint,
 }
@@ -82,7 +82,7 @@
         ledger: SuspectLedger::new(),
         runs: Vec::new(),
         down_until: vec![Duration::ZERO; ENGINES],
-        lives: 0,
+        ended_processes: 0,
         ends: 0,
         next: CRASHING + 1,
     };
@@ -127,15 +127,15 @@
 
     fn end_engine(&mut self, now: Timestamp, engine: usize) {
         self.ends += 1;
-        self.lives += 1;
+        self.ended_processes += 1;
         self.down_until[engine] = now + RESTART_TIME;
-        let life = EndpointLife::new(format!("i-{}", self.lives).as_str(), 1);
+        let process = EndpointProcess::new(format!("i-{}", self.ended_processes).as_str(), 1);
         let all = std::mem::take(&mut self.runs);
         let (lost, kept): (Vec<_>, Vec<_>) = all.into_iter().partition(|run| run.engine == engine);
         self.runs = kept;
         for run in &lost {
             let evidence = EndEvidence::new(true, now.saturating_sub(run.began_at));
-            let end = ProcessEnd::new(&life, evidence);
+            let end = ProcessEnd::new(&process, evidence);
             self.ledger.record_end(now, run.fingerprint, end);
         }
         for run in lost {
--- a/lovagedock/tests/direct_suspects.rs
+++ b/lovagedock/tests/direct_suspects.rs
@@ -6,8 +6,8 @@
 
 use direct_suspect_wave::{WaveOutcome, WavePlan, play_wave};
 use lovagedock::{
-    EndEvidence, EndpointLife, ProcessEnd, RequestFingerprint, SuspectLedger, SuspectNews,
-    SuspectTelling, Timestamp,
+    EndEvidence, EndpointProcess, ProcessEnd, RequestFingerprint, SuspectLedger, SuspectQueue,
+    SuspectUpdate, Timestamp,
 };
 use rand::{RngExt, SeedableRng, seq::SliceRandom};
 use rand_chacha::ChaCha8Rng;
@@ -23,8 +23,8 @@
 }
 
 fn end(process: u64, evidence: EndEvidence) -> ProcessEnd {
-    let life = EndpointLife::new(format!("i-{process}").as_str(), 1);
-    ProcessEnd::new(&life, evidence)
+    let process = EndpointProcess::new(format!("i-{process}").as_str(), 1);
+    ProcessEnd::new(&process, evidence)
 }
 
 /// What happens to one request.
@@ -235,8 +235,8 @@
     for seed in 0..200 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut ledgers = vec![SuspectLedger::new(); GATEWAYS];
-        let mut tellings = vec![SuspectTelling::new(); GATEWAYS];
-        let mut messages: Vec<(Timestamp, usize, SuspectNews)> = Vec::new();
+        let mut tellings = vec![SuspectQueue::new(); GATEWAYS];
+        let mut messages: Vec<(Timestamp, usize, SuspectUpdate)> = Vec::new();
         ledgers[0].record_served(Duration::ZERO, INNOCENT);
         for round in 0..1200_u64 {
             let now = Duration::from_millis(round * 10);
@@ -247,7 +247,7 @@
                 ledgers[1].record_end(now, INNOCENT, ended);
             }
             for sender in 0..GATEWAYS {
-                for news in tellings[sender].take(now, &mut ledgers[sender]) {
+                for news in tellings[sender].take_due(now, &mut ledgers[sender]) {
                     for receiver in (0..GATEWAYS).filter(|receiver| *receiver != sender) {
                         for _ in 0..random.random_range(1..3) {
                             if random.random_bool(0.6) {
@@ -261,7 +261,7 @@
             messages.shuffle(&mut random);
             messages.retain(|(at, receiver, news)| {
                 if *at <= now {
-                    ledgers[*receiver].hear(now, *news);
+                    ledgers[*receiver].apply_update(now, *news);
                 }
                 *at > now
             });
@@ -280,7 +280,7 @@
 #[test]
 fn messages_are_bounded() {
     let mut ledger = SuspectLedger::new();
-    let mut telling = SuspectTelling::new();
+    let mut telling = SuspectQueue::new();
     for fingerprint in 0..5_000 {
         let ended = end(fingerprint % 57, EndEvidence::Strong);
         ledger.record_end(seconds(1), fingerprint, ended);
@@ -288,28 +288,28 @@
     let mut told = 0;
     for round in 0..1_000 {
         let now = seconds(1) + Duration::from_millis(10 * round);
-        let news = telling.take(now, &mut ledger).len();
+        let news = telling.take_due(now, &mut ledger).len();
         assert!(news <= 24, "{news} in one message");
         told += news;
     }
     assert!(told <= 3 * 5_000, "{told} in all");
-    assert!(telling.take(seconds(60), &mut ledger).is_empty());
+    assert!(telling.take_due(seconds(60), &mut ledger).is_empty());
 }
 
 /// A request that many ask and that every gateway has served is cleared in few words.
 #[test]
 fn a_clearance_is_told_once_while_it_waits() {
     let mut ledger = SuspectLedger::new();
-    let mut telling = SuspectTelling::new();
+    let mut telling = SuspectQueue::new();
     ledger.record_served(seconds(1), INNOCENT);
     let mut told = 0;
     for process in 0..50 {
         let ended = end(process, EndEvidence::Strong);
-        ledger.hear(seconds(2), SuspectNews::Ended(INNOCENT, ended));
-        told += telling.take(seconds(2), &mut ledger).len();
+        ledger.apply_update(seconds(2), SuspectUpdate::Ended(INNOCENT, ended));
+        told += telling.take_due(seconds(2), &mut ledger).len();
     }
     assert_eq!(told, 1);
-    assert_eq!(telling.take(seconds(3), &mut ledger).len(), 1);
+    assert_eq!(telling.take_due(seconds(3), &mut ledger).len(), 1);
 }
 
 /// Callers who share engines with a request that ends them are served, and few engines end.
--- a/lovagedock/tests/direct_telling.rs
+++ b/lovagedock/tests/direct_telling.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use lovagedock::{
-    EndpointLife, LoadNews, MessageNews, PeerHearing, PeerLoad, PlacedWork, WorkKey, WorkLedger,
-    prelude::*,
+    EndpointProcess, LoadUpdates, MessageOrder, PeerLoad, PeerSequences, PlacedWork, WorkKey,
+    WorkLedger, prelude::*,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -13,8 +13,8 @@
     Duration::from_millis(ms)
 }
 
-fn life(number: usize) -> EndpointLife {
-    EndpointLife::new(format!("engine-{number}"), 1)
+fn process(number: usize) -> EndpointProcess {
+    EndpointProcess::new(format!("engine-{number}"), 1)
 }
 
 fn peer() -> GatewayId {
@@ -23,8 +23,8 @@
 
 fn work(number: usize) -> PlacedWork {
     PlacedWork {
-        endpoint: life(number),
-        reading: ms(20),
+        endpoint: process(number),
+        prefill_time: ms(20),
         context: 5_000,
         gap: Some(ms(200)),
         short: true,
@@ -37,13 +37,13 @@
 #[derive(Default)]
 struct TellingGateway {
     ledger: WorkLedger,
-    news: LoadNews,
+    news: LoadUpdates,
 }
 
 impl TellingGateway {
     /// What it tells at `now`; it found every endpoint as fast as declared.
-    fn tell(&mut self, now: Timestamp) -> Vec<(EndpointLife, PeerLoad)> {
-        self.news.take(now, &mut self.ledger, |_| 1.0)
+    fn tell(&mut self, now: Timestamp) -> Vec<(EndpointProcess, PeerLoad)> {
+        self.news.take_due(now, &mut self.ledger, |_| 1.0)
     }
 }
 
@@ -129,14 +129,18 @@
 fn a_total_that_begins_anew_counts_whole() {
     let mut sender = TellingGateway::default();
     let mut hearer = WorkLedger::new();
-    hearer.hear(ms(0), &peer(), []);
+    hearer.apply_peer_loads(ms(0), &peer(), []);
     for at in [0, 3_000] {
         let key = sender.ledger.place(ms(at), work(0));
-        hearer.hear(ms(at), &peer(), sender.tell(ms(at)));
-        assert_eq!(hearer.load(ms(at), &life(0)).backlog, ms(20), "at {at} ms");
+        hearer.apply_peer_loads(ms(at), &peer(), sender.tell(ms(at)));
+        assert_eq!(
+            hearer.load(ms(at), &process(0)).backlog,
+            ms(20),
+            "at {at} ms"
+        );
         sender.ledger.finish(ms(at + 500), key);
-        hearer.hear(ms(at + 500), &peer(), sender.tell(ms(at + 500)));
-        let load = hearer.load(ms(at + 500), &life(0));
+        hearer.apply_peer_loads(ms(at + 500), &peer(), sender.tell(ms(at + 500)));
+        let load = hearer.load(ms(at + 500), &process(0));
         assert_eq!((load.occupied, load.backlog), (0, ms(0)), "at {at} ms");
     }
 }
@@ -151,15 +155,15 @@
     let mut hearer = WorkLedger::new();
     let ended = sender.ledger.place(ms(0), work(0));
     let lasting = sender.ledger.place(ms(0), work(1));
-    hearer.hear(ms(0), &peer(), sender.tell(ms(0)));
+    hearer.apply_peer_loads(ms(0), &peer(), sender.tell(ms(0)));
     sender.ledger.finish(ms(100), ended);
     let _lost = sender.tell(ms(100));
     for at in (250..5_000).step_by(250) {
-        hearer.hear(ms(at), &peer(), sender.tell(ms(at)));
+        hearer.apply_peer_loads(ms(at), &peer(), sender.tell(ms(at)));
         assert!(hearer.forget_silent(ms(at)).is_empty());
     }
-    assert_eq!(hearer.load(ms(5_000), &life(0)).occupied, 0, "ended");
-    assert_eq!(hearer.load(ms(5_000), &life(1)).occupied, 1, "lasting");
+    assert_eq!(hearer.load(ms(5_000), &process(0)).occupied, 0, "ended");
+    assert_eq!(hearer.load(ms(5_000), &process(1)).occupied, 1, "lasting");
     sender.ledger.finish(ms(5_000), lasting);
 }
 
@@ -180,13 +184,13 @@
 }
 
 /// What is on its way to the hearer: when it comes, its sequence number, what it says.
-type Datagram = (Timestamp, u64, Vec<(EndpointLife, PeerLoad)>);
+type Datagram = (Timestamp, u64, Vec<(EndpointProcess, PeerLoad)>);
 
 /// A sender and a hearer with an unreliable way between them.
 struct LossyPair {
     sender: TellingGateway,
     hearer: WorkLedger,
-    order: PeerHearing,
+    order: PeerSequences,
     on_the_way: Vec<Datagram>,
     running: Vec<(Timestamp, WorkKey)>,
     sequence: u64,
@@ -198,7 +202,7 @@
         Self {
             sender: TellingGateway::default(),
             hearer: WorkLedger::new(),
-            order: PeerHearing::new(),
+            order: PeerSequences::new(),
             on_the_way: Vec::new(),
             running: Vec::new(),
             sequence: 0,
@@ -246,8 +250,8 @@
             .collect();
         come.sort_by_key(|(at, ..)| *at);
         for (_, sequence, loads) in come {
-            if self.order.hear(&peer(), 1, sequence) == MessageNews::Latest {
-                self.hearer.hear(now, &peer(), loads);
+            if self.order.record(&peer(), 1, sequence) == MessageOrder::Latest {
+                self.hearer.apply_peer_loads(now, &peer(), loads);
             }
         }
         self.hearer.forget_silent(now);
@@ -256,7 +260,7 @@
     fn occupied(&self, now: Timestamp, ledger: &WorkLedger) -> Vec<u32> {
         let endpoints = 0..ENDPOINTS;
         endpoints
-            .map(|number| ledger.load(now, &life(number)).occupied)
+            .map(|number| ledger.load(now, &process(number)).occupied)
             .collect()
     }
 }
@@ -342,8 +346,8 @@
     let key = gateway.ledger.place(ms(0), work(0));
     gateway.ledger.finish(ms(100), key);
     let mut tell = |at: u64, pace: f64| {
-        let told = gateway.news.take(ms(at), &mut gateway.ledger, |_| pace);
-        told.first().map(|(_, load)| load.pace)
+        let told = gateway.news.take_due(ms(at), &mut gateway.ledger, |_| pace);
+        told.first().map(|(_, load)| load.slowdown)
     };
     assert_eq!(tell(100, 2.1), Some(2.0), "in steps of a half");
     assert_eq!(tell(600, 2.0), None);
--- a/lovagedock/tests/direct_waiting.rs
+++ b/lovagedock/tests/direct_waiting.rs
@@ -2,18 +2,18 @@
 
 use std::time::Duration;
 
-use lovagedock::{LineDecision, LineKind, LineSettings, RefusalLog, WaitingLine};
+use lovagedock::{QueueDecision, QueueKind, QueueSettings, RefusalLog, WaitingQueue};
 
-fn line() -> WaitingLine {
-    WaitingLine::new(LineSettings::default())
+fn line() -> WaitingQueue {
+    WaitingQueue::new(QueueSettings::default())
 }
 
 /// A caller whose request waits is told within a part of its objective.
 #[test]
 fn a_request_waits_for_a_part_of_its_objective() {
     let mut line = line();
-    let decision = line.arrive(ms(100), ms(400), ms(10_000), 0.0);
-    assert_eq!(decision, LineDecision::Wait { until: ms(220) });
+    let decision = line.decide(ms(100), ms(400), ms(10_000), 0.0);
+    assert_eq!(decision, QueueDecision::Wait { until: ms(220) });
 }
 
 /// More callers than the line serves in time are refused at once, not when their time is over.
@@ -26,11 +26,11 @@
         line.record_start(ms(start * 33));
     }
     for _ in 0..10 {
-        line.join(ms(2_300));
+        line.enqueue(ms(2_300));
     }
-    let decision = line.arrive(ms(2_000), ms(2_300), ms(9_900), 0.0);
+    let decision = line.decide(ms(2_000), ms(2_300), ms(9_900), 0.0);
     assert!(
-        matches!(decision, LineDecision::Refuse { .. }),
+        matches!(decision, QueueDecision::Refuse { .. }),
         "{decision:?}"
     );
 }
@@ -50,23 +50,23 @@
 #[test]
 fn the_next_to_be_late_goes_first() {
     let mut line = line();
-    let later = line.join(ms(500));
-    let sooner = line.join(ms(300));
+    let later = line.enqueue(ms(500));
+    let sooner = line.enqueue(ms(300));
     assert!(line.is_first(&sooner) && !line.is_first(&later));
-    line.leave(&sooner);
+    line.remove(&sooner);
     assert!(line.is_first(&later));
-    line.leave(&later);
+    line.remove(&later);
     assert!(line.is_empty());
 }
 
 /// A line in which nothing started yet does not refuse the second long prompt.
 #[test]
 fn long_prompts_may_wait_before_any_has_started() {
-    let mut line = WaitingLine::new(LineKind::Long.settings());
-    line.join(ms(3_000));
-    let decision = line.arrive(ms(0), ms(3_000), ms(15_000), 0.0);
+    let mut line = WaitingQueue::new(QueueKind::Long.settings());
+    line.enqueue(ms(3_000));
+    let decision = line.decide(ms(0), ms(3_000), ms(15_000), 0.0);
     assert!(
-        matches!(decision, LineDecision::Wait { .. }),
+        matches!(decision, QueueDecision::Wait { .. }),
         "{decision:?}"
     );
 }
@@ -107,15 +107,15 @@
         },
     ];
     for case in cases {
-        let kind = LineKind::new(case.is_long, case.is_return);
+        let kind = QueueKind::new(case.is_long, case.is_return);
         assert_eq!(
             (kind.is_long(), kind.is_return()),
             (case.is_long, case.is_return)
         );
-        let mut line = WaitingLine::new(kind.settings());
-        let decision = line.arrive(ms(0), ms(4_000), ms(15_000), 0.0);
+        let mut line = WaitingQueue::new(kind.settings());
+        let decision = line.decide(ms(0), ms(4_000), ms(15_000), 0.0);
         let until = ms(case.held_ms);
-        assert_eq!(decision, LineDecision::Wait { until }, "{kind:?}");
+        assert_eq!(decision, QueueDecision::Wait { until }, "{kind:?}");
     }
 }
 
@@ -125,10 +125,10 @@
     let mut own = RefusalLog::new();
     let mut peer = RefusalLog::new();
     own.record(ms(0), 7);
-    for fingerprint in own.take_untold() {
-        peer.hear(ms(10), fingerprint);
+    for fingerprint in own.take_unsent() {
+        peer.record_remote(ms(10), fingerprint);
     }
-    assert!(own.take_untold().is_empty());
+    assert!(own.take_unsent().is_empty());
     assert!(own.is_return(ms(3_000), 7) && peer.is_return(ms(3_000), 7));
     assert!(!peer.is_return(ms(3_000), 8));
     assert!(!peer.is_return(ms(9_000), 7));
