--- a/lovagedock/src/direct/choice.rs
+++ b/lovagedock/src/direct/choice.rs
@@ -70,10 +70,10 @@
 
 /// Loss up to which a place is taken at once. Above it a request waits a moment for a better one:
 /// it is about half a short request that comes late.
-const WAIT_LOSS: f64 = 0.4;
+const IMMEDIATE_LOSS: f64 = 0.4;
 
 /// Loss that is taken besides at the end of a request's patience, as a share of its value.
-const PATIENCE_LOSS: f64 = 0.3;
+const WAITED_LOSS_SHARE: f64 = 0.3;
 
 impl DirectChoice {
     /// Whether to take the place rather than wait for a better one; `waited` is the part of its
@@ -82,7 +82,7 @@
     /// The load that it answers: engines with a few writers each, and long prompts that all wait until
     /// one has none. The longer they wait, the more come together, while engines do nothing.
     pub fn is_acceptable(&self, request: &DirectRequest, waited: f64) -> bool {
-        self.lost_value <= WAIT_LOSS + PATIENCE_LOSS * request.value() * waited
+        self.lost_value <= IMMEDIATE_LOSS + WAITED_LOSS_SHARE * request.value() * waited
     }
 }
 
--- a/lovagedock/src/direct/endpoints.rs
+++ b/lovagedock/src/direct/endpoints.rs
@@ -55,7 +55,7 @@
 ///
 /// It is either the last write of a former process, carried out late by the store, which the new
 /// process overwrites within a second or two; or the host's clock was set back before the restart.
-const OUTDATED_TIME: Duration = Duration::from_secs(4);
+const DEFERRAL_TIME: Duration = Duration::from_secs(4);
 
 /// Former processes that are remembered: as many as there are endpoints at the size to design for.
 const MAX_FORMER: usize = 10_000;
@@ -131,19 +131,19 @@
     pub fn apply_deferred(&mut self, now: Timestamp) -> Vec<(DirectEndpoint, EntryChange)> {
         let due = self.deferred.values();
         let due: Vec<DirectEndpoint> = due
-            .filter(|(since, _)| now.saturating_sub(*since) >= OUTDATED_TIME)
+            .filter(|(since, _)| now.saturating_sub(*since) >= DEFERRAL_TIME)
             .map(|(_, endpoint)| endpoint.clone())
             .collect();
-        let settle = |mut endpoint: DirectEndpoint| {
+        let apply = |mut endpoint: DirectEndpoint| {
             self.deferred.remove(&endpoint.process.id);
             let known = self.latest(&endpoint.process.id);
             if let Some(known) = known.filter(|known| known.started == endpoint.process.started) {
                 endpoint.state = known.state.or(endpoint.state);
             }
-            let news = self.replace(endpoint.clone());
-            (endpoint, news)
+            let change = self.replace(endpoint.clone());
+            (endpoint, change)
         };
-        due.into_iter().map(settle).collect()
+        due.into_iter().map(apply).collect()
     }
 
     /// Forgets an endpoint whose entry is gone; returns its process.
--- a/lovagedock/src/direct/ledger.rs
+++ b/lovagedock/src/direct/ledger.rs
@@ -13,27 +13,27 @@
 #[derive(Clone, Debug)]
 struct OwnWork {
     work: PlacedWork,
-    read_until: Timestamp,
-    reading: bool,
+    prefill_until: Timestamp,
+    is_prefilling: bool,
 }
 
 /// Time for which an endpoint that is not listed is remembered: longer than the store is away, with
 /// the seconds in which lapsed entries come back.
-const GONE_MEMORY: Duration = Duration::from_secs(120);
+const UNLISTED_RETENTION: Duration = Duration::from_secs(120);
 
 /// Part of an engine's lateness that is carried over to the prompts behind. All of it would count
 /// the same delay once for each prompt that it delayed.
-const LATENESS_CARRIED: f64 = 0.5;
+const LATENESS_FACTOR: f64 = 0.5;
 
 /// Pause that a request bears which has missed an objective already: callers of streams leave after
 /// two seconds without an event, and an engine that is asked again in the meantime adds to a pause.
 pub const RELAXED_GAP: Duration = Duration::from_millis(1000);
 
 /// Part of its value that is left to lose then.
-const MISSED_VALUE: f32 = 0.33;
+const RELAXED_VALUE_FACTOR: f32 = 0.33;
 
 /// Memory of the rate at which peers place. A burst shows within half of this.
-const RATE_MEMORY: Duration = Duration::from_millis(500);
+const RATE_WINDOW: Duration = Duration::from_millis(500);
 
 /// Counts the work on each endpoint.
 ///
@@ -45,7 +45,7 @@
     pub(super) endpoints: HashMap<EndpointProcess, EndpointRecord>,
     works: HashMap<WorkKey, OwnWork>,
     next_key: WorkKey,
-    pub(super) heard: HashMap<GatewayId, Timestamp>,
+    pub(super) last_message_at: HashMap<GatewayId, Timestamp>,
     pub(super) slot_delay: Duration,
     /// Short prompts that peers place.
     pub(super) short_rate: EventRate,
@@ -57,9 +57,9 @@
             endpoints: HashMap::new(),
             works: HashMap::new(),
             next_key: 0,
-            heard: HashMap::new(),
+            last_message_at: HashMap::new(),
             slot_delay: Duration::ZERO,
-            short_rate: EventRate::new(RATE_MEMORY),
+            short_rate: EventRate::new(RATE_WINDOW),
         }
     }
 }
@@ -94,7 +94,7 @@
         };
         let value = own.work.value;
         own.work.gap = Some(RELAXED_GAP);
-        own.work.value *= MISSED_VALUE;
+        own.work.value *= RELAXED_VALUE_FACTOR;
         let Some(record) = self.endpoints.get_mut(&own.work.endpoint) else {
             return;
         };
@@ -109,13 +109,13 @@
         let record = self.endpoints.entry(work.endpoint.clone()).or_default();
         record.add_own(&work);
         record.free_at = record.free_at.max(now) + work.prefill_time;
-        let read_until = record.free_at;
+        let prefill_until = record.free_at;
         let key = self.next_key;
         self.next_key += 1;
         let own = OwnWork {
             work,
-            read_until,
-            reading: true,
+            prefill_until,
+            is_prefilling: true,
         };
         self.works.insert(key, own);
         key
@@ -126,23 +126,23 @@
         let Some(own) = self.works.get_mut(&key) else {
             return;
         };
-        if !std::mem::take(&mut own.reading) {
+        if !std::mem::take(&mut own.is_prefilling) {
             return;
         }
-        let read_until = own.read_until;
+        let prefill_until = own.prefill_until;
         let Some(record) = self.endpoints.get_mut(&own.work.endpoint) else {
             return;
         };
         if own.work.is_long_prefill() {
             record.finish_prefill();
         }
-        if now > read_until {
-            let late = (now - read_until).mul_f64(LATENESS_CARRIED);
+        if now > prefill_until {
+            let late = (now - prefill_until).mul_f64(LATENESS_FACTOR);
             if record.free_at > now {
                 record.free_at += late;
             }
         } else {
-            record.free_at = record.free_at.saturating_sub(read_until - now);
+            record.free_at = record.free_at.saturating_sub(prefill_until - now);
         }
     }
 
@@ -155,12 +155,12 @@
             return;
         };
         record.remove_own(&own.work);
-        if own.reading {
+        if own.is_prefilling {
             if own.work.is_long_prefill() {
                 record.finish_prefill();
             }
             let left = own
-                .read_until
+                .prefill_until
                 .saturating_sub(now)
                 .min(own.work.prefill_time);
             record.free_at = record.free_at.saturating_sub(left);
@@ -179,25 +179,25 @@
     /// had minutes of prompts to read, and get none.
     pub fn record_unlisted(&mut self, now: Timestamp, endpoint: &EndpointProcess) {
         if let Some(record) = self.endpoints.get_mut(endpoint) {
-            record.gone_at = Some(now);
+            record.unlisted_at = Some(now);
         }
     }
 
     /// Records that an endpoint is listed.
     pub fn record_listed(&mut self, endpoint: &EndpointProcess) {
         if let Some(record) = self.endpoints.get_mut(endpoint) {
-            record.gone_at = None;
+            record.unlisted_at = None;
         }
     }
 
     /// Forgets endpoints that have not been listed for long; work there is still counted out by its
     /// key.
     pub fn forget_unlisted(&mut self, now: Timestamp) {
-        let is_gone = |record: &EndpointRecord| {
-            let gone_at = record.gone_at;
-            gone_at.is_some_and(|at| now.saturating_sub(at) > GONE_MEMORY)
+        let is_expired = |record: &EndpointRecord| {
+            let unlisted_at = record.unlisted_at;
+            unlisted_at.is_some_and(|at| now.saturating_sub(at) > UNLISTED_RETENTION)
         };
-        self.endpoints.retain(|_, record| !is_gone(record));
+        self.endpoints.retain(|_, record| !is_expired(record));
     }
 
     /// Whether anything is counted on an endpoint.
@@ -225,16 +225,22 @@
         let Some(record) = self.endpoints.get(endpoint) else {
             return Default::default();
         };
-        let held = record.held.iter().filter(|held| now < held.until);
-        let held: u32 = held.map(|held| held.slots).sum();
-        let paces = record.peers.values().map(|heard| heard.load.slowdown);
+        let reserved = record
+            .reserved
+            .iter()
+            .filter(|reserved| now < reserved.until);
+        let reserved: u32 = reserved.map(|reserved| reserved.slots).sum();
+        let slowdowns = record
+            .peers
+            .values()
+            .map(|last_message_at| last_message_at.load.slowdown);
         let load = CombinedLoad {
-            occupied: record.total.occupied + held,
+            occupied: record.total.occupied + reserved,
             context: record.total.context,
             backlog: record.free_at.saturating_sub(now),
             pending_prefills: record.total.pending_prefills,
             suspects: record.total.suspects,
-            slowdown: paces.fold(0.0, f32::max),
+            slowdown: slowdowns.fold(0.0, f32::max),
             writers: record.total.writers.clone(),
         };
         (load, record.total.short)
@@ -242,8 +248,8 @@
 
     /// Begins the counts of endpoints anew on which this gateway has nothing any more; peers are told
     /// of them once more.
-    pub(super) fn reset_idle(&mut self, told: &EndpointProcess) {
-        let Some(record) = self.endpoints.get_mut(told) else {
+    pub(super) fn reset_idle(&mut self, endpoint: &EndpointProcess) {
+        let Some(record) = self.endpoints.get_mut(endpoint) else {
             return;
         };
         if record.own.occupied == 0 && record.own.pending_prefills == 0 {
--- a/lovagedock/src/direct/listing.rs
+++ b/lovagedock/src/direct/listing.rs
@@ -41,7 +41,7 @@
 
 /// Time after the store's return in which entries that it lost or that lapsed may come back. Endpoints
 /// write again within two seconds of its return.
-const RETURN_TIME: Duration = Duration::from_millis(2200);
+const REAPPEAR_TIMEOUT: Duration = Duration::from_millis(2200);
 
 /// Decides which listing holds and when an endpoint that it does not name is gone.
 ///
@@ -93,7 +93,7 @@
         self.version.position = position;
         if is_new_era || after_outage || is_waiting {
             self.version.settled = false;
-            self.settles_at = Some(now + RETURN_TIME);
+            self.settles_at = Some(now + REAPPEAR_TIMEOUT);
         }
         if self.version.settled {
             return Some(missing);
--- a/lovagedock/src/direct/load.rs
+++ b/lovagedock/src/direct/load.rs
@@ -97,8 +97,8 @@
 
     /// Value of the writers that bear no pause as long as `pause`.
     pub fn value_delayed_by(&self, pause: Duration) -> f64 {
-        let hurt = self.writers.groups().filter(|group| group.gap < pause);
-        hurt.map(|group| f64::from(group.value)).sum()
+        let delayed = self.writers.groups().filter(|group| group.gap < pause);
+        delayed.map(|group| f64::from(group.value)).sum()
     }
 }
 
@@ -147,11 +147,11 @@
 
 /// All who write on an endpoint, by the pause that they bear.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct WriterTable(SmallVec<[WriterGroup; USUAL_GROUPS]>);
+pub struct WriterTable(SmallVec<[WriterGroup; INLINE_GROUPS]>);
 
 /// Pauses that writers of one engine bear, usually: one for each kind of request, and that of writers
 /// which were late already. A table is copied for each endpoint at each look for a place.
-const USUAL_GROUPS: usize = 4;
+const INLINE_GROUPS: usize = 4;
 
 impl WriterTable {
     /// The groups; none is empty.
--- a/lovagedock/src/direct/load_updates.rs
+++ b/lovagedock/src/direct/load_updates.rs
@@ -6,10 +6,10 @@
 use crate::ids::Timestamp;
 
 /// Time after which a load that has not changed is told again, so that a lost message is made good.
-const REPEAT_TIME: Duration = Duration::from_secs(1);
+const RESEND_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Steps of a pace that peers are told, in one; finer ones would be told all the time.
-const PACE_STEPS: f32 = 2.0;
+const SLOWDOWN_STEPS: f32 = 2.0;
 
 /// What peers were told of the endpoints that this gateway uses.
 ///
@@ -19,13 +19,13 @@
 /// included: 0.587 GB before, 0.276 GB after.
 #[derive(Clone, Debug, Default)]
 pub struct LoadUpdates {
-    told: BTreeMap<EndpointProcess, SentLoad>,
+    sent: BTreeMap<EndpointProcess, SentLoad>,
 }
 
 #[derive(Clone, Debug)]
 struct SentLoad {
     load: PeerLoad,
-    at: Timestamp,
+    sent_at: Timestamp,
 }
 
 impl LoadUpdates {
@@ -43,30 +43,31 @@
         &mut self,
         now: Timestamp,
         ledger: &mut WorkLedger,
-        pace: impl Fn(&EndpointProcess) -> f64,
+        slowdown: impl Fn(&EndpointProcess) -> f64,
     ) -> Vec<(EndpointProcess, PeerLoad)> {
-        let mut former = std::mem::take(&mut self.told);
-        let mut news = Vec::new();
+        let mut previous = std::mem::take(&mut self.sent);
+        let mut updates = Vec::new();
         for (process, load) in ledger.own_loads() {
-            let load = load.with_slowdown(rounded(pace(process)));
-            let told = former.remove(process).filter(|told| told.load == load);
-            let at = told.map(|told| told.at);
-            let at = at.filter(|at| now.saturating_sub(*at) < REPEAT_TIME);
-            if at.is_none() {
-                news.push((process.clone(), load.clone()));
+            let load = load.with_slowdown(round_slowdown(slowdown(process)));
+            let sent = previous.remove(process).filter(|sent| sent.load == load);
+            let sent_at = sent.map(|sent| sent.sent_at);
+            let sent_at = sent_at.filter(|sent_at| now.saturating_sub(*sent_at) < RESEND_INTERVAL);
+            if sent_at.is_none() {
+                updates.push((process.clone(), load.clone()));
             }
             if !load.is_idle() {
-                let at = at.unwrap_or(now);
-                self.told.insert(process.clone(), SentLoad { load, at });
+                let sent_at = sent_at.unwrap_or(now);
+                self.sent
+                    .insert(process.clone(), SentLoad { load, sent_at });
             }
         }
-        for (process, _) in news.iter().filter(|(_, load)| load.is_idle()) {
+        for (process, _) in updates.iter().filter(|(_, load)| load.is_idle()) {
             ledger.reset_idle(process);
         }
-        news
+        updates
     }
 }
 
-fn rounded(pace: f64) -> f32 {
-    (pace as f32 * PACE_STEPS).round() / PACE_STEPS
+fn round_slowdown(slowdown: f64) -> f32 {
+    (slowdown as f32 * SLOWDOWN_STEPS).round() / SLOWDOWN_STEPS
 }
--- a/lovagedock/src/direct/member.rs
+++ b/lovagedock/src/direct/member.rs
@@ -20,7 +20,7 @@
 const SPREAD_LOSS: f64 = 0.002;
 
 /// Free slots that count as the last. Other gateways place on the same engine before they hear of
-/// this request; two of them at once are common in a burst, three are rare.
+/// this request; two of them at once are shared_loss in a burst, three are rare.
 const LAST_SLOTS: u32 = 2;
 
 /// Loss for taking one of the last slots: more than for opening another engine.
@@ -38,14 +38,14 @@
 /// Loss by which an endpoint may be worse than the best one and still be taken for a short prompt that
 /// avoids the choice of others: more than a last slot or a place outside the lane costs, far less than
 /// being late.
-const CROWD_LOSS: f64 = 0.2;
+const DRAW_TOLERANCE: f64 = 0.2;
 
 /// Reading that a helper may have before it. An engine reads the part that came last first: on one
 /// that is asked again and again the oldest part waits until nothing new comes, and with it the
 /// whole prompt, for seconds. Measured from the decision log of one day: prompts of 130k to 260k
 /// tokens that were predicted at 0.5 to 1.1 s took 3.7 to 11.6 s to their first event before, and 0.5
 /// to 4.1 s with this.
-pub(super) const HELP_BACKLOG: Duration = Duration::from_millis(80);
+pub(super) const MAX_HELPER_BACKLOG: Duration = Duration::from_millis(80);
 
 /// Least backlog, for a long prompt, of an engine that has not read all of another one: more than a
 /// helper may have.
@@ -57,19 +57,19 @@
 /// is asked that much later. Worth over three to four seeds of two deployments, against asking again
 /// until 250 ms after the predicted end: 0.671 -> 0.688 on 20 plays of days with trouble, 0.648 ->
 /// 0.657 on 12 of larger ones, 0.750 -> 0.784 on 4 calm ones.
-const UNREAD_BACKLOG: Duration = Duration::from_millis(200);
+const PENDING_PREFILL_BACKLOG: Duration = Duration::from_millis(200);
 
 /// Loss for each second until an engine has read what it has. Short requests that arrive together
 /// would otherwise all read on the engine that is filled next, one after the other.
-const LONG_READING_LOSS: f64 = 0.1;
-const SHORT_READING_LOSS: f64 = 0.5;
+const LONG_PREFILL_LOSS: f64 = 0.1;
+const SHORT_PREFILL_LOSS: f64 = 0.5;
 
 /// Loss for a long prompt's lead that would be the first writer of its engine, and for each writer
 /// of a helper. Engines read helpers' parts before prompts of their own, so that a lead waits for
 /// parts that came after it, and writers pause for each. So leads gather on few engines, and the
 /// others only read.
 const OPEN_LEAD_LOSS: f64 = 0.3;
-const HELP_WRITER_LOSS: f64 = 0.05;
+const HELPER_WRITER_LOSS: f64 = 0.05;
 
 /// Passes from the end of reading to the first event: what is left of the pass in which the
 /// request arrives, on average half, and the pass that writes it.
@@ -81,7 +81,7 @@
 
 /// Reading time from which a prompt is long: it is split and kept off the short lane. A pass of
 /// writers takes about 60 ms and short prompts bear pauses of 200 ms.
-pub(super) const LONG_READING: Duration = Duration::from_millis(120);
+pub(super) const LONG_PREFILL: Duration = Duration::from_millis(120);
 
 /// One endpoint of a team.
 pub(super) struct TeamMember {
@@ -89,14 +89,14 @@
     pub(super) backlog: Duration,
     pub(super) ready: Duration,
     pub(super) pass: Duration,
-    pub(super) hurt: f64,
-    pub(super) spread: f64,
+    pub(super) delay_loss: f64,
+    pub(super) slot_loss: f64,
     /// Tokens of memory that a request may take.
     pub(super) free: TokenCount,
     /// Loss as the lead.
     pub(super) lead_rank: f64,
     /// Loss as a helper.
-    pub(super) help_rank: f64,
+    pub(super) helper_rank: f64,
     pub(super) draw: f64,
 }
 
@@ -106,46 +106,49 @@
         request: &DirectRequest,
         index: usize,
         candidate: &PlacerCandidate<'_>,
-        part: Duration,
+        part_time: Duration,
     ) -> Self {
         let load = &candidate.load;
         let writers = load.writer_count() + 1;
         let usable = (profile.memory_tokens as f64 * USABLE_MEMORY) as TokenCount;
         let pass = profile.pass_time(writers, load.context + request.prompt);
-        let pace = f64::from(load.slowdown).max(1.0);
-        let pass = pass.mul_f64(pace);
-        let long = profile.prefill_time(request.prompt) >= LONG_READING;
+        let slowdown = f64::from(load.slowdown).max(1.0);
+        let pass = pass.mul_f64(slowdown);
+        let long = profile.prefill_time(request.prompt) >= LONG_PREFILL;
         let backlog = match long && load.pending_prefills > 0 {
-            true => load.backlog.max(UNREAD_BACKLOG),
+            true => load.backlog.max(PENDING_PREFILL_BACKLOG),
             false => load.backlog,
         };
-        let ready = (backlog + part).mul_f64(pace);
-        let hurt = LATE_LOSS * load.value_delayed_by(pass + ready);
+        let ready = (backlog + part_time).mul_f64(slowdown);
+        let delay_loss = LATE_LOSS * load.value_delayed_by(pass + ready);
         let free = candidate.endpoint.slots.saturating_sub(load.occupied);
-        let last = if free <= LAST_SLOTS {
+        let last_slot_loss = if free <= LAST_SLOTS {
             LAST_SLOT_LOSS
         } else {
             0.0
         };
-        let outside = match candidate.short_lane || long {
+        let outside_loss = match candidate.short_lane || long {
             true => 0.0,
             false => OUTSIDE_LANE_LOSS + OUTSIDE_SPAN_LOSS * candidate.rank,
         };
-        let gather = if candidate.short_lane {
+        let free_slot_loss = if candidate.short_lane {
             0.0
         } else {
             SPREAD_LOSS
         };
-        let spread = gather * f64::from(free) + last + outside + DRAW_LOSS * candidate.draw;
-        let reading_loss = if long {
-            LONG_READING_LOSS
+        let slot_loss = free_slot_loss * f64::from(free)
+            + last_slot_loss
+            + outside_loss
+            + DRAW_LOSS * candidate.draw;
+        let prefill_loss_rate = if long {
+            LONG_PREFILL_LOSS
         } else {
-            SHORT_READING_LOSS
+            SHORT_PREFILL_LOSS
         };
-        let reading = ready.as_secs_f64() * reading_loss;
+        let prefill_loss = ready.as_secs_f64() * prefill_loss_rate;
         let first_event = ready + pass.mul_f64(FIRST_EVENT_PASSES);
-        let common = lateness(request, first_event) + hurt + reading;
-        let opened = match (long, writers) {
+        let shared_loss = lateness_loss(request, first_event) + delay_loss + prefill_loss;
+        let opening_loss = match (long, writers) {
             (true, 1) => OPEN_LEAD_LOSS,
             _ => 0.0,
         };
@@ -154,13 +157,13 @@
             backlog,
             ready,
             pass,
-            hurt,
-            spread,
+            delay_loss,
+            slot_loss,
             free: usable.saturating_sub(load.context),
-            lead_rank: common + spread + opened,
-            help_rank: common
+            lead_rank: shared_loss + slot_loss + opening_loss,
+            helper_rank: shared_loss
                 + DRAW_LOSS * candidate.draw
-                + HELP_WRITER_LOSS * f64::from(writers - 1),
+                + HELPER_WRITER_LOSS * f64::from(writers - 1),
             draw: candidate.draw,
         }
     }
@@ -176,28 +179,28 @@
 /// 3,250 of 50,432 and 2,799 -> 1,827 of 30,070 on three days each of two fleets with 24 and 28 gateways.
 /// Worth over these 23 plays +0.011 (standard error 0.005). Long prompts of the largest fleet pay for a part
 /// of it: 0.015 of their worth.
-pub(super) fn take_of_crowd(
+pub(super) fn choose_among_best(
     members: &[TeamMember],
     need: TokenCount,
-    crowd: usize,
+    draw_count: usize,
 ) -> Option<&TeamMember> {
     let order = |a: &&TeamMember, b: &&TeamMember| a.lead_rank.total_cmp(&b.lead_rank);
     let mut best: Vec<&TeamMember> = members
         .iter()
         .filter(|member| member.free >= need)
         .collect();
-    if crowd < best.len() {
-        best.select_nth_unstable_by(crowd, order);
-        best.truncate(crowd);
+    if draw_count < best.len() {
+        best.select_nth_unstable_by(draw_count, order);
+        best.truncate(draw_count);
     }
-    let bound = best.iter().copied().min_by(order)?.lead_rank + CROWD_LOSS;
-    let crowd = best.into_iter().filter(|member| member.lead_rank <= bound);
-    crowd.min_by(|a, b| a.draw.total_cmp(&b.draw))
+    let bound = best.iter().copied().min_by(order)?.lead_rank + DRAW_TOLERANCE;
+    let within = best.into_iter().filter(|member| member.lead_rank <= bound);
+    within.min_by(|a, b| a.draw.total_cmp(&b.draw))
 }
 
 /// Keeps the members that are best as helpers, the best first.
-pub(super) fn keep_best(members: &mut Vec<TeamMember>, count: usize) {
-    let order = |a: &TeamMember, b: &TeamMember| a.help_rank.total_cmp(&b.help_rank);
+pub(super) fn retain_best_helpers(members: &mut Vec<TeamMember>, count: usize) {
+    let order = |a: &TeamMember, b: &TeamMember| a.helper_rank.total_cmp(&b.helper_rank);
     if count < members.len() {
         members.select_nth_unstable_by(count, order);
         members.truncate(count);
@@ -207,7 +210,7 @@
 
 /// The best lead among the members whose memory takes the whole request, or else the member with
 /// the most memory.
-pub(super) fn take_lead(members: &mut Vec<TeamMember>, need: TokenCount) -> Option<TeamMember> {
+pub(super) fn remove_lead(members: &mut Vec<TeamMember>, need: TokenCount) -> Option<TeamMember> {
     let whole = members
         .iter()
         .enumerate()
@@ -229,7 +232,10 @@
 
 /// Helpers with what each keeps of `tokens` that the lead has no memory for; `None` if they have
 /// too little together.
-pub(super) fn spread_memory(members: &[TeamMember], tokens: TokenCount) -> Option<Vec<HelperPart>> {
+pub(super) fn distribute_memory(
+    members: &[TeamMember],
+    tokens: TokenCount,
+) -> Option<Vec<HelperPart>> {
     let mut helpers: Vec<HelperPart> = members
         .iter()
         .map(|member| HelperPart {
@@ -249,7 +255,7 @@
 }
 
 /// Value that a request loses when its first event comes after `first_event`.
-pub(super) fn lateness(request: &DirectRequest, first_event: Duration) -> f64 {
+pub(super) fn lateness_loss(request: &DirectRequest, first_event: Duration) -> f64 {
     let limit = request.objective_left.mul_f64(OBJECTIVE_MARGIN);
     if first_event <= limit {
         return 0.0;
@@ -259,7 +265,7 @@
 }
 
 /// How close a prediction is to the objective, squared: 0 at once, 1 just in time.
-pub(super) fn tension(request: &DirectRequest, first_event: Duration) -> f64 {
+pub(super) fn deadline_risk(request: &DirectRequest, first_event: Duration) -> f64 {
     let limit = request.objective_left.as_secs_f64().max(f64::MIN_POSITIVE);
     (first_event.as_secs_f64() / limit).min(1.0).powi(2)
 }
--- a/lovagedock/src/direct/pause.rs
+++ b/lovagedock/src/direct/pause.rs
@@ -6,11 +6,11 @@
 
 /// Time beyond the usual between two looks that means the process did not run: a busy one is late by
 /// some tens of milliseconds.
-const STOPPED: Duration = Duration::from_millis(600);
+const PAUSE_THRESHOLD: Duration = Duration::from_millis(600);
 
 /// Time after waking in which what was told meanwhile is read: peers' messages wait in the socket, and
 /// the next ones come within some 30 ms of each other.
-const READING_TIME: Duration = Duration::from_millis(60);
+const CATCH_UP_TIME: Duration = Duration::from_millis(60);
 
 /// Tells what a gateway believed before it was stopped from what it has heard since.
 ///
@@ -20,8 +20,8 @@
 /// placed.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PauseDetector {
-    looked_at: Timestamp,
-    woke_at: Option<Timestamp>,
+    last_tick_at: Timestamp,
+    resumed_at: Option<Timestamp>,
 }
 
 impl PauseDetector {
@@ -33,23 +33,23 @@
     /// Takes in a look, of which there is one each `interval`; returns for how long the process was
     /// stopped, if it was.
     pub fn record_tick(&mut self, now: Timestamp, interval: Duration) -> Option<Duration> {
-        let since = now.saturating_sub(self.looked_at);
-        self.looked_at = now;
-        let is_stopped = since > interval + STOPPED;
-        if is_stopped {
-            self.woke_at = Some(now);
+        let since = now.saturating_sub(self.last_tick_at);
+        self.last_tick_at = now;
+        let was_paused = since > interval + PAUSE_THRESHOLD;
+        if was_paused {
+            self.resumed_at = Some(now);
         }
-        is_stopped.then_some(since)
+        was_paused.then_some(since)
     }
 
     /// How much longer a decision has to wait for what was told while the process was stopped.
     pub fn remaining_wait(&self, now: Timestamp, interval: Duration) -> Option<Duration> {
-        if now.saturating_sub(self.looked_at) > interval + STOPPED {
+        if now.saturating_sub(self.last_tick_at) > interval + PAUSE_THRESHOLD {
             // It woke just now, and the next look comes in this moment.
-            return Some(READING_TIME);
+            return Some(CATCH_UP_TIME);
         }
-        let woke_at = self.woke_at?;
-        let left = (woke_at + READING_TIME).saturating_sub(now);
+        let resumed_at = self.resumed_at?;
+        let left = (resumed_at + CATCH_UP_TIME).saturating_sub(now);
         (!left.is_zero()).then_some(left)
     }
 }
--- a/lovagedock/src/direct/peer_liveness.rs
+++ b/lovagedock/src/direct/peer_liveness.rs
@@ -6,11 +6,11 @@
 use crate::ids::{GatewayId, Timestamp};
 
 /// Time without a message after which a peer is out of sight: four of its heartbeats were lost.
-const OUT_OF_SIGHT: Duration = Duration::from_secs(1);
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Time after which a peer that is out of sight counts as gone. Entries of gateways stay in the store
 /// when their hosts are gone for good.
-const GONE_TIME: Duration = Duration::from_secs(120);
+const GONE_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// Remembers when peers were heard.
 ///
@@ -24,7 +24,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct PeerRecord {
-    was_heard: bool,
+    has_sent: bool,
     /// When it was heard last, or listed if it never was.
     at: Timestamp,
 }
@@ -38,7 +38,7 @@
     /// Records that a peer is listed.
     pub fn record_listed(&mut self, now: Timestamp, peer: &GatewayId) {
         let record = PeerRecord {
-            was_heard: false,
+            has_sent: false,
             at: now,
         };
         self.peers.entry(peer.clone()).or_insert(record);
@@ -47,7 +47,7 @@
     /// Records that a peer was heard.
     pub fn record_message(&mut self, now: Timestamp, peer: &GatewayId) {
         let record = PeerRecord {
-            was_heard: true,
+            has_sent: true,
             at: now,
         };
         match self.peers.get_mut(peer) {
@@ -68,9 +68,9 @@
         let mut count = GatewayCount { heard: 1, known: 1 };
         for record in self.peers.values() {
             let silence = now.saturating_sub(record.at);
-            let is_heard = record.was_heard && silence <= OUT_OF_SIGHT;
-            count.heard += usize::from(is_heard);
-            count.known += usize::from(is_heard || silence <= GONE_TIME);
+            let is_reachable = record.has_sent && silence <= SILENCE_TIMEOUT;
+            count.heard += usize::from(is_reachable);
+            count.known += usize::from(is_reachable || silence <= GONE_TIMEOUT);
         }
         count
     }
@@ -79,8 +79,8 @@
     pub fn has_silent_peers(&self, now: Timestamp) -> bool {
         self.peers.values().any(|record| {
             let silence = now.saturating_sub(record.at);
-            let is_missed = !record.was_heard || silence > OUT_OF_SIGHT;
-            is_missed && silence <= GONE_TIME
+            let is_silent = !record.has_sent || silence > SILENCE_TIMEOUT;
+            is_silent && silence <= GONE_TIMEOUT
         })
     }
 }
--- a/lovagedock/src/direct/peer_sequences.rs
+++ b/lovagedock/src/direct/peer_sequences.rs
@@ -48,31 +48,31 @@
         incarnation: Incarnation,
         sequence: u64,
     ) -> MessageOrder {
-        let Some(heard) = self.peers.get_mut(peer) else {
-            let heard = PeerSequence {
+        let Some(known) = self.peers.get_mut(peer) else {
+            let known = PeerSequence {
                 incarnation,
                 sequence,
                 former: VecDeque::new(),
             };
-            self.peers.insert(peer.clone(), heard);
+            self.peers.insert(peer.clone(), known);
             return MessageOrder::Latest;
         };
-        if heard.incarnation == incarnation {
-            if heard.sequence >= sequence {
+        if known.incarnation == incarnation {
+            if known.sequence >= sequence {
                 return MessageOrder::Stale;
             }
-            heard.sequence = sequence;
+            known.sequence = sequence;
             return MessageOrder::Latest;
         }
-        if heard.former.contains(&incarnation) {
+        if known.former.contains(&incarnation) {
             return MessageOrder::Stale;
         }
-        heard.former.push_back(heard.incarnation);
-        if heard.former.len() > MAX_FORMER {
-            heard.former.pop_front();
+        known.former.push_back(known.incarnation);
+        if known.former.len() > MAX_FORMER {
+            known.former.pop_front();
         }
-        heard.incarnation = incarnation;
-        heard.sequence = sequence;
+        known.incarnation = incarnation;
+        known.sequence = sequence;
         MessageOrder::Restarted
     }
 }
--- a/lovagedock/src/direct/placer.rs
+++ b/lovagedock/src/direct/placer.rs
@@ -7,17 +7,17 @@
     engine::EngineProfile,
     load::PlacedWork,
     member::{
-        FIRST_EVENT_PASSES, HELP_BACKLOG, LONG_READING, TeamMember, keep_best, lateness,
-        spread_memory, take_lead, take_of_crowd, tension,
+        FIRST_EVENT_PASSES, LONG_PREFILL, MAX_HELPER_BACKLOG, TeamMember, choose_among_best,
+        deadline_risk, distribute_memory, lateness_loss, remove_lead, retain_best_helpers,
     },
 };
 use crate::ids::TokenCount;
 
 /// Part of all slots that stays free beside requests that were refused before.
-const RETURN_ROOM: f64 = 0.1;
+const RETURNED_RESERVE: f64 = 0.1;
 
 /// Whether there is room for a request that gets only what others leave.
-fn has_spare_room(candidates: &[PlacerCandidate<'_>]) -> bool {
+fn has_spare_capacity(candidates: &[PlacerCandidate<'_>]) -> bool {
     let slots: u32 = candidates
         .iter()
         .map(|candidate| candidate.endpoint.slots)
@@ -26,7 +26,7 @@
         .iter()
         .map(|candidate| candidate.load.occupied)
         .sum();
-    f64::from(slots.saturating_sub(taken)) > f64::from(slots) * RETURN_ROOM
+    f64::from(slots.saturating_sub(taken)) > f64::from(slots) * RETURNED_RESERVE
 }
 
 /// Share of its value that a request risks when it is predicted just in time.
@@ -39,21 +39,21 @@
 const TEAM_SIZES: [usize; 8] = [1, 2, 3, 4, 6, 8, 12, 16];
 
 /// Backlog up to which a late request is started all the same: its lateness is then its own.
-const LATE_BACKLOG: Duration = Duration::from_millis(300);
+const MAX_LATE_BACKLOG: Duration = Duration::from_millis(300);
 
 /// The longest prompt that callers send, in tokens. For its reading it brings the least of all.
 const LONGEST_PROMPT: TokenCount = 1_000_000;
 
 /// Value for each second of an engine's reading that the longest prompt brings if it is on time.
-fn least_return(profile: &EngineProfile) -> f64 {
-    let reading = profile.prefill_time(LONGEST_PROMPT).as_secs_f64();
-    DirectRequest::value_of(LONGEST_PROMPT) / reading.max(f64::MIN_POSITIVE)
+fn min_value_rate(profile: &EngineProfile) -> f64 {
+    let prefill_time = profile.prefill_time(LONGEST_PROMPT).as_secs_f64();
+    DirectRequest::value_of(LONGEST_PROMPT) / prefill_time.max(f64::MIN_POSITIVE)
 }
 
 /// A request under which a process ended is drawn among this part of the endpoints. All who shared the
 /// process are placed in the same moment, and would meet on the next best endpoint: with them goes the
 /// one that ended it, and it would end the next one under the same requests.
-const SUSPECT_SPREAD: usize = 2;
+const SUSPECT_DIVISOR: usize = 2;
 
 /// Endpoints that a request under suspicion may use: those without another one, while there are any.
 ///
@@ -71,26 +71,29 @@
 #[derive(Clone, Copy, Debug)]
 pub struct DirectPlacer<'a> {
     profile: Option<&'a EngineProfile>,
-    crowd: usize,
+    draw_count: usize,
 }
 
 impl<'a> DirectPlacer<'a> {
     /// A placer for a service; plain services have no profile.
     pub fn new(profile: Option<&'a EngineProfile>) -> Self {
-        Self { profile, crowd: 1 }
+        Self {
+            profile,
+            draw_count: 1,
+        }
     }
 
     /// Draws among as many of the best endpoints for a short prompt as there are prompts that peers
     /// place at the same time without hearing of it, see [`WorkLedger::unheard`](super::WorkLedger).
-    pub fn with_concurrent_placements(mut self, unheard: f64) -> Self {
-        self.crowd = 1 + unheard.round() as usize;
+    pub fn with_concurrent_placements(mut self, concurrent: f64) -> Self {
+        self.draw_count = 1 + concurrent.round() as usize;
         self
     }
 
     /// Whether a prompt is long; prompts of plain services never are.
     pub fn is_long(&self, prompt: TokenCount) -> bool {
         self.profile
-            .is_some_and(|profile| profile.prefill_time(prompt) >= LONG_READING)
+            .is_some_and(|profile| profile.prefill_time(prompt) >= LONG_PREFILL)
     }
 
     /// Chooses among endpoints that have a free slot; `None` when none has one.
@@ -102,16 +105,16 @@
         let Some(profile) = self.profile else {
             return place_plain(candidates);
         };
-        if request.returned && !has_spare_room(candidates) {
+        if request.returned && !has_spare_capacity(candidates) {
             return None;
         }
-        let reading = profile.prefill_time(request.prompt);
+        let prefill_time = profile.prefill_time(request.prompt);
         let mut best: Option<DirectChoice> = None;
         for size in TEAM_SIZES {
-            if size > 1 && reading < LONG_READING {
+            if size > 1 && prefill_time < LONG_PREFILL {
                 break;
             }
-            let choice = self.place_team(profile, request, candidates, reading, size);
+            let choice = self.place_team(profile, request, candidates, prefill_time, size);
             let Some(choice) = choice else { continue };
             if best.as_ref().is_none_or(|best| choice.loss < best.loss) {
                 best = Some(choice);
@@ -134,14 +137,14 @@
         if choice.first_event <= request.objective_left {
             return true;
         }
-        if choice.backlog > LATE_BACKLOG {
+        if choice.backlog > MAX_LATE_BACKLOG {
             return false;
         }
         let Some(profile) = self.profile.filter(|_| self.is_long(request.prompt)) else {
             return true;
         };
-        let reading = profile.prefill_time(request.prompt).as_secs_f64();
-        request.late_value() >= least_return(profile) * reading
+        let prefill_time = profile.prefill_time(request.prompt).as_secs_f64();
+        request.late_value() >= min_value_rate(profile) * prefill_time
     }
 
     /// Work that the choice places on its endpoints, lead first.
@@ -174,10 +177,10 @@
         profile: &EngineProfile,
         request: &DirectRequest,
         candidates: &[PlacerCandidate<'_>],
-        reading: Duration,
+        prefill_time: Duration,
         size: usize,
     ) -> Option<DirectChoice> {
-        let part_time = reading / size as u32;
+        let part_time = prefill_time / size as u32;
         let long = self.is_long(request.prompt);
         let mut members: Vec<TeamMember> = candidates
             .iter()
@@ -190,31 +193,32 @@
         if members.len() < size {
             return None;
         }
-        let crowd = match request.suspect {
-            true => self.crowd.max(candidates.len() / SUSPECT_SPREAD),
-            false => self.crowd,
+        let draw_count = match request.suspect {
+            true => self.draw_count.max(candidates.len() / SUSPECT_DIVISOR),
+            false => self.draw_count,
         };
-        if !long && crowd > 1 {
-            let drawn = take_of_crowd(&members, request.memory(), crowd);
+        if !long && draw_count > 1 {
+            let drawn = choose_among_best(&members, request.memory(), draw_count);
             let drawn = drawn.map(|member| member.index);
             members.retain(|member| drawn.is_none_or(|drawn| drawn == member.index));
         }
-        let lead = take_lead(&mut members, request.memory())?;
-        members
-            .retain(|member| member.backlog <= HELP_BACKLOG && candidates[member.index].may_help);
-        keep_best(&mut members, size - 1);
+        let lead = remove_lead(&mut members, request.memory())?;
+        members.retain(|member| {
+            member.backlog <= MAX_HELPER_BACKLOG && candidates[member.index].may_help
+        });
+        retain_best_helpers(&mut members, size - 1);
         if members.len() < size - 1 {
             return None;
         }
-        let kept = spread_memory(&members, request.memory().saturating_sub(lead.free))?;
+        let kept = distribute_memory(&members, request.memory().saturating_sub(lead.free))?;
         let slowest = members.iter().map(|member| member.ready).max();
         let ready = slowest.unwrap_or_default().max(lead.ready);
         let first_event = ready + lead.pass.mul_f64(FIRST_EVENT_PASSES);
-        let others: f64 = members.iter().map(|member| member.hurt).sum();
-        let lost_value = lateness(request, first_event) + lead.hurt + others;
+        let others: f64 = members.iter().map(|member| member.delay_loss).sum();
+        let lost_value = lateness_loss(request, first_event) + lead.delay_loss + others;
         let loss = lost_value
-            + lead.spread
-            + RISK_LOSS * request.value() * tension(request, first_event)
+            + lead.slot_loss
+            + RISK_LOSS * request.value() * deadline_risk(request, first_event)
             + HELPER_LOSS * members.len() as f64;
         Some(DirectChoice {
             lead: lead.index,
--- a/lovagedock/src/direct/rate.rs
+++ b/lovagedock/src/direct/rate.rs
@@ -9,26 +9,26 @@
 pub(super) struct EventRate {
     per_second: f64,
     last: Timestamp,
-    memory: Duration,
+    window: Duration,
 }
 
 impl EventRate {
     /// Nothing has happened yet; what happened counts for about `memory`.
-    pub(super) fn new(memory: Duration) -> Self {
+    pub(super) fn new(window: Duration) -> Self {
         Self {
             per_second: 0.0,
             last: Timestamp::ZERO,
-            memory,
+            window,
         }
     }
 
     pub(super) fn record(&mut self, now: Timestamp) {
-        self.per_second = self.at(now) + 1.0 / self.memory.as_secs_f64();
+        self.per_second = self.per_second_at(now) + 1.0 / self.window.as_secs_f64();
         self.last = now;
     }
 
-    pub(super) fn at(&self, now: Timestamp) -> f64 {
+    pub(super) fn per_second_at(&self, now: Timestamp) -> f64 {
         let idle = now.saturating_sub(self.last).as_secs_f64();
-        self.per_second * (-idle / self.memory.as_secs_f64()).exp()
+        self.per_second * (-idle / self.window.as_secs_f64()).exp()
     }
 }
--- a/lovagedock/src/direct/rate_limit.rs
+++ b/lovagedock/src/direct/rate_limit.rs
@@ -41,7 +41,7 @@
 const REMOVED_RETENTION: Duration = Duration::from_secs(60);
 
 /// Maximum number of entries per message. At about 35 bytes each, they fit into one packet with the loads.
-const MAX_NEWS_PER_MESSAGE: usize = 16;
+const MAX_UPDATES_PER_MESSAGE: usize = 16;
 
 /// Rate limit in the head of an endpoint's answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -209,28 +209,28 @@
         &mut self,
         now: Timestamp,
         peer: &GatewayId,
-        news: RateUpdate,
+        update: RateUpdate,
     ) -> Option<RateLimitEvent> {
-        let is_valid = news
+        let is_valid = update
             .rate
             .is_none_or(|rate| (0.0..=MAX_RATE).contains(&rate));
-        if !is_valid || news.age > REMOVED_RETENTION {
+        if !is_valid || update.age > REMOVED_RETENTION {
             return None;
         }
-        let received_at = now.saturating_sub(news.age);
-        let known = self.limits.get(&news.endpoint);
+        let received_at = now.saturating_sub(update.age);
+        let known = self.limits.get(&update.endpoint);
         let is_newer = known.is_none_or(|known| known.received_at < received_at);
         let change = match is_newer {
-            true => self.set(now, &news.endpoint, received_at, news.rate),
+            true => self.set(now, &update.endpoint, received_at, update.rate),
             false => None,
         };
-        if let Some(record) = self.limits.get_mut(&news.endpoint) {
-            match news.is_claimed {
+        if let Some(record) = self.limits.get_mut(&update.endpoint) {
+            match update.is_claimed {
                 true => record.claims.insert(peer.clone(), now),
                 false => record.claims.remove(peer),
             };
         }
-        self.update_share(now, &news.endpoint);
+        self.update_share(now, &update.endpoint);
         change
     }
 
@@ -335,7 +335,7 @@
                 is_claimed,
             })
         });
-        due.take(MAX_NEWS_PER_MESSAGE).collect()
+        due.take(MAX_UPDATES_PER_MESSAGE).collect()
     }
 
     fn set(
--- a/lovagedock/src/direct/recent.rs
+++ b/lovagedock/src/direct/recent.rs
@@ -11,18 +11,18 @@
 /// Requests that were put in lately; bounded in time and number.
 #[derive(Clone, Debug)]
 pub(super) struct RecentSet {
-    memory: Duration,
-    most: usize,
+    retention: Duration,
+    capacity: usize,
     times: HashMap<RequestFingerprint, Timestamp>,
     order: VecDeque<(Timestamp, RequestFingerprint)>,
 }
 
 impl RecentSet {
     /// An empty set that remembers `most` requests for `memory`.
-    pub(super) fn new(memory: Duration, most: usize) -> Self {
+    pub(super) fn new(retention: Duration, capacity: usize) -> Self {
         Self {
-            memory,
-            most,
+            retention,
+            capacity,
             times: HashMap::new(),
             order: VecDeque::new(),
         }
@@ -31,7 +31,7 @@
     /// Whether a request was put in lately.
     pub(super) fn contains(&self, now: Timestamp, fingerprint: RequestFingerprint) -> bool {
         let at = self.times.get(&fingerprint);
-        at.is_some_and(|at| now.saturating_sub(*at) <= self.memory)
+        at.is_some_and(|at| now.saturating_sub(*at) <= self.retention)
     }
 
     /// Puts a request in, or in again.
@@ -39,8 +39,8 @@
         self.times.insert(fingerprint, now);
         self.order.push_back((now, fingerprint));
         while let Some((at, oldest)) = self.order.front().copied() {
-            let is_old = now.saturating_sub(at) > self.memory;
-            if !is_old && self.order.len() <= self.most {
+            let is_old = now.saturating_sub(at) > self.retention;
+            if !is_old && self.order.len() <= self.capacity {
                 return;
             }
             self.order.pop_front();
--- a/lovagedock/src/direct/record.rs
+++ b/lovagedock/src/direct/record.rs
@@ -9,7 +9,7 @@
 /// tells what it has at least every 1.25 s, so that two messages in a row have to be lost before work that
 /// is there is dropped, until the next one. If the message that nothing is there any more is lost, its
 /// slots would stay taken for good without this.
-const UNTOLD_TIME: Duration = Duration::from_millis(3_500);
+const UNCONFIRMED_TIMEOUT: Duration = Duration::from_millis(3_500);
 
 /// Work on one endpoint, of this gateway and of each peer.
 #[derive(Clone, Debug, Default)]
@@ -23,18 +23,18 @@
     /// all endpoints for each request and each event is compared with the load of its engine:
     /// beside 23 peers and 70 endpoints a look takes 19 us instead of 25 (`examples/direct_cost`).
     pub(super) total: LoadTotal,
-    pub(super) held: Vec<HeldSlots>,
+    pub(super) reserved: Vec<ReservedSlots>,
     /// Whether this gateway has something there that peers know of, or have to be told of.
     pub(super) is_used: bool,
     /// Since when the endpoint is not listed.
-    pub(super) gone_at: Option<Timestamp>,
+    pub(super) unlisted_at: Option<Timestamp>,
 }
 
 /// What a peer told of an endpoint, and when it did last.
 #[derive(Clone, Debug)]
 pub(super) struct ReceivedLoad {
     pub(super) load: PeerLoad,
-    pub(super) at: Timestamp,
+    pub(super) received_at: Timestamp,
 }
 
 /// What all gateways have placed on an endpoint.
@@ -74,7 +74,7 @@
 
 /// Slots that a peer freed a moment ago and that are left to it for a while.
 #[derive(Clone, Debug)]
-pub(super) struct HeldSlots {
+pub(super) struct ReservedSlots {
     pub(super) peer: GatewayId,
     pub(super) slots: u32,
     pub(super) until: Timestamp,
@@ -88,8 +88,11 @@
             return;
         }
         self.total.add(&load);
-        let heard = ReceivedLoad { load, at: now };
-        self.peers.insert(peer.clone(), heard);
+        let received = ReceivedLoad {
+            load,
+            received_at: now,
+        };
+        self.peers.insert(peer.clone(), received);
     }
 
     /// Forgets what a peer has placed.
@@ -102,12 +105,12 @@
     /// Forgets what peers have not told again.
     pub(super) fn forget_unconfirmed(&mut self, now: Timestamp) {
         let total = &mut self.total;
-        self.peers.retain(|_, heard| {
-            let is_told = now.saturating_sub(heard.at) <= UNTOLD_TIME;
-            if !is_told {
-                total.subtract(&heard.load);
+        self.peers.retain(|_, received| {
+            let is_confirmed = now.saturating_sub(received.received_at) <= UNCONFIRMED_TIMEOUT;
+            if !is_confirmed {
+                total.subtract(&received.load);
             }
-            is_told
+            is_confirmed
         });
     }
 
--- a/lovagedock/src/direct/refusals.rs
+++ b/lovagedock/src/direct/refusals.rs
@@ -15,7 +15,7 @@
 
 /// How long a refusal is remembered: callers follow advice of up to a third of their time, and the
 /// longest deadlines are 15 s.
-const MEMORY: Duration = Duration::from_secs(8);
+const RETENTION: Duration = Duration::from_secs(8);
 
 /// Refusals that are remembered at most; a gateway refuses some hundred a second at worst.
 const MAX_REFUSALS: usize = 20_000;
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug)]
 pub struct RefusalLog {
     refused: RecentSet,
-    untold: Vec<RequestFingerprint>,
+    unsent: Vec<RequestFingerprint>,
 }
 
 impl Default for RefusalLog {
@@ -42,15 +42,15 @@
     /// A log without refusals.
     pub fn new() -> Self {
         Self {
-            refused: RecentSet::new(MEMORY, MAX_REFUSALS),
-            untold: Vec::new(),
+            refused: RecentSet::new(RETENTION, MAX_REFUSALS),
+            unsent: Vec::new(),
         }
     }
 
     /// Records a refusal of this gateway.
     pub fn record(&mut self, now: Timestamp, fingerprint: RequestFingerprint) {
         self.refused.insert(now, fingerprint);
-        self.untold.push(fingerprint);
+        self.unsent.push(fingerprint);
     }
 
     /// Records a refusal that a peer told of.
@@ -65,6 +65,6 @@
 
     /// Refusals of this gateway that peers have not been told of.
     pub fn take_unsent(&mut self) -> Vec<RequestFingerprint> {
-        std::mem::take(&mut self.untold)
+        std::mem::take(&mut self.unsent)
     }
 }
--- a/lovagedock/src/direct/retries.rs
+++ b/lovagedock/src/direct/retries.rs
@@ -19,7 +19,7 @@
 }
 
 /// Part of the allowance that is used, so that gateways that miscount each other stay within it.
-const SAFETY: f64 = 0.8;
+const SAFETY_FACTOR: f64 = 0.8;
 
 /// Bounds the retries of one service at one gateway.
 ///
@@ -75,9 +75,9 @@
 fn allowance(settings: RetryShareSettings, gateways: usize) -> RetryAllowance {
     // A bucket of capacity C that fills by F in a window lets C + F through in it: half of the
     // slack is the bucket's size and the other half its flow.
-    let slack = settings.slack * SAFETY / gateways as f64;
+    let slack = settings.slack * SAFETY_FACTOR / gateways as f64;
     RetryAllowance {
-        share: settings.ratio * SAFETY,
+        share: settings.ratio * SAFETY_FACTOR,
         floor_per_second: slack / 2.0 / settings.window.as_secs_f64().max(1.0),
         capacity: (slack / 2.0).max(1.0),
     }
--- a/lovagedock/src/direct/short_lane.rs
+++ b/lovagedock/src/direct/short_lane.rs
@@ -3,7 +3,7 @@
 /// Short requests that the short lane has room for beyond those that run, as a factor and a
 /// number. A burst of short requests adds about a third to them within half a second.
 const LANE_FACTOR: f64 = 1.2;
-const LANE_SPARE: f64 = 16.0;
+const LANE_SLACK: f64 = 16.0;
 
 /// Number of endpoints that are kept for short prompts while `short` of them run.
 ///
@@ -13,11 +13,11 @@
 /// such a burst of ten seconds, from the decision log of one run each: 112 of 140 short requests on
 /// time without the lane, 146 of 147 with it.
 pub fn short_lane_size(short: u32, slots: u32, endpoints: usize) -> usize {
-    let wanted = f64::from(short) * LANE_FACTOR + LANE_SPARE;
+    let wanted = f64::from(short) * LANE_FACTOR + LANE_SLACK;
     let engines = (wanted / f64::from(slots.max(1))).ceil() as usize;
     // Long prompts always keep some engines, or they would starve in a long burst.
-    engines.min(endpoints - endpoints.div_ceil(LONG_LANE_PART).min(endpoints))
+    engines.min(endpoints - endpoints.div_ceil(LONG_LANE_DIVISOR).min(endpoints))
 }
 
 /// The long lane keeps at least one engine in this many.
-const LONG_LANE_PART: usize = 16;
+const LONG_LANE_DIVISOR: usize = 16;
--- a/lovagedock/src/direct/slowdown.rs
+++ b/lovagedock/src/direct/slowdown.rs
@@ -7,17 +7,17 @@
 
 /// Events over which the shortest gap counts. A pass that also reads prompts is longer; of a few in
 /// a row, one at least reads next to nothing.
-const GAPS: usize = 4;
+const GAP_WINDOW: usize = 4;
 
 /// Weight of a new measurement. An engine that turns slow shows within half a second.
-const WEIGHT: f64 = 0.25;
+const SAMPLE_WEIGHT: f64 = 0.25;
 
 /// Time in which a pace without measurements loses two thirds of its distance to the declared one,
 /// so that an engine that was avoided is tried again.
-const MEMORY: Duration = Duration::from_secs(3);
+const DECAY_TIME: Duration = Duration::from_secs(3);
 
 /// Longest and shortest pace that is believed.
-const PACES: (f64, f64) = (1.0, 10.0);
+const SLOWDOWN_RANGE: (f64, f64) = (1.0, 10.0);
 
 /// Pace below which an engine counts as fast as declared; predictions miss by as much.
 const TOLERANCE: f64 = 1.6;
@@ -35,9 +35,9 @@
 
 #[derive(Clone, Debug)]
 struct SlowdownRecord {
-    gaps: [f64; GAPS],
+    gaps: [f64; GAP_WINDOW],
     next: usize,
-    pace: f64,
+    slowdown: f64,
     measured_at: Timestamp,
 }
 
@@ -60,16 +60,16 @@
             .endpoints
             .entry(endpoint.clone())
             .or_insert_with(|| SlowdownRecord {
-                gaps: [1.0; GAPS],
+                gaps: [1.0; GAP_WINDOW],
                 next: 0,
-                pace: 1.0,
+                slowdown: 1.0,
                 measured_at: now,
             });
         record.gaps[record.next] = ratio;
-        record.next = (record.next + 1) % GAPS;
+        record.next = (record.next + 1) % GAP_WINDOW;
         let shortest = record.gaps.iter().copied().fold(f64::INFINITY, f64::min);
-        let shortest = shortest.clamp(PACES.0, PACES.1);
-        record.pace += WEIGHT * (shortest - record.pace);
+        let shortest = shortest.clamp(SLOWDOWN_RANGE.0, SLOWDOWN_RANGE.1);
+        record.slowdown += SAMPLE_WEIGHT * (shortest - record.slowdown);
         record.measured_at = now;
     }
 
@@ -79,9 +79,9 @@
             return 1.0;
         };
         let age = now.saturating_sub(record.measured_at);
-        let kept = (-age.as_secs_f64() / MEMORY.as_secs_f64()).exp();
-        let pace = 1.0 + (record.pace - 1.0) * kept;
-        if pace < TOLERANCE { 1.0 } else { pace }
+        let kept = (-age.as_secs_f64() / DECAY_TIME.as_secs_f64()).exp();
+        let slowdown = 1.0 + (record.slowdown - 1.0) * kept;
+        if slowdown < TOLERANCE { 1.0 } else { slowdown }
     }
 
     /// Forgets an engine that is gone.
--- a/lovagedock/src/direct/suspect_update.rs
+++ b/lovagedock/src/direct/suspect_update.rs
@@ -60,7 +60,7 @@
     /// What a lost process says, by how long it had streamed the answer to the request and by whether
     /// it surely ended.
     pub fn new(is_certain: bool, streamed: Duration) -> Self {
-        match is_certain && streamed < SOUND_TIME {
+        match is_certain && streamed < HEALTHY_STREAM_TIME {
             true => Self::Strong,
             false => Self::Weak,
         }
@@ -77,7 +77,7 @@
 /// Streaming for as long speaks for a request. In the logs of a wave of 160 ends the one that caused
 /// them ended its engines within 0.45 s of its placement, before its first event; those who shared
 /// the engines had streamed for 0.64 s on average.
-const SOUND_TIME: Duration = Duration::from_millis(500);
+const HEALTHY_STREAM_TIME: Duration = Duration::from_millis(500);
 
 impl ProcessEnd {
     /// The end of one life of an endpoint.
--- a/lovagedock/src/direct/suspects.rs
+++ b/lovagedock/src/direct/suspects.rs
@@ -69,7 +69,7 @@
 pub struct SuspectLedger {
     suspects: HashMap<RequestFingerprint, SuspectRecord>,
     served: RecentSet,
-    untold: Vec<SuspectUpdate>,
+    unsent: Vec<SuspectUpdate>,
 }
 
 impl Default for SuspectLedger {
@@ -84,7 +84,7 @@
         Self {
             suspects: HashMap::new(),
             served: RecentSet::new(SERVED_TIME, MAX_SERVED),
-            untold: Vec::new(),
+            unsent: Vec::new(),
         }
     }
 
@@ -99,38 +99,38 @@
         if self.served.contains(now, fingerprint) || !self.add_end(now, fingerprint, end) {
             return false;
         }
-        self.untold.push(SuspectUpdate::Ended(fingerprint, end));
+        self.unsent.push(SuspectUpdate::Ended(fingerprint, end));
         if let Some(record) = self.suspects.get_mut(&fingerprint) {
             record.is_own = true;
         }
-        self.judge(now, fingerprint)
+        self.quarantine_if_due(now, fingerprint)
     }
 
     /// Records that a request was served whole.
     pub fn record_served(&mut self, now: Timestamp, fingerprint: RequestFingerprint) {
         self.served.insert(now, fingerprint);
         if self.suspects.remove(&fingerprint).is_some() {
-            self.untold.push(SuspectUpdate::Served(fingerprint));
+            self.unsent.push(SuspectUpdate::Served(fingerprint));
         }
     }
 
     /// Takes in what a peer tells; tells whether a request is now in quarantine and was not before.
-    pub fn apply_update(&mut self, now: Timestamp, news: SuspectUpdate) -> bool {
-        let fingerprint = news.fingerprint();
-        if let SuspectUpdate::Served(_) = news {
+    pub fn apply_update(&mut self, now: Timestamp, update: SuspectUpdate) -> bool {
+        let fingerprint = update.fingerprint();
+        if let SuspectUpdate::Served(_) = update {
             self.served.insert(now, fingerprint);
             self.suspects.remove(&fingerprint);
             return false;
         }
         if self.served.contains(now, fingerprint) {
             // The peer has not seen that it is sound.
-            self.untold.push(SuspectUpdate::Served(fingerprint));
+            self.unsent.push(SuspectUpdate::Served(fingerprint));
             return false;
         }
-        match news {
+        match update {
             SuspectUpdate::Served(_) => false,
             SuspectUpdate::Ended(_, end) => {
-                self.add_end(now, fingerprint, end) && self.judge(now, fingerprint)
+                self.add_end(now, fingerprint, end) && self.quarantine_if_due(now, fingerprint)
             }
             SuspectUpdate::Quarantined(_, time) => {
                 if self.quarantined_for(now, fingerprint).is_some() {
@@ -188,7 +188,7 @@
 
     /// News of this gateway that peers have not been told.
     pub fn take_unsent(&mut self) -> Vec<SuspectUpdate> {
-        std::mem::take(&mut self.untold)
+        std::mem::take(&mut self.unsent)
     }
 
     /// What this gateway has seen and what has to outlive it: requests in quarantine and those under
@@ -227,8 +227,8 @@
                 is_new |= self.apply_update(now, SuspectUpdate::Ended(fingerprint, end));
             }
             if !report.quarantined_for.is_zero() {
-                let news = SuspectUpdate::Quarantined(fingerprint, report.quarantined_for);
-                is_new |= self.apply_update(now, news);
+                let update = SuspectUpdate::Quarantined(fingerprint, report.quarantined_for);
+                is_new |= self.apply_update(now, update);
             }
             if let Some(record) = self.suspects.get_mut(&fingerprint) {
                 record.is_own |= is_own;
@@ -253,7 +253,7 @@
         fingerprint: RequestFingerprint,
         end: ProcessEnd,
     ) -> bool {
-        if self.is_accounted_for(now, fingerprint, end.process) {
+        if self.is_attributed_to_quarantine(now, fingerprint, end.process) {
             return false;
         }
         self.make_room(fingerprint);
@@ -277,7 +277,7 @@
     }
 
     /// Whether a request in quarantine accounts for the end of a process.
-    fn is_accounted_for(
+    fn is_attributed_to_quarantine(
         &self,
         now: Timestamp,
         fingerprint: RequestFingerprint,
@@ -291,7 +291,7 @@
     }
 
     /// Puts a request into quarantine if enough is held against it.
-    fn judge(&mut self, now: Timestamp, fingerprint: RequestFingerprint) -> bool {
+    fn quarantine_if_due(&mut self, now: Timestamp, fingerprint: RequestFingerprint) -> bool {
         let Some(record) = self.suspects.get(&fingerprint) else {
             return false;
         };
@@ -301,7 +301,7 @@
         let time = FIRST_QUARANTINE * 2_u32.saturating_pow(record.quarantines);
         let time = time.min(LONGEST_QUARANTINE);
         self.quarantine(now, fingerprint, time);
-        self.untold
+        self.unsent
             .push(SuspectUpdate::Quarantined(fingerprint, time));
         true
     }
@@ -313,12 +313,12 @@
             record.quarantines = (record.quarantines + 1).min(MAX_DOUBLINGS);
         }
         record.quarantined_until = record.quarantined_until.max(now + time);
-        let accounted: HashSet<ProcessTag> = record.ends.iter().map(|end| end.process).collect();
+        let attributed: HashSet<ProcessTag> = record.ends.iter().map(|end| end.process).collect();
         self.suspects.retain(|other, record| {
             if *other == fingerprint || record.quarantined_until > now {
                 return true;
             }
-            record.ends.retain(|end| !accounted.contains(&end.process));
+            record.ends.retain(|end| !attributed.contains(&end.process));
             !record.ends.is_empty()
         });
     }
--- a/lovagedock/src/direct/waiting_queue.rs
+++ b/lovagedock/src/direct/waiting_queue.rs
@@ -44,23 +44,23 @@
 
     /// Bounds of its line.
     pub fn settings(self) -> QueueSettings {
-        let usual = QueueSettings::default();
+        let defaults = QueueSettings::default();
         match self {
-            Self::Short => usual,
+            Self::Short => defaults,
             Self::Long => QueueSettings {
                 min_rate: 4.0,
-                ..usual
+                ..defaults
             },
             Self::Returned => QueueSettings {
                 objective_share: 1.0,
                 min_rate: 20.0,
-                ..usual
+                ..defaults
             },
             // Held for longer, few found a place, and the others lost seconds of their time.
             Self::ReturnedLong => QueueSettings {
                 objective_share: 0.25,
                 min_rate: 4.0,
-                ..usual
+                ..defaults
             },
         }
     }
@@ -121,7 +121,7 @@
 }
 
 /// Memory of the rate of starts: about as long as an answer holds a slot.
-const RATE_MEMORY: Duration = Duration::from_secs(2);
+const RATE_WINDOW: Duration = Duration::from_secs(2);
 
 impl WaitingQueue {
     /// An empty line.
@@ -130,7 +130,7 @@
             settings,
             waiting: BTreeMap::new(),
             next_ticket: 0,
-            starts: EventRate::new(RATE_MEMORY),
+            starts: EventRate::new(RATE_WINDOW),
         }
     }
 
@@ -143,16 +143,16 @@
         jitter: f64,
     ) -> QueueDecision {
         let objective_left = late_at.saturating_sub(now);
-        let patience = objective_left.mul_f64(self.settings.objective_share);
-        let rate = self.starts.at(now).max(self.settings.min_rate);
+        let max_wait = objective_left.mul_f64(self.settings.objective_share);
+        let rate = self.starts.per_second_at(now).max(self.settings.min_rate);
         let ahead = self.waiting.len() as f64;
         let expected = Duration::from_secs_f64(ahead / rate);
-        if expected > patience {
+        if expected > max_wait {
             let retry_after = self.retry_after(expected, time_left, jitter);
             return QueueDecision::Refuse { retry_after };
         }
         QueueDecision::Wait {
-            until: now + patience,
+            until: now + max_wait,
         }
     }
 
--- a/lovagedock/src/direct/watcher_selection.rs
+++ b/lovagedock/src/direct/watcher_selection.rs
@@ -6,13 +6,13 @@
 
 /// Gateways that watch at once. One may be cut off from the store and another stop in the same
 /// moment; the third still tells.
-const WATCHERS: usize = 3;
+const WATCHER_COUNT: usize = 3;
 
 /// Watchers that must be heard and be in touch with the store for the others to rely on them.
-const WATCHERS_NEEDED: usize = 2;
+const MIN_REACHABLE_WATCHERS: usize = 2;
 
 /// Time after which a watcher counts as silent: three of its messages were lost.
-const WATCHER_SILENCE: Duration = Duration::from_millis(900);
+const WATCHER_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// What a peer tells of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -59,13 +59,13 @@
 
     /// What the gateway `own` has to do.
     pub fn role(&self, now: Timestamp, own: &GatewayId) -> WatchRole {
-        let heard =
-            |contact: &PeerContact| now.saturating_sub(contact.received_at) <= WATCHER_SILENCE;
-        let peers = self.peers.iter().filter(|(_, contact)| heard(contact));
+        let is_recent =
+            |contact: &PeerContact| now.saturating_sub(contact.received_at) <= WATCHER_TIMEOUT;
+        let peers = self.peers.iter().filter(|(_, contact)| is_recent(contact));
         let mut names: Vec<&GatewayId> = peers.map(|(name, _)| name).collect();
         names.push(own);
         names.sort();
-        let watchers = spread(&names, WATCHERS);
+        let watchers = evenly_spaced(&names, WATCHER_COUNT);
         if watchers.contains(&own) {
             return WatchRole::Watcher;
         }
@@ -73,7 +73,7 @@
             let contact = self.peers.get(**name);
             contact.is_some_and(|contact| contact.store_reachable)
         });
-        match reachable.count() < WATCHERS_NEEDED {
+        match reachable.count() < MIN_REACHABLE_WATCHERS {
             true => WatchRole::Fallback,
             false => WatchRole::Follower,
         }
@@ -82,15 +82,15 @@
     /// Peers that were heard lately.
     pub fn recent_peer_count(&self, now: Timestamp) -> usize {
         let contacts = self.peers.values();
-        let heard =
-            |contact: &&PeerContact| now.saturating_sub(contact.received_at) <= WATCHER_SILENCE;
-        contacts.filter(heard).count()
+        let is_recent =
+            |contact: &&PeerContact| now.saturating_sub(contact.received_at) <= WATCHER_TIMEOUT;
+        contacts.filter(is_recent).count()
     }
 }
 
 /// `count` of the names at equal distances. Names of one failure domain sort together, so these lie
 /// in different ones.
-fn spread<'a>(names: &[&'a GatewayId], count: usize) -> Vec<&'a GatewayId> {
+fn evenly_spaced<'a>(names: &[&'a GatewayId], count: usize) -> Vec<&'a GatewayId> {
     if names.len() <= count {
         return names.to_vec();
     }
--- a/lovagedock/tests/direct_herd.rs
+++ b/lovagedock/tests/direct_concurrent_placement.rs
@@ -65,7 +65,7 @@
 /// would read the new part first, and the caller of the first prompt would wait for seconds. All
 /// gateways count the part until the prompt's first event, and long prompts leave the engine out.
 #[test]
-fn an_engine_with_an_unread_part_is_not_asked() {
+fn an_engine_with_a_pending_prefill_is_not_chosen() {
     let mut pool = VirtualPool::new(3);
     let late = pool.endpoints[0].process.clone();
     let part = lovagedock::PlacedWork {
@@ -102,7 +102,7 @@
 /// long already. Counted in full, its next pause would keep every long prompt waiting beside idle
 /// engines; it counts with a third, and only for pauses that would drive its caller away.
 #[test]
-fn a_writer_that_missed_its_objective_counts_less() {
+fn a_writer_that_missed_its_objective_weighs_less() {
     let mut pool = VirtualPool::new(1);
     let engine = pool.endpoints[0].process.clone();
     let writer = lovagedock::PlacedWork {
@@ -142,7 +142,7 @@
 /// Long prompts that wait for a place without harm come together, then take all engines at once or
 /// are refused, while engines did nothing. A short one never costs others more than itself.
 #[test]
-fn waiting_raises_the_price() {
+fn accepted_loss_grows_with_waiting() {
     let cases = [
         PriceCase {
             name: "a little harm at once",
--- a/lovagedock/tests/direct_leaving.rs
+++ b/lovagedock/tests/direct_leaving.rs
@@ -98,7 +98,7 @@
 
 /// Guards against a lost message after which peers never learn of a leaving endpoint.
 #[test]
-fn peers_are_told_more_than_once() {
+fn leaving_processes_are_sent_to_peers_repeatedly() {
     let mut news = LeavingQueue::new();
     news.push(ms(0), EndpointProcess::new("i-0", 1));
     let sent: Vec<usize> = [0, 100, 400, 800, 1_200, 5_000]
--- a/lovagedock/tests/direct_ledger.rs
+++ b/lovagedock/tests/direct_ledger.rs
@@ -35,7 +35,7 @@
 
 /// Whatever is placed is counted out again, in whichever order it ends.
 #[test]
-fn work_is_counted_out_however_it_ends() {
+fn finished_work_leaves_no_load() {
     let mut ledger = WorkLedger::new();
     let first = ledger.place(ms(0), work(100));
     let second = ledger.place(ms(0), work(100));
@@ -73,7 +73,7 @@
 
 /// A lost message is made good by the next one: totals only grow.
 #[test]
-fn a_lost_message_is_made_good() {
+fn totals_recover_from_a_lost_message() {
     let mut ledger = WorkLedger::new();
     ledger.apply_peer_loads(ms(0), &peer(), [told(0, 0)]);
     ledger.apply_peer_loads(ms(20), &peer(), [told(2, 300)]);
@@ -87,7 +87,7 @@
 /// A peer's request ends. For a moment the slot is left to the peer, which heard of it first and
 /// has a request waiting; then it is everybody's.
 #[test]
-fn a_freed_slot_is_left_to_its_user_for_a_moment() {
+fn a_freed_slot_is_reserved_for_its_former_user() {
     let mut ledger = WorkLedger::new().with_slot_delay(ms(40));
     ledger.apply_peer_loads(ms(0), &peer(), [told(3, 0)]);
     ledger.apply_peer_loads(ms(10), &peer(), [told(2, 0)]);
@@ -97,7 +97,7 @@
 
 /// Slots of a gateway that died are used again: its requests ended with its connections.
 #[test]
-fn a_silent_peers_work_is_forgotten() {
+fn load_of_a_silent_peer_is_dropped() {
     let mut ledger = WorkLedger::new();
     ledger.apply_peer_loads(ms(0), &peer(), [told(3, 0)]);
     assert!(ledger.forget_silent(ms(1_400)).is_empty());
@@ -108,7 +108,7 @@
 
 /// An engine that reads slower than predicted is not believed to be free.
 #[test]
-fn late_reading_moves_the_backlog() {
+fn a_late_prefill_extends_the_backlog() {
     let mut ledger = WorkLedger::new();
     let first = ledger.place(ms(0), work(100));
     ledger.place(ms(0), work(400));
@@ -126,7 +126,7 @@
 /// the entry lapses and is written again, and the peer tells its total once more. Taken for new, the
 /// engine looks as if it had a minute to read, and callers are refused beside an idle engine.
 #[test]
-fn a_returned_endpoint_has_no_backlog() {
+fn an_endpoint_listed_again_has_no_backlog() {
     let mut ledger = WorkLedger::new();
     ledger.apply_peer_loads(ms(0), &peer(), [told(1, 60_000)]);
     assert_eq!(ledger.load(ms(0), &endpoint()).backlog, ms(0));
@@ -165,7 +165,7 @@
 /// What a peer tells of an endpoint that is gone would otherwise be told back to it, and by it again,
 /// for ever, and messages grow with every replaced engine.
 #[test]
-fn what_peers_told_is_not_told_on() {
+fn loads_of_peers_are_not_forwarded() {
     let mut ledger = WorkLedger::new();
     ledger.apply_peer_loads(ms(0), &peer(), [told(1, 500)]);
     assert_eq!(ledger.own_loads().count(), 0);
--- a/lovagedock/tests/direct_listing.rs
+++ b/lovagedock/tests/direct_listing.rs
@@ -358,7 +358,7 @@
 
 /// After any order of events, gateways agree with the store and with each other.
 #[test]
-fn gateways_come_to_believe_what_the_store_lists() {
+fn gateways_converge_to_the_store() {
     let config = Config {
         cases: 4_000,
         failure_persistence: None,
@@ -389,7 +389,7 @@
 
 /// A reading that was on its way when the store came back changes nothing, whoever brings it.
 #[test]
-fn an_older_era_never_wins() {
+fn reads_of_an_older_era_are_ignored() {
     let position = |era, revision| StorePosition::new(era, revision);
     let told = |era, revision| ListingVersion {
         position: position(era, revision),
@@ -429,7 +429,7 @@
 
 /// An endpoint whose entry the copy lacks is used until it had its time to write again.
 #[test]
-fn what_is_missing_after_a_return_has_its_time() {
+fn missing_endpoints_are_kept_until_the_listing_settles() {
     let cases = [
         MissingCase {
             name: "at once",
--- a/lovagedock/tests/direct_telling.rs
+++ b/lovagedock/tests/direct_load_updates.rs
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn loads_are_told_when_they_change_and_while_they_last() {
+fn loads_are_sent_on_change_and_repeated_while_they_last() {
     let cases = [
         TellingCase {
             name: "work that lasts is told again each second",
@@ -107,7 +107,7 @@
 /// In an hour a gateway uses every endpoint of a fleet of hundreds, two at a time. Told all of them each
 /// second, peers would spend most of their time on hearing that nothing is there.
 #[test]
-fn endpoints_of_former_requests_are_not_told() {
+fn idle_endpoints_are_not_sent() {
     let mut gateway = TellingGateway::default();
     let mut told = 0;
     for number in 0..172 {
@@ -126,7 +126,7 @@
 /// The peer's total begins anew when its work has ended. Taken as the difference to the former total,
 /// the second prompt would count as nothing, and the engine would be given another one.
 #[test]
-fn a_total_that_begins_anew_counts_whole() {
+fn a_reset_total_counts_in_full() {
     let mut sender = TellingGateway::default();
     let mut hearer = WorkLedger::new();
     hearer.apply_peer_loads(ms(0), &peer(), []);
@@ -150,7 +150,7 @@
 /// The message that a peer's last request on an endpoint has ended is lost. The peer says nothing more of
 /// the endpoint, since it has nothing there, and is heard all the time for others.
 #[test]
-fn a_lost_end_is_made_good() {
+fn slots_of_a_lost_end_are_released() {
     let mut sender = TellingGateway::default();
     let mut hearer = WorkLedger::new();
     let ended = sender.ledger.place(ms(0), work(0));
@@ -271,7 +271,7 @@
 /// other, so that a peer counts slots that are free and misses some that are taken. Once they come
 /// through, or once the gateway is dead, the peer is right again within four seconds.
 #[test]
-fn a_peer_is_right_again_after_losses() {
+fn loads_converge_after_message_loss() {
     let cases = [
         LossCase {
             name: "a third is lost",
@@ -341,7 +341,7 @@
 /// A gateway found an engine at twice the declared time and has nothing there any more. Told once and then
 /// no more, peers would forget the pace after some seconds and send short prompts there, all of them late.
 #[test]
-fn a_slow_endpoint_is_told_until_it_is_fast_again() {
+fn a_slowdown_is_sent_until_it_ends() {
     let mut gateway = TellingGateway::default();
     let key = gateway.ledger.place(ms(0), work(0));
     gateway.ledger.finish(ms(100), key);
--- a/lovagedock/tests/direct_machine.rs
+++ b/lovagedock/tests/direct_machine.rs
@@ -188,7 +188,7 @@
 /// A request whose engine fell silent and is gone may be sent once more than its route allows, and no
 /// more: one that is lost again and again may be what ends the engines.
 #[test]
-fn one_silent_end_is_excused() {
+fn one_silent_process_grants_an_extra_attempt() {
     let mut machine = DirectMachine::new(RouteMode::Idempotent, 2, ms(10_000));
     let mut sent = 0;
     loop {
--- a/lovagedock/tests/direct_stoppage.rs
+++ b/lovagedock/tests/direct_pause.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn placements_wait_for_what_was_told_meanwhile() {
+fn placements_wait_for_messages_received_during_a_pause() {
     let cases = [
         StoppageCase {
             name: "looks come in time",
--- a/lovagedock/tests/direct_placement.rs
+++ b/lovagedock/tests/direct_placement.rs
@@ -18,7 +18,7 @@
 
 /// Reading times that were measured on engines of this profile, to the millisecond.
 #[test]
-fn reading_takes_as_long_as_the_profile_says() {
+fn prefill_time_matches_measurements() {
     let cases = [
         ReadingCase {
             prompt: 5_000,
@@ -86,7 +86,7 @@
 /// The short lane follows the load: it grows before its engines are full and leaves engines to long
 /// prompts whatever comes.
 #[test]
-fn the_short_lane_has_room_ahead_of_the_load() {
+fn the_short_lane_grows_ahead_of_the_load() {
     struct LaneCase {
         short: u32,
         engines: usize,
@@ -140,7 +140,7 @@
 /// would leave the older part, and with it a whole prompt, until nothing new comes. So a helper has
 /// next to nothing to read when it is asked.
 #[test]
-fn helpers_have_nothing_to_read() {
+fn helpers_have_no_backlog() {
     let mut pool = VirtualPool::new(21);
     for _ in 0..4 {
         pool.advance(pool.now + ms(10));
@@ -192,7 +192,7 @@
 /// One engine of 16 slots has one left. A new request takes it; one that came back would be late in
 /// any case, and waits for a tenth of the slots to be free.
 #[test]
-fn returned_requests_leave_the_last_slots() {
+fn returning_requests_leave_the_last_slots() {
     let mut pool = VirtualPool::new(1);
     for _ in 0..15 {
         pool.place(&short()).expect("slots are free");
@@ -207,7 +207,7 @@
 
 /// Harm counts writers whose pauses a read would stretch beyond what their callers bear.
 #[test]
-fn harm_counts_writers_that_a_read_delays() {
+fn lost_value_counts_delayed_writers() {
     let mut pool = VirtualPool::new(1);
     let writer = PlacedWork {
         endpoint: pool.endpoints[0].process.clone(),
--- a/lovagedock/tests/direct_reading.rs
+++ b/lovagedock/tests/direct_prefill_overload.rs
@@ -162,7 +162,7 @@
 
 /// A late prompt is started only if that costs others little; the caller is else told to come back.
 #[test]
-fn a_late_prompt_has_to_be_worth_its_reading() {
+fn a_late_prompt_is_started_only_if_worth_its_prefill() {
     let placer = DirectPlacer::new(Some(&PROFILE));
     for case in START_CASES {
         let request = long(case.prompt);
--- a/lovagedock/tests/direct_lives.rs
+++ b/lovagedock/tests/direct_processes.rs
@@ -173,7 +173,7 @@
 
 /// A restart is told once, with what ended; news of the former process changes nothing after it.
 #[test]
-fn a_restart_is_told_once() {
+fn a_restart_is_reported_once() {
     let mut table = EndpointTable::new();
     let now = Duration::ZERO;
     table.insert(now, entry(5, READY));
@@ -188,7 +188,7 @@
 /// In any order of entries within the time of a late write, the latest process stays known, and one
 /// that drained never takes work again.
 #[test]
-fn no_order_of_news_brings_an_earlier_process_back() {
+fn no_order_of_entries_restores_an_earlier_process() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[41; 32]);
     let mut runner = TestRunner::new_with_rng(Config::with_cases(512), rng);
     let news = prop::collection::vec((0_u64..4, any::<bool>(), any::<bool>()), 1..24);
@@ -251,7 +251,7 @@
 /// The peer restarts and places work; a datagram from before overtakes nothing but comes last. Taken
 /// for another restart, the work is forgotten, and the same engine slots are given out twice.
 #[test]
-fn a_peers_former_life_is_not_heard_again() {
+fn messages_of_a_former_incarnation_are_ignored() {
     for case in HEARING_CASES {
         let mut hearing = PeerSequences::new();
         for (incarnation, sequence, expected) in case.messages {
--- a/lovagedock/tests/direct_pace.rs
+++ b/lovagedock/tests/direct_slowdown.rs
@@ -44,7 +44,7 @@
 
 /// An engine that was slow is tried again after a while, and one that is gone is forgotten.
 #[test]
-fn slowness_is_forgotten() {
+fn a_measured_slowdown_decays() {
     let mut tracker = SlowdownTracker::new();
     for event in 0..20 {
         tracker.record(ms(event * 240), &engine(), ms(240), ms(60));
--- a/lovagedock/tests/direct_state.rs
+++ b/lovagedock/tests/direct_state.rs
@@ -209,7 +209,7 @@
 ];
 
 #[test]
-fn few_gateways_watch_and_nobody_is_left_blind() {
+fn few_gateways_watch_and_all_learn_of_changes() {
     for case in DUTY_CASES {
         let now = ms(10_000);
         let mut duty = WatcherSelection::new();
@@ -259,7 +259,7 @@
 
 /// Callers get whole events only, however the bytes are cut on their way.
 #[test]
-fn events_come_out_whole() {
+fn only_whole_events_are_returned() {
     let stream = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata: c";
     for step in 1..stream.len() {
         let mut splitter = EventSplitter::new();
--- a/lovagedock/tests/direct_stopping.rs
+++ b/lovagedock/tests/direct_stopping.rs
@@ -17,7 +17,7 @@
 
 /// Guards against a closed door while all gateways stop, and against a request that is cut.
 #[test]
-fn a_stopping_gateway_takes_what_ends_in_time() {
+fn a_stopping_gateway_admits_requests_that_end_in_time() {
     let cases = [
         StopCase {
             name: "at once, however much time it has",
@@ -149,7 +149,7 @@
 
 /// Guards against streams that are taken during the notice and expected to outlast the stop.
 #[test]
-fn a_stopping_gateway_counts_on_long_answers() {
+fn expected_time_covers_long_answers() {
     let cases = [
         ExpectedCase {
             name: "short",
--- a/lovagedock/tests/direct_suspects.rs
+++ b/lovagedock/tests/direct_suspects.rs
@@ -142,7 +142,7 @@
 };
 
 #[test]
-fn a_request_is_judged_by_the_processes_that_ended_under_it() {
+fn quarantine_follows_from_ended_processes() {
     for case in CASES {
         let mut ledger = SuspectLedger::new();
         let mut now = seconds(5);
@@ -168,7 +168,7 @@
 
 /// Who shared two processes with the request is not held to account for them once it is found.
 #[test]
-fn a_quarantine_accounts_for_its_processes() {
+fn a_quarantine_clears_other_requests_of_its_processes() {
     let mut ledger = SuspectLedger::new();
     let now = seconds(1);
     for process in 1..3 {
@@ -230,7 +230,7 @@
 /// five, doubled or late; so the three tellings of a piece of news overtake each other. A caller's
 /// request that was served at one gateway is sound at all of them.
 #[test]
-fn gateways_agree_in_spite_of_losses() {
+fn gateways_agree_despite_message_loss() {
     const GATEWAYS: usize = 5;
     for seed in 0..200 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
@@ -298,7 +298,7 @@
 
 /// A request that many ask and that every gateway has served is cleared in few words.
 #[test]
-fn a_clearance_is_told_once_while_it_waits() {
+fn a_queued_clearance_is_not_queued_twice() {
     let mut ledger = SuspectLedger::new();
     let mut telling = SuspectQueue::new();
     ledger.record_served(seconds(1), INNOCENT);
@@ -319,7 +319,7 @@
 /// apart nobody else is put into quarantine; without, those who meet it three times are, since
 /// nothing tells them from it.
 #[test]
-fn those_who_shared_engines_are_not_in_quarantine() {
+fn requests_on_shared_engines_are_not_quarantined() {
     let mut apart = WaveOutcome::default();
     let mut together = WaveOutcome::default();
     for seed in 0..100 {
--- a/lovagedock/tests/direct_waiting.rs
+++ b/lovagedock/tests/direct_waiting.rs
@@ -37,7 +37,7 @@
 
 /// Callers refused in the same moment are told unlike times, none longer than they would follow.
 #[test]
-fn advice_is_spread_and_bounded() {
+fn retry_delays_are_spread_and_bounded() {
     let line = line();
     let soonest = line.retry_after(Duration::ZERO, ms(9_000), 0.0);
     let latest = line.retry_after(Duration::ZERO, ms(9_000), 1.0);
@@ -48,7 +48,7 @@
 
 /// The request that is late first goes first, whoever came first.
 #[test]
-fn the_next_to_be_late_goes_first() {
+fn the_request_with_the_earliest_objective_goes_first() {
     let mut line = line();
     let later = line.enqueue(ms(500));
     let sooner = line.enqueue(ms(300));
@@ -83,7 +83,7 @@
 /// that was refused before is late already; held for all of its time, it would be refused in most cases
 /// all the same, seconds later. Short ones that come back wait for a slot, which takes a moment.
 #[test]
-fn nobody_is_held_longer_than_it_helps() {
+fn each_queue_bounds_its_waiting_time() {
     let cases = [
         HoldCase {
             is_long: false,
@@ -121,7 +121,7 @@
 
 /// A caller that comes back is known at any gateway for as long as it may come back.
 #[test]
-fn refusals_are_remembered_and_forgotten() {
+fn refusals_expire() {
     let mut own = RefusalLog::new();
     let mut peer = RefusalLog::new();
     own.record(ms(0), 7);
