--- a/lovagedock/examples/direct_cost.rs
+++ b/lovagedock/examples/direct_cost.rs
@@ -56,8 +56,8 @@
                 returned: false,
                 suspect: false,
             };
-            let look = micros(|_| look(&ledger, &endpoints, &request));
-            println!("{gateways},{count},{name},{look:.2}");
+            let evaluation = micros(|_| evaluate(&ledger, &endpoints, &request));
+            println!("{gateways},{count},{name},{evaluation:.2}");
         }
     }
 }
@@ -99,13 +99,13 @@
 }
 
 /// Peers that have something on one endpoint in a burst, however many there are.
-const SHARERS: usize = 8;
+const BUSY_PEERS: usize = 8;
 
 /// Every peer has used each endpoint once; some have something there now.
 fn fill(ledger: &mut WorkLedger, endpoints: &[DirectEndpoint], peers: usize) {
     for number in 0..peers {
         let loads = endpoints.iter().enumerate().map(|(index, endpoint)| {
-            let load = match (index + number) % peers < SHARERS.min(peers) {
+            let load = match (index + number) % peers < BUSY_PEERS.min(peers) {
                 true => peer_load(1),
                 false => PeerLoad::default(),
             };
@@ -116,7 +116,7 @@
 }
 
 /// What a gateway does to find a place.
-fn look(ledger: &WorkLedger, endpoints: &[DirectEndpoint], request: &DirectRequest) {
+fn evaluate(ledger: &WorkLedger, endpoints: &[DirectEndpoint], request: &DirectRequest) {
     let now = Duration::from_secs(100);
     let short: u32 = endpoints
         .iter()
--- a/lovagedock/src/direct/peer_liveness.rs
+++ b/lovagedock/src/direct/peer_liveness.rs
@@ -66,11 +66,14 @@
     /// Counts the gateways whose messages arrive and all that may be serving, both including this
     /// one.
     pub fn count(&self, now: Timestamp) -> GatewayCount {
-        let mut count = GatewayCount { heard: 1, known: 1 };
+        let mut count = GatewayCount {
+            reachable: 1,
+            known: 1,
+        };
         for record in self.peers.values() {
             let silence = now.saturating_sub(record.at);
             let is_reachable = record.has_sent && silence <= SILENCE_TIMEOUT;
-            count.heard += usize::from(is_reachable);
+            count.reachable += usize::from(is_reachable);
             count.known += usize::from(is_reachable || silence <= GONE_TIMEOUT);
         }
         count
--- a/lovagedock/src/direct/rate_limit.rs
+++ b/lovagedock/src/direct/rate_limit.rs
@@ -111,7 +111,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GatewayCount {
     /// Gateways whose messages are being received.
-    pub heard: usize,
+    pub reachable: usize,
     /// Gateways that may be serving requests, whether or not their messages arrive.
     pub known: usize,
 }
@@ -165,7 +165,10 @@
     pub fn new(gateway: GatewayId) -> Self {
         Self {
             gateway,
-            count: GatewayCount { heard: 1, known: 1 },
+            count: GatewayCount {
+                reachable: 1,
+                known: 1,
+            },
             limits: BTreeMap::new(),
             malformed: HashSet::new(),
         }
@@ -411,7 +414,7 @@
         if self.rank(endpoint, gateway) >= senders {
             return 0.0;
         }
-        let part = count.heard as f64 / count.known.max(count.heard).max(1) as f64;
+        let part = count.reachable as f64 / count.known.max(count.reachable).max(1) as f64;
         rate * part / senders as f64
     }
 
--- a/lovagedock/tests/direct_concurrent_placement.rs
+++ b/lovagedock/tests/direct_concurrent_placement.rs
@@ -11,14 +11,14 @@
 use direct_support::{PROFILE, VirtualPool, long, ms, short};
 
 /// Gateways that place within the time in which they hear of each other.
-const AT_ONCE: usize = 8;
+const CONCURRENT_GATEWAYS: usize = 8;
 
 /// How many of the gateways chose the endpoint that most of them chose.
-fn most_on_one(request: &lovagedock::DirectRequest, draws: Option<u64>) -> usize {
+fn max_on_one(request: &lovagedock::DirectRequest, draws: Option<u64>) -> usize {
     let pool = VirtualPool::new(21);
     let mut random = ChaCha8Rng::seed_from_u64(draws.unwrap_or_default());
     let mut chosen: BTreeMap<EndpointProcess, usize> = BTreeMap::new();
-    for _ in 0..AT_ONCE {
+    for _ in 0..CONCURRENT_GATEWAYS {
         let mut candidates = pool.candidates();
         for candidate in &mut candidates {
             candidate.short_lane = request.prompt < 10_000;
@@ -39,12 +39,12 @@
 #[test]
 fn short_prompts_of_many_gateways_spread() {
     assert_eq!(
-        most_on_one(&short(), None),
-        AT_ONCE,
+        max_on_one(&short(), None),
+        CONCURRENT_GATEWAYS,
         "the herd without draws"
     );
     for seed in 1..20 {
-        let most = most_on_one(&short(), Some(seed));
+        let most = max_on_one(&short(), Some(seed));
         assert!(most <= 4, "seed {seed}: {most} on one engine");
     }
 }
@@ -52,9 +52,9 @@
 /// Two gateways that get a long prompt at the same moment do not choose the same lead.
 #[test]
 fn long_prompts_of_many_gateways_spread() {
-    assert_eq!(most_on_one(&long(200_000), None), AT_ONCE);
+    assert_eq!(max_on_one(&long(200_000), None), CONCURRENT_GATEWAYS);
     for seed in 1..20 {
-        let most = most_on_one(&long(200_000), Some(seed));
+        let most = max_on_one(&long(200_000), Some(seed));
         assert!(most <= 4, "seed {seed}: {most} with one lead");
     }
 }
@@ -86,9 +86,9 @@
             (1, ms(0)),
             "after {now} ms"
         );
-        let told = pool.ledger.own_loads();
-        let told: Vec<u32> = told.map(|(_, load)| load.pending_prefills).collect();
-        assert_eq!(told, [1], "after {now} ms");
+        let sent = pool.ledger.own_loads();
+        let sent: Vec<u32> = sent.map(|(_, load)| load.pending_prefills).collect();
+        assert_eq!(sent, [1], "after {now} ms");
     }
     let placed = pool.place(&long(200_000)).expect("two are idle");
     assert!(!placed.members.contains(&late), "{:?}", placed.members);
@@ -115,26 +115,32 @@
         suspect: false,
     };
     let key = pool.ledger.place(ms(0), writer);
-    let hurt = |pool: &VirtualPool, pause| {
-        let hurt = pool.ledger.load(ms(0), &engine).value_delayed_by(ms(pause));
-        (hurt * 100.0).round() / 100.0
+    let delayed_value = |pool: &VirtualPool, gap| {
+        let value = pool.ledger.load(ms(0), &engine).value_delayed_by(ms(gap));
+        (value * 100.0).round() / 100.0
     };
-    assert_eq!((hurt(&pool, 300), hurt(&pool, 1_500)), (1.5, 1.5));
+    assert_eq!(
+        (delayed_value(&pool, 300), delayed_value(&pool, 1_500)),
+        (1.5, 1.5)
+    );
     pool.ledger.record_missed_objective(key);
-    assert_eq!((hurt(&pool, 300), hurt(&pool, 1_500)), (0.0, 0.5));
+    assert_eq!(
+        (delayed_value(&pool, 300), delayed_value(&pool, 1_500)),
+        (0.0, 0.5)
+    );
     pool.ledger.record_missed_objective(key);
-    assert_eq!(hurt(&pool, 1_500), 0.5, "once");
+    assert_eq!(delayed_value(&pool, 1_500), 0.5, "once");
     assert_eq!(pool.ledger.load(ms(0), &engine).writer_count(), 1);
     pool.ledger.finish(ms(0), key);
     assert_eq!(pool.ledger.load(ms(0), &engine).writer_count(), 0);
 }
 
-struct PriceCase {
+struct AcceptanceCase {
     name: &'static str,
     prompt: TokenCount,
-    harm: f64,
+    lost_value: f64,
     waited: f64,
-    taken: bool,
+    accepted: bool,
 }
 
 /// What a request accepts grows with its waiting and with what it is worth.
@@ -144,48 +150,48 @@
 #[test]
 fn accepted_loss_grows_with_waiting() {
     let cases = [
-        PriceCase {
-            name: "a little harm at once",
+        AcceptanceCase {
+            name: "a little lost value at once",
             prompt: 200_000,
-            harm: 0.4,
+            lost_value: 0.4,
             waited: 0.0,
-            taken: true,
+            accepted: true,
         },
-        PriceCase {
-            name: "more harm at once",
+        AcceptanceCase {
+            name: "more lost value at once",
             prompt: 200_000,
-            harm: 1.0,
+            lost_value: 1.0,
             waited: 0.0,
-            taken: false,
+            accepted: false,
         },
-        PriceCase {
+        AcceptanceCase {
             name: "the same after a sixth of the patience",
             prompt: 200_000,
-            harm: 1.0,
+            lost_value: 1.0,
             waited: 0.17,
-            taken: true,
+            accepted: true,
         },
-        PriceCase {
+        AcceptanceCase {
             name: "as much as half of its own value",
             prompt: 200_000,
-            harm: 10.0,
+            lost_value: 10.0,
             waited: 1.0,
-            taken: false,
+            accepted: false,
         },
-        PriceCase {
+        AcceptanceCase {
             name: "short, one other late",
             prompt: 5_000,
-            harm: 1.1,
+            lost_value: 1.1,
             waited: 0.99,
-            taken: false,
+            accepted: false,
         },
     ];
     for case in cases {
         let request = long(case.prompt);
         let mut pool = VirtualPool::new(1);
         let mut choice = pool.place(&request).expect("it is idle").choice;
-        choice.lost_value = case.harm;
-        let taken = choice.is_acceptable(&request, case.waited);
-        assert_eq!(taken, case.taken, "{}", case.name);
+        choice.lost_value = case.lost_value;
+        let accepted = choice.is_acceptable(&request, case.waited);
+        assert_eq!(accepted, case.accepted, "{}", case.name);
     }
 }
--- a/lovagedock/tests/direct_ledger.rs
+++ b/lovagedock/tests/direct_ledger.rs
@@ -12,10 +12,10 @@
     "peer".into()
 }
 
-fn work(reading: u64) -> PlacedWork {
+fn work(prefill_ms: u64) -> PlacedWork {
     PlacedWork {
         endpoint: endpoint(),
-        prefill_time: ms(reading),
+        prefill_time: ms(prefill_ms),
         context: 1_000,
         gap: Some(ms(200)),
         short: true,
@@ -24,10 +24,10 @@
     }
 }
 
-fn told(occupied: u32, reading: u64) -> (EndpointProcess, PeerLoad) {
+fn peer_load(occupied: u32, prefill_ms: u64) -> (EndpointProcess, PeerLoad) {
     let load = PeerLoad {
         occupied,
-        prefill_total: ms(reading),
+        prefill_total: ms(prefill_ms),
         ..PeerLoad::default()
     };
     (endpoint(), load)
@@ -58,7 +58,7 @@
 fn a_known_peers_first_prompt_counts() {
     let mut ledger = WorkLedger::new();
     ledger.apply_peer_loads(ms(0), &peer(), []);
-    ledger.apply_peer_loads(ms(10), &peer(), [told(1, 500)]);
+    ledger.apply_peer_loads(ms(10), &peer(), [peer_load(1, 500)]);
     assert_eq!(ledger.load(ms(10), &endpoint()).backlog, ms(500));
 }
 
@@ -66,7 +66,7 @@
 #[test]
 fn a_new_peers_former_prompts_do_not_count() {
     let mut ledger = WorkLedger::new();
-    ledger.apply_peer_loads(ms(10), &peer(), [told(1, 90_000)]);
+    ledger.apply_peer_loads(ms(10), &peer(), [peer_load(1, 90_000)]);
     let load = ledger.load(ms(10), &endpoint());
     assert_eq!((load.occupied, load.backlog), (1, Duration::ZERO));
 }
@@ -75,10 +75,10 @@
 #[test]
 fn totals_recover_from_a_lost_message() {
     let mut ledger = WorkLedger::new();
-    ledger.apply_peer_loads(ms(0), &peer(), [told(0, 0)]);
-    ledger.apply_peer_loads(ms(20), &peer(), [told(2, 300)]);
+    ledger.apply_peer_loads(ms(0), &peer(), [peer_load(0, 0)]);
+    ledger.apply_peer_loads(ms(20), &peer(), [peer_load(2, 300)]);
     assert_eq!(ledger.load(ms(20), &endpoint()).backlog, ms(300));
-    ledger.apply_peer_loads(ms(20), &peer(), [told(2, 300)]);
+    ledger.apply_peer_loads(ms(20), &peer(), [peer_load(2, 300)]);
     assert_eq!(ledger.load(ms(20), &endpoint()).backlog, ms(300));
 }
 
@@ -89,8 +89,8 @@
 #[test]
 fn a_freed_slot_is_reserved_for_its_former_user() {
     let mut ledger = WorkLedger::new().with_slot_delay(ms(40));
-    ledger.apply_peer_loads(ms(0), &peer(), [told(3, 0)]);
-    ledger.apply_peer_loads(ms(10), &peer(), [told(2, 0)]);
+    ledger.apply_peer_loads(ms(0), &peer(), [peer_load(3, 0)]);
+    ledger.apply_peer_loads(ms(10), &peer(), [peer_load(2, 0)]);
     assert_eq!(ledger.load(ms(20), &endpoint()).occupied, 3);
     assert_eq!(ledger.load(ms(60), &endpoint()).occupied, 2);
 }
@@ -99,7 +99,7 @@
 #[test]
 fn load_of_a_silent_peer_is_dropped() {
     let mut ledger = WorkLedger::new();
-    ledger.apply_peer_loads(ms(0), &peer(), [told(3, 0)]);
+    ledger.apply_peer_loads(ms(0), &peer(), [peer_load(3, 0)]);
     assert!(ledger.forget_silent(ms(1_400)).is_empty());
     assert_eq!(ledger.forget_silent(ms(1_600)), vec![peer()]);
     assert_eq!(ledger.load(ms(1_600), &endpoint()).occupied, 0);
@@ -128,12 +128,12 @@
 #[test]
 fn an_endpoint_listed_again_has_no_backlog() {
     let mut ledger = WorkLedger::new();
-    ledger.apply_peer_loads(ms(0), &peer(), [told(1, 60_000)]);
+    ledger.apply_peer_loads(ms(0), &peer(), [peer_load(1, 60_000)]);
     assert_eq!(ledger.load(ms(0), &endpoint()).backlog, ms(0));
     ledger.record_unlisted(ms(100), &endpoint());
     ledger.forget_unlisted(ms(3_000));
     ledger.record_listed(&endpoint());
-    ledger.apply_peer_loads(ms(3_000), &peer(), [told(1, 60_100)]);
+    ledger.apply_peer_loads(ms(3_000), &peer(), [peer_load(1, 60_100)]);
     assert_eq!(ledger.load(ms(3_000), &endpoint()).backlog, ms(100));
 }
 
@@ -167,7 +167,7 @@
 #[test]
 fn loads_of_peers_are_not_forwarded() {
     let mut ledger = WorkLedger::new();
-    ledger.apply_peer_loads(ms(0), &peer(), [told(1, 500)]);
+    ledger.apply_peer_loads(ms(0), &peer(), [peer_load(1, 500)]);
     assert_eq!(ledger.own_loads().count(), 0);
     let key = ledger.place(ms(0), work(10));
     ledger.finish(ms(10), key);
--- a/lovagedock/tests/direct_ledger_totals.rs
+++ b/lovagedock/tests/direct_ledger_totals.rs
@@ -34,7 +34,7 @@
         own as u32 + self.on(endpoint).map(|load| load.short).sum::<u32>()
     }
 
-    fn unread(&self, endpoint: usize) -> u32 {
+    fn pending_prefills(&self, endpoint: usize) -> u32 {
         // This gateway's own reads come due only after the test's time.
         let own = self.own_on(endpoint);
         let own = own
@@ -69,12 +69,12 @@
     }
 
     fn own_on(&self, endpoint: usize) -> impl Iterator<Item = &PlacedWork> {
-        let id = endpoint_id(endpoint);
+        let id = endpoint_process(endpoint);
         self.own.values().filter(move |work| work.endpoint == id)
     }
 }
 
-fn endpoint_id(number: usize) -> EndpointProcess {
+fn endpoint_process(number: usize) -> EndpointProcess {
     EndpointProcess::new(format!("engine-{number}"), 1)
 }
 
@@ -84,7 +84,7 @@
 
 fn random_work(random: &mut ChaCha8Rng) -> PlacedWork {
     PlacedWork {
-        endpoint: endpoint_id(random.random_range(0..ENDPOINTS)),
+        endpoint: endpoint_process(random.random_range(0..ENDPOINTS)),
         prefill_time: Duration::from_millis(random.random_range(0..300)),
         context: random.random_range(0..50_000),
         gap: random
@@ -144,7 +144,7 @@
                     ledger.apply_peer_loads(
                         now,
                         &peer_id(peer),
-                        [(endpoint_id(endpoint), load.clone())],
+                        [(endpoint_process(endpoint), load.clone())],
                     );
                     naive.peers.insert((peer, endpoint), load);
                 }
@@ -155,11 +155,15 @@
                 }
             }
             for endpoint in 0..ENDPOINTS {
-                let id = endpoint_id(endpoint);
+                let id = endpoint_process(endpoint);
                 let load = ledger.load(now, &id);
                 let place = format!("seed {seed}, step {step}, endpoint {endpoint}");
                 assert_eq!(load.occupied, naive.occupied(endpoint), "{place}");
-                assert_eq!(load.pending_prefills, naive.unread(endpoint), "{place}");
+                assert_eq!(
+                    load.pending_prefills,
+                    naive.pending_prefills(endpoint),
+                    "{place}"
+                );
                 assert_eq!(load.context, naive.context(endpoint), "{place}");
                 assert_eq!(load.writer_count(), naive.writers(endpoint), "{place}");
                 assert_eq!(ledger.short_count(&id), naive.short(endpoint), "{place}");
--- a/lovagedock/tests/direct_listing.rs
+++ b/lovagedock/tests/direct_listing.rs
@@ -23,11 +23,11 @@
 const GATEWAYS: usize = 3;
 
 /// Time in which engines write their entries again, and after which gateways count on that.
-const WRITTEN_AGAIN: Duration = Duration::from_secs(2);
-const SETTLED: Duration = Duration::from_millis(2300);
+const REWRITE_TIME: Duration = Duration::from_secs(2);
+const SETTLE_TIME: Duration = Duration::from_millis(2300);
 
 /// Time for which an entry of the copy is doubted whose process was gone.
-const DOUBTED: Duration = Duration::from_secs(5);
+const DEFERRAL_TIME: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Debug)]
 enum ModelStep {
@@ -70,11 +70,11 @@
     version: ListingVersion,
     endpoints: Vec<DirectEndpoint>,
     missing: Vec<EndpointId>,
-    doubtful: Vec<DirectEndpoint>,
+    deferred: Vec<DirectEndpoint>,
 }
 
 #[derive(Clone, Debug)]
-enum LateAnswer {
+enum DelayedResponse {
     Store { gateway: usize, store: ModelStore },
     Peer { gateway: usize, state: PeerState },
 }
@@ -83,7 +83,7 @@
 struct ModelGateway {
     listing: EndpointListing,
     table: EndpointTable,
-    failing: bool,
+    had_outage: bool,
 }
 
 impl ModelGateway {
@@ -91,7 +91,7 @@
         let listed: Vec<DirectEndpoint> = store.entries.values().cloned().collect();
         let is_restored = store.position.era > self.listing.version().position.era;
         let missing = self.table.unlisted(&listed);
-        let after_outage = std::mem::take(&mut self.failing);
+        let after_outage = std::mem::take(&mut self.had_outage);
         let gone = self
             .listing
             .apply_read(now, store.position, after_outage, missing);
@@ -108,8 +108,8 @@
         }
     }
 
-    fn hear(&mut self, now: Timestamp, state: PeerState) {
-        let listed = [state.endpoints.clone(), state.doubtful.clone()].concat();
+    fn apply_peer(&mut self, now: Timestamp, state: PeerState) {
+        let listed = [state.endpoints.clone(), state.deferred.clone()].concat();
         let unlisted = self.table.unlisted(&listed);
         let missing = unlisted.into_iter().chain(state.missing).collect();
         let Some(gone) = self.listing.apply_peer_listing(state.version, missing) else {
@@ -122,7 +122,7 @@
                 self.table.insert(now, endpoint);
             }
         }
-        for endpoint in state.doubtful {
+        for endpoint in state.deferred {
             self.table.insert_restored(now, endpoint);
         }
     }
@@ -144,7 +144,7 @@
             version: self.listing.version(),
             endpoints: self.table.all().cloned().collect(),
             missing: self.listing.missing().cloned().collect(),
-            doubtful: self.table.deferred().cloned().collect(),
+            deferred: self.table.deferred().cloned().collect(),
         }
     }
 
@@ -166,7 +166,7 @@
     /// Engines that have to write again, and from when on.
     rewrites: Vec<(Timestamp, EndpointId)>,
     gateways: Vec<ModelGateway>,
-    late: Vec<LateAnswer>,
+    late: Vec<DelayedResponse>,
     starts: u64,
 }
 
@@ -199,7 +199,7 @@
         self.store = copy.clone();
         self.store.position.era = era;
         let known = self.engines.keys().chain(copy.entries.keys());
-        let due = self.now + WRITTEN_AGAIN / 2;
+        let due = self.now + REWRITE_TIME / 2;
         self.rewrites = known.map(|id| (due, id.clone())).collect();
     }
 
@@ -230,18 +230,20 @@
             .for_each(|gateway| gateway.tick(now));
     }
 
-    fn arrive(&mut self, answer: LateAnswer) {
+    fn arrive(&mut self, response: DelayedResponse) {
         let now = self.now;
-        match answer {
-            LateAnswer::Store { gateway, store } => self.gateways[gateway].read(now, &store),
-            LateAnswer::Peer { gateway, state } => self.gateways[gateway].hear(now, state),
+        match response {
+            DelayedResponse::Store { gateway, store } => self.gateways[gateway].read(now, &store),
+            DelayedResponse::Peer { gateway, state } => {
+                self.gateways[gateway].apply_peer(now, state)
+            }
         }
     }
 
-    fn send(&mut self, answer: LateAnswer, late: bool) {
+    fn send(&mut self, response: DelayedResponse, late: bool) {
         match late {
-            true => self.late.push(answer),
-            false => self.arrive(answer),
+            true => self.late.push(response),
+            false => self.arrive(response),
         }
     }
 
@@ -272,12 +274,12 @@
             ModelStep::Restore => self.restore(),
             ModelStep::Read { gateway, late } => {
                 let store = self.store.clone();
-                self.send(LateAnswer::Store { gateway, store }, late);
+                self.send(DelayedResponse::Store { gateway, store }, late);
             }
             ModelStep::Arrive if self.late.is_empty() => {}
             ModelStep::Arrive => {
-                let answer = self.late.remove(0);
-                self.arrive(answer);
+                let response = self.late.remove(0);
+                self.arrive(response);
             }
             ModelStep::Pull {
                 gateway,
@@ -285,11 +287,11 @@
                 late,
             } => {
                 let state = self.gateways[peer].state();
-                self.send(LateAnswer::Peer { gateway, state }, late);
+                self.send(DelayedResponse::Peer { gateway, state }, late);
             }
             ModelStep::Restart { gateway } => self.gateways[gateway] = ModelGateway::default(),
             ModelStep::Outage { gateway } => {
-                self.gateways[gateway].failing = true;
+                self.gateways[gateway].had_outage = true;
                 self.gateways[gateway].listing.suspend_settling();
             }
             ModelStep::Wait { ms } => self.wait(Duration::from_millis(ms)),
@@ -298,19 +300,19 @@
 
     /// Nothing fails any more: one gateway watches the store, the others hear of it.
     fn settle(&mut self) {
-        while let Some(answer) = self.late.pop() {
-            self.arrive(answer);
+        while let Some(response) = self.late.pop() {
+            self.arrive(response);
         }
-        self.wait(WRITTEN_AGAIN);
+        self.wait(REWRITE_TIME);
         for _ in 0..2 {
             let store = self.store.clone();
             let now = self.now;
             self.gateways[0].read(now, &store);
             self.exchange();
-            self.wait(SETTLED);
+            self.wait(SETTLE_TIME);
             self.exchange();
         }
-        self.wait(DOUBTED);
+        self.wait(DEFERRAL_TIME);
         self.exchange();
     }
 
@@ -319,7 +321,7 @@
             let state = self.gateways[peer].state();
             let now = self.now;
             for gateway in (0..GATEWAYS).filter(|gateway| *gateway != peer) {
-                self.gateways[gateway].hear(now, state.clone());
+                self.gateways[gateway].apply_peer(now, state.clone());
             }
         }
     }
@@ -460,7 +462,7 @@
         let mut listing = EndpointListing::new();
         let start = Duration::from_secs(100);
         listing.apply_read(start, StorePosition::new(1, 50), false, Vec::new());
-        let settled = start + SETTLED;
+        let settled = start + SETTLE_TIME;
         listing.settle(settled);
         let missing: Vec<EndpointId> = vec!["i-0".into()];
         let gone = listing.apply_read(settled, StorePosition::new(2, 40), false, missing);
--- a/lovagedock/tests/direct_load_updates.rs
+++ b/lovagedock/tests/direct_load_updates.rs
@@ -35,33 +35,33 @@
 
 /// A gateway with its own ledger and what it told its peers.
 #[derive(Default)]
-struct TellingGateway {
+struct SendingGateway {
     ledger: WorkLedger,
-    news: LoadUpdates,
+    updates: LoadUpdates,
 }
 
-impl TellingGateway {
+impl SendingGateway {
     /// What it tells at `now`; it found every endpoint as fast as declared.
-    fn tell(&mut self, now: Timestamp) -> Vec<(EndpointProcess, PeerLoad)> {
-        self.news.take_due(now, &mut self.ledger, |_| 1.0)
+    fn send_due(&mut self, now: Timestamp) -> Vec<(EndpointProcess, PeerLoad)> {
+        self.updates.take_due(now, &mut self.ledger, |_| 1.0)
     }
 }
 
-struct TellingCase {
+struct SendCase {
     name: &'static str,
     /// When the work ends, if it does.
     ends: Option<u64>,
     /// Times at which the gateway may tell something, and whether it does.
-    told: &'static [(u64, bool)],
+    sent: &'static [(u64, bool)],
 }
 
 #[test]
 fn loads_are_sent_on_change_and_repeated_while_they_last() {
     let cases = [
-        TellingCase {
-            name: "work that lasts is told again each second",
+        SendCase {
+            name: "work that lasts is sent again each second",
             ends: None,
-            told: &[
+            sent: &[
                 (0, true),
                 (8, false),
                 (900, false),
@@ -70,10 +70,10 @@
                 (2_000, true),
             ],
         },
-        TellingCase {
-            name: "an end is told once, and nothing after it",
+        SendCase {
+            name: "an end is sent once, and nothing after it",
             ends: Some(500),
-            told: &[
+            sent: &[
                 (0, true),
                 (400, false),
                 (500, true),
@@ -81,23 +81,23 @@
                 (9_000, false),
             ],
         },
-        TellingCase {
-            name: "work that ended before it was told",
+        SendCase {
+            name: "work that ended before it was sent",
             ends: Some(0),
-            told: &[(0, true), (8, false), (1_008, false)],
+            sent: &[(0, true), (8, false), (1_008, false)],
         },
     ];
     for case in cases {
-        let mut gateway = TellingGateway::default();
+        let mut gateway = SendingGateway::default();
         let mut key = Some(gateway.ledger.place(ms(0), work(0)));
-        for (at, expected) in case.told {
+        for (at, expected) in case.sent {
             if case.ends.is_some_and(|end| end <= *at)
                 && let Some(key) = key.take()
             {
                 gateway.ledger.finish(ms(*at), key);
             }
-            let told = gateway.tell(ms(*at));
-            assert_eq!(!told.is_empty(), *expected, "{}, at {at} ms", case.name);
+            let sent = gateway.send_due(ms(*at));
+            assert_eq!(!sent.is_empty(), *expected, "{}, at {at} ms", case.name);
         }
     }
 }
@@ -108,16 +108,16 @@
 /// second, peers would spend most of their time on hearing that nothing is there.
 #[test]
 fn idle_endpoints_are_not_sent() {
-    let mut gateway = TellingGateway::default();
-    let mut told = 0;
+    let mut gateway = SendingGateway::default();
+    let mut sent = 0;
     for number in 0..172 {
         let now = ms(number as u64 * 500);
         let key = gateway.ledger.place(now, work(number));
-        told += gateway.tell(now).len();
+        sent += gateway.send_due(now).len();
         gateway.ledger.finish(now + ms(400), key);
-        told += gateway.tell(now + ms(400)).len();
+        sent += gateway.send_due(now + ms(400)).len();
     }
-    assert_eq!(told, 2 * 172, "each start and each end once");
+    assert_eq!(sent, 2 * 172, "each start and each end once");
     assert_eq!(gateway.ledger.own_loads().count(), 0);
 }
 
@@ -127,20 +127,20 @@
 /// the second prompt would count as nothing, and the engine would be given another one.
 #[test]
 fn a_reset_total_counts_in_full() {
-    let mut sender = TellingGateway::default();
-    let mut hearer = WorkLedger::new();
-    hearer.apply_peer_loads(ms(0), &peer(), []);
+    let mut sender = SendingGateway::default();
+    let mut receiver = WorkLedger::new();
+    receiver.apply_peer_loads(ms(0), &peer(), []);
     for at in [0, 3_000] {
         let key = sender.ledger.place(ms(at), work(0));
-        hearer.apply_peer_loads(ms(at), &peer(), sender.tell(ms(at)));
+        receiver.apply_peer_loads(ms(at), &peer(), sender.send_due(ms(at)));
         assert_eq!(
-            hearer.load(ms(at), &process(0)).backlog,
+            receiver.load(ms(at), &process(0)).backlog,
             ms(20),
             "at {at} ms"
         );
         sender.ledger.finish(ms(at + 500), key);
-        hearer.apply_peer_loads(ms(at + 500), &peer(), sender.tell(ms(at + 500)));
-        let load = hearer.load(ms(at + 500), &process(0));
+        receiver.apply_peer_loads(ms(at + 500), &peer(), sender.send_due(ms(at + 500)));
+        let load = receiver.load(ms(at + 500), &process(0));
         assert_eq!((load.occupied, load.backlog), (0, ms(0)), "at {at} ms");
     }
 }
@@ -151,19 +151,19 @@
 /// the endpoint, since it has nothing there, and is heard all the time for others.
 #[test]
 fn slots_of_a_lost_end_are_released() {
-    let mut sender = TellingGateway::default();
-    let mut hearer = WorkLedger::new();
+    let mut sender = SendingGateway::default();
+    let mut receiver = WorkLedger::new();
     let ended = sender.ledger.place(ms(0), work(0));
     let lasting = sender.ledger.place(ms(0), work(1));
-    hearer.apply_peer_loads(ms(0), &peer(), sender.tell(ms(0)));
+    receiver.apply_peer_loads(ms(0), &peer(), sender.send_due(ms(0)));
     sender.ledger.finish(ms(100), ended);
-    let _lost = sender.tell(ms(100));
+    let _lost = sender.send_due(ms(100));
     for at in (250..5_000).step_by(250) {
-        hearer.apply_peer_loads(ms(at), &peer(), sender.tell(ms(at)));
-        assert!(hearer.forget_silent(ms(at)).is_empty());
+        receiver.apply_peer_loads(ms(at), &peer(), sender.send_due(ms(at)));
+        assert!(receiver.forget_silent(ms(at)).is_empty());
     }
-    assert_eq!(hearer.load(ms(5_000), &process(0)).occupied, 0, "ended");
-    assert_eq!(hearer.load(ms(5_000), &process(1)).occupied, 1, "lasting");
+    assert_eq!(receiver.load(ms(5_000), &process(0)).occupied, 0, "ended");
+    assert_eq!(receiver.load(ms(5_000), &process(1)).occupied, 1, "lasting");
     sender.ledger.finish(ms(5_000), lasting);
 }
 
@@ -176,11 +176,11 @@
     name: &'static str,
     /// Datagrams of a hundred that are lost, and that come twice.
     lost: u32,
-    doubled: u32,
+    duplicated: u32,
     /// Longest time on the way.
     delay: Duration,
     /// Whether the sender dies at the end, and not only stops placing.
-    dies: bool,
+    crashes: bool,
 }
 
 /// What is on its way to the hearer: when it comes, its sequence number, what it says.
@@ -188,10 +188,10 @@
 
 /// A sender and a hearer with an unreliable way between them.
 struct LossyPair {
-    sender: TellingGateway,
-    hearer: WorkLedger,
+    sender: SendingGateway,
+    receiver: WorkLedger,
     order: PeerSequences,
-    on_the_way: Vec<Datagram>,
+    in_transit: Vec<Datagram>,
     running: Vec<(Timestamp, WorkKey)>,
     sequence: u64,
     random: ChaCha8Rng,
@@ -200,10 +200,10 @@
 impl LossyPair {
     fn new(seed: u64) -> Self {
         Self {
-            sender: TellingGateway::default(),
-            hearer: WorkLedger::new(),
+            sender: SendingGateway::default(),
+            receiver: WorkLedger::new(),
             order: PeerSequences::new(),
-            on_the_way: Vec::new(),
+            in_transit: Vec::new(),
             running: Vec::new(),
             sequence: 0,
             random: ChaCha8Rng::seed_from_u64(seed),
@@ -227,34 +227,34 @@
     }
 
     fn send(&mut self, now: Timestamp, case: &LossCase) {
-        let loads = self.sender.tell(now);
+        let loads = self.sender.send_due(now);
         if loads.is_empty() && self.random.random_bool(0.9) {
             return;
         }
         self.sequence += 1;
-        let copies = 1 + u32::from(self.random.random_ratio(case.doubled, 100));
+        let copies = 1 + u32::from(self.random.random_ratio(case.duplicated, 100));
         for _ in 0..copies {
             if self.random.random_ratio(case.lost, 100) {
                 continue;
             }
             let delay = case.delay.mul_f64(self.random.random());
             let datagram = (now + delay, self.sequence, loads.clone());
-            self.on_the_way.push(datagram);
+            self.in_transit.push(datagram);
         }
     }
 
     fn receive(&mut self, now: Timestamp) {
-        let mut come: Vec<Datagram> = self
-            .on_the_way
+        let mut arrived: Vec<Datagram> = self
+            .in_transit
             .extract_if(.., |(at, ..)| *at <= now)
             .collect();
-        come.sort_by_key(|(at, ..)| *at);
-        for (_, sequence, loads) in come {
+        arrived.sort_by_key(|(at, ..)| *at);
+        for (_, sequence, loads) in arrived {
             if self.order.record(&peer(), 1, sequence) == MessageOrder::Latest {
-                self.hearer.apply_peer_loads(now, &peer(), loads);
+                self.receiver.apply_peer_loads(now, &peer(), loads);
             }
         }
-        self.hearer.forget_silent(now);
+        self.receiver.forget_silent(now);
     }
 
     fn occupied(&self, now: Timestamp, ledger: &WorkLedger) -> Vec<u32> {
@@ -276,38 +276,38 @@
         LossCase {
             name: "a third is lost",
             lost: 33,
-            doubled: 0,
+            duplicated: 0,
             delay: ms(5),
-            dies: false,
+            crashes: false,
         },
         LossCase {
             name: "late and out of order",
             lost: 0,
-            doubled: 0,
+            duplicated: 0,
             delay: ms(300),
-            dies: false,
+            crashes: false,
         },
         LossCase {
             name: "everything at once",
             lost: 60,
-            doubled: 30,
+            duplicated: 30,
             delay: ms(300),
-            dies: false,
+            crashes: false,
         },
         LossCase {
-            name: "the gateway dies",
+            name: "the gateway crashes",
             lost: 10,
-            doubled: 10,
+            duplicated: 10,
             delay: ms(50),
-            dies: true,
+            crashes: true,
         },
     ];
-    let calm = LossCase {
-        name: "calm",
+    let reliable = LossCase {
+        name: "reliable",
         lost: 0,
-        doubled: 0,
+        duplicated: 0,
         delay: ms(2),
-        dies: false,
+        crashes: false,
     };
     for case in cases {
         for seed in 0..20 {
@@ -319,19 +319,19 @@
                 pair.receive(ms(at));
             }
             for at in (8_000..12_000).step_by(8) {
-                if !case.dies {
+                if !case.crashes {
                     pair.end(ms(at));
-                    pair.send(ms(at), &calm);
+                    pair.send(ms(at), &reliable);
                 }
                 pair.receive(ms(at));
             }
             let now = end + SETTLE_TIME;
-            let expected = match case.dies {
+            let expected = match case.crashes {
                 true => vec![0; ENDPOINTS],
                 false => pair.occupied(now, &pair.sender.ledger),
             };
-            let heard = pair.occupied(now, &pair.hearer);
-            assert_eq!(heard, expected, "{}, seed {seed}", case.name);
+            let received = pair.occupied(now, &pair.receiver);
+            assert_eq!(received, expected, "{}, seed {seed}", case.name);
         }
     }
 }
@@ -342,16 +342,18 @@
 /// no more, peers would forget the pace after some seconds and send short prompts there, all of them late.
 #[test]
 fn a_slowdown_is_sent_until_it_ends() {
-    let mut gateway = TellingGateway::default();
+    let mut gateway = SendingGateway::default();
     let key = gateway.ledger.place(ms(0), work(0));
     gateway.ledger.finish(ms(100), key);
-    let mut tell = |at: u64, pace: f64| {
-        let told = gateway.news.take_due(ms(at), &mut gateway.ledger, |_| pace);
-        told.first().map(|(_, load)| load.slowdown)
+    let mut send_due = |at: u64, slowdown: f64| {
+        let sent = gateway
+            .updates
+            .take_due(ms(at), &mut gateway.ledger, |_| slowdown);
+        sent.first().map(|(_, load)| load.slowdown)
     };
-    assert_eq!(tell(100, 2.1), Some(2.0), "in steps of a half");
-    assert_eq!(tell(600, 2.0), None);
-    assert_eq!(tell(1_100, 2.0), Some(2.0), "again each second");
-    assert_eq!(tell(1_600, 1.0), Some(1.0), "it is fast again");
-    assert_eq!(tell(9_000, 1.0), None);
+    assert_eq!(send_due(100, 2.1), Some(2.0), "in steps of a half");
+    assert_eq!(send_due(600, 2.0), None);
+    assert_eq!(send_due(1_100, 2.0), Some(2.0), "again each second");
+    assert_eq!(send_due(1_600, 1.0), Some(1.0), "it is fast again");
+    assert_eq!(send_due(9_000, 1.0), None);
 }
--- a/lovagedock/tests/direct_pause.rs
+++ b/lovagedock/tests/direct_pause.rs
@@ -9,61 +9,61 @@
 
 const INTERVAL: Duration = Duration::from_millis(250);
 
-struct StoppageCase {
+struct PauseCase {
     name: &'static str,
     /// Time without a look, in milliseconds.
     gap_ms: u64,
     /// Time since the look that ended it.
     after_ms: u64,
     waits: bool,
-    stopped: bool,
+    paused: bool,
 }
 
 #[test]
 fn placements_wait_for_messages_received_during_a_pause() {
     let cases = [
-        StoppageCase {
+        PauseCase {
             name: "looks come in time",
             gap_ms: 250,
             after_ms: 0,
             waits: false,
-            stopped: false,
+            paused: false,
         },
-        StoppageCase {
+        PauseCase {
             name: "a busy process",
             gap_ms: 700,
             after_ms: 0,
             waits: false,
-            stopped: false,
+            paused: false,
         },
-        StoppageCase {
+        PauseCase {
             name: "just woken",
             gap_ms: 2_600,
             after_ms: 0,
             waits: true,
-            stopped: true,
+            paused: true,
         },
-        StoppageCase {
+        PauseCase {
             name: "a while after it woke",
             gap_ms: 2_600,
             after_ms: 61,
             waits: false,
-            stopped: true,
+            paused: true,
         },
     ];
     for case in cases {
-        let mut watch = PauseDetector::new();
+        let mut detector = PauseDetector::new();
         let start = Duration::from_secs(5);
-        watch.record_tick(start, INTERVAL);
-        watch.record_tick(start + INTERVAL, INTERVAL);
-        let woke = start + INTERVAL + Duration::from_millis(case.gap_ms);
-        let is_late = watch.remaining_wait(woke, INTERVAL).is_some();
-        assert_eq!(is_late, case.stopped, "{}: before the look", case.name);
-        let stopped = watch.record_tick(woke, INTERVAL).is_some();
-        assert_eq!(stopped, case.stopped, "{}", case.name);
-        let now = woke + Duration::from_millis(case.after_ms);
+        detector.record_tick(start, INTERVAL);
+        detector.record_tick(start + INTERVAL, INTERVAL);
+        let resumed_at = start + INTERVAL + Duration::from_millis(case.gap_ms);
+        let is_late = detector.remaining_wait(resumed_at, INTERVAL).is_some();
+        assert_eq!(is_late, case.paused, "{}: before the look", case.name);
+        let paused = detector.record_tick(resumed_at, INTERVAL).is_some();
+        assert_eq!(paused, case.paused, "{}", case.name);
+        let now = resumed_at + Duration::from_millis(case.after_ms);
         assert_eq!(
-            watch.remaining_wait(now, INTERVAL).is_some(),
+            detector.remaining_wait(now, INTERVAL).is_some(),
             case.waits,
             "{}",
             case.name
--- a/lovagedock/tests/direct_placement.rs
+++ b/lovagedock/tests/direct_placement.rs
@@ -11,7 +11,7 @@
 
 use direct_support::{PROFILE, VirtualPool, long, ms, short};
 
-struct ReadingCase {
+struct PrefillCase {
     prompt: TokenCount,
     expected_ms: u64,
 }
@@ -20,22 +20,22 @@
 #[test]
 fn prefill_time_matches_measurements() {
     let cases = [
-        ReadingCase {
+        PrefillCase {
             prompt: 5_000,
             expected_ms: 20,
         },
-        ReadingCase {
+        PrefillCase {
             prompt: 45_000,
             expected_ms: 268,
         },
-        ReadingCase {
+        PrefillCase {
             prompt: 210_000,
             expected_ms: 2_842,
         },
     ];
     for case in cases {
-        let reading = PROFILE.prefill_time(case.prompt).as_millis() as u64;
-        assert_eq!(reading, case.expected_ms, "{} tokens", case.prompt);
+        let prefill_ms = PROFILE.prefill_time(case.prompt).as_millis() as u64;
+        assert_eq!(prefill_ms, case.expected_ms, "{} tokens", case.prompt);
     }
 }
 
@@ -228,11 +228,11 @@
         draw: 0.0,
     }];
     let placer = DirectPlacer::new(Some(&PROFILE));
-    let gentle = placer.place(&short(), &candidates).expect("a slot is free");
+    let harmless = placer.place(&short(), &candidates).expect("a slot is free");
     let harsh = placer
         .place(&long(60_000), &candidates)
         .expect("a slot is free");
-    assert_eq!(gentle.lost_value, 0.0);
+    assert_eq!(harmless.lost_value, 0.0);
     assert_eq!(harsh.lost_value, 1.5);
 }
 
--- a/lovagedock/tests/direct_prefill_overload.rs
+++ b/lovagedock/tests/direct_prefill_overload.rs
@@ -12,12 +12,12 @@
 
 const ENGINES: usize = 16;
 
-/// Length of the burst, and time between two looks of a request that waits.
+/// Length of the burst, and time between two evaluations of a request that waits.
 const BURST: Duration = Duration::from_secs(10);
-const LOOK: Duration = Duration::from_millis(50);
+const EVALUATION_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Part of its objective that a request waits.
-const PATIENCE: f64 = 0.4;
+const WAIT_SHARE: f64 = 0.4;
 
 /// Lengths of prompts as they come: most of some hundred thousand tokens, few of many.
 const LENGTHS: [TokenCount; 8] = [
@@ -49,22 +49,22 @@
 }
 
 /// Plays a burst of `per_second` prompts.
-fn play(per_second: f64, rule: LateRule, seed: u64) -> BurstValue {
+fn simulate(per_second: f64, rule: LateRule, seed: u64) -> BurstValue {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut pool = VirtualPool::new(ENGINES);
     let placer = DirectPlacer::new(Some(&PROFILE));
     let mut waiting: Vec<WaitingPrompt> = Vec::new();
     let mut value = BurstValue::default();
-    let looks = (BURST.as_millis() / LOOK.as_millis()) as u32;
-    for look in 0..looks {
-        let now = LOOK * look;
+    let evaluations = (BURST.as_millis() / EVALUATION_INTERVAL.as_millis()) as u32;
+    for evaluation in 0..evaluations {
+        let now = EVALUATION_INTERVAL * evaluation;
         pool.advance(now);
-        if random.random_bool(per_second * LOOK.as_secs_f64()) {
+        if random.random_bool(per_second * EVALUATION_INTERVAL.as_secs_f64()) {
             let request = long(LENGTHS[random.random_range(0..LENGTHS.len())]);
             value.asked += request.value();
             waiting.push(WaitingPrompt {
                 late_at: now + request.objective_left,
-                until: now + request.objective_left.mul_f64(PATIENCE),
+                until: now + request.objective_left.mul_f64(WAIT_SHARE),
                 request,
             });
         }
@@ -104,8 +104,8 @@
 fn late_prompts_do_not_make_others_late() {
     const SEEDS: u64 = 12;
     let sum = |rule: LateRule| -> f64 {
-        let plays = (0..SEEDS).map(|seed| play(9.0, rule, seed));
-        plays.map(|play| play.on_time / play.asked).sum::<f64>() / SEEDS as f64
+        let runs = (0..SEEDS).map(|seed| simulate(9.0, rule, seed));
+        runs.map(|run| run.on_time / run.asked).sum::<f64>() / SEEDS as f64
     };
     let (all, worthwhile) = (sum(LateRule::All), sum(LateRule::Worthwhile));
     assert!(
--- a/lovagedock/tests/direct_processes.rs
+++ b/lovagedock/tests/direct_processes.rs
@@ -27,7 +27,7 @@
 
 /// What is told of an endpoint.
 #[derive(Clone, Copy, Debug)]
-enum Told {
+enum TableStep {
     Entry(StartStamp, EndpointState),
     /// An entry of a copy from which the store has come back.
     Restored(StartStamp, EndpointState),
@@ -36,116 +36,132 @@
     Seconds(u64),
 }
 
-struct LifeCase {
+struct ProcessCase {
     name: &'static str,
-    told: &'static [Told],
+    steps: &'static [TableStep],
     /// The process that is known in the end, and its state.
     known: Option<(StartStamp, EndpointState)>,
 }
 
-const LIFE_CASES: &[LifeCase] = &[
-    LifeCase {
+const PROCESS_CASES: &[ProcessCase] = &[
+    ProcessCase {
         name: "a process that left and stands in the copy gets no work at once",
-        told: &[
-            Told::Entry(5, READY),
-            Told::Gone,
-            Told::Restored(5, READY),
-            Told::Seconds(1),
+        steps: &[
+            TableStep::Entry(5, READY),
+            TableStep::Gone,
+            TableStep::Restored(5, READY),
+            TableStep::Seconds(1),
         ],
         known: None,
     },
-    LifeCase {
+    ProcessCase {
         name: "the same is believed when it writes its entry again",
-        told: &[
-            Told::Entry(5, READY),
-            Told::Gone,
-            Told::Restored(5, READY),
-            Told::Entry(5, READY),
+        steps: &[
+            TableStep::Entry(5, READY),
+            TableStep::Gone,
+            TableStep::Restored(5, READY),
+            TableStep::Entry(5, READY),
         ],
         known: Some((5, READY)),
     },
-    LifeCase {
+    ProcessCase {
         name: "the same is believed when its entry stands, and still drains",
-        told: &[
-            Told::Entry(5, DRAINING),
-            Told::Gone,
-            Told::Restored(5, READY),
-            Told::Seconds(5),
+        steps: &[
+            TableStep::Entry(5, DRAINING),
+            TableStep::Gone,
+            TableStep::Restored(5, READY),
+            TableStep::Seconds(5),
         ],
         known: Some((5, DRAINING)),
     },
-    LifeCase {
+    ProcessCase {
         name: "a process that was not known serves at once",
-        told: &[Told::Restored(5, READY)],
+        steps: &[TableStep::Restored(5, READY)],
         known: Some((5, READY)),
     },
-    LifeCase {
+    ProcessCase {
         name: "the next process takes work though the former one drained",
-        told: &[Told::Entry(5, DRAINING), Told::Entry(9, READY)],
+        steps: &[TableStep::Entry(5, DRAINING), TableStep::Entry(9, READY)],
         known: Some((9, READY)),
     },
-    LifeCase {
+    ProcessCase {
         name: "the same after the entry was away",
-        told: &[Told::Entry(5, DRAINING), Told::Gone, Told::Entry(9, READY)],
+        steps: &[
+            TableStep::Entry(5, DRAINING),
+            TableStep::Gone,
+            TableStep::Entry(9, READY),
+        ],
         known: Some((9, READY)),
     },
-    LifeCase {
+    ProcessCase {
         name: "a draining process whose entry was away still drains",
-        told: &[Told::Entry(5, DRAINING), Told::Gone, Told::Entry(5, READY)],
+        steps: &[
+            TableStep::Entry(5, DRAINING),
+            TableStep::Gone,
+            TableStep::Entry(5, READY),
+        ],
         known: Some((5, DRAINING)),
     },
-    LifeCase {
+    ProcessCase {
         name: "a process whose entry lapsed comes back",
-        told: &[Told::Entry(5, READY), Told::Gone, Told::Entry(5, READY)],
+        steps: &[
+            TableStep::Entry(5, READY),
+            TableStep::Gone,
+            TableStep::Entry(5, READY),
+        ],
         known: Some((5, READY)),
     },
-    LifeCase {
+    ProcessCase {
         name: "the last write of the former process comes late",
-        told: &[Told::Entry(9, READY), Told::Entry(5, DRAINING)],
+        steps: &[TableStep::Entry(9, READY), TableStep::Entry(5, DRAINING)],
         known: Some((9, READY)),
     },
-    LifeCase {
+    ProcessCase {
         name: "it comes late and the next process writes again",
-        told: &[
-            Told::Entry(9, READY),
-            Told::Entry(5, DRAINING),
-            Told::Seconds(2),
-            Told::Entry(9, READY),
-            Told::Seconds(5),
+        steps: &[
+            TableStep::Entry(9, READY),
+            TableStep::Entry(5, DRAINING),
+            TableStep::Seconds(2),
+            TableStep::Entry(9, READY),
+            TableStep::Seconds(5),
         ],
         known: Some((9, READY)),
     },
-    LifeCase {
+    ProcessCase {
         name: "it comes after the entry of the next one was removed",
-        told: &[Told::Entry(9, READY), Told::Gone, Told::Entry(5, READY)],
+        steps: &[
+            TableStep::Entry(9, READY),
+            TableStep::Gone,
+            TableStep::Entry(5, READY),
+        ],
         known: None,
     },
-    LifeCase {
+    ProcessCase {
         name: "a host's clock was set back before the restart",
-        told: &[
-            Told::Entry(9, DRAINING),
-            Told::Entry(5, READY),
-            Told::Seconds(5),
+        steps: &[
+            TableStep::Entry(9, DRAINING),
+            TableStep::Entry(5, READY),
+            TableStep::Seconds(5),
         ],
         known: Some((5, READY)),
     },
 ];
 
-fn play(told: &[Told]) -> EndpointTable {
+fn apply_steps(steps: &[TableStep]) -> EndpointTable {
     let mut table = EndpointTable::new();
     let mut now = Duration::ZERO;
-    for told in told {
-        match told {
-            Told::Entry(started, state) => {
+    for step in steps {
+        match step {
+            TableStep::Entry(started, state) => {
                 table.insert(now, entry(*started, *state));
             }
-            Told::Restored(started, state) => {
+            TableStep::Restored(started, state) => {
                 table.insert_restored(now, entry(*started, *state));
             }
-            Told::Gone => {
+            TableStep::Gone => {
                 table.remove(&"i-1".into());
             }
-            Told::Seconds(seconds) => {
+            TableStep::Seconds(seconds) => {
                 now += Duration::from_secs(*seconds);
                 table.apply_deferred(now);
             }
@@ -166,8 +182,8 @@
 /// work, or a late write brings the former one back.
 #[test]
 fn the_latest_process_is_known() {
-    for case in LIFE_CASES {
-        assert_eq!(known(&play(case.told)), case.known, "{}", case.name);
+    for case in PROCESS_CASES {
+        assert_eq!(known(&apply_steps(case.steps)), case.known, "{}", case.name);
     }
 }
 
@@ -216,18 +232,18 @@
     outcome.expect("the latest process stays known");
 }
 
-struct HearingCase {
+struct SequenceCase {
     name: &'static str,
     /// Incarnation and sequence of each message, and what is made of it.
     messages: &'static [(Incarnation, u64, MessageOrder)],
 }
 
-const HEARING_CASES: &[HearingCase] = &[
-    HearingCase {
+const SEQUENCE_CASES: &[SequenceCase] = &[
+    SequenceCase {
         name: "messages in order",
         messages: &[(7, 1, MessageOrder::Latest), (7, 2, MessageOrder::Latest)],
     },
-    HearingCase {
+    SequenceCase {
         name: "one comes twice, one is overtaken",
         messages: &[
             (7, 2, MessageOrder::Latest),
@@ -235,7 +251,7 @@
             (7, 1, MessageOrder::Stale),
         ],
     },
-    HearingCase {
+    SequenceCase {
         name: "a message of the former process comes after the restart",
         messages: &[
             (7, 90, MessageOrder::Latest),
@@ -252,7 +268,7 @@
 /// for another restart, the work is forgotten, and the same engine slots are given out twice.
 #[test]
 fn messages_of_a_former_incarnation_are_ignored() {
-    for case in HEARING_CASES {
+    for case in SEQUENCE_CASES {
         let mut hearing = PeerSequences::new();
         for (incarnation, sequence, expected) in case.messages {
             let news = hearing.record(&"peer".into(), *incarnation, *sequence);
--- a/lovagedock/tests/direct_prompt_burst.rs
+++ b/lovagedock/tests/direct_prompt_burst.rs
@@ -21,7 +21,7 @@
 const SLOTS: u32 = 10;
 
 /// Time until a gateway has heard what another one placed.
-const NEWS_DELAY: Duration = Duration::from_millis(30);
+const UPDATE_DELAY: Duration = Duration::from_millis(30);
 
 /// How long an answer holds its slot.
 const ANSWER_TIME: Duration = Duration::from_millis(1_900);
@@ -29,44 +29,44 @@
 /// Time from the end of reading to the first event: one and a half passes.
 const FIRST_EVENT: Duration = Duration::from_millis(110);
 
-struct CrowdCase {
+struct BurstCase {
     name: &'static str,
     gateways: usize,
     engines: usize,
     /// Short prompts a second before the burst and in it.
     rates: (u64, u64),
     /// Late ones of a thousand, at most, when gateways draw from a crowd.
-    most_late: usize,
+    max_late: usize,
     /// And at least when all take the best endpoint that they see.
-    least_late: usize,
+    min_late: usize,
 }
 
-enum CrowdEvent {
+enum FleetEvent {
     BurstBegins,
     Arrive,
-    Hear(usize, Vec<(EndpointProcess, PeerLoad)>),
-    Read(usize, WorkKey),
+    Receive(usize, Vec<(EndpointProcess, PeerLoad)>),
+    Prefilled(usize, WorkKey),
     End(usize, WorkKey, usize),
 }
 
 /// Gateways in virtual time, and the engines as they really are.
-struct CrowdFleet {
+struct SimulatedFleet {
     ledgers: Vec<WorkLedger>,
-    news: Vec<LoadUpdates>,
+    updates: Vec<LoadUpdates>,
     endpoints: Vec<DirectEndpoint>,
-    read_until: Vec<Timestamp>,
+    prefill_until: Vec<Timestamp>,
     running: Vec<u32>,
     events: BinaryHeap<Reverse<(Timestamp, u64)>>,
-    pending: HashMap<u64, CrowdEvent>,
+    pending: HashMap<u64, FleetEvent>,
     next: u64,
     random: ChaCha8Rng,
-    draws_of_crowd: bool,
+    is_drawing: bool,
     late: usize,
     placed: usize,
 }
 
-impl CrowdFleet {
-    fn new(case: &CrowdCase, seed: u64, draws_of_crowd: bool) -> Self {
+impl SimulatedFleet {
+    fn new(case: &BurstCase, seed: u64, is_drawing: bool) -> Self {
         let endpoints = (0..case.engines).map(|index| DirectEndpoint {
             process: EndpointProcess::new(format!("engine-{index:03}"), 1),
             service: "model".into(),
@@ -77,28 +77,28 @@
         });
         Self {
             ledgers: vec![WorkLedger::new(); case.gateways],
-            news: vec![LoadUpdates::new(); case.gateways],
+            updates: vec![LoadUpdates::new(); case.gateways],
             endpoints: endpoints.collect(),
-            read_until: vec![Duration::ZERO; case.engines],
+            prefill_until: vec![Duration::ZERO; case.engines],
             running: vec![0; case.engines],
             events: BinaryHeap::new(),
             pending: HashMap::new(),
             next: 0,
             random: ChaCha8Rng::seed_from_u64(seed),
-            draws_of_crowd,
+            is_drawing,
             late: 0,
             placed: 0,
         }
     }
 
-    fn plan(&mut self, at: Timestamp, event: CrowdEvent) {
+    fn schedule(&mut self, at: Timestamp, event: FleetEvent) {
         self.events.push(Reverse((at, self.next)));
         self.pending.insert(self.next, event);
         self.next += 1;
     }
 
     /// Late ones of a thousand in the burst's first second and a half.
-    fn play(&mut self, case: &CrowdCase) -> usize {
+    fn run(&mut self, case: &BurstCase) -> usize {
         let (burst, end) = (ms(3_000), ms(4_500));
         let mut at = Duration::ZERO;
         while at < end {
@@ -107,11 +107,11 @@
             } else {
                 case.rates.1
             };
-            self.plan(at, CrowdEvent::Arrive);
+            self.schedule(at, FleetEvent::Arrive);
             let mean = Duration::from_secs(1) / rate as u32;
             at += mean.mul_f64(self.random.random_range(0.0..2.0));
         }
-        self.plan(burst, CrowdEvent::BurstBegins);
+        self.schedule(burst, FleetEvent::BurstBegins);
         while let Some(Reverse((now, key))) = self.events.pop() {
             let event = self.pending.remove(&key).expect("it was planned");
             self.handle(now, event, now >= burst);
@@ -119,11 +119,11 @@
         self.late * 1_000 / self.placed
     }
 
-    fn handle(&mut self, now: Timestamp, event: CrowdEvent, counts: bool) {
+    fn handle(&mut self, now: Timestamp, event: FleetEvent, counts: bool) {
         match event {
-            CrowdEvent::BurstBegins => self.leave_reading(now),
-            CrowdEvent::Arrive => self.arrive(now, counts),
-            CrowdEvent::Hear(from, loads) => {
+            FleetEvent::BurstBegins => self.add_long_prefills(now),
+            FleetEvent::Arrive => self.arrive(now, counts),
+            FleetEvent::Receive(from, loads) => {
                 let name: GatewayId = format!("gateway-{from}").into();
                 for (index, ledger) in self.ledgers.iter_mut().enumerate() {
                     if index != from {
@@ -131,26 +131,26 @@
                     }
                 }
             }
-            CrowdEvent::Read(gateway, key) => self.ledgers[gateway].finish_prefill(now, key),
-            CrowdEvent::End(gateway, key, engine) => {
+            FleetEvent::Prefilled(gateway, key) => self.ledgers[gateway].finish_prefill(now, key),
+            FleetEvent::End(gateway, key, engine) => {
                 self.running[engine] -= 1;
                 self.ledgers[gateway].finish(now, key);
-                self.tell(now, gateway);
+                self.send_updates(now, gateway);
             }
         }
     }
 
     /// Seven in ten endpoints beyond the first still read parts of long prompts.
-    fn leave_reading(&mut self, now: Timestamp) {
+    fn add_long_prefills(&mut self, now: Timestamp) {
         for engine in self.endpoints.len() / 8..self.endpoints.len() {
             if self.random.random_bool(0.3) {
                 continue;
             }
-            let reading = ms(self.random.random_range(100..1_200));
+            let prefill_time = ms(self.random.random_range(100..1_200));
             let gateway = self.random.random_range(0..self.ledgers.len());
             let part = PlacedWork {
                 endpoint: self.endpoints[engine].process.clone(),
-                prefill_time: reading,
+                prefill_time,
                 context: 0,
                 gap: None,
                 short: false,
@@ -158,17 +158,17 @@
                 suspect: false,
             };
             let key = self.ledgers[gateway].place(now, part);
-            self.read_until[engine] = self.read_until[engine].max(now) + reading;
+            self.prefill_until[engine] = self.prefill_until[engine].max(now) + prefill_time;
             self.running[engine] += 1;
-            self.plan(now + reading, CrowdEvent::End(gateway, key, engine));
-            self.tell(now, gateway);
+            self.schedule(now + prefill_time, FleetEvent::End(gateway, key, engine));
+            self.send_updates(now, gateway);
         }
     }
 
-    fn tell(&mut self, now: Timestamp, gateway: usize) {
+    fn send_updates(&mut self, now: Timestamp, gateway: usize) {
         let ledger = &mut self.ledgers[gateway];
-        let told = self.news[gateway].take_due(now, ledger, |_| 1.0);
-        self.plan(now + NEWS_DELAY, CrowdEvent::Hear(gateway, told));
+        let message = self.updates[gateway].take_due(now, ledger, |_| 1.0);
+        self.schedule(now + UPDATE_DELAY, FleetEvent::Receive(gateway, message));
     }
 
     fn arrive(&mut self, now: Timestamp, counts: bool) {
@@ -179,16 +179,20 @@
             self.placed += usize::from(counts);
             return;
         };
-        self.tell(now, gateway);
-        let read = self.read_until[engine].max(now) + PROFILE.prefill_time(request.prompt);
-        self.read_until[engine] = read;
+        self.send_updates(now, gateway);
+        let prefilled_at =
+            self.prefill_until[engine].max(now) + PROFILE.prefill_time(request.prompt);
+        self.prefill_until[engine] = prefilled_at;
         self.running[engine] += 1;
-        let is_late = self.running[engine] > SLOTS || read + FIRST_EVENT > now + ms(300);
+        let is_late = self.running[engine] > SLOTS || prefilled_at + FIRST_EVENT > now + ms(300);
         self.late += usize::from(counts && is_late);
         self.placed += usize::from(counts);
-        let first = read + FIRST_EVENT;
-        self.plan(first, CrowdEvent::Read(gateway, key));
-        self.plan(first + ANSWER_TIME, CrowdEvent::End(gateway, key, engine));
+        let first_event = prefilled_at + FIRST_EVENT;
+        self.schedule(first_event, FleetEvent::Prefilled(gateway, key));
+        self.schedule(
+            first_event + ANSWER_TIME,
+            FleetEvent::End(gateway, key, engine),
+        );
     }
 
     fn place(
@@ -198,15 +202,15 @@
         request: &DirectRequest,
     ) -> Option<(usize, WorkKey)> {
         let ledger = &self.ledgers[gateway];
-        let looks: Vec<(CombinedLoad, u32)> = self
+        let loads: Vec<(CombinedLoad, u32)> = self
             .endpoints
             .iter()
             .map(|endpoint| ledger.load_with_short_count(now, &endpoint.process))
             .collect();
-        let shorts = looks.iter().map(|(_, short)| short).sum();
+        let shorts = loads.iter().map(|(_, short)| short).sum();
         let lane = short_lane_size(shorts, SLOTS, self.endpoints.len());
         let mut candidates = Vec::new();
-        for (position, (load, _)) in looks.into_iter().enumerate() {
+        for (position, (load, _)) in loads.into_iter().enumerate() {
             if load.occupied < SLOTS {
                 candidates.push(PlacerCandidate {
                     endpoint: &self.endpoints[position],
@@ -218,11 +222,11 @@
                 });
             }
         }
-        let unheard = match self.draws_of_crowd {
+        let concurrent = match self.is_drawing {
             true => ledger.concurrent_placements(now),
             false => 0.0,
         };
-        let placer = DirectPlacer::new(Some(&PROFILE)).with_concurrent_placements(unheard);
+        let placer = DirectPlacer::new(Some(&PROFILE)).with_concurrent_placements(concurrent);
         let choice = placer.place(request, &candidates)?;
         let work = placer.works(request, &choice, &candidates).remove(0);
         let engine = self
@@ -243,30 +247,30 @@
 #[test]
 fn a_burst_at_many_gateways_is_served_in_time() {
     let cases = [
-        CrowdCase {
+        BurstCase {
             name: "68 gateways, 172 engines",
             gateways: 68,
             engines: 172,
             rates: (90, 620),
-            most_late: 90,
-            least_late: 140,
+            max_late: 90,
+            min_late: 140,
         },
-        CrowdCase {
+        BurstCase {
             name: "4 gateways, 16 engines",
             gateways: 4,
             engines: 16,
             rates: (10, 50),
-            most_late: 60,
-            least_late: 0,
+            max_late: 60,
+            min_late: 0,
         },
     ];
     for case in cases {
         for seed in 1..4 {
-            let drawn = CrowdFleet::new(&case, seed, true).play(&case);
-            let alone = CrowdFleet::new(&case, seed, false).play(&case);
-            let told = format!("{}, seed {seed}: {drawn} late, {alone}", case.name);
-            assert!(drawn <= case.most_late, "{told}");
-            assert!(alone >= case.least_late, "{told}");
+            let drawn = SimulatedFleet::new(&case, seed, true).run(&case);
+            let undrawn = SimulatedFleet::new(&case, seed, false).run(&case);
+            let message = format!("{}, seed {seed}: {drawn} late, {undrawn}", case.name);
+            assert!(drawn <= case.max_late, "{message}");
+            assert!(undrawn >= case.min_late, "{message}");
         }
     }
 }
--- a/lovagedock/tests/direct_rate_limits.rs
+++ b/lovagedock/tests/direct_rate_limits.rs
@@ -32,7 +32,7 @@
 const GRACE_TIME: Duration = Duration::from_millis(500);
 
 /// Time after which a peer that is not heard counts as out of sight.
-const OUT_OF_SIGHT: Duration = Duration::from_secs(1);
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How gateways share a limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -64,7 +64,7 @@
     /// Tokens in the bucket of [`SharePolicy::EqualParts`].
     tokens: f64,
     /// When each peer was last heard.
-    heard: Vec<Option<Timestamp>>,
+    last_received_at: Vec<Option<Timestamp>>,
     /// Pending answers: arrival time, and time at which the request was sent.
     answers: VecDeque<(Timestamp, Timestamp)>,
     /// When this process of the gateway first received an answer.
@@ -96,7 +96,7 @@
                 name,
                 runs: fault != Fault::Joins || index % 2 == 0,
                 tokens: 0.0,
-                heard: vec![Some(Duration::ZERO); gateways],
+                last_received_at: vec![Some(Duration::ZERO); gateways],
                 answers: VecDeque::new(),
                 first_answer_at: None,
             }
@@ -163,14 +163,14 @@
                 break;
             }
             let (from, to) = (*from, *to);
-            let Some((_, _, _, news)) = self.messages.pop_front() else {
+            let Some((_, _, _, updates)) = self.messages.pop_front() else {
                 break;
             };
             let sender = self.gateways[from].name.clone();
             let gateway = &mut self.gateways[to];
-            gateway.heard[from] = Some(self.now);
-            for news in news {
-                gateway.limits.apply_update(self.now, &sender, news);
+            gateway.last_received_at[from] = Some(self.now);
+            for updates in updates {
+                gateway.limits.apply_update(self.now, &sender, updates);
             }
         }
     }
@@ -211,36 +211,40 @@
                 }
             }
         }
-        let news = gateway.limits.take_updates(now);
+        let updates = gateway.limits.take_updates(now);
         let is_heartbeat = is_tick;
-        if news.is_empty() && !is_heartbeat {
+        if updates.is_empty() && !is_heartbeat {
             return;
         }
-        self.news_sent += news.len();
+        self.news_sent += updates.len();
         for to in 0..self.gateways.len() {
             if to == index || !self.is_delivered(index, to) {
                 continue;
             }
-            match news.is_empty() {
-                true => self.gateways[to].heard[index] = Some(now),
+            match updates.is_empty() {
+                true => self.gateways[to].last_received_at[index] = Some(now),
                 false => self
                     .messages
-                    .push_back((now + STEP, index, to, news.clone())),
+                    .push_back((now + STEP, index, to, updates.clone())),
             }
         }
     }
 
     fn count(&self, index: usize) -> GatewayCount {
         let gateway = &self.gateways[index];
-        let mut count = GatewayCount { heard: 1, known: 1 };
-        for (peer, heard) in gateway
-            .heard
+        let mut count = GatewayCount {
+            reachable: 1,
+            known: 1,
+        };
+        for (peer, last_received_at) in gateway
+            .last_received_at
             .iter()
             .enumerate()
             .filter(|(peer, _)| *peer != index)
         {
-            let is_heard = heard.is_some_and(|at| self.now.saturating_sub(at) <= OUT_OF_SIGHT);
-            count.heard += usize::from(is_heard && self.gateways[peer].runs);
+            let is_reachable =
+                last_received_at.is_some_and(|at| self.now.saturating_sub(at) <= SILENCE_TIMEOUT);
+            count.reachable += usize::from(is_reachable && self.gateways[peer].runs);
             count.known += usize::from(self.gateways[peer].runs);
         }
         count
@@ -468,7 +472,14 @@
         let mut now = ms(1_000);
         while now < retried_at {
             now += TICK;
-            limits.tick(now, GatewayCount { heard: 1, known: 1 }, |_| true);
+            limits.tick(
+                now,
+                GatewayCount {
+                    reachable: 1,
+                    known: 1,
+                },
+                |_| true,
+            );
         }
         limits.record_demand(retried_at, &endpoint);
         let verdict = limits.admit(retried_at, &endpoint);
--- a/lovagedock/tests/direct_state.rs
+++ b/lovagedock/tests/direct_state.rs
@@ -149,7 +149,7 @@
     assert_eq!(table.all().count(), 0);
 }
 
-struct DutyCase {
+struct RoleCase {
     name: &'static str,
     own: &'static str,
     /// Name, time since it was heard, whether it reaches the store.
@@ -158,20 +158,20 @@
 }
 
 /// Three watch, the others rely on them as long as two are heard and reach the store.
-const DUTY_CASES: &[DutyCase] = &[
-    DutyCase {
+const ROLE_CASES: &[RoleCase] = &[
+    RoleCase {
         name: "alone",
         own: "a1",
         peers: &[],
         role: WatchRole::Watcher,
     },
-    DutyCase {
+    RoleCase {
         name: "one of three",
         own: "a2",
         peers: &[("a1", 100, true), ("b1", 100, true)],
         role: WatchRole::Watcher,
     },
-    DutyCase {
+    RoleCase {
         name: "beside three watchers",
         own: "a2",
         peers: &[
@@ -183,7 +183,7 @@
         ],
         role: WatchRole::Follower,
     },
-    DutyCase {
+    RoleCase {
         name: "beside watchers of which one reaches the store",
         own: "a2",
         peers: &[
@@ -195,7 +195,7 @@
         ],
         role: WatchRole::Fallback,
     },
-    DutyCase {
+    RoleCase {
         name: "beside watchers that are silent",
         own: "a2",
         peers: &[
@@ -210,17 +210,22 @@
 
 #[test]
 fn few_gateways_watch_and_all_learn_of_changes() {
-    for case in DUTY_CASES {
+    for case in ROLE_CASES {
         let now = ms(10_000);
-        let mut duty = WatcherSelection::new();
+        let mut selection = WatcherSelection::new();
         for (name, silent_ms, store_reachable) in case.peers {
             let contact = PeerContact {
                 received_at: now - ms(*silent_ms),
                 store_reachable: *store_reachable,
             };
-            duty.record_peer((*name).into(), contact);
+            selection.record_peer((*name).into(), contact);
         }
-        assert_eq!(duty.role(now, &case.own.into()), case.role, "{}", case.name);
+        assert_eq!(
+            selection.role(now, &case.own.into()),
+            case.role,
+            "{}",
+            case.name
+        );
     }
 }
 
--- a/lovagedock/tests/direct_support/mod.rs
+++ b/lovagedock/tests/direct_support/mod.rs
@@ -52,7 +52,7 @@
 /// What happens at a time.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum PoolEvent {
-    Read(WorkKey),
+    Prefilled(WorkKey),
     End(WorkKey),
 }
 
@@ -90,7 +90,7 @@
             }
             self.events.pop();
             match event {
-                PoolEvent::Read(key) => self.ledger.finish_prefill(at, key),
+                PoolEvent::Prefilled(key) => self.ledger.finish_prefill(at, key),
                 PoolEvent::End(key) => self.ledger.finish(at, key),
             }
         }
@@ -130,16 +130,17 @@
         let lane = lane.map(|c| c.endpoint.process.clone()).collect();
         let works = placer.works(request, &choice, &candidates);
         let members = works.iter().map(|work| work.endpoint.clone()).collect();
-        let read_at = self.now + choice.first_event;
-        let writing = PROFILE.decode_time(request.answer, ms(60));
+        let prefilled_at = self.now + choice.first_event;
+        let decode_time = PROFILE.decode_time(request.answer, ms(60));
         for (index, work) in works.into_iter().enumerate() {
             let key = self.ledger.place(self.now, work);
             let end = if index == 0 {
-                read_at + writing
+                prefilled_at + decode_time
             } else {
-                read_at
+                prefilled_at
             };
-            self.events.push(Reverse((read_at, PoolEvent::Read(key))));
+            self.events
+                .push(Reverse((prefilled_at, PoolEvent::Prefilled(key))));
             self.events.push(Reverse((end, PoolEvent::End(key))));
         }
         Some(PlacedChoice {
--- a/lovagedock/tests/direct_suspect_wave/mod.rs
+++ b/lovagedock/tests/direct_suspect_wave/mod.rs
@@ -11,7 +11,7 @@
 const ENGINES: usize = 21;
 /// Requests that run at a time, and those up to which an engine is preferred to the next one.
 const RUNNING: usize = 9 * 14;
-const PACKED: usize = 9;
+const PREFERRED_LOAD: usize = 9;
 
 /// Time of a whole answer, of an engine's next start, and from the beginning of a run to the end of
 /// its engine.
@@ -20,11 +20,11 @@
 const CRASH_TIME: Duration = Duration::from_millis(150);
 
 /// Time between two visits of the caller, of whom each has two attempts.
-const VISIT_TIME: Duration = Duration::from_millis(400);
-const VISITS: u32 = 40;
+const SUBMISSION_INTERVAL: Duration = Duration::from_millis(400);
+const SUBMISSIONS: u32 = 40;
 
 /// When the caller comes first; by then all engines are in use.
-const FIRST_VISIT: Duration = Duration::from_secs(4);
+const FIRST_SUBMISSION: Duration = Duration::from_secs(4);
 
 /// Attempts at a request: two by its gateway, and two more when its caller comes back at once.
 const ATTEMPTS: u32 = 4;
@@ -38,20 +38,20 @@
 pub(crate) struct WavePlan {
     pub(crate) seed: u64,
     /// Whether requests under suspicion are kept apart.
-    pub(crate) apart: bool,
+    pub(crate) isolated: bool,
 }
 
 /// What came of it.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct WaveOutcome {
-    pub(crate) innocents_in_quarantine: usize,
-    pub(crate) most_ends: usize,
+    pub(crate) others_quarantined: usize,
+    pub(crate) max_ends: usize,
 }
 
 impl WaveOutcome {
     pub(crate) fn add(&mut self, other: Self) {
-        self.innocents_in_quarantine += other.innocents_in_quarantine;
-        self.most_ends = self.most_ends.max(other.most_ends);
+        self.others_quarantined += other.others_quarantined;
+        self.max_ends = self.max_ends.max(other.max_ends);
     }
 }
 
@@ -75,7 +75,7 @@
 }
 
 /// Plays a wave.
-pub(crate) fn play_wave(plan: &WavePlan) -> WaveOutcome {
+pub(crate) fn simulate_wave(plan: &WavePlan) -> WaveOutcome {
     let mut wave = Wave {
         plan,
         random: ChaCha8Rng::seed_from_u64(plan.seed),
@@ -86,14 +86,14 @@
         ends: 0,
         next: CRASHING + 1,
     };
-    for step in 0..(VISIT_TIME * VISITS).as_millis() / STEP.as_millis() {
+    for step in 0..(SUBMISSION_INTERVAL * SUBMISSIONS).as_millis() / STEP.as_millis() {
         wave.step(STEP * step as u32);
     }
-    let now = VISIT_TIME * VISITS;
+    let now = SUBMISSION_INTERVAL * SUBMISSIONS;
     let quarantines = wave.ledger.quarantines(now);
     WaveOutcome {
-        innocents_in_quarantine: quarantines.filter(|(f, _)| *f != CRASHING).count(),
-        most_ends: wave.ends,
+        others_quarantined: quarantines.filter(|(f, _)| *f != CRASHING).count(),
+        max_ends: wave.ends,
     }
 }
 
@@ -115,7 +115,11 @@
             let run = self.runs.swap_remove(run);
             self.ledger.record_served(now, run.fingerprint);
         }
-        if now >= FIRST_VISIT && now.as_millis().is_multiple_of(VISIT_TIME.as_millis()) {
+        if now >= FIRST_SUBMISSION
+            && now
+                .as_millis()
+                .is_multiple_of(SUBMISSION_INTERVAL.as_millis())
+        {
             self.place(now, CRASHING, 1);
         }
         while self.runs.len() < RUNNING {
@@ -155,7 +159,7 @@
         let mut engines: Vec<usize> = (0..ENGINES)
             .filter(|engine| self.down_until[*engine] <= now)
             .collect();
-        if is_suspect && self.plan.apart {
+        if is_suspect && self.plan.isolated {
             let suspects = self.runs.iter();
             let suspects = suspects.filter(|run| self.ledger.is_suspect(run.fingerprint));
             let taken: HashSet<usize> = suspects.map(|run| run.engine).collect();
@@ -165,18 +169,18 @@
         }
         let mut load = [0; ENGINES];
         self.runs.iter().for_each(|run| load[run.engine] += 1);
-        engines.sort_by_key(|engine| (load[*engine].max(PACKED), *engine));
-        let among = match is_suspect && self.plan.apart {
+        engines.sort_by_key(|engine| (load[*engine].max(PREFERRED_LOAD), *engine));
+        let choice_count = match is_suspect && self.plan.isolated {
             true => engines.len().div_ceil(2),
             false => 2,
         };
         let Some(engine) = engines
-            .get(self.random.random_range(0..among.max(1)))
+            .get(self.random.random_range(0..choice_count.max(1)))
             .copied()
         else {
             return;
         };
-        let took = match fingerprint {
+        let run_time = match fingerprint {
             CRASHING => CRASH_TIME,
             _ => ANSWER_TIME.mul_f64(self.random.random_range(0.5..1.5)),
         };
@@ -184,7 +188,7 @@
             fingerprint,
             engine,
             began_at: now,
-            ends_at: now + took,
+            ends_at: now + run_time,
             attempts,
         });
     }
--- a/lovagedock/tests/direct_suspects.rs
+++ b/lovagedock/tests/direct_suspects.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use direct_suspect_wave::{WaveOutcome, WavePlan, play_wave};
+use direct_suspect_wave::{WaveOutcome, WavePlan, simulate_wave};
 use lovagedock::{
     EndEvidence, EndpointProcess, ProcessEnd, RequestFingerprint, SuspectLedger, SuspectQueue,
     SuspectUpdate, Timestamp,
@@ -16,7 +16,7 @@
 const CRASHING: RequestFingerprint = 7;
 
 /// One that shares engines with it.
-const INNOCENT: RequestFingerprint = 8;
+const UNRELATED: RequestFingerprint = 8;
 
 fn seconds(seconds: u64) -> Timestamp {
     Duration::from_secs(seconds)
@@ -60,7 +60,7 @@
             quarantined: false,
         },
         SuspectCase {
-            name: "one process, told three times",
+            name: "one process, sent three times",
             steps: &[Ended(1), Ended(1), Ended(1)],
             quarantined: false,
         },
@@ -172,14 +172,14 @@
     let mut ledger = SuspectLedger::new();
     let now = seconds(1);
     for process in 1..3 {
-        ledger.record_end(now, INNOCENT, end(process, EndEvidence::Strong));
+        ledger.record_end(now, UNRELATED, end(process, EndEvidence::Strong));
         ledger.record_end(now, CRASHING, end(process, EndEvidence::Strong));
     }
     assert!(ledger.record_end(now, CRASHING, end(3, EndEvidence::Strong)));
-    assert_eq!(ledger.ends(INNOCENT), 0);
+    assert_eq!(ledger.ends(UNRELATED), 0);
     // Its own gateway tells of the third a moment later.
-    assert!(!ledger.record_end(now, INNOCENT, end(3, EndEvidence::Strong)));
-    assert!(!ledger.is_suspect(INNOCENT));
+    assert!(!ledger.record_end(now, UNRELATED, end(3, EndEvidence::Strong)));
+    assert!(!ledger.is_suspect(UNRELATED));
 }
 
 /// What is remembered stays bounded, and who has most against it stays longest.
@@ -189,15 +189,15 @@
     for process in 1..4 {
         ledger.record_end(seconds(1), CRASHING, end(process, EndEvidence::Strong));
     }
-    ledger.record_end(seconds(1), INNOCENT, end(4, EndEvidence::Strong));
-    ledger.record_end(seconds(1), INNOCENT, end(5, EndEvidence::Strong));
+    ledger.record_end(seconds(1), UNRELATED, end(4, EndEvidence::Strong));
+    ledger.record_end(seconds(1), UNRELATED, end(5, EndEvidence::Strong));
     for fingerprint in 100..20_100 {
         let process = end(fingerprint, EndEvidence::Strong);
         ledger.record_end(seconds(2), fingerprint, process);
         assert!(ledger.len() <= 2048);
     }
     assert!(ledger.quarantined_for(seconds(2), CRASHING).is_some());
-    assert_eq!(ledger.ends(INNOCENT), 2);
+    assert_eq!(ledger.ends(UNRELATED), 2);
     assert!(ledger.reports(seconds(2), true).len() <= 256);
     ledger.forget_old(seconds(4000));
     assert!(ledger.is_empty());
@@ -211,7 +211,7 @@
     for process in 1..4 {
         ledger.record_end(now, CRASHING, end(process, EndEvidence::Strong));
     }
-    ledger.record_end(now, INNOCENT, end(9, EndEvidence::Strong));
+    ledger.record_end(now, UNRELATED, end(9, EndEvidence::Strong));
     let reports = ledger.reports(now, false);
     assert_eq!(reports.len(), 1, "one end alone is not kept");
     assert_eq!(ledger.reports(now, true).len(), 2);
@@ -227,7 +227,7 @@
 /// Gateways agree on a request whatever becomes of some messages.
 ///
 /// Processes end under it at random gateways. Each message to each peer is lost with a chance of two in
-/// five, doubled or late; so the three tellings of a piece of news overtake each other. A caller's
+/// five, doubled or late; so the three queues of a piece of news overtake each other. A caller's
 /// request that was served at one gateway is sound at all of them.
 #[test]
 fn gateways_agree_despite_message_loss() {
@@ -235,33 +235,33 @@
     for seed in 0..200 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut ledgers = vec![SuspectLedger::new(); GATEWAYS];
-        let mut tellings = vec![SuspectQueue::new(); GATEWAYS];
+        let mut queues = vec![SuspectQueue::new(); GATEWAYS];
         let mut messages: Vec<(Timestamp, usize, SuspectUpdate)> = Vec::new();
-        ledgers[0].record_served(Duration::ZERO, INNOCENT);
+        ledgers[0].record_served(Duration::ZERO, UNRELATED);
         for round in 0..1200_u64 {
             let now = Duration::from_millis(round * 10);
             if round < 40 && round % 10 == 0 {
                 let gateway = random.random_range(0..GATEWAYS);
                 let ended = end(round, EndEvidence::Strong);
                 ledgers[gateway].record_end(now, CRASHING, ended);
-                ledgers[1].record_end(now, INNOCENT, ended);
+                ledgers[1].record_end(now, UNRELATED, ended);
             }
             for sender in 0..GATEWAYS {
-                for news in tellings[sender].take_due(now, &mut ledgers[sender]) {
+                for update in queues[sender].take_due(now, &mut ledgers[sender]) {
                     for receiver in (0..GATEWAYS).filter(|receiver| *receiver != sender) {
                         for _ in 0..random.random_range(1..3) {
                             if random.random_bool(0.6) {
-                                let late = Duration::from_millis(random.random_range(1..900));
-                                messages.push((now + late, receiver, news));
+                                let delay = Duration::from_millis(random.random_range(1..900));
+                                messages.push((now + delay, receiver, update));
                             }
                         }
                     }
                 }
             }
             messages.shuffle(&mut random);
-            messages.retain(|(at, receiver, news)| {
+            messages.retain(|(at, receiver, update)| {
                 if *at <= now {
-                    ledgers[*receiver].apply_update(now, *news);
+                    ledgers[*receiver].apply_update(now, *update);
                 }
                 *at > now
             });
@@ -270,8 +270,8 @@
         for (gateway, ledger) in ledgers.iter().enumerate() {
             let left = ledger.quarantined_for(now, CRASHING);
             assert!(left.is_some(), "seed {seed}, gateway {gateway}");
-            let innocent = ledger.quarantined_for(now, INNOCENT);
-            assert!(innocent.is_none(), "seed {seed}, gateway {gateway}");
+            let unrelated = ledger.quarantined_for(now, UNRELATED);
+            assert!(unrelated.is_none(), "seed {seed}, gateway {gateway}");
         }
     }
 }
@@ -280,36 +280,36 @@
 #[test]
 fn messages_are_bounded() {
     let mut ledger = SuspectLedger::new();
-    let mut telling = SuspectQueue::new();
+    let mut queue = SuspectQueue::new();
     for fingerprint in 0..5_000 {
         let ended = end(fingerprint % 57, EndEvidence::Strong);
         ledger.record_end(seconds(1), fingerprint, ended);
     }
-    let mut told = 0;
+    let mut sent = 0;
     for round in 0..1_000 {
         let now = seconds(1) + Duration::from_millis(10 * round);
-        let news = telling.take_due(now, &mut ledger).len();
-        assert!(news <= 24, "{news} in one message");
-        told += news;
+        let updates = queue.take_due(now, &mut ledger).len();
+        assert!(updates <= 24, "{updates} in one message");
+        sent += updates;
     }
-    assert!(told <= 3 * 5_000, "{told} in all");
-    assert!(telling.take_due(seconds(60), &mut ledger).is_empty());
+    assert!(sent <= 3 * 5_000, "{sent} in all");
+    assert!(queue.take_due(seconds(60), &mut ledger).is_empty());
 }
 
 /// A request that many ask and that every gateway has served is cleared in few words.
 #[test]
 fn a_queued_clearance_is_not_queued_twice() {
     let mut ledger = SuspectLedger::new();
-    let mut telling = SuspectQueue::new();
-    ledger.record_served(seconds(1), INNOCENT);
-    let mut told = 0;
+    let mut queue = SuspectQueue::new();
+    ledger.record_served(seconds(1), UNRELATED);
+    let mut sent = 0;
     for process in 0..50 {
         let ended = end(process, EndEvidence::Strong);
-        ledger.apply_update(seconds(2), SuspectUpdate::Ended(INNOCENT, ended));
-        told += telling.take_due(seconds(2), &mut ledger).len();
+        ledger.apply_update(seconds(2), SuspectUpdate::Ended(UNRELATED, ended));
+        sent += queue.take_due(seconds(2), &mut ledger).len();
     }
-    assert_eq!(told, 1);
-    assert_eq!(telling.take_due(seconds(3), &mut ledger).len(), 1);
+    assert_eq!(sent, 1);
+    assert_eq!(queue.take_due(seconds(3), &mut ledger).len(), 1);
 }
 
 /// Callers who share engines with a request that ends them are served, and few engines end.
@@ -320,13 +320,19 @@
 /// nothing tells them from it.
 #[test]
 fn requests_on_shared_engines_are_not_quarantined() {
-    let mut apart = WaveOutcome::default();
+    let mut isolated = WaveOutcome::default();
     let mut together = WaveOutcome::default();
     for seed in 0..100 {
-        apart.add(play_wave(&WavePlan { seed, apart: true }));
-        together.add(play_wave(&WavePlan { seed, apart: false }));
+        isolated.add(simulate_wave(&WavePlan {
+            seed,
+            isolated: true,
+        }));
+        together.add(simulate_wave(&WavePlan {
+            seed,
+            isolated: false,
+        }));
     }
-    assert_eq!(apart.innocents_in_quarantine, 0, "{apart:?} {together:?}");
-    assert!(apart.most_ends <= 6, "{apart:?}");
-    assert!(together.innocents_in_quarantine > 0, "{together:?}");
+    assert_eq!(isolated.others_quarantined, 0, "{isolated:?} {together:?}");
+    assert!(isolated.max_ends <= 6, "{isolated:?}");
+    assert!(together.others_quarantined > 0, "{together:?}");
 }
