--- a/lovagedock/examples/direct_cost.rs
+++ b/lovagedock/examples/direct_cost.rs
@@ -14,7 +14,7 @@
 const ROUNDS: usize = 4_000;
 const SLOTS: u32 = 12;
 
-/// Gateways and endpoints: the smallest fleet, the grown one, the large one, and the next.
+/// Gateways and endpoints: the smallest fleet, two larger ones, and the next size.
 const SIZES: [(usize, usize); 4] = [(4, 16), (24, 72), (68, 172), (300, 1_000)];
 
 const PROFILE: EngineProfile = EngineProfile {
@@ -98,10 +98,10 @@
     }
 }
 
-/// Peers that have something on one endpoint in a burst, however many there are.
+/// Number of peers that have work on one endpoint in a burst, independent of the number of peers.
 const BUSY_PEERS: usize = 8;
 
-/// Every peer has used each endpoint once; some have something there now.
+/// Fills the ledger: every peer has used each endpoint once, and some have work there now.
 fn fill(ledger: &mut WorkLedger, endpoints: &[DirectEndpoint], peers: usize) {
     for number in 0..peers {
         let loads = endpoints.iter().enumerate().map(|(index, endpoint)| {
@@ -115,7 +115,7 @@
     }
 }
 
-/// What a gateway does to find a place.
+/// Evaluates a placement like a gateway does.
 fn evaluate(ledger: &WorkLedger, endpoints: &[DirectEndpoint], request: &DirectRequest) {
     let now = Duration::from_secs(100);
     let short: u32 = endpoints
--- a/lovagedock/src/direct/config.rs
+++ b/lovagedock/src/direct/config.rs
@@ -100,6 +100,7 @@
 /// Declared properties of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceProfile {
+    /// Id of the service.
     pub id: ServiceId,
     /// Maximum number of connections to each endpoint from all callers together.
     pub max_connections: u32,
--- a/lovagedock/src/direct/endpoints.rs
+++ b/lovagedock/src/direct/endpoints.rs
@@ -25,6 +25,7 @@
     pub domain: DomainId,
     /// Number of requests that the endpoint runs concurrently.
     pub slots: u32,
+    /// Whether the endpoint accepts new work.
     pub state: EndpointState,
 }
 
--- a/lovagedock/tests/direct_backoff.rs
+++ b/lovagedock/tests/direct_backoff.rs
@@ -13,7 +13,7 @@
 
 struct BackoffCase {
     name: &'static str,
-    /// Arrival time and retry delay of each answer, in milliseconds.
+    /// Arrival time and retry delay of each response, in milliseconds.
     answers: &'static [(u64, u64)],
     end_ms: u64,
 }
--- a/lovagedock/tests/direct_concurrent_placement.rs
+++ b/lovagedock/tests/direct_concurrent_placement.rs
@@ -1,4 +1,4 @@
-//! Many gateways that place at the same moment, before they hear of each other.
+//! Tests of gateways that place at the same moment, before they receive each other's placements.
 
 mod direct_support;
 
@@ -10,10 +10,10 @@
 
 use direct_support::{PROFILE, VirtualPool, long, ms, short};
 
-/// Gateways that place within the time in which they hear of each other.
+/// Number of gateways that place before they receive each other's placements.
 const CONCURRENT_GATEWAYS: usize = 8;
 
-/// How many of the gateways chose the endpoint that most of them chose.
+/// Returns the number of gateways that chose the most frequently chosen endpoint.
 fn max_on_one(request: &lovagedock::DirectRequest, draws: Option<u64>) -> usize {
     let pool = VirtualPool::new(21);
     let mut random = ChaCha8Rng::seed_from_u64(draws.unwrap_or_default());
@@ -32,16 +32,17 @@
     chosen.into_values().max().unwrap_or_default()
 }
 
-/// Callers of short prompts get their first event in time though gateways cannot see each other.
+/// Guards against gateways that all place short prompts on the same engine.
 ///
-/// In a burst of 300 a second, eight gateways place before they hear of each other. All rank the
-/// endpoints alike; on one engine the last of eight prompts would wait for 140 ms of reading.
+/// In a burst of 300 per second, eight gateways place before they receive each other's placements.
+/// All rank the endpoints alike. On one engine, the last of eight prompts would wait for 140 ms of
+/// prefill.
 #[test]
 fn short_prompts_of_many_gateways_spread() {
     assert_eq!(
         max_on_one(&short(), None),
         CONCURRENT_GATEWAYS,
-        "the herd without draws"
+        "without draws all choose the same engine"
     );
     for seed in 1..20 {
         let most = max_on_one(&short(), Some(seed));
@@ -49,7 +50,8 @@
     }
 }
 
-/// Two gateways that get a long prompt at the same moment do not choose the same lead.
+/// Guards against gateways that all choose the same lead for long prompts that arrive at the same
+/// moment.
 #[test]
 fn long_prompts_of_many_gateways_spread() {
     assert_eq!(max_on_one(&long(200_000), None), CONCURRENT_GATEWAYS);
@@ -59,11 +61,13 @@
     }
 }
 
-/// A part of a long prompt takes longer on an engine than it should, and nobody hears of it.
+/// Guards against a late prefill of a part of a long prompt behind which further prompts are
+/// placed.
 ///
-/// The engine counts as idle from the moment at which it should have read the part. Asked again, it
-/// would read the new part first, and the caller of the first prompt would wait for seconds. All
-/// gateways count the part until the prompt's first event, and long prompts leave the engine out.
+/// An engine counts as idle from the time at which the part should have been prefilled. If it were
+/// chosen again, it would prefill the new part first, and the caller of the first prompt would wait
+/// for seconds. So all gateways count the part as pending until the prompt's first event, and long
+/// prompts avoid the engine.
 #[test]
 fn an_engine_with_a_pending_prefill_is_not_chosen() {
     let mut pool = VirtualPool::new(3);
@@ -96,11 +100,13 @@
     assert_eq!(pool.ledger.load(pool.now, &late).pending_prefills, 0);
 }
 
-/// Callers of long prompts do not wait for those whom nothing can help any more.
+/// Guards against long prompts that wait for the sake of writers that have already missed their
+/// objective.
 ///
-/// A burst of short prompts ends and long ones come. Each engine has a writer that has paused too
-/// long already. Counted in full, its next pause would keep every long prompt waiting beside idle
-/// engines; it counts with a third, and only for pauses that would drive its caller away.
+/// When a burst of short prompts ends and long prompts arrive, each engine has a writer that has
+/// exceeded its gap already. With its full value, its next gap would keep every long prompt waiting
+/// next to idle engines. So it counts with a third of its value, and only for gaps that would make
+/// its caller disconnect.
 #[test]
 fn a_writer_that_missed_its_objective_weighs_less() {
     let mut pool = VirtualPool::new(1);
@@ -143,10 +149,11 @@
     accepted: bool,
 }
 
-/// What a request accepts grows with its waiting and with what it is worth.
+/// Guards against long prompts that wait without limit for a choice that delays no writer.
 ///
-/// Long prompts that wait for a place without harm come together, then take all engines at once or
-/// are refused, while engines did nothing. A short one never costs others more than itself.
+/// Such prompts accumulate while engines are idle, then use all engines at once or are refused. So
+/// the accepted lost value grows with the waiting time and with the request's value. A short prompt
+/// never costs others more than its own value.
 #[test]
 fn accepted_loss_grows_with_waiting() {
     let cases = [
@@ -165,7 +172,7 @@
             accepted: false,
         },
         AcceptanceCase {
-            name: "the same after a sixth of the patience",
+            name: "the same after a sixth of the waiting time",
             prompt: 200_000,
             lost_value: 1.0,
             waited: 0.17,
@@ -189,7 +196,7 @@
     for case in cases {
         let request = long(case.prompt);
         let mut pool = VirtualPool::new(1);
-        let mut choice = pool.place(&request).expect("it is idle").choice;
+        let mut choice = pool.place(&request).expect("the engine is idle").choice;
         choice.lost_value = case.lost_value;
         let accepted = choice.is_acceptable(&request, case.waited);
         assert_eq!(accepted, case.accepted, "{}", case.name);
--- a/lovagedock/tests/direct_leaving.rs
+++ b/lovagedock/tests/direct_leaving.rs
@@ -1,4 +1,4 @@
-//! Endpoints that announce that they are leaving.
+//! Tests of endpoints that announce that they are leaving.
 
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
     name: &'static str,
     /// What happens after the announcement.
     then: fn(&mut EndpointTable),
-    /// Whether the endpoint takes new work afterwards.
+    /// Whether the endpoint accepts new work afterwards.
     ready: bool,
 }
 
@@ -79,7 +79,11 @@
         assert_eq!(news, EntryChange::Changed);
         let process = EndpointProcess::new("i-0", 2);
         assert!(table.record_leaving(&process), "{}", case.name);
-        assert!(!table.record_leaving(&process), "{}: told once", case.name);
+        assert!(
+            !table.record_leaving(&process),
+            "{}: reported once",
+            case.name
+        );
         (case.then)(&mut table);
         let ready = table.ready(&"service".into()).count();
         assert_eq!(ready == 1, case.ready, "{}", case.name);
--- a/lovagedock/tests/direct_ledger.rs
+++ b/lovagedock/tests/direct_ledger.rs
@@ -1,4 +1,4 @@
-//! What gateways know of each other's work.
+//! Tests of the load that gateways know of each other's work.
 
 use std::time::Duration;
 
@@ -33,7 +33,7 @@
     (endpoint(), load)
 }
 
-/// Whatever is placed is counted out again, in whichever order it ends.
+/// Guards against load that remains after work has ended, in whichever order it ends.
 #[test]
 fn finished_work_leaves_no_load() {
     let mut ledger = WorkLedger::new();
@@ -50,10 +50,10 @@
     assert_eq!(load.backlog, Duration::ZERO);
 }
 
-/// A gateway hears of the first prompt that a peer places on an endpoint.
+/// Guards against a peer's first prompt on an endpoint that is not counted.
 ///
-/// The peer was heard before and had placed nothing there. Its first message about the endpoint
-/// tells of 500 ms to read. Not counted, the endpoint looks idle and gets more.
+/// The peer is known and had no work there. Its first message about the endpoint reports 500 ms of
+/// prefill. If it were not counted, the endpoint would appear idle and get more work.
 #[test]
 fn a_known_peers_first_prompt_counts() {
     let mut ledger = WorkLedger::new();
@@ -62,7 +62,7 @@
     assert_eq!(ledger.load(ms(10), &endpoint()).backlog, ms(500));
 }
 
-/// What a peer placed before it was first heard is over.
+/// Guards against counting the former prefills of a new peer, which may have finished long ago.
 #[test]
 fn a_new_peers_former_prompts_do_not_count() {
     let mut ledger = WorkLedger::new();
@@ -71,7 +71,7 @@
     assert_eq!((load.occupied, load.backlog), (1, Duration::ZERO));
 }
 
-/// A lost message is made good by the next one: totals only grow.
+/// Guards against a lost message that makes later loads wrong: totals only grow.
 #[test]
 fn totals_recover_from_a_lost_message() {
     let mut ledger = WorkLedger::new();
@@ -82,10 +82,10 @@
     assert_eq!(ledger.load(ms(20), &endpoint()).backlog, ms(300));
 }
 
-/// Callers that wait at several gateways are not all sent to the one slot that became free.
+/// Guards against requests at several gateways that are all sent to the one slot that became free.
 ///
-/// A peer's request ends. For a moment the slot is left to the peer, which heard of it first and
-/// has a request waiting; then it is everybody's.
+/// A peer's request ends. For a short time the slot is reserved for the peer, which learned of it
+/// first and has a request waiting. Then every gateway may use it.
 #[test]
 fn a_freed_slot_is_reserved_for_its_former_user() {
     let mut ledger = WorkLedger::new().with_slot_delay(ms(40));
@@ -95,7 +95,8 @@
     assert_eq!(ledger.load(ms(60), &endpoint()).occupied, 2);
 }
 
-/// Slots of a gateway that died are used again: its requests ended with its connections.
+/// Guards against slots that stay occupied by a gateway that crashed. Its requests ended with its
+/// connections.
 #[test]
 fn load_of_a_silent_peer_is_dropped() {
     let mut ledger = WorkLedger::new();
@@ -106,7 +107,7 @@
     assert_eq!(ledger.peer_count(), 0);
 }
 
-/// An engine that reads slower than predicted is not believed to be free.
+/// Guards against an engine that counts as idle although it prefills more slowly than predicted.
 #[test]
 fn a_late_prefill_extends_the_backlog() {
     let mut ledger = WorkLedger::new();
@@ -120,11 +121,12 @@
     Duration::from_millis(ms)
 }
 
-/// An endpoint whose entry lapsed and came back gets work again at once.
+/// Guards against an endpoint that gets no work after its entry lapsed and was written again.
 ///
-/// A peer has placed a minute of reading there in all its life, all of it long read. The store is away,
-/// the entry lapses and is written again, and the peer tells its total once more. Taken for new, the
-/// engine looks as if it had a minute to read, and callers are refused beside an idle engine.
+/// A peer has placed a minute of prefills there over time, all of which have finished. During a
+/// store outage the entry lapses and is written again, and the peer sends its total again. If the
+/// total were counted as new, the engine would appear to have a minute of pending prefills, and
+/// callers would be refused while it is idle.
 #[test]
 fn an_endpoint_listed_again_has_no_backlog() {
     let mut ledger = WorkLedger::new();
@@ -137,10 +139,10 @@
     assert_eq!(ledger.load(ms(3_000), &endpoint()).backlog, ms(100));
 }
 
-/// A process that was started again has nothing of the former one's work.
+/// Guards against a restarted process that inherits the work of the former one.
 ///
-/// Two requests of this gateway are on an engine that crashes and starts again. They end later, one by
-/// one. Counted out of the new process, it would show free slots that are taken.
+/// Two requests of this gateway are on an engine that crashes and restarts. They end later, one by
+/// one. If they were subtracted from the new process, it would show free slots that are occupied.
 #[test]
 fn a_restarted_endpoint_starts_empty() {
     let mut ledger = WorkLedger::new();
@@ -160,10 +162,10 @@
     assert_eq!(ledger.load(ms(20), &endpoint()).occupied, 0);
 }
 
-/// Peers are told only of endpoints that this gateway has used.
+/// Guards against gateways that send each other's loads back and forth.
 ///
-/// What a peer tells of an endpoint that is gone would otherwise be told back to it, and by it again,
-/// for ever, and messages grow with every replaced engine.
+/// A load that a peer reports for an endpoint that is gone would otherwise be sent back to the
+/// peer, and returned by it, forever. Messages would grow with every replaced engine.
 #[test]
 fn loads_of_peers_are_not_forwarded() {
     let mut ledger = WorkLedger::new();
--- a/lovagedock/tests/direct_ledger_totals.rs
+++ b/lovagedock/tests/direct_ledger_totals.rs
@@ -1,7 +1,7 @@
-//! What the ledger says of an endpoint is the sum of what all gateways have placed there.
+//! Comparison of the ledger's totals with sums over everything that gateways have placed.
 //!
-//! Callers are placed by these sums. One that drifts from what was placed keeps slots taken that are
-//! free, or has an engine filled past its slots, for as long as the gateway lives.
+//! Placement uses these totals. A total that differs from the placed work keeps free slots
+//! occupied, or fills an engine beyond its slots, for as long as the gateway runs.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -16,7 +16,7 @@
 const STEPS: usize = 600;
 const GAPS: [Duration; 2] = [Duration::from_millis(200), Duration::from_millis(800)];
 
-/// The same sums, made anew from everything that is placed.
+/// Reference model that computes the same sums from everything that is placed.
 #[derive(Default)]
 struct NaiveLedger {
     own: HashMap<WorkKey, PlacedWork>,
@@ -35,7 +35,7 @@
     }
 
     fn pending_prefills(&self, endpoint: usize) -> u32 {
-        // This gateway's own reads come due only after the test's time.
+        // This gateway's own prefills become due only after the end of the test.
         let own = self.own_on(endpoint);
         let own = own
             .filter(|work| !work.short && !work.prefill_time.is_zero())
--- a/lovagedock/tests/direct_listing.rs
+++ b/lovagedock/tests/direct_listing.rs
@@ -1,8 +1,8 @@
-//! What gateways believe of endpoints while the platform's store loses and regains what it lists.
+//! Model test of the endpoint listing while the platform's store loses and regains its entries.
 //!
-//! A model of a store, engines and gateways: random writes, outages, copies from which the store comes
-//! back, answers that arrive late and news of peers in any order. Whatever happened, once all is quiet
-//! all gateways believe what the store lists.
+//! The model contains a store, engines and gateways, with random writes, outages, restores from
+//! older copies, delayed responses, and updates of peers in any order. After all faults have ended,
+//! all gateways must know exactly the endpoints that the store lists.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -22,36 +22,36 @@
 const ENGINES: u8 = 4;
 const GATEWAYS: usize = 3;
 
-/// Time in which engines write their entries again, and after which gateways count on that.
+/// Time in which engines write their entries again, and time after which gateways rely on that.
 const REWRITE_TIME: Duration = Duration::from_secs(2);
 const SETTLE_TIME: Duration = Duration::from_millis(2300);
 
-/// Time for which an entry of the copy is doubted whose process was gone.
+/// Time for which an entry of a restored copy is deferred if its process was gone.
 const DEFERRAL_TIME: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Debug)]
 enum ModelStep {
-    /// An engine writes its entry, or a new process of it does.
+    /// An engine writes its entry, or a new process of the engine does.
     Write { engine: u8, restarts: bool },
     /// An engine leaves.
     Leave { engine: u8 },
-    /// The store's state is kept, to come back from.
+    /// A copy of the store's state is made.
     Copy,
-    /// The store comes back from the last copy, and engines write again what they had.
+    /// The store is restored from the last copy, and engines write their entries again.
     Restore,
-    /// A gateway reads the store; the answer may stay on its way.
+    /// A gateway reads the store; the response may be delayed.
     Read { gateway: usize, late: bool },
-    /// An answer that was on its way arrives.
+    /// A delayed response arrives.
     Arrive,
-    /// A gateway fetches what a peer knows; the answer may stay on its way.
+    /// A gateway fetches a peer's state; the response may be delayed.
     Pull {
         gateway: usize,
         peer: usize,
         late: bool,
     },
-    /// A gateway starts anew.
+    /// A gateway restarts without state.
     Restart { gateway: usize },
-    /// The store could not be reached by a gateway.
+    /// A gateway cannot reach the store.
     Outage { gateway: usize },
     /// Time passes.
     Wait { ms: u64 },
@@ -161,9 +161,9 @@
     now: Timestamp,
     store: ModelStore,
     copy: Option<ModelStore>,
-    /// What engines have written, whatever became of the store.
+    /// Entries that engines have written, independent of the store's state.
     engines: Entries,
-    /// Engines that have to write again, and from when on.
+    /// Engines that have to write again, with the time at which they do.
     rewrites: Vec<(Timestamp, EndpointId)>,
     gateways: Vec<ModelGateway>,
     late: Vec<DelayedResponse>,
@@ -203,7 +203,7 @@
         self.rewrites = known.map(|id| (due, id.clone())).collect();
     }
 
-    /// Engines that are there write, entries of the others lapse.
+    /// Running engines write their entries, and entries of other engines lapse.
     fn rewrite(&mut self) {
         let (due, left) = std::mem::take(&mut self.rewrites)
             .into_iter()
@@ -254,7 +254,7 @@
                 self.starts += u64::from(restarts);
                 let started = match self.engines.get(&id) {
                     Some(known) if !restarts => known.process.started,
-                    // A name that was gone comes back with another process.
+                    // An engine that was gone returns with another process.
                     _ => {
                         self.starts += 1;
                         self.starts
@@ -298,7 +298,7 @@
         }
     }
 
-    /// Nothing fails any more: one gateway watches the store, the others hear of it.
+    /// Ends all faults: one gateway watches the store, and the others receive its state.
     fn settle(&mut self) {
         while let Some(response) = self.late.pop() {
             self.arrive(response);
@@ -358,7 +358,8 @@
     vec(step, 1..60)
 }
 
-/// After any order of events, gateways agree with the store and with each other.
+/// Guards against gateways that differ from the store or from each other after any sequence of
+/// events.
 #[test]
 fn gateways_converge_to_the_store() {
     let config = Config {
@@ -389,7 +390,8 @@
     result.unwrap_or_else(|error| panic!("{error}"));
 }
 
-/// A reading that was on its way when the store came back changes nothing, whoever brings it.
+/// Guards against a delayed read from before a restore that is applied after it, by the gateway
+/// itself or through a peer.
 #[test]
 fn reads_of_an_older_era_are_ignored() {
     let position = |era, revision| StorePosition::new(era, revision);
@@ -422,14 +424,15 @@
 
 struct MissingCase {
     name: &'static str,
-    /// Time since the store was read again, in milliseconds.
+    /// Time since the store was first read again, in milliseconds.
     after_ms: u64,
-    /// Whether the store was lost again meanwhile.
+    /// Whether the store was lost again in the meantime.
     lost_again: bool,
     gone: bool,
 }
 
-/// An endpoint whose entry the copy lacks is used until it had its time to write again.
+/// Guards against an endpoint without an entry in the restored copy that is dropped before it could
+/// write its entry again.
 #[test]
 fn missing_endpoints_are_kept_until_the_listing_settles() {
     let cases = [
@@ -440,19 +443,19 @@
             gone: false,
         },
         MissingCase {
-            name: "within the time of endpoints",
+            name: "before the listing settles",
             after_ms: 2_000,
             lost_again: false,
             gone: false,
         },
         MissingCase {
-            name: "afterwards",
+            name: "after the listing settles",
             after_ms: 2_300,
             lost_again: false,
             gone: true,
         },
         MissingCase {
-            name: "afterwards, without a store to write to",
+            name: "after that time, while the store is unreachable",
             after_ms: 9_000,
             lost_again: true,
             gone: false,
--- a/lovagedock/tests/direct_load_updates.rs
+++ b/lovagedock/tests/direct_load_updates.rs
@@ -1,4 +1,4 @@
-//! What gateways tell each other of their loads.
+//! Tests of the loads that gateways send to each other.
 
 use std::time::Duration;
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// A gateway with its own ledger and what it told its peers.
+/// A gateway with its ledger and the loads it has sent.
 #[derive(Default)]
 struct SendingGateway {
     ledger: WorkLedger,
@@ -41,7 +41,7 @@
 }
 
 impl SendingGateway {
-    /// What it tells at `now`; it found every endpoint as fast as declared.
+    /// Returns the loads due at `now`, with every endpoint as fast as declared.
     fn send_due(&mut self, now: Timestamp) -> Vec<(EndpointProcess, PeerLoad)> {
         self.updates.take_due(now, &mut self.ledger, |_| 1.0)
     }
@@ -51,7 +51,7 @@
     name: &'static str,
     /// When the work ends, if it does.
     ends: Option<u64>,
-    /// Times at which the gateway may tell something, and whether it does.
+    /// Times at which the gateway may send, and whether it does.
     sent: &'static [(u64, bool)],
 }
 
@@ -102,10 +102,10 @@
     }
 }
 
-/// What a gateway says does not grow with the endpoints that it once used.
+/// Guards against messages that grow with the endpoints that a gateway has once used.
 ///
-/// In an hour a gateway uses every endpoint of a fleet of hundreds, two at a time. Told all of them each
-/// second, peers would spend most of their time on hearing that nothing is there.
+/// In an hour a gateway uses every endpoint of a fleet of hundreds, two at a time. If all of them
+/// were sent each second, peers would spend most of their time on reports of idle endpoints.
 #[test]
 fn idle_endpoints_are_not_sent() {
     let mut gateway = SendingGateway::default();
@@ -121,10 +121,10 @@
     assert_eq!(gateway.ledger.own_loads().count(), 0);
 }
 
-/// A gateway hears of all reading that a peer places, also after the peer had nothing there.
+/// Guards against prefills that are not counted after a peer had no work on an endpoint.
 ///
-/// The peer's total begins anew when its work has ended. Taken as the difference to the former total,
-/// the second prompt would count as nothing, and the engine would be given another one.
+/// The peer's total is reset when its work has ended. If only the difference to the former total
+/// were counted, the second prompt would add nothing, and the engine would get another one.
 #[test]
 fn a_reset_total_counts_in_full() {
     let mut sender = SendingGateway::default();
@@ -145,10 +145,11 @@
     }
 }
 
-/// A slot whose end was never heard of is not kept for good.
+/// Guards against a slot that stays occupied because the message about its end was lost.
 ///
-/// The message that a peer's last request on an endpoint has ended is lost. The peer says nothing more of
-/// the endpoint, since it has nothing there, and is heard all the time for others.
+/// The message that a peer's last request on an endpoint has ended is lost. The peer sends nothing
+/// more about the endpoint, since it has no work there, but its messages about other endpoints
+/// arrive.
 #[test]
 fn slots_of_a_lost_end_are_released() {
     let mut sender = SendingGateway::default();
@@ -169,24 +170,24 @@
 
 const ENDPOINTS: usize = 12;
 
-/// Time after which a hearer has everything right again, once datagrams come through.
+/// Time after which the receiver's loads are correct again, once datagrams arrive reliably.
 const SETTLE_TIME: Duration = Duration::from_millis(4_000);
 
 struct LossCase {
     name: &'static str,
-    /// Datagrams of a hundred that are lost, and that come twice.
+    /// Datagrams per hundred that are lost, and that are duplicated.
     lost: u32,
     duplicated: u32,
-    /// Longest time on the way.
+    /// Maximum delay of a datagram.
     delay: Duration,
-    /// Whether the sender dies at the end, and not only stops placing.
+    /// Whether the sender crashes at the end, instead of only placing no more work.
     crashes: bool,
 }
 
-/// What is on its way to the hearer: when it comes, its sequence number, what it says.
+/// A datagram in transit: arrival time, sequence number, content.
 type Datagram = (Timestamp, u64, Vec<(EndpointProcess, PeerLoad)>);
 
-/// A sender and a hearer with an unreliable way between them.
+/// A sender and a receiver connected by an unreliable network.
 struct LossyPair {
     sender: SendingGateway,
     receiver: WorkLedger,
@@ -265,11 +266,12 @@
     }
 }
 
-/// No endpoint is booked for long by work that has ended, whatever happened to the datagrams.
+/// Guards against work that has ended but keeps an endpoint occupied after message loss.
 ///
-/// A gateway places and ends work for eight seconds; datagrams are lost, doubled, late and overtake each
-/// other, so that a peer counts slots that are free and misses some that are taken. Once they come
-/// through, or once the gateway is dead, the peer is right again within four seconds.
+/// A gateway places and ends work for eight seconds. Datagrams are lost, duplicated, delayed and
+/// overtake each other, so a peer counts free slots as occupied and misses some that are occupied.
+/// Once datagrams arrive reliably, or once the gateway has crashed, the peer's loads are correct
+/// again within four seconds.
 #[test]
 fn loads_converge_after_message_loss() {
     let cases = [
@@ -281,14 +283,14 @@
             crashes: false,
         },
         LossCase {
-            name: "late and out of order",
+            name: "delayed and out of order",
             lost: 0,
             duplicated: 0,
             delay: ms(300),
             crashes: false,
         },
         LossCase {
-            name: "everything at once",
+            name: "all faults combined",
             lost: 60,
             duplicated: 30,
             delay: ms(300),
@@ -336,10 +338,12 @@
     }
 }
 
-/// Peers hear that an engine is slow for as long as it is, also from a gateway that has left it.
+/// Guards against a slow engine that peers forget because the gateway that measured it has no work
+/// there any more.
 ///
-/// A gateway found an engine at twice the declared time and has nothing there any more. Told once and then
-/// no more, peers would forget the pace after some seconds and send short prompts there, all of them late.
+/// A gateway measured twice the declared time on an engine and has no work there now. If this were
+/// sent only once, peers would forget the slowdown after some seconds and place short prompts
+/// there, all of which would be late.
 #[test]
 fn a_slowdown_is_sent_until_it_ends() {
     let mut gateway = SendingGateway::default();
@@ -354,6 +358,6 @@
     assert_eq!(send_due(100, 2.1), Some(2.0), "in steps of a half");
     assert_eq!(send_due(600, 2.0), None);
     assert_eq!(send_due(1_100, 2.0), Some(2.0), "again each second");
-    assert_eq!(send_due(1_600, 1.0), Some(1.0), "it is fast again");
+    assert_eq!(send_due(1_600, 1.0), Some(1.0), "fast again");
     assert_eq!(send_due(9_000, 1.0), None);
 }
--- a/lovagedock/tests/direct_machine.rs
+++ b/lovagedock/tests/direct_machine.rs
@@ -1,4 +1,4 @@
-//! What a gateway does after each attempt.
+//! Tests of the next step after each attempt of a request.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
     ran: RanState,
 }
 
-/// Each case runs a request through the given attempts; the last step is checked.
+/// Each case runs a request through the given attempts and checks the last step.
 const CASES: &[StepCase] = &[
     StepCase {
         name: "a connection that cannot be opened costs no attempt and no retry",
@@ -29,7 +29,7 @@
         ran: RanState::No,
     },
     StepCase {
-        name: "after four endpoints the network is at fault",
+        name: "unreachable after four endpoints",
         mode: RouteMode::NonIdempotent,
         attempts: 1,
         ends: &[AttemptEnd::Unreachable; 5],
@@ -38,7 +38,7 @@
         ran: RanState::No,
     },
     StepCase {
-        name: "a lost answer may have run, so it is not sent again",
+        name: "a request with a lost response may have run, so it is not sent again",
         mode: RouteMode::NonIdempotent,
         attempts: 3,
         ends: &[AttemptEnd::Lost],
@@ -47,7 +47,7 @@
         ran: RanState::Unknown,
     },
     StepCase {
-        name: "a promise that nothing ran allows another endpoint",
+        name: "confirmation that nothing ran allows another endpoint",
         mode: RouteMode::NonIdempotent,
         attempts: 2,
         ends: &[AttemptEnd::NotRun],
@@ -56,7 +56,7 @@
         ran: RanState::No,
     },
     StepCase {
-        name: "attempts are bounded also after promises",
+        name: "attempts are bounded even if nothing ran",
         mode: RouteMode::NonIdempotent,
         attempts: 1,
         ends: &[AttemptEnd::NotRun],
@@ -83,7 +83,7 @@
         ran: RanState::Unknown,
     },
     StepCase {
-        name: "without a retry left the loss is told as it is",
+        name: "without a retry left the loss is reported",
         mode: RouteMode::Idempotent,
         attempts: 2,
         ends: &[AttemptEnd::Lost],
@@ -101,7 +101,7 @@
         ran: RanState::Unknown,
     },
     StepCase {
-        name: "an engine's own failure is delivered when nothing else is left",
+        name: "an engine's own error is delivered when no attempt is left",
         mode: RouteMode::NonIdempotent,
         attempts: 1,
         ends: &[AttemptEnd::Failed],
@@ -110,7 +110,7 @@
         ran: RanState::Unknown,
     },
     StepCase {
-        name: "a broken stream continues elsewhere",
+        name: "a broken stream continues on another endpoint",
         mode: STREAM,
         attempts: 2,
         ends: &[AttemptEnd::Broken],
@@ -128,7 +128,7 @@
         ran: RanState::Unknown,
     },
     StepCase {
-        name: "a whole answer ends the request",
+        name: "a complete response ends the request",
         mode: STREAM,
         attempts: 2,
         ends: &[AttemptEnd::Broken, AttemptEnd::Complete],
@@ -156,7 +156,7 @@
     }
 }
 
-/// With no time left, another attempt would only cost an engine.
+/// Guards against another attempt without time left, which would only use engine capacity.
 #[test]
 fn nothing_is_sent_just_before_the_deadline() {
     let mut machine = DirectMachine::new(RouteMode::Idempotent, 3, ms(1_000));
@@ -170,7 +170,8 @@
     assert_eq!(step, DirectStep::Answer(ResultCode::ExpiredUnknown));
 }
 
-/// A request that expires while an endpoint has it may have run; one that waited has not.
+/// Guards against a wrong statement about whether an expired request ran: one that an endpoint had
+/// may have run, and one that waited has not.
 #[test]
 fn an_expired_request_tells_whether_it_may_have_run() {
     let mut waited = DirectMachine::new(RouteMode::NonIdempotent, 1, ms(1_000));
@@ -185,8 +186,8 @@
     Duration::from_millis(ms)
 }
 
-/// A request whose engine fell silent and is gone may be sent once more than its route allows, and no
-/// more: one that is lost again and again may be what ends the engines.
+/// Guards against a request that is sent more than once in addition to its route's attempts after
+/// its engines became silent. A request that is lost repeatedly may itself be the cause.
 #[test]
 fn one_silent_process_grants_an_extra_attempt() {
     let mut machine = DirectMachine::new(RouteMode::Idempotent, 2, ms(10_000));
@@ -206,13 +207,14 @@
 
 struct StopCase {
     name: &'static str,
-    /// Ends of attempts before, and whether another one is under way.
+    /// Ends of earlier attempts; `in_flight` states whether another attempt has started.
     ends: &'static [AttemptEnd],
     under_way: bool,
     expected: ResultCode,
 }
 
-/// Guards against the word "not run" to the caller of a request that an engine may go on running.
+/// Guards against the statement "not run" to the caller of a request that an engine may continue to
+/// run.
 #[test]
 fn a_stopped_request_tells_whether_it_may_have_run() {
     let cases = [
@@ -223,7 +225,7 @@
             expected: ResultCode::GatewayStopping,
         },
         StopCase {
-            name: "at an endpoint",
+            name: "in flight",
             ends: &[],
             under_way: true,
             expected: ResultCode::GatewayStopped,
--- a/lovagedock/tests/direct_pause.rs
+++ b/lovagedock/tests/direct_pause.rs
@@ -1,7 +1,7 @@
-//! What a gateway does with what it believed before its process was stopped.
+//! Tests of decisions after a pause of the gateway's process.
 //!
-//! A gateway is frozen for seconds with requests that wait. In the moment in which it wakes, its loads of
-//! engines are as old as the stop, and what its peers have told since is still in its sockets.
+//! A gateway with waiting requests is paused for seconds. When it resumes, its loads of engines are
+//! as old as the pause, and the messages that peers have sent since are still in its sockets.
 
 use std::time::Duration;
 
@@ -11,9 +11,9 @@
 
 struct PauseCase {
     name: &'static str,
-    /// Time without a look, in milliseconds.
+    /// Time without a tick, in milliseconds.
     gap_ms: u64,
-    /// Time since the look that ended it.
+    /// Time since the tick that ended the pause.
     after_ms: u64,
     waits: bool,
     paused: bool,
@@ -23,7 +23,7 @@
 fn placements_wait_for_messages_received_during_a_pause() {
     let cases = [
         PauseCase {
-            name: "looks come in time",
+            name: "ticks on time",
             gap_ms: 250,
             after_ms: 0,
             waits: false,
@@ -37,14 +37,14 @@
             paused: false,
         },
         PauseCase {
-            name: "just woken",
+            name: "just resumed",
             gap_ms: 2_600,
             after_ms: 0,
             waits: true,
             paused: true,
         },
         PauseCase {
-            name: "a while after it woke",
+            name: "some time after resuming",
             gap_ms: 2_600,
             after_ms: 61,
             waits: false,
@@ -58,7 +58,7 @@
         detector.record_tick(start + INTERVAL, INTERVAL);
         let resumed_at = start + INTERVAL + Duration::from_millis(case.gap_ms);
         let is_late = detector.remaining_wait(resumed_at, INTERVAL).is_some();
-        assert_eq!(is_late, case.paused, "{}: before the look", case.name);
+        assert_eq!(is_late, case.paused, "{}: before the tick", case.name);
         let paused = detector.record_tick(resumed_at, INTERVAL).is_some();
         assert_eq!(paused, case.paused, "{}", case.name);
         let now = resumed_at + Duration::from_millis(case.after_ms);
--- a/lovagedock/tests/direct_placement.rs
+++ b/lovagedock/tests/direct_placement.rs
@@ -1,4 +1,4 @@
-//! Placement on endpoints that a gateway calls itself, under the loads that it is made for.
+//! Tests of placement on direct endpoints under the loads for which it is designed.
 
 mod direct_support;
 
@@ -16,7 +16,8 @@
     expected_ms: u64,
 }
 
-/// Reading times that were measured on engines of this profile, to the millisecond.
+/// Guards against a wrong prefill model. The times were measured on engines of this profile, to the
+/// millisecond.
 #[test]
 fn prefill_time_matches_measurements() {
     let cases = [
@@ -39,11 +40,12 @@
     }
 }
 
-/// Callers of short prompts see events without pauses while long prompts come.
+/// Guards against long prompts that delay the events of short ones.
 ///
-/// 20 short prompts a second arrive for ten seconds, and with them 2.5 long ones a second, which is
-/// about half of what 21 engines can read. A long read on an engine with writers would stretch all
-/// their pauses. So no part of a long prompt may land on the engines kept for short ones.
+/// For ten seconds, 20 short prompts arrive per second, and with them 2.5 long ones per second,
+/// about half of what 21 engines can prefill. A long prefill on an engine with writers would
+/// lengthen all their gaps. So no part of a long prompt may be placed on the engines of the short
+/// lane.
 #[test]
 fn long_prompts_stay_off_the_short_lane() {
     let mut pool = VirtualPool::new(21);
@@ -67,10 +69,10 @@
     assert_eq!(late_shorts, 0);
 }
 
-/// Callers of short prompts that come in a sudden burst do not queue behind each other.
+/// Guards against short prompts that queue behind each other in a sudden burst.
 ///
-/// 100 a second arrive at an idle pool. Packed onto one engine, each would wait for the prompts
-/// before it; placement opens the next engine before the wait costs anybody the objective.
+/// 100 per second arrive at an idle pool. If all were placed on one engine, each would wait for the
+/// prompts before it. Placement uses the next engine before the wait exceeds an objective.
 #[test]
 fn a_burst_of_short_prompts_opens_engines_in_time() {
     let mut pool = VirtualPool::new(21);
@@ -83,8 +85,8 @@
     assert!(worst <= ms(255), "{worst:?}");
 }
 
-/// The short lane follows the load: it grows before its engines are full and leaves engines to long
-/// prompts whatever comes.
+/// Guards against a short lane that grows only after its engines are full, or that leaves no
+/// engines to long prompts.
 #[test]
 fn the_short_lane_grows_ahead_of_the_load() {
     struct LaneCase {
@@ -134,11 +136,11 @@
     }
 }
 
-/// A caller of a long prompt gets its first event in the predicted time, not seconds later.
+/// Guards against long prompts whose first event comes seconds later than predicted.
 ///
-/// An engine reads the helper's part that came last first. Asked again while it still reads, it
-/// would leave the older part, and with it a whole prompt, until nothing new comes. So a helper has
-/// next to nothing to read when it is asked.
+/// An engine prefills the helper's part that arrived last first. If it were chosen again while it
+/// still prefills, the older part, and with it a whole prompt, would wait until no new parts
+/// arrive. So a helper must have almost no backlog when it is chosen.
 #[test]
 fn helpers_have_no_backlog() {
     let mut pool = VirtualPool::new(21);
@@ -158,7 +160,8 @@
     }
 }
 
-/// A prompt that no engine has memory for is spread over several, and all of it has a place.
+/// Guards against a prompt that finds no place although several engines together have enough memory
+/// for it.
 #[test]
 fn a_prompt_larger_than_an_engine_is_spread() {
     let mut pool = VirtualPool::new(8);
@@ -166,7 +169,9 @@
         objective_left: ms(20_000),
         ..long(900_000)
     };
-    let placed = pool.place(&request).expect("eight engines have the memory");
+    let placed = pool
+        .place(&request)
+        .expect("eight engines have enough memory");
     let kept: TokenCount = placed.choice.helpers.iter().map(|helper| helper.kept).sum();
     let lead = pool.ledger.load(pool.now, &placed.members[0]).context;
     assert_eq!(lead + kept, request.memory());
@@ -180,17 +185,17 @@
     );
 }
 
-/// A prompt larger than all engines together has no place, now or later.
+/// Guards against a place for a prompt that is larger than the memory of all engines together.
 #[test]
 fn a_prompt_larger_than_the_pool_has_no_place() {
     let mut pool = VirtualPool::new(2);
     assert!(pool.place(&long(3_000_000)).is_none());
 }
 
-/// Who was refused and comes back takes no slot that a new caller needs.
+/// Guards against returning requests that use slots that new requests need.
 ///
-/// One engine of 16 slots has one left. A new request takes it; one that came back would be late in
-/// any case, and waits for a tenth of the slots to be free.
+/// One engine of 16 slots has one free slot. A new request may use it. A returning request would be
+/// late in any case, and waits until a tenth of the slots is free.
 #[test]
 fn returning_requests_leave_the_last_slots() {
     let mut pool = VirtualPool::new(1);
@@ -205,7 +210,8 @@
     assert!(pool.place(&short()).is_some());
 }
 
-/// Harm counts writers whose pauses a read would stretch beyond what their callers bear.
+/// Guards against a lost value that omits writers whose gaps a prefill would extend beyond their
+/// callers' tolerance.
 #[test]
 fn lost_value_counts_delayed_writers() {
     let mut pool = VirtualPool::new(1);
@@ -236,7 +242,8 @@
     assert_eq!(harsh.lost_value, 1.5);
 }
 
-/// Plain services get the endpoint with the largest share of free slots.
+/// Guards against plain requests that are not placed on the endpoint with the largest share of free
+/// slots.
 #[test]
 fn plain_requests_go_to_the_emptiest_endpoint() {
     let pool = VirtualPool::new(3);
--- a/lovagedock/tests/direct_prefill_overload.rs
+++ b/lovagedock/tests/direct_prefill_overload.rs
@@ -1,4 +1,4 @@
-//! Long prompts that ask for more reading than the pool has.
+//! Tests of long prompts that need more prefill time than the pool has.
 
 mod direct_support;
 
@@ -12,24 +12,25 @@
 
 const ENGINES: usize = 16;
 
-/// Length of the burst, and time between two evaluations of a request that waits.
+/// Length of the burst, and time between two placement attempts of a waiting request.
 const BURST: Duration = Duration::from_secs(10);
 const EVALUATION_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Part of its objective that a request waits.
+/// Share of its objective that a request waits.
 const WAIT_SHARE: f64 = 0.4;
 
-/// Lengths of prompts as they come: most of some hundred thousand tokens, few of many.
+/// Lengths of prompts in their frequencies: most have some hundred thousand tokens, few have many
+/// more.
 const LENGTHS: [TokenCount; 8] = [
     110_000, 130_000, 160_000, 200_000, 240_000, 300_000, 420_000, 650_000,
 ];
 
-/// Which late prompts are started.
+/// Rule for starting late prompts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LateRule {
-    /// All for which there is a place.
+    /// All prompts for which there is a place.
     All,
-    /// Those that are worth it.
+    /// Prompts that are worth their prefill time.
     Worthwhile,
 }
 
@@ -43,12 +44,12 @@
 #[derive(Debug, Default)]
 struct BurstValue {
     asked: f64,
-    /// Of those whose first event comes in time, as predicted.
+    /// Value of the prompts whose first event is predicted to be in time.
     on_time: f64,
     late: usize,
 }
 
-/// Plays a burst of `per_second` prompts.
+/// Simulates a burst of `per_second` prompts per second.
 fn simulate(per_second: f64, rule: LateRule, seed: u64) -> BurstValue {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut pool = VirtualPool::new(ENGINES);
@@ -95,11 +96,12 @@
     value
 }
 
-/// More callers with long prompts get their first event in time while the pool cannot read them all.
+/// Guards against late prompts that make others late while the pool cannot prefill all of them.
 ///
-/// For ten seconds prompts of 110k to 650k tokens ask for about twice the reading that 16 engines
-/// have. Each waits for its part of the objective; who finds no good place then is late. Started all the
-/// same, one of 420k reads for ten seconds on an engine, which three on time would have shared.
+/// For ten seconds, prompts of 110k to 650k tokens need about twice the prefill time that 16
+/// engines have. Each waits for its share of the objective, and one that then finds no good place
+/// is late. If it is started anyway, a prompt of 420k tokens occupies an engine for ten seconds, in
+/// which three prompts could have been on time.
 #[test]
 fn late_prompts_do_not_make_others_late() {
     const SEEDS: u64 = 12;
@@ -110,7 +112,7 @@
     let (all, worthwhile) = (sum(LateRule::All), sum(LateRule::Worthwhile));
     assert!(
         worthwhile > all * 1.05,
-        "{all:.3} with all, {worthwhile:.3} with those worth it"
+        "{all:.3} with all, {worthwhile:.3} with worthwhile ones"
     );
 }
 
@@ -131,21 +133,21 @@
         is_started: true,
     },
     StartCase {
-        name: "late, and brings much for its reading",
+        name: "late, with a high value for its prefill time",
         prompt: 100_000,
         first_event: 3_100,
         backlog: 0,
         is_started: true,
     },
     StartCase {
-        name: "late, and takes an engine for seconds",
+        name: "late, and occupies an engine for seconds",
         prompt: 400_000,
         first_event: 3_100,
         backlog: 0,
         is_started: false,
     },
     StartCase {
-        name: "late, behind others",
+        name: "late, behind a backlog",
         prompt: 100_000,
         first_event: 3_100,
         backlog: 400,
@@ -160,7 +162,8 @@
     },
 ];
 
-/// A late prompt is started only if that costs others little; the caller is else told to come back.
+/// Guards against a late prompt that is started at a high cost to others, instead of being refused
+/// with a retry delay.
 #[test]
 fn a_late_prompt_is_started_only_if_worth_its_prefill() {
     let placer = DirectPlacer::new(Some(&PROFILE));
--- a/lovagedock/tests/direct_processes.rs
+++ b/lovagedock/tests/direct_processes.rs
@@ -1,4 +1,4 @@
-//! Endpoints that start again under their names, and news of them in any order.
+//! Tests of endpoints that restart under the same name, with entries and messages in any order.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -25,14 +25,14 @@
     }
 }
 
-/// What is told of an endpoint.
+/// Event that the endpoint table receives.
 #[derive(Clone, Copy, Debug)]
 enum TableStep {
     Entry(StartStamp, EndpointState),
-    /// An entry of a copy from which the store has come back.
+    /// An entry of a copy from which the store was restored.
     Restored(StartStamp, EndpointState),
     Gone,
-    /// Time passes; entries that nobody overwrote are believed.
+    /// Time passes, and deferred entries that were not overwritten are applied.
     Seconds(u64),
 }
 
@@ -45,7 +45,7 @@
 
 const PROCESS_CASES: &[ProcessCase] = &[
     ProcessCase {
-        name: "a process that left and stands in the copy gets no work at once",
+        name: "a process that left and is in the copy gets no work at once",
         steps: &[
             TableStep::Entry(5, READY),
             TableStep::Gone,
@@ -55,7 +55,7 @@
         known: None,
     },
     ProcessCase {
-        name: "the same is believed when it writes its entry again",
+        name: "it is applied at once when it writes its entry again",
         steps: &[
             TableStep::Entry(5, READY),
             TableStep::Gone,
@@ -65,7 +65,7 @@
         known: Some((5, READY)),
     },
     ProcessCase {
-        name: "the same is believed when its entry stands, and still drains",
+        name: "its entry is applied when it remains in the store, and the process still drains",
         steps: &[
             TableStep::Entry(5, DRAINING),
             TableStep::Gone,
@@ -75,17 +75,17 @@
         known: Some((5, DRAINING)),
     },
     ProcessCase {
-        name: "a process that was not known serves at once",
+        name: "an unknown process gets work at once",
         steps: &[TableStep::Restored(5, READY)],
         known: Some((5, READY)),
     },
     ProcessCase {
-        name: "the next process takes work though the former one drained",
+        name: "the next process accepts work although the former one drained",
         steps: &[TableStep::Entry(5, DRAINING), TableStep::Entry(9, READY)],
         known: Some((9, READY)),
     },
     ProcessCase {
-        name: "the same after the entry was away",
+        name: "the next process accepts work after the entry was gone",
         steps: &[
             TableStep::Entry(5, DRAINING),
             TableStep::Gone,
@@ -94,7 +94,7 @@
         known: Some((9, READY)),
     },
     ProcessCase {
-        name: "a draining process whose entry was away still drains",
+        name: "a draining process whose entry was gone still drains",
         steps: &[
             TableStep::Entry(5, DRAINING),
             TableStep::Gone,
@@ -103,7 +103,7 @@
         known: Some((5, DRAINING)),
     },
     ProcessCase {
-        name: "a process whose entry lapsed comes back",
+        name: "a process whose entry lapsed is listed again",
         steps: &[
             TableStep::Entry(5, READY),
             TableStep::Gone,
@@ -112,12 +112,12 @@
         known: Some((5, READY)),
     },
     ProcessCase {
-        name: "the last write of the former process comes late",
+        name: "the last write of the former process arrives late",
         steps: &[TableStep::Entry(9, READY), TableStep::Entry(5, DRAINING)],
         known: Some((9, READY)),
     },
     ProcessCase {
-        name: "it comes late and the next process writes again",
+        name: "it arrives late and the next process writes again",
         steps: &[
             TableStep::Entry(9, READY),
             TableStep::Entry(5, DRAINING),
@@ -128,7 +128,7 @@
         known: Some((9, READY)),
     },
     ProcessCase {
-        name: "it comes after the entry of the next one was removed",
+        name: "it arrives after the next process's entry was removed",
         steps: &[
             TableStep::Entry(9, READY),
             TableStep::Gone,
@@ -175,11 +175,12 @@
     endpoint.map(|endpoint| (endpoint.process.started, endpoint.state))
 }
 
-/// Callers get the process that serves, and none that has promised to exit or has ended.
+/// Guards against requests to a process that is draining or has ended, and against a new process
+/// that gets no work.
 ///
-/// Entries of two processes of one name come in unlike orders, some late, some after the entry was
-/// away. Taken by name alone, the next process inherits the drain of the former one and never gets
-/// work, or a late write brings the former one back.
+/// Entries of two processes of one endpoint arrive in different orders, some late, some after the
+/// entry was gone. If they were matched by name alone, the next process would inherit the draining
+/// state of the former one, or a late write would restore the former process.
 #[test]
 fn the_latest_process_is_known() {
     for case in PROCESS_CASES {
@@ -187,7 +188,8 @@
     }
 }
 
-/// A restart is told once, with what ended; news of the former process changes nothing after it.
+/// Guards against a restart that is reported twice, and against later entries of the former process
+/// that have an effect.
 #[test]
 fn a_restart_is_reported_once() {
     let mut table = EndpointTable::new();
@@ -201,8 +203,8 @@
     assert!(table.is_current(&EndpointProcess::new("i-1", 9)));
 }
 
-/// In any order of entries within the time of a late write, the latest process stays known, and one
-/// that drained never takes work again.
+/// Guards against any order of entries, within the time of a late write, that restores an earlier
+/// process or makes a draining one ready.
 #[test]
 fn no_order_of_entries_restores_an_earlier_process() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[41; 32]);
@@ -234,7 +236,7 @@
 
 struct SequenceCase {
     name: &'static str,
-    /// Incarnation and sequence of each message, and what is made of it.
+    /// Incarnation and sequence number of each message, and its expected order.
     messages: &'static [(Incarnation, u64, MessageOrder)],
 }
 
@@ -244,7 +246,7 @@
         messages: &[(7, 1, MessageOrder::Latest), (7, 2, MessageOrder::Latest)],
     },
     SequenceCase {
-        name: "one comes twice, one is overtaken",
+        name: "one is duplicated, one is overtaken",
         messages: &[
             (7, 2, MessageOrder::Latest),
             (7, 2, MessageOrder::Stale),
@@ -252,7 +254,7 @@
         ],
     },
     SequenceCase {
-        name: "a message of the former process comes after the restart",
+        name: "a message of the former incarnation arrives after the restart",
         messages: &[
             (7, 90, MessageOrder::Latest),
             (3, 1, MessageOrder::Restarted),
@@ -262,10 +264,11 @@
     },
 ];
 
-/// What a restarted peer has placed is not forgotten for a message of its former life.
+/// Guards against a late message of a former incarnation that resets a restarted peer's load.
 ///
-/// The peer restarts and places work; a datagram from before overtakes nothing but comes last. Taken
-/// for another restart, the work is forgotten, and the same engine slots are given out twice.
+/// The peer restarts and places work, and then a datagram from before the restart arrives. If it
+/// were treated as another restart, the work would be forgotten, and the same slots would be used
+/// twice.
 #[test]
 fn messages_of_a_former_incarnation_are_ignored() {
     for case in SEQUENCE_CASES {
--- a/lovagedock/tests/direct_prompt_burst.rs
+++ b/lovagedock/tests/direct_prompt_burst.rs
@@ -1,4 +1,5 @@
-//! A fleet of gateways that place a burst of short prompts, each by what it has heard so far.
+//! Simulation of a fleet of gateways that place a burst of short prompts, each by the updates it
+//! has received.
 
 mod direct_support;
 
@@ -20,24 +21,24 @@
 
 const SLOTS: u32 = 10;
 
-/// Time until a gateway has heard what another one placed.
+/// Time until a gateway receives another gateway's placement.
 const UPDATE_DELAY: Duration = Duration::from_millis(30);
 
-/// How long an answer holds its slot.
+/// Time for which a response occupies its slot.
 const ANSWER_TIME: Duration = Duration::from_millis(1_900);
 
-/// Time from the end of reading to the first event: one and a half passes.
+/// Time from the end of the prefill to the first event: one and a half passes.
 const FIRST_EVENT: Duration = Duration::from_millis(110);
 
 struct BurstCase {
     name: &'static str,
     gateways: usize,
     engines: usize,
-    /// Short prompts a second before the burst and in it.
+    /// Short prompts per second, before the burst and during it.
     rates: (u64, u64),
-    /// Late ones of a thousand, at most, when gateways draw from a crowd.
+    /// Maximum number of late prompts per thousand if gateways draw among the best endpoints.
     max_late: usize,
-    /// And at least when all take the best endpoint that they see.
+    /// Minimum number of late prompts per thousand if all choose the best endpoint.
     min_late: usize,
 }
 
@@ -49,7 +50,7 @@
     End(usize, WorkKey, usize),
 }
 
-/// Gateways in virtual time, and the engines as they really are.
+/// Gateways in virtual time, with the actual state of the engines.
 struct SimulatedFleet {
     ledgers: Vec<WorkLedger>,
     updates: Vec<LoadUpdates>,
@@ -97,7 +98,7 @@
         self.next += 1;
     }
 
-    /// Late ones of a thousand in the burst's first second and a half.
+    /// Returns the number of late prompts per thousand in the first second and a half of the burst.
     fn run(&mut self, case: &BurstCase) -> usize {
         let (burst, end) = (ms(3_000), ms(4_500));
         let mut at = Duration::ZERO;
@@ -113,7 +114,7 @@
         }
         self.schedule(burst, FleetEvent::BurstBegins);
         while let Some(Reverse((now, key))) = self.events.pop() {
-            let event = self.pending.remove(&key).expect("it was planned");
+            let event = self.pending.remove(&key).expect("the event was scheduled");
             self.handle(now, event, now >= burst);
         }
         self.late * 1_000 / self.placed
@@ -140,7 +141,7 @@
         }
     }
 
-    /// Seven in ten endpoints beyond the first still read parts of long prompts.
+    /// Adds prefills of parts of long prompts to seven in ten endpoints, except for the first ones.
     fn add_long_prefills(&mut self, now: Timestamp) {
         for engine in self.endpoints.len() / 8..self.endpoints.len() {
             if self.random.random_bool(0.3) {
@@ -238,12 +239,13 @@
     }
 }
 
-/// Callers of short prompts are served in time by gateways that cannot see each other.
+/// Guards against gateways that place a burst on the same engines because their updates arrive
+/// late.
 ///
-/// A burst of long prompts ends and one of short ones begins: six times as many come as before, while most
-/// engines still read. Each gateway has heard of the same loads and takes the endpoint that looks best, and
-/// so do the others in the 30 ms until they hear of it. On that engine the prompts are read one after the
-/// other, beside engines that have nothing.
+/// A burst of long prompts ends and a burst of short ones begins: six times as many arrive as
+/// before, while most engines still prefill. All gateways have received the same loads and choose
+/// the endpoint that looks best, as do the others in the 30 ms until they receive the placement. On
+/// that engine the prompts are prefilled one after the other, while other engines are idle.
 #[test]
 fn a_burst_at_many_gateways_is_served_in_time() {
     let cases = [
--- a/lovagedock/tests/direct_rate_limits.rs
+++ b/lovagedock/tests/direct_rate_limits.rs
@@ -16,7 +16,7 @@
 /// Time step of the simulation.
 const STEP: Duration = Duration::from_millis(10);
 
-/// Time from a request to its answer.
+/// Time from a request to its response.
 const ANSWER_TIME: Duration = Duration::from_millis(80);
 
 /// Tick interval of a gateway.
@@ -28,10 +28,10 @@
 /// Time from the start of a run until requests are counted.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// Time from a gateway's first answer with the limit until its requests are counted.
+/// Time from a gateway's first response with the limit until its requests are counted.
 const GRACE_TIME: Duration = Duration::from_millis(500);
 
-/// Time after which a peer that is not heard counts as out of sight.
+/// Time without a message after which a peer counts as silent.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How gateways share a limit.
@@ -63,11 +63,11 @@
     runs: bool,
     /// Tokens in the bucket of [`SharePolicy::EqualParts`].
     tokens: f64,
-    /// When each peer was last heard.
+    /// When the latest message of each peer was received.
     last_received_at: Vec<Option<Timestamp>>,
-    /// Pending answers: arrival time, and time at which the request was sent.
+    /// Pending responses: arrival time, and time at which the request was sent.
     answers: VecDeque<(Timestamp, Timestamp)>,
-    /// When this process of the gateway first received an answer.
+    /// When this process of the gateway first received a response.
     first_answer_at: Option<Timestamp>,
 }
 
@@ -383,7 +383,7 @@
     rate: Option<f64>,
 }
 
-/// Guards against outdated or malformed answers that remove a limit.
+/// Guards against outdated or malformed responses that remove a limit.
 #[test]
 fn outdated_answers_do_not_remove_a_limit() {
     let cases = [
--- a/lovagedock/tests/direct_slowdown.rs
+++ b/lovagedock/tests/direct_slowdown.rs
@@ -1,4 +1,4 @@
-//! Engines that are slower than declared.
+//! Tests of engines that are slower than declared.
 
 mod direct_support;
 
@@ -10,10 +10,11 @@
     EndpointProcess::new("engine-00", 1)
 }
 
-/// Callers are not sent to an engine that takes four times as long, though nothing fails there.
+/// Guards against requests that are sent to an engine that takes four times as long although
+/// nothing fails there.
 ///
-/// It sends an event each 240 ms where 60 were expected. After a few of them its first events are
-/// predicted four times as late, and short requests go elsewhere.
+/// The engine sends an event every 240 ms where 60 ms were expected. After a few events, its first
+/// events are predicted four times as late, and short requests are placed elsewhere.
 #[test]
 fn a_slow_engine_is_found_by_its_events_and_avoided() {
     let mut tracker = SlowdownTracker::new();
@@ -31,7 +32,7 @@
     assert_ne!(candidates[choice.lead].endpoint.process, engine());
 }
 
-/// An engine that reads a prompt between two events is not taken for a slow one.
+/// Guards against an engine that counts as slow because it prefills a prompt between two events.
 #[test]
 fn single_long_gaps_do_not_count() {
     let mut tracker = SlowdownTracker::new();
@@ -42,7 +43,8 @@
     assert_eq!(tracker.slowdown(ms(4_000), &engine()), 1.0);
 }
 
-/// An engine that was slow is tried again after a while, and one that is gone is forgotten.
+/// Guards against an engine that is avoided forever after it was slow, and against measurements of
+/// an engine that is gone.
 #[test]
 fn a_measured_slowdown_decays() {
     let mut tracker = SlowdownTracker::new();
--- a/lovagedock/tests/direct_state.rs
+++ b/lovagedock/tests/direct_state.rs
@@ -1,4 +1,5 @@
-//! Configuration, endpoints, watching, retries and event streams of a gateway without sidecars.
+//! Tests of configuration, endpoints, watcher selection, retries and event streams of a gateway
+//! without sidecars.
 
 mod direct_support;
 
@@ -82,7 +83,8 @@
     }
 }
 
-/// A share of a route is as large as its weight, and a weight of nothing gets nothing.
+/// Guards against a share of a route that differs from its weight, and against requests to a target
+/// with weight 0.
 #[test]
 fn weights_split_a_route() {
     let mut rule = route("split", "a.example", "/");
@@ -132,10 +134,10 @@
     }
 }
 
-/// A request never reaches an endpoint that said it was leaving.
+/// Guards against requests to an endpoint that announced that it is leaving.
 ///
-/// An entry that was read late says "ready" after the one that said "draining". Taken in, the
-/// endpoint would get work until it exits in the middle of it.
+/// An entry that was read late says "ready" after one that said "draining". If it were applied, the
+/// endpoint would get work and exit before the work ends.
 #[test]
 fn a_draining_endpoint_stays_draining() {
     let mut table = EndpointTable::new();
@@ -152,12 +154,13 @@
 struct RoleCase {
     name: &'static str,
     own: &'static str,
-    /// Name, time since it was heard, whether it reaches the store.
+    /// Name, time since the latest message, and whether the store is reachable.
     peers: &'static [(&'static str, u64, bool)],
     role: WatchRole,
 }
 
-/// Three watch, the others rely on them as long as two are heard and reach the store.
+/// Three gateways watch. The others rely on them while at least two are reachable and reach the
+/// store.
 const ROLE_CASES: &[RoleCase] = &[
     RoleCase {
         name: "alone",
@@ -172,7 +175,7 @@
         role: WatchRole::Watcher,
     },
     RoleCase {
-        name: "beside three watchers",
+        name: "three other watchers",
         own: "a2",
         peers: &[
             ("a1", 100, true),
@@ -184,7 +187,7 @@
         role: WatchRole::Follower,
     },
     RoleCase {
-        name: "beside watchers of which one reaches the store",
+        name: "three other watchers, one reaches the store",
         own: "a2",
         peers: &[
             ("a1", 100, true),
@@ -196,7 +199,7 @@
         role: WatchRole::Fallback,
     },
     RoleCase {
-        name: "beside watchers that are silent",
+        name: "the other watchers are silent",
         own: "a2",
         peers: &[
             ("a1", 2_000, true),
@@ -229,10 +232,11 @@
     }
 }
 
-/// However gateways count each other, all together retry less than the operator allows.
+/// Guards against retries of all gateways that exceed the operator's limit, however they count each
+/// other.
 ///
-/// Eight gateways hear each other; each gets a failing service's requests and retries all it may,
-/// for two windows. In any window the sum stays within the ratio and the slack.
+/// Eight gateways reach each other. Each gets requests of a failing service and retries as often as
+/// it may, for two windows. In any window, the sum stays within the ratio and the slack.
 #[test]
 fn retries_of_all_gateways_stay_within_the_limit() {
     let settings = RetryShareSettings {
@@ -262,7 +266,7 @@
     }
 }
 
-/// Callers get whole events only, however the bytes are cut on their way.
+/// Guards against partial events, however the stream is split in transit.
 #[test]
 fn only_whole_events_are_returned() {
     let stream = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata: c";
--- a/lovagedock/tests/direct_stopping.rs
+++ b/lovagedock/tests/direct_stopping.rs
@@ -1,4 +1,4 @@
-//! Which requests a gateway takes while it stops.
+//! Tests of the requests that a stopping gateway admits and sends.
 
 mod direct_support;
 
@@ -9,60 +9,61 @@
 struct StopCase {
     name: &'static str,
     after_ms: u64,
-    /// Time that the request has.
+    /// Time until the request's deadline.
     allowed_ms: u64,
     expected_ms: u64,
     takes: bool,
 }
 
-/// Guards against a closed door while all gateways stop, and against a request that is cut.
+/// Guards against requests that are refused without need while all gateways stop, and against
+/// requests that are cut.
 #[test]
 fn a_stopping_gateway_admits_requests_that_end_in_time() {
     let cases = [
         StopCase {
-            name: "at once, however much time it has",
+            name: "at once, with any deadline",
             after_ms: 100,
             allowed_ms: 15_000,
             expected_ms: 4_000,
             takes: true,
         },
         StopCase {
-            name: "a stream as the notice ends",
+            name: "a stream at the end of the notice period",
             after_ms: 2_799,
             allowed_ms: 10_000,
             expected_ms: 4_901,
             takes: true,
         },
         StopCase {
-            name: "a stream as the notice ends, expected to outlast the stop",
+            name: "a stream at the end of the notice period, expected to outlast the stop",
             after_ms: 2_799,
             allowed_ms: 10_000,
             expected_ms: 4_902,
             takes: false,
         },
         StopCase {
-            name: "a stream after the notice",
+            name: "a stream after the notice period",
             after_ms: 2_800,
             allowed_ms: 10_000,
             expected_ms: 100,
             takes: false,
         },
         StopCase {
-            name: "a plain call whose time is over by the end",
+            name: "a plain call with a deadline before the end",
             after_ms: 6_500,
             allowed_ms: 1_200,
             expected_ms: 0,
             takes: true,
         },
         StopCase {
-            name: "a plain call whose time is not",
+            name: "a plain call with a deadline after the end",
             after_ms: 6_501,
             allowed_ms: 1_200,
             expected_ms: 0,
             takes: false,
         },
         StopCase {
-            name: "anything after the end",
+            name: "any request after the end",
             after_ms: 8_000,
             allowed_ms: 1,
             expected_ms: 1,
@@ -87,7 +88,8 @@
     sends: bool,
 }
 
-/// Guards against a request that was taken, waits until the stop is nearly over, and is sent then.
+/// Guards against a request that was admitted, waits until the stop is nearly over, and is sent
+/// then.
 #[test]
 fn a_request_that_waited_is_sent_only_if_it_ends_in_time() {
     let cases = [
@@ -99,14 +101,14 @@
             sends: true,
         },
         SendCase {
-            name: "a plain call with next to none",
+            name: "a plain call with almost no time left",
             at_ms: 7_401,
             deadline_ms: 9_000,
             expected_ms: 0,
             sends: false,
         },
         SendCase {
-            name: "one whose own time is over before",
+            name: "a request with a deadline before the end",
             at_ms: 7_401,
             deadline_ms: 7_600,
             expected_ms: 0,
@@ -120,7 +122,7 @@
             sends: true,
         },
         SendCase {
-            name: "a stream that has waited for too long",
+            name: "a stream that has waited too long",
             at_ms: 4_701,
             deadline_ms: 12_000,
             expected_ms: 3_000,
@@ -147,7 +149,8 @@
     takes: bool,
 }
 
-/// Guards against streams that are taken during the notice and expected to outlast the stop.
+/// Guards against streams that are admitted during the notice period and expected to outlast the
+/// stop.
 #[test]
 fn expected_time_covers_long_answers() {
     let cases = [
@@ -184,7 +187,7 @@
             takes: true,
         },
         ExpectedCase {
-            name: "a prompt that several engines read in time",
+            name: "a prompt that several engines prefill in time",
             prompt: 600_000,
             answer: 800,
             limit: None,
@@ -216,7 +219,8 @@
     }
 }
 
-/// Guards against a process that is killed with its requests since it waits for the notice to end.
+/// Guards against a process that is killed with its requests because it waits for the end of the
+/// notice period.
 #[test]
 fn a_short_stop_ends_before_its_notice_would() {
     let plan = StopPlan::new(ms(500), ms(1_700));
--- a/lovagedock/tests/direct_support/mod.rs
+++ b/lovagedock/tests/direct_support/mod.rs
@@ -1,4 +1,5 @@
-//! A pool of engines in virtual time: what is placed, when it is read and when it ends.
+//! Simulation of a pool of engines in virtual time: placements, ends of prefills and ends of
+//! responses.
 
 #![allow(dead_code)] // Each test file uses a part of it.
 
@@ -9,7 +10,7 @@
     EngineProfile, PlacerCandidate, WorkKey, WorkLedger, prelude::*, short_lane_size,
 };
 
-/// An engine like those of our operators.
+/// Profile of an engine like those of our operators.
 pub(crate) const PROFILE: EngineProfile = EngineProfile {
     slots: 16,
     memory_tokens: 450_000,
@@ -25,7 +26,7 @@
     Duration::from_millis(ms)
 }
 
-/// A request for a short summary: first event in 300 ms, pauses of 200 ms.
+/// Returns a request for a short summary: first event in 300 ms, gaps of 200 ms.
 pub(crate) fn short() -> DirectRequest {
     DirectRequest {
         prompt: 5_000,
@@ -37,7 +38,7 @@
     }
 }
 
-/// A request with a long prompt: first event in 3 s, pauses of 800 ms.
+/// Returns a request with a long prompt: first event in 3 s, gaps of 800 ms.
 pub(crate) fn long(prompt: TokenCount) -> DirectRequest {
     DirectRequest {
         prompt,
@@ -49,7 +50,7 @@
     }
 }
 
-/// What happens at a time.
+/// Simulated event.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum PoolEvent {
     Prefilled(WorkKey),
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Goes on to `now`; what is due until then ends.
+    /// Advances the time to `now` and processes the events due until then.
     pub(crate) fn advance(&mut self, now: Timestamp) {
         while let Some(Reverse((at, event))) = self.events.peek().copied() {
             if at > now {
@@ -97,7 +98,7 @@
         self.now = now;
     }
 
-    /// Endpoints with a free slot, as placement sees them.
+    /// Returns the endpoints with a free slot, as candidates for placement.
     pub(crate) fn candidates(&self) -> Vec<PlacerCandidate<'_>> {
         let short = self.endpoints.iter();
         let short = short
@@ -121,7 +122,7 @@
             .collect()
     }
 
-    /// Places a request; `None` when there is no place.
+    /// Places a request. Returns `None` if there is no place.
     pub(crate) fn place(&mut self, request: &DirectRequest) -> Option<PlacedChoice> {
         let candidates = self.candidates();
         let placer = DirectPlacer::new(Some(&PROFILE));
@@ -151,10 +152,10 @@
     }
 }
 
-/// A choice and the names behind its indices, lead first.
+/// A choice with the processes behind its indices, lead first.
 pub(crate) struct PlacedChoice {
     pub(crate) choice: DirectChoice,
     pub(crate) members: Vec<EndpointProcess>,
-    /// The short lane at that moment.
+    /// The short lane at the time of the choice.
     pub(crate) lane: Vec<EndpointProcess>,
 }
--- a/lovagedock/tests/direct_suspect_wave/mod.rs
+++ b/lovagedock/tests/direct_suspect_wave/mod.rs
@@ -1,4 +1,4 @@
-//! A wave of engines that end under one request, in virtual time.
+//! Simulation of a series of engine ends caused by one request, in virtual time.
 
 use std::{collections::HashSet, time::Duration};
 
@@ -9,39 +9,40 @@
 use rand_chacha::ChaCha8Rng;
 
 const ENGINES: usize = 21;
-/// Requests that run at a time, and those up to which an engine is preferred to the next one.
+/// Number of requests that run concurrently, and the number of requests up to which an engine is
+/// preferred to the next one.
 const RUNNING: usize = 9 * 14;
 const PREFERRED_LOAD: usize = 9;
 
-/// Time of a whole answer, of an engine's next start, and from the beginning of a run to the end of
-/// its engine.
+/// Duration of a response, of an engine's restart, and from the start of the crashing request to
+/// the end of its engine.
 const ANSWER_TIME: Duration = Duration::from_secs(2);
 const RESTART_TIME: Duration = Duration::from_secs(2);
 const CRASH_TIME: Duration = Duration::from_millis(150);
 
-/// Time between two visits of the caller, of whom each has two attempts.
+/// Time between two submissions by the caller, and their number. Each submission has two attempts.
 const SUBMISSION_INTERVAL: Duration = Duration::from_millis(400);
 const SUBMISSIONS: u32 = 40;
 
-/// When the caller comes first; by then all engines are in use.
+/// Time of the first submission; by then all engines are in use.
 const FIRST_SUBMISSION: Duration = Duration::from_secs(4);
 
-/// Attempts at a request: two by its gateway, and two more when its caller comes back at once.
+/// Attempts at a request: two by its gateway, and two more when its caller retries at once.
 const ATTEMPTS: u32 = 4;
 
 const STEP: Duration = Duration::from_millis(10);
 
-/// The request that ends engines; those of other callers count up from the next.
+/// The request that ends engines. Requests of other callers are numbered from the next value on.
 const CRASHING: RequestFingerprint = 0;
 
-/// How a wave is played.
+/// Parameters of a series.
 pub(crate) struct WavePlan {
     pub(crate) seed: u64,
-    /// Whether requests under suspicion are kept apart.
+    /// Whether suspect requests are isolated from each other.
     pub(crate) isolated: bool,
 }
 
-/// What came of it.
+/// Result of a series.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct WaveOutcome {
     pub(crate) others_quarantined: usize,
@@ -74,7 +75,7 @@
     next: RequestFingerprint,
 }
 
-/// Plays a wave.
+/// Simulates a series.
 pub(crate) fn simulate_wave(plan: &WavePlan) -> WaveOutcome {
     let mut wave = Wave {
         plan,
@@ -103,7 +104,7 @@
             .filter(|run| self.runs[*run].ends_at <= now)
             .collect();
         for run in ended.into_iter().rev() {
-            // The end of an engine takes the others on it along.
+            // The end of an engine also removes the other requests on it.
             if run >= self.runs.len() || self.runs[run].ends_at > now {
                 continue;
             }
@@ -149,8 +150,8 @@
         }
     }
 
-    /// Sends a request to the first engine that has room: placement packs short prompts, so that other
-    /// engines are free for long ones.
+    /// Places a request on the first engine with free capacity. Like placement, this concentrates
+    /// short prompts on few engines, so that others stay free for long ones.
     fn place(&mut self, now: Timestamp, fingerprint: RequestFingerprint, attempts: u32) {
         if self.ledger.quarantined_for(now, fingerprint).is_some() {
             return;
--- a/lovagedock/tests/direct_suspects.rs
+++ b/lovagedock/tests/direct_suspects.rs
@@ -1,4 +1,4 @@
-//! Requests that end the engines that run them, on the deciders alone.
+//! Tests of the detection of requests that end the engines that run them.
 
 mod direct_suspect_wave;
 
@@ -15,7 +15,7 @@
 /// The request that ends engines.
 const CRASHING: RequestFingerprint = 7;
 
-/// One that shares engines with it.
+/// A request that shares engines with it.
 const UNRELATED: RequestFingerprint = 8;
 
 fn seconds(seconds: u64) -> Timestamp {
@@ -27,16 +27,16 @@
     ProcessEnd::new(&process, evidence)
 }
 
-/// What happens to one request.
+/// Event of a request.
 #[derive(Clone, Copy, Debug)]
 enum SuspectStep {
-    /// A process of this number ended under it, at once.
+    /// The process with this number certainly ended, soon after it had started to run the request.
     Ended(u64),
-    /// A process ended under it that may only be out of reach, or after it had streamed.
+    /// The process with this number may only be unreachable, or had streamed before it ended.
     MaybeEnded(u64),
-    /// It was served.
+    /// The request was served.
     Served,
-    /// So many seconds pass.
+    /// This number of seconds passes.
     Wait(u64),
 }
 
@@ -60,7 +60,7 @@
             quarantined: false,
         },
         SuspectCase {
-            name: "one process, sent three times",
+            name: "one process, reported three times",
             steps: &[Ended(1), Ended(1), Ended(1)],
             quarantined: false,
         },
@@ -70,12 +70,12 @@
             quarantined: false,
         },
         SuspectCase {
-            name: "what was not sure becomes sure",
+            name: "weak evidence becomes strong",
             steps: &[MaybeEnded(1), Ended(2), Ended(3), Ended(1)],
             quarantined: true,
         },
         SuspectCase {
-            name: "six that are not sure",
+            name: "six ends with weak evidence",
             steps: &[
                 MaybeEnded(1),
                 MaybeEnded(2),
@@ -92,7 +92,7 @@
             quarantined: false,
         },
         SuspectCase {
-            name: "asked for by many, and a failure domain is lost",
+            name: "a frequent request, and a failure domain is lost",
             steps: &[Served, Wait(20), Ended(1), Ended(2), Ended(3), Ended(4)],
             quarantined: false,
         },
@@ -102,32 +102,32 @@
             quarantined: true,
         },
         SuspectCase {
-            name: "served after all",
+            name: "served after the ends",
             steps: &[Ended(1), Ended(2), Ended(3), Served],
             quarantined: false,
         },
         SuspectCase {
-            name: "brought again minutes later",
+            name: "submitted again minutes later",
             steps: &[Ended(1), Wait(300), Ended(2), Wait(300), Ended(3)],
             quarantined: true,
         },
         SuspectCase {
-            name: "forgotten meanwhile",
+            name: "evidence expires in between",
             steps: &[Ended(1), Ended(2), Wait(700), Ended(3)],
             quarantined: false,
         },
         SuspectCase {
-            name: "its time is over",
+            name: "the quarantine has ended",
             steps: &[Ended(1), Ended(2), Ended(3), Wait(601)],
             quarantined: false,
         },
         SuspectCase {
-            name: "it ends another one then",
+            name: "another end after the quarantine",
             steps: &[Ended(1), Ended(2), Ended(3), Wait(601), Ended(4)],
             quarantined: true,
         },
         SuspectCase {
-            name: "for twice as long",
+            name: "the second quarantine is twice as long",
             steps: &[
                 Ended(1),
                 Ended(2),
@@ -166,7 +166,8 @@
     }
 }
 
-/// Who shared two processes with the request is not held to account for them once it is found.
+/// Guards against ends that count against a request that shared two processes with one that is in
+/// quarantine by now.
 #[test]
 fn a_quarantine_clears_other_requests_of_its_processes() {
     let mut ledger = SuspectLedger::new();
@@ -177,12 +178,12 @@
     }
     assert!(ledger.record_end(now, CRASHING, end(3, EndEvidence::Strong)));
     assert_eq!(ledger.ends(UNRELATED), 0);
-    // Its own gateway tells of the third a moment later.
+    // The gateway of the unrelated request reports the third end a moment later.
     assert!(!ledger.record_end(now, UNRELATED, end(3, EndEvidence::Strong)));
     assert!(!ledger.is_suspect(UNRELATED));
 }
 
-/// What is remembered stays bounded, and who has most against it stays longest.
+/// Guards against unbounded memory. The requests with the most evidence are kept longest.
 #[test]
 fn memory_is_bounded() {
     let mut ledger = SuspectLedger::new();
@@ -203,7 +204,8 @@
     assert!(ledger.is_empty());
 }
 
-/// What a gateway kept is known to the next process of its name, and is kept again.
+/// Guards against evidence that is lost with a gateway's process. The next process of its name
+/// restores it and reports it again.
 #[test]
 fn reports_outlive_the_gateway() {
     let now = seconds(10);
@@ -213,22 +215,22 @@
     }
     ledger.record_end(now, UNRELATED, end(9, EndEvidence::Strong));
     let reports = ledger.reports(now, false);
-    assert_eq!(reports.len(), 1, "one end alone is not kept");
+    assert_eq!(reports.len(), 1, "a single end is not reported");
     assert_eq!(ledger.reports(now, true).len(), 2);
     for is_own in [true, false] {
         let mut next = SuspectLedger::new();
         assert_eq!(next.restore(seconds(1), reports.clone(), is_own), 1);
         assert!(next.quarantined_for(seconds(2), CRASHING).is_some());
         let kept = next.reports(seconds(2), false).len();
-        assert_eq!(kept, usize::from(is_own), "each keeps its own");
+        assert_eq!(kept, usize::from(is_own), "each gateway reports its own");
     }
 }
 
-/// Gateways agree on a request whatever becomes of some messages.
+/// Guards against gateways that disagree on a request after message loss.
 ///
-/// Processes end under it at random gateways. Each message to each peer is lost with a chance of two in
-/// five, doubled or late; so the three queues of a piece of news overtake each other. A caller's
-/// request that was served at one gateway is sound at all of them.
+/// Processes end under the request at random gateways. Each message to each peer is lost with a
+/// probability of two in five, duplicated or delayed, so the three sends of an update overtake each
+/// other. A request that was served at one gateway must not be suspected by any of them.
 #[test]
 fn gateways_agree_despite_message_loss() {
     const GATEWAYS: usize = 5;
@@ -276,7 +278,7 @@
     }
 }
 
-/// Messages stay small, also when a failure domain with a thousand requests is lost.
+/// Guards against large messages after the loss of a failure domain with a thousand requests.
 #[test]
 fn messages_are_bounded() {
     let mut ledger = SuspectLedger::new();
@@ -296,7 +298,7 @@
     assert!(queue.take_due(seconds(60), &mut ledger).is_empty());
 }
 
-/// A request that many ask and that every gateway has served is cleared in few words.
+/// Guards against repeated updates about a frequent request that every gateway has served.
 #[test]
 fn a_queued_clearance_is_not_queued_twice() {
     let mut ledger = SuspectLedger::new();
@@ -312,12 +314,13 @@
     assert_eq!(queue.take_due(seconds(3), &mut ledger).len(), 1);
 }
 
-/// Callers who share engines with a request that ends them are served, and few engines end.
+/// Guards against the quarantine of requests that only share engines with one that ends them, and
+/// against many ended engines.
 ///
-/// On 21 engines 9 requests run at each; one that ends its engine after 0.15 s is brought 40 times. All
-/// who were on an engine that ended are sent on in the same moment. With requests under suspicion kept
-/// apart nobody else is put into quarantine; without, those who meet it three times are, since
-/// nothing tells them from it.
+/// On 21 engines, 9 requests run at each. One request that ends its engine after 0.15 s is
+/// submitted 40 times. All requests that were on an ended engine are placed again at the same
+/// moment. If suspect requests are isolated, no other request is quarantined. Otherwise, those that
+/// share an engine with the crashing request three times are, since they cannot be told from it.
 #[test]
 fn requests_on_shared_engines_are_not_quarantined() {
     let mut isolated = WaveOutcome::default();
--- a/lovagedock/tests/direct_waiting.rs
+++ b/lovagedock/tests/direct_waiting.rs
@@ -1,4 +1,4 @@
-//! Who waits, who is refused, and who is recognised when he comes back.
+//! Tests of waiting, refusing and recognising returning requests.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
     WaitingQueue::new(QueueSettings::default())
 }
 
-/// A caller whose request waits is told within a part of its objective.
+/// Guards against a request that waits for longer than its share of the objective.
 #[test]
 fn a_request_waits_for_a_part_of_its_objective() {
     let mut line = line();
@@ -16,9 +16,9 @@
     assert_eq!(decision, QueueDecision::Wait { until: ms(220) });
 }
 
-/// More callers than the line serves in time are refused at once, not when their time is over.
+/// Guards against requests that are refused only after their time is over, instead of at once.
 ///
-/// 30 requests a second start and ten wait. The eleventh would wait for 330 ms of its 300.
+/// 30 requests start per second and ten wait. The eleventh would wait for 330 ms of its 300 ms.
 #[test]
 fn a_request_that_would_be_late_is_refused_at_once() {
     let mut line = line();
@@ -35,7 +35,8 @@
     );
 }
 
-/// Callers refused in the same moment are told unlike times, none longer than they would follow.
+/// Guards against requests refused at the same moment that get the same retry delay, or a longer
+/// one than callers follow.
 #[test]
 fn retry_delays_are_spread_and_bounded() {
     let line = line();
@@ -46,7 +47,7 @@
     assert_eq!(short, ms(270));
 }
 
-/// The request that is late first goes first, whoever came first.
+/// Guards against an order of the queue other than by objective, whatever the order of arrival.
 #[test]
 fn the_request_with_the_earliest_objective_goes_first() {
     let mut line = line();
@@ -59,7 +60,7 @@
     assert!(line.is_empty());
 }
 
-/// A line in which nothing started yet does not refuse the second long prompt.
+/// Guards against a queue without any started request that refuses the second long prompt.
 #[test]
 fn long_prompts_may_wait_before_any_has_started() {
     let mut line = WaitingQueue::new(QueueKind::Long.settings());
@@ -77,11 +78,12 @@
     held_ms: u64,
 }
 
-/// A caller who cannot be served hears so early enough to do something else.
+/// Guards against a refusal that comes too late for the caller to do something else.
 ///
-/// Long prompts find every engine at work. A fresh one may wait for two fifths of its objective. One
-/// that was refused before is late already; held for all of its time, it would be refused in most cases
-/// all the same, seconds later. Short ones that come back wait for a slot, which takes a moment.
+/// Long prompts find all engines busy. A new one may wait for two fifths of its objective. A
+/// returning one is late already; if it waited for all of its time, it would be refused in most
+/// cases anyway, seconds later. Returning short requests wait for a free slot, which takes a
+/// moment.
 #[test]
 fn each_queue_bounds_its_waiting_time() {
     let cases = [
@@ -119,7 +121,8 @@
     }
 }
 
-/// A caller that comes back is known at any gateway for as long as it may come back.
+/// Guards against a returning request that a gateway does not recognise within the time in which
+/// callers retry.
 #[test]
 fn refusals_expire() {
     let mut own = RefusalLog::new();
@@ -134,7 +137,7 @@
     assert!(!peer.is_return(ms(9_000), 7));
 }
 
-/// A log of refusals stays small however many come.
+/// Guards against a log of refusals that grows without bound.
 #[test]
 fn refusals_are_bounded() {
     let mut log = RefusalLog::new();
