--- a/lovagedock/examples/direct_cost.rs
+++ b/lovagedock/examples/direct_cost.rs
@@ -34,7 +34,7 @@
         let endpoints: Vec<DirectEndpoint> = (0..count).map(endpoint).collect();
         let mut ledger = WorkLedger::new();
         fill(&mut ledger, &endpoints, gateways - 1);
-        let hear = micros(|round| {
+        let apply = micros(|round| {
             let load = peer_load(round);
             let endpoint = endpoints[round % count].process.clone();
             ledger.apply_peer_loads(
@@ -43,7 +43,7 @@
                 [(endpoint, load)],
             );
         });
-        println!("{gateways},{count},hear of one endpoint,{hear:.2}");
+        println!("{gateways},{count},hear of one endpoint,{apply:.2}");
         for (name, prompt) in [
             ("look, short prompt", 5_000),
             ("look, long prompt", 300_000),
--- a/lovagedock/src/direct/stopping.rs
+++ b/lovagedock/src/direct/stopping.rs
@@ -101,9 +101,11 @@
         let answer = answer.min(limit.unwrap_or(TokenCount::MAX));
         // A prompt that one engine prefills too slowly for its objective is shared by several
         // engines. So the objective bounds the prefill time unless the pool is overloaded.
-        let reading = engine.prefill_time(prompt).min(objective);
+        let prefill_time = engine.prefill_time(prompt).min(objective);
         let pass = engine.full_pass();
-        let writing = engine.decode_time(answer, pass);
-        reading.saturating_add(pass).saturating_add(writing)
+        let decode_time = engine.decode_time(answer, pass);
+        prefill_time
+            .saturating_add(pass)
+            .saturating_add(decode_time)
     }
 }
--- a/lovagedock/src/direct/suspects.rs
+++ b/lovagedock/src/direct/suspects.rs
@@ -334,11 +334,11 @@
         if self.suspects.len() < MAX_SUSPECTS || self.suspects.contains_key(&fingerprint) {
             return;
         }
-        let least = self.suspects.iter().min_by_key(|(_, record)| {
+        let weakest = self.suspects.iter().min_by_key(|(_, record)| {
             (record.quarantined_until, record.weight(), record.changed_at)
         });
-        if let Some(least) = least.map(|(fingerprint, _)| *fingerprint) {
-            self.suspects.remove(&least);
+        if let Some(weakest) = weakest.map(|(fingerprint, _)| *fingerprint) {
+            self.suspects.remove(&weakest);
         }
     }
 }
--- a/lovagedock/src/direct/waiting_queue.rs
+++ b/lovagedock/src/direct/waiting_queue.rs
@@ -165,8 +165,8 @@
     /// spread between the minimum and the longest that callers follow.
     pub fn retry_after(&self, expected: Duration, time_left: Duration, jitter: f64) -> Duration {
         let longest = time_left.mul_f64(self.settings.max_retry_share);
-        let least = self.settings.min_retry_after.max(expected).min(longest);
-        least + (longest - least).mul_f64(jitter.clamp(0.0, 1.0))
+        let shortest = self.settings.min_retry_after.max(expected).min(longest);
+        shortest + (longest - shortest).mul_f64(jitter.clamp(0.0, 1.0))
     }
 
     /// Adds a request and returns its ticket.
--- a/lovagedock/tests/direct_leaving.rs
+++ b/lovagedock/tests/direct_leaving.rs
@@ -75,8 +75,8 @@
 fn a_leaving_process_never_becomes_ready_again() {
     for case in LEAVING_CASES {
         let mut table = EndpointTable::new();
-        let news = table.insert(ms(0), entry(2, EndpointState::Ready));
-        assert_eq!(news, EntryChange::Changed);
+        let change = table.insert(ms(0), entry(2, EndpointState::Ready));
+        assert_eq!(change, EntryChange::Changed);
         let process = EndpointProcess::new("i-0", 2);
         assert!(table.record_leaving(&process), "{}", case.name);
         assert!(
@@ -103,10 +103,10 @@
 /// Guards against a lost message after which peers never learn of a leaving endpoint.
 #[test]
 fn leaving_processes_are_sent_to_peers_repeatedly() {
-    let mut news = LeavingQueue::new();
-    news.push(ms(0), EndpointProcess::new("i-0", 1));
+    let mut queue = LeavingQueue::new();
+    queue.push(ms(0), EndpointProcess::new("i-0", 1));
     let sent: Vec<usize> = [0, 100, 400, 800, 1_200, 5_000]
-        .map(|now| news.take_due(ms(now)).len())
+        .map(|now| queue.take_due(ms(now)).len())
         .to_vec();
     assert_eq!(sent, [1, 0, 1, 1, 0, 0]);
 }
--- a/lovagedock/tests/direct_listing.rs
+++ b/lovagedock/tests/direct_listing.rs
@@ -395,7 +395,7 @@
 #[test]
 fn reads_of_an_older_era_are_ignored() {
     let position = |era, revision| StorePosition::new(era, revision);
-    let told = |era, revision| ListingVersion {
+    let version = |era, revision| ListingVersion {
         position: position(era, revision),
         settled: true,
     };
@@ -413,12 +413,16 @@
     );
     assert!(
         listing
-            .apply_peer_listing(told(1, 900), Vec::new())
+            .apply_peer_listing(version(1, 900), Vec::new())
             .is_none()
     );
     assert!(!listing.advance(position(1, 900)));
     assert!(listing.advance(position(2, 11)));
-    assert!(listing.apply_peer_listing(told(3, 1), Vec::new()).is_some());
+    assert!(
+        listing
+            .apply_peer_listing(version(3, 1), Vec::new())
+            .is_some()
+    );
     assert!(!listing.advance(position(2, 900)));
 }
 
--- a/lovagedock/tests/direct_machine.rs
+++ b/lovagedock/tests/direct_machine.rs
@@ -209,7 +209,7 @@
     name: &'static str,
     /// Ends of earlier attempts; `in_flight` states whether another attempt has started.
     ends: &'static [AttemptEnd],
-    under_way: bool,
+    in_flight: bool,
     expected: ResultCode,
 }
 
@@ -221,31 +221,31 @@
         StopCase {
             name: "never sent",
             ends: &[],
-            under_way: false,
+            in_flight: false,
             expected: ResultCode::GatewayStopping,
         },
         StopCase {
             name: "in flight",
             ends: &[],
-            under_way: true,
+            in_flight: true,
             expected: ResultCode::GatewayStopped,
         },
         StopCase {
             name: "refused as not run, and not sent since",
             ends: &[AttemptEnd::NotRun],
-            under_way: false,
+            in_flight: false,
             expected: ResultCode::GatewayStopping,
         },
         StopCase {
             name: "refused as not run, and sent again",
             ends: &[AttemptEnd::NotRun],
-            under_way: true,
+            in_flight: true,
             expected: ResultCode::GatewayStopped,
         },
         StopCase {
             name: "lost, and not sent since",
             ends: &[AttemptEnd::Lost],
-            under_way: false,
+            in_flight: false,
             expected: ResultCode::GatewayStopped,
         },
     ];
@@ -256,7 +256,7 @@
             let endpoint = EndpointProcess::new("i-0", 1);
             machine.attempt_ended(ms(100), &endpoint, *end, || true);
         }
-        if case.under_way {
+        if case.in_flight {
             machine.begin_sending();
         }
         assert_eq!(machine.stopped(), case.expected, "{}", case.name);
--- a/lovagedock/tests/direct_processes.rs
+++ b/lovagedock/tests/direct_processes.rs
@@ -209,11 +209,11 @@
 fn no_order_of_entries_restores_an_earlier_process() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[41; 32]);
     let mut runner = TestRunner::new_with_rng(Config::with_cases(512), rng);
-    let news = prop::collection::vec((0_u64..4, any::<bool>(), any::<bool>()), 1..24);
-    let outcome = runner.run(&news, |news| {
+    let strategy = prop::collection::vec((0_u64..4, any::<bool>(), any::<bool>()), 1..24);
+    let outcome = runner.run(&strategy, |entries| {
         let mut table = EndpointTable::new();
         let mut latest: Option<(StartStamp, bool)> = None;
-        for (started, drains, is_gone) in news {
+        for (started, drains, is_gone) in entries {
             let state = if drains { DRAINING } else { READY };
             table.insert(Duration::ZERO, entry(started, state));
             latest = match latest {
@@ -272,10 +272,10 @@
 #[test]
 fn messages_of_a_former_incarnation_are_ignored() {
     for case in SEQUENCE_CASES {
-        let mut hearing = PeerSequences::new();
+        let mut sequences = PeerSequences::new();
         for (incarnation, sequence, expected) in case.messages {
-            let news = hearing.record(&"peer".into(), *incarnation, *sequence);
-            assert_eq!(news, *expected, "{}", case.name);
+            let order = sequences.record(&"peer".into(), *incarnation, *sequence);
+            assert_eq!(order, *expected, "{}", case.name);
         }
     }
 }
--- a/lovagedock/tests/direct_slowdown.rs
+++ b/lovagedock/tests/direct_slowdown.rs
@@ -22,11 +22,11 @@
         tracker.record(ms(event * 240), &engine(), ms(240), ms(60));
     }
     let now = ms(20 * 240);
-    let pace = tracker.slowdown(now, &engine());
-    assert!((3.5..=4.0).contains(&pace), "{pace}");
+    let slowdown = tracker.slowdown(now, &engine());
+    assert!((3.5..=4.0).contains(&slowdown), "{slowdown}");
     let pool = VirtualPool::new(3);
     let mut candidates = pool.candidates();
-    candidates[0].load.slowdown = pace as f32;
+    candidates[0].load.slowdown = slowdown as f32;
     let placer = lovagedock::DirectPlacer::new(Some(&direct_support::PROFILE));
     let choice = placer.place(&short(), &candidates).expect("slots are free");
     assert_ne!(candidates[choice.lead].endpoint.process, engine());
--- a/lovagedock/tests/direct_waiting.rs
+++ b/lovagedock/tests/direct_waiting.rs
@@ -4,15 +4,15 @@
 
 use lovagedock::{QueueDecision, QueueKind, QueueSettings, RefusalLog, WaitingQueue};
 
-fn line() -> WaitingQueue {
+fn waiting_queue() -> WaitingQueue {
     WaitingQueue::new(QueueSettings::default())
 }
 
 /// Guards against a request that waits for longer than its share of the objective.
 #[test]
 fn a_request_waits_for_a_part_of_its_objective() {
-    let mut line = line();
-    let decision = line.decide(ms(100), ms(400), ms(10_000), 0.0);
+    let mut queue = waiting_queue();
+    let decision = queue.decide(ms(100), ms(400), ms(10_000), 0.0);
     assert_eq!(decision, QueueDecision::Wait { until: ms(220) });
 }
 
@@ -21,14 +21,14 @@
 /// 30 requests start per second and ten wait. The eleventh would wait for 330 ms of its 300 ms.
 #[test]
 fn a_request_that_would_be_late_is_refused_at_once() {
-    let mut line = line();
+    let mut queue = waiting_queue();
     for start in 0..60 {
-        line.record_start(ms(start * 33));
+        queue.record_start(ms(start * 33));
     }
     for _ in 0..10 {
-        line.enqueue(ms(2_300));
+        queue.enqueue(ms(2_300));
     }
-    let decision = line.decide(ms(2_000), ms(2_300), ms(9_900), 0.0);
+    let decision = queue.decide(ms(2_000), ms(2_300), ms(9_900), 0.0);
     assert!(
         matches!(decision, QueueDecision::Refuse { .. }),
         "{decision:?}"
@@ -39,33 +39,33 @@
 /// one than callers follow.
 #[test]
 fn retry_delays_are_spread_and_bounded() {
-    let line = line();
-    let soonest = line.retry_after(Duration::ZERO, ms(9_000), 0.0);
-    let latest = line.retry_after(Duration::ZERO, ms(9_000), 1.0);
+    let queue = waiting_queue();
+    let soonest = queue.retry_after(Duration::ZERO, ms(9_000), 0.0);
+    let latest = queue.retry_after(Duration::ZERO, ms(9_000), 1.0);
     assert_eq!((soonest, latest), (ms(700), ms(2_700)));
-    let short = line.retry_after(Duration::ZERO, ms(900), 0.5);
+    let short = queue.retry_after(Duration::ZERO, ms(900), 0.5);
     assert_eq!(short, ms(270));
 }
 
 /// Guards against an order of the queue other than by objective, whatever the order of arrival.
 #[test]
 fn the_request_with_the_earliest_objective_goes_first() {
-    let mut line = line();
-    let later = line.enqueue(ms(500));
-    let sooner = line.enqueue(ms(300));
-    assert!(line.is_first(&sooner) && !line.is_first(&later));
-    line.remove(&sooner);
-    assert!(line.is_first(&later));
-    line.remove(&later);
-    assert!(line.is_empty());
+    let mut queue = waiting_queue();
+    let later = queue.enqueue(ms(500));
+    let sooner = queue.enqueue(ms(300));
+    assert!(queue.is_first(&sooner) && !queue.is_first(&later));
+    queue.remove(&sooner);
+    assert!(queue.is_first(&later));
+    queue.remove(&later);
+    assert!(queue.is_empty());
 }
 
 /// Guards against a queue without any started request that refuses the second long prompt.
 #[test]
 fn long_prompts_may_wait_before_any_has_started() {
-    let mut line = WaitingQueue::new(QueueKind::Long.settings());
-    line.enqueue(ms(3_000));
-    let decision = line.decide(ms(0), ms(3_000), ms(15_000), 0.0);
+    let mut queue = WaitingQueue::new(QueueKind::Long.settings());
+    queue.enqueue(ms(3_000));
+    let decision = queue.decide(ms(0), ms(3_000), ms(15_000), 0.0);
     assert!(
         matches!(decision, QueueDecision::Wait { .. }),
         "{decision:?}"
@@ -114,8 +114,8 @@
             (kind.is_long(), kind.is_return()),
             (case.is_long, case.is_return)
         );
-        let mut line = WaitingQueue::new(kind.settings());
-        let decision = line.decide(ms(0), ms(4_000), ms(15_000), 0.0);
+        let mut queue = WaitingQueue::new(kind.settings());
+        let decision = queue.decide(ms(0), ms(4_000), ms(15_000), 0.0);
         let until = ms(case.held_ms);
         assert_eq!(decision, QueueDecision::Wait { until }, "{kind:?}");
     }
