--- a/lovagedock/src/direct/member.rs
+++ b/lovagedock/src/direct/member.rs
@@ -54,10 +54,10 @@
 /// longer than predicted, the engine counts as idle too early and is chosen again. It prefills the
 /// new part first, and the earlier prompt waits for as long as the new part takes: one predicted at
 /// 3.1 s took 11.4 s. The end of a prefill is only seen a pass or two late, with the first event of
-/// its prompt, so the engine is chosen again that much later. Compared with choosing engines again
-/// 250 ms after the predicted end, the score over three to four seeds of two deployments rose from
-/// 0.671 -> 0.688 on 20 simulated days with faults, 0.648 -> 0.657 on 12 of larger fleets, and
-/// 0.750 -> 0.784 on 4 without faults.
+/// its prompt, so the engine is chosen again that much later. Score over three to four seeds of two
+/// deployments, compared with choosing an engine again 250 ms after the predicted end: 0.671 ->
+/// 0.688 on 20 simulated days with faults, 0.648 -> 0.657 on 12 larger ones, 0.750 -> 0.784 on 4
+/// without faults.
 const PENDING_PREFILL_BACKLOG: Duration = Duration::from_millis(200);
 
 /// Loss per second until an engine has finished its backlog. Otherwise, short requests that arrive
--- a/lovagedock/src/direct/placer.rs
+++ b/lovagedock/src/direct/placer.rs
@@ -132,10 +132,10 @@
     /// a late prompt is started only where the backlog is short, and only if it has as much value
     /// per second of prefill as the longest prompt on time. The others are refused and may be
     /// retried. Since prefill time grows with the square of the length, this excludes late prompts
-    /// of about 200k tokens and more, which take an engine for five seconds and longer. Compared
-    /// with starting every late prompt, the score, excluding processor time, seeds 1 to 4, rose
-    /// from 0.666 -> 0.698 on 16 simulated days with faults, 0.657 -> 0.690 on 12 of larger fleets,
-    /// and 0.846 -> 0.873 and 0.784 -> 0.803 on days without faults.
+    /// of about 200k tokens and more, which take an engine for five seconds and longer. Score
+    /// compared with starting every late prompt, excluding processor time, seeds 1 to 4: 0.666 ->
+    /// 0.698 on 16 simulated days with faults, 0.657 -> 0.690 on 12 larger ones, 0.846 -> 0.873 and
+    /// 0.784 -> 0.803 on days without faults.
     pub fn is_worth_starting(&self, request: &DirectRequest, choice: &DirectChoice) -> bool {
         if choice.first_event <= request.objective_left {
             return true;
