--- a/lovagedock/src/direct/ledger_peers.rs
+++ b/lovagedock/src/direct/ledger_peers.rs
@@ -1,37 +1,38 @@
-//! What the ledger takes in from other gateways.
+//! Updates of the ledger from other gateways.
 
 use std::time::Duration;
 
-use super::{ledger::WorkLedger, life::EndpointLife, load::PeerLoad, record::HeldSlots};
+use super::{ledger::WorkLedger, load::PeerLoad, process::EndpointProcess, record::ReservedSlots};
 use crate::ids::{GatewayId, Timestamp};
 
-/// Time without a message after which what a peer had placed no longer counts: its requests have
-/// ended with its connections.
-const PEER_SILENCE: Duration = Duration::from_millis(1500);
+/// Time without a message after which a peer's load no longer counts. Its requests have ended with
+/// its connections.
+const PEER_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Time around a placement in which gateways place without knowing of each other's: 30 ms before it and
-/// 30 ms after it. That is the pause between two datagrams and the turns of two small hosts, by joined
-/// logs of a day with 68 gateways.
-const UNHEARD_TIME: Duration = Duration::from_millis(60);
+/// Window around a placement in which gateways place without knowing of each other's placements: 30
+/// ms before it and 30 ms after it. By the joined logs of a day with 68 gateways, this covers the
+/// interval between two datagrams and the scheduling delays of two small hosts.
+const PROPAGATION_WINDOW: Duration = Duration::from_millis(60);
 
 impl WorkLedger {
-    /// Takes in what a peer has placed on some endpoints; tells whether something of it ended, which
-    /// those who wait for a place have to know.
-    pub fn hear(
+    /// Applies a peer's loads. Returns whether some of its work ended, in which case waiting
+    /// requests are to be reconsidered.
+    pub fn apply_peer_loads(
         &mut self,
         now: Timestamp,
         peer: &GatewayId,
-        loads: impl IntoIterator<Item = (EndpointLife, PeerLoad)>,
+        loads: impl IntoIterator<Item = (EndpointProcess, PeerLoad)>,
     ) -> bool {
         let mut has_ended = false;
-        let is_known = self.heard.insert(peer.clone(), now).is_some();
+        let is_known = self.last_message_at.insert(peer.clone(), now).is_some();
         for (endpoint, load) in loads {
             let record = self.endpoints.entry(endpoint).or_default();
-            let known = record.peers.get(peer).map(|heard| &heard.load);
-            let added = added_reading(known, &load, is_known);
+            let known = record.peers.get(peer).map(|received| &received.load);
+            let added = added_prefill(known, &load, is_known);
             let freed = known.map_or(0, |known| known.occupied.saturating_sub(load.occupied));
-            let is_long = load.unread > known.map_or(0, |known| known.unread);
-            has_ended |= freed > 0 || known.is_some_and(|known| known.unread > load.unread);
+            let is_long = load.pending_prefills > known.map_or(0, |known| known.pending_prefills);
+            has_ended |= freed > 0
+                || known.is_some_and(|known| known.pending_prefills > load.pending_prefills);
             if !added.is_zero() {
                 record.free_at = record.free_at.max(now) + added;
             }
@@ -39,10 +40,10 @@
                 self.short_rate.record(now);
             }
             record
-                .held
-                .retain(|held| held.peer != *peer && now < held.until);
+                .reserved
+                .retain(|reserved| reserved.peer != *peer && now < reserved.until);
             if freed > 0 {
-                record.held.push(HeldSlots {
+                record.reserved.push(ReservedSlots {
                     peer: peer.clone(),
                     slots: freed,
                     until: now + self.slot_delay,
@@ -53,59 +54,60 @@
         has_ended
     }
 
-    /// Forgets what a peer placed, such as one that restarted.
+    /// Removes the load of a peer, for example after its restart.
     pub fn forget_peer(&mut self, peer: &GatewayId) {
-        self.heard.remove(peer);
+        self.last_message_at.remove(peer);
         for record in self.endpoints.values_mut() {
             record.forget_peer(peer);
-            record.held.retain(|held| held.peer != *peer);
+            record.reserved.retain(|reserved| reserved.peer != *peer);
         }
     }
 
-    /// Forgets peers that have been silent for too long, and what the others no longer tell; returns
-    /// the silent ones.
+    /// Removes peers that have been silent for longer than the timeout, and loads that other peers
+    /// have not confirmed. Returns the silent peers.
     pub fn forget_silent(&mut self, now: Timestamp) -> Vec<GatewayId> {
         let silent: Vec<GatewayId> = self
-            .heard
+            .last_message_at
             .iter()
-            .filter(|(_, heard)| now.saturating_sub(**heard) > PEER_SILENCE)
+            .filter(|(_, received_at)| now.saturating_sub(**received_at) > PEER_TIMEOUT)
             .map(|(peer, _)| peer.clone())
             .collect();
         for peer in &silent {
             self.forget_peer(peer);
         }
         for record in self.endpoints.values_mut() {
-            record.forget_untold(now);
+            record.forget_unconfirmed(now);
         }
         silent
     }
 
-    /// Short prompts that peers place around `now`, on any service, without having heard of one that is
-    /// placed here now, nor this gateway of theirs.
-    pub fn unheard(&self, now: Timestamp) -> f64 {
-        self.short_rate.at(now) * UNHEARD_TIME.as_secs_f64()
+    /// Returns the expected number of short prompts, on any service, that peers place around `now`
+    /// such that neither this gateway nor the peer knows of the other's placement.
+    pub fn concurrent_placements(&self, now: Timestamp) -> f64 {
+        self.short_rate.per_second_at(now) * PROPAGATION_WINDOW.as_secs_f64()
     }
 
-    /// Peers that were heard lately.
+    /// Returns the number of peers whose loads are counted.
     pub fn peer_count(&self) -> usize {
-        self.heard.len()
+        self.last_message_at.len()
     }
 }
 
-/// Reading that a peer has placed on an endpoint since it told of it last.
-fn added_reading(known: Option<&PeerLoad>, load: &PeerLoad, is_known: bool) -> Duration {
+/// Returns the prefill time that a peer has added to an endpoint since its previous message about
+/// it.
+fn added_prefill(known: Option<&PeerLoad>, load: &PeerLoad, is_known: bool) -> Duration {
     if load.is_idle() {
-        // Whatever it placed has been read.
+        // All prefills that the peer placed have finished.
         return Duration::ZERO;
     }
-    let total = load.reading_total;
+    let total = load.prefill_total;
     match known {
-        // A lower total has begun anew after the peer had nothing there.
-        Some(known) if total < known.reading_total => total,
-        Some(known) => total - known.reading_total,
-        // A peer that was heard before had nothing on an endpoint that it did not name.
+        // The total was reset after the peer had no work there.
+        Some(known) if total < known.prefill_total => total,
+        Some(known) => total - known.prefill_total,
+        // A known peer had no work on an endpoint that it did not report.
         None if is_known => total,
-        // What a new one has placed may be read long since.
+        // The prefills that a new peer reports may have finished long ago.
         None => Duration::ZERO,
     }
 }
--- a/lovagedock/tests/direct_reading.rs
+++ b/lovagedock/tests/direct_prefill_overload.rs
@@ -1,4 +1,4 @@
-//! Long prompts that ask for more reading than the pool has.
+//! Tests of long prompts that need more prefill time than the pool has.
 
 mod direct_support;
 
@@ -12,24 +12,25 @@
 
 const ENGINES: usize = 16;
 
-/// Length of the burst, and time between two looks of a request that waits.
+/// Length of the burst, and time between two placement attempts of a waiting request.
 const BURST: Duration = Duration::from_secs(10);
-const LOOK: Duration = Duration::from_millis(50);
+const EVALUATION_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Part of its objective that a request waits.
-const PATIENCE: f64 = 0.4;
+/// Share of its objective that a request waits.
+const WAIT_SHARE: f64 = 0.4;
 
-/// Lengths of prompts as they come: most of some hundred thousand tokens, few of many.
+/// Lengths of prompts in their frequencies: most have some hundred thousand tokens, few have many
+/// more.
 const LENGTHS: [TokenCount; 8] = [
     110_000, 130_000, 160_000, 200_000, 240_000, 300_000, 420_000, 650_000,
 ];
 
-/// Which late prompts are started.
+/// Rule for starting late prompts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LateRule {
-    /// All for which there is a place.
+    /// All prompts for which there is a place.
     All,
-    /// Those that are worth it.
+    /// Prompts that are worth their prefill time.
     Worthwhile,
 }
 
@@ -43,28 +44,28 @@
 #[derive(Debug, Default)]
 struct BurstValue {
     asked: f64,
-    /// Of those whose first event comes in time, as predicted.
+    /// Value of the prompts whose first event is predicted to be in time.
     on_time: f64,
     late: usize,
 }
 
-/// Plays a burst of `per_second` prompts.
-fn play(per_second: f64, rule: LateRule, seed: u64) -> BurstValue {
+/// Simulates a burst of `per_second` prompts per second.
+fn simulate(per_second: f64, rule: LateRule, seed: u64) -> BurstValue {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut pool = VirtualPool::new(ENGINES);
     let placer = DirectPlacer::new(Some(&PROFILE));
     let mut waiting: Vec<WaitingPrompt> = Vec::new();
     let mut value = BurstValue::default();
-    let looks = (BURST.as_millis() / LOOK.as_millis()) as u32;
-    for look in 0..looks {
-        let now = LOOK * look;
+    let evaluations = (BURST.as_millis() / EVALUATION_INTERVAL.as_millis()) as u32;
+    for evaluation in 0..evaluations {
+        let now = EVALUATION_INTERVAL * evaluation;
         pool.advance(now);
-        if random.random_bool(per_second * LOOK.as_secs_f64()) {
+        if random.random_bool(per_second * EVALUATION_INTERVAL.as_secs_f64()) {
             let request = long(LENGTHS[random.random_range(0..LENGTHS.len())]);
             value.asked += request.value();
             waiting.push(WaitingPrompt {
                 late_at: now + request.objective_left,
-                until: now + request.objective_left.mul_f64(PATIENCE),
+                until: now + request.objective_left.mul_f64(WAIT_SHARE),
                 request,
             });
         }
@@ -77,7 +78,7 @@
             };
             let is_late = choice.first_event > request.objective_left;
             let is_taken = match (is_last, rule) {
-                (false, _) => choice.is_worth_taking(request, 0.5),
+                (false, _) => choice.is_acceptable(request, 0.5),
                 (true, LateRule::Worthwhile) => placer.is_worth_starting(request, &choice),
                 (true, LateRule::All) => !is_late || choice.backlog <= ms(300),
             };
@@ -95,22 +96,23 @@
     value
 }
 
-/// More callers with long prompts get their first event in time while the pool cannot read them all.
+/// Guards against late prompts that make others late while the pool cannot prefill all of them.
 ///
-/// For ten seconds prompts of 110k to 650k tokens ask for about twice the reading that 16 engines
-/// have. Each waits for its part of the objective; who finds no good place then is late. Started all the
-/// same, one of 420k reads for ten seconds on an engine, which three on time would have shared.
+/// For ten seconds, prompts of 110k to 650k tokens need about twice the prefill time that 16
+/// engines have. Each waits for its share of the objective, and one that then finds no good place
+/// is late. If it is started anyway, a prompt of 420k tokens occupies an engine for ten seconds, in
+/// which three prompts could have been on time.
 #[test]
 fn late_prompts_do_not_make_others_late() {
     const SEEDS: u64 = 12;
     let sum = |rule: LateRule| -> f64 {
-        let plays = (0..SEEDS).map(|seed| play(9.0, rule, seed));
-        plays.map(|play| play.on_time / play.asked).sum::<f64>() / SEEDS as f64
+        let runs = (0..SEEDS).map(|seed| simulate(9.0, rule, seed));
+        runs.map(|run| run.on_time / run.asked).sum::<f64>() / SEEDS as f64
     };
     let (all, worthwhile) = (sum(LateRule::All), sum(LateRule::Worthwhile));
     assert!(
         worthwhile > all * 1.05,
-        "{all:.3} with all, {worthwhile:.3} with those worth it"
+        "{all:.3} with all, {worthwhile:.3} with worthwhile ones"
     );
 }
 
@@ -131,21 +133,21 @@
         is_started: true,
     },
     StartCase {
-        name: "late, and brings much for its reading",
+        name: "late, with a high value for its prefill time",
         prompt: 100_000,
         first_event: 3_100,
         backlog: 0,
         is_started: true,
     },
     StartCase {
-        name: "late, and takes an engine for seconds",
+        name: "late, and occupies an engine for seconds",
         prompt: 400_000,
         first_event: 3_100,
         backlog: 0,
         is_started: false,
     },
     StartCase {
-        name: "late, behind others",
+        name: "late, behind a backlog",
         prompt: 100_000,
         first_event: 3_100,
         backlog: 400,
@@ -160,19 +162,20 @@
     },
 ];
 
-/// A late prompt is started only if that costs others little; the caller is else told to come back.
+/// Guards against a late prompt that is started at a high cost to others, instead of being refused
+/// with a retry delay.
 #[test]
-fn a_late_prompt_has_to_be_worth_its_reading() {
+fn a_late_prompt_is_started_only_if_worth_its_prefill() {
     let placer = DirectPlacer::new(Some(&PROFILE));
     for case in START_CASES {
         let request = long(case.prompt);
         let choice = DirectChoice {
             lead: 0,
             helpers: Vec::new(),
-            part: ms(0),
+            part_time: ms(0),
             first_event: ms(case.first_event),
             backlog: ms(case.backlog),
-            harm: 0.0,
+            lost_value: 0.0,
             loss: 0.0,
         };
         let is_started = placer.is_worth_starting(&request, &choice);
--- a/lovagedock/tests/direct_rate_limits.rs
+++ b/lovagedock/tests/direct_rate_limits.rs
@@ -3,8 +3,8 @@
 use std::{collections::VecDeque, time::Duration};
 
 use lovagedock::{
-    AdvertisedLimit, EndpointLife, GatewayCount, RateLimitEvent, RateLimits, RateNews, RateVerdict,
-    prelude::*,
+    AdvertisedLimit, EndpointProcess, GatewayCount, RateLimitEvent, RateLimits, RateUpdate,
+    RateVerdict, prelude::*,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -16,7 +16,7 @@
 /// Time step of the simulation.
 const STEP: Duration = Duration::from_millis(10);
 
-/// Time from a request to its answer.
+/// Time from a request to its response.
 const ANSWER_TIME: Duration = Duration::from_millis(80);
 
 /// Tick interval of a gateway.
@@ -28,11 +28,11 @@
 /// Time from the start of a run until requests are counted.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// Time from a gateway's first answer with the limit until its requests are counted.
+/// Time from a gateway's first response with the limit until its requests are counted.
 const GRACE_TIME: Duration = Duration::from_millis(500);
 
-/// Time after which a peer that is not heard counts as out of sight.
-const OUT_OF_SIGHT: Duration = Duration::from_secs(1);
+/// Time without a message after which a peer counts as silent.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How gateways share a limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -63,11 +63,11 @@
     runs: bool,
     /// Tokens in the bucket of [`SharePolicy::EqualParts`].
     tokens: f64,
-    /// When each peer was last heard.
-    heard: Vec<Option<Timestamp>>,
-    /// Pending answers: arrival time, and time at which the request was sent.
+    /// When the latest message of each peer was received.
+    last_received_at: Vec<Option<Timestamp>>,
+    /// Pending responses: arrival time, and time at which the request was sent.
     answers: VecDeque<(Timestamp, Timestamp)>,
-    /// When this process of the gateway first received an answer.
+    /// When this process of the gateway first received a response.
     first_answer_at: Option<Timestamp>,
 }
 
@@ -75,10 +75,10 @@
     policy: SharePolicy,
     fault: Fault,
     rate: f64,
-    endpoint: EndpointLife,
+    endpoint: EndpointProcess,
     gateways: Vec<ModelGateway>,
     /// Messages in transit, by arrival time: sender, receiver, content.
-    messages: VecDeque<(Timestamp, usize, usize, Vec<RateNews>)>,
+    messages: VecDeque<(Timestamp, usize, usize, Vec<RateUpdate>)>,
     arrivals: Vec<Timestamp>,
     /// Arrivals from gateways that had the limit for at least [`GRACE_TIME`].
     counted: Vec<Timestamp>,
@@ -96,7 +96,7 @@
                 name,
                 runs: fault != Fault::Joins || index % 2 == 0,
                 tokens: 0.0,
-                heard: vec![Some(Duration::ZERO); gateways],
+                last_received_at: vec![Some(Duration::ZERO); gateways],
                 answers: VecDeque::new(),
                 first_answer_at: None,
             }
@@ -105,7 +105,7 @@
             policy,
             fault,
             rate,
-            endpoint: EndpointLife::new("engine", 1),
+            endpoint: EndpointProcess::new("engine", 1),
             gateways: gateways.collect(),
             messages: VecDeque::new(),
             arrivals: Vec::new(),
@@ -163,14 +163,14 @@
                 break;
             }
             let (from, to) = (*from, *to);
-            let Some((_, _, _, news)) = self.messages.pop_front() else {
+            let Some((_, _, _, updates)) = self.messages.pop_front() else {
                 break;
             };
             let sender = self.gateways[from].name.clone();
             let gateway = &mut self.gateways[to];
-            gateway.heard[from] = Some(self.now);
-            for news in news {
-                gateway.limits.hear(self.now, &sender, news);
+            gateway.last_received_at[from] = Some(self.now);
+            for updates in updates {
+                gateway.limits.apply_update(self.now, &sender, updates);
             }
         }
     }
@@ -199,7 +199,7 @@
         let part = self.rate / count.known as f64;
         gateway.tokens = (gateway.tokens + part * STEP.as_secs_f64()).min(1.0);
         if self.random.random_bool(demand * STEP.as_secs_f64()) {
-            gateway.limits.note_demand(now, &endpoint);
+            gateway.limits.record_demand(now, &endpoint);
             if gateway.may_send(self.policy, now, &endpoint) {
                 gateway.answers.push_back((now + ANSWER_TIME, now));
                 self.arrivals.push(now);
@@ -211,36 +211,40 @@
                 }
             }
         }
-        let news = gateway.limits.take_news(now);
+        let updates = gateway.limits.take_updates(now);
         let is_heartbeat = is_tick;
-        if news.is_empty() && !is_heartbeat {
+        if updates.is_empty() && !is_heartbeat {
             return;
         }
-        self.news_sent += news.len();
+        self.news_sent += updates.len();
         for to in 0..self.gateways.len() {
             if to == index || !self.is_delivered(index, to) {
                 continue;
             }
-            match news.is_empty() {
-                true => self.gateways[to].heard[index] = Some(now),
+            match updates.is_empty() {
+                true => self.gateways[to].last_received_at[index] = Some(now),
                 false => self
                     .messages
-                    .push_back((now + STEP, index, to, news.clone())),
+                    .push_back((now + STEP, index, to, updates.clone())),
             }
         }
     }
 
     fn count(&self, index: usize) -> GatewayCount {
         let gateway = &self.gateways[index];
-        let mut count = GatewayCount { heard: 1, known: 1 };
-        for (peer, heard) in gateway
-            .heard
+        let mut count = GatewayCount {
+            reachable: 1,
+            known: 1,
+        };
+        for (peer, last_received_at) in gateway
+            .last_received_at
             .iter()
             .enumerate()
             .filter(|(peer, _)| *peer != index)
         {
-            let is_heard = heard.is_some_and(|at| self.now.saturating_sub(at) <= OUT_OF_SIGHT);
-            count.heard += usize::from(is_heard && self.gateways[peer].runs);
+            let is_reachable =
+                last_received_at.is_some_and(|at| self.now.saturating_sub(at) <= SILENCE_TIMEOUT);
+            count.reachable += usize::from(is_reachable && self.gateways[peer].runs);
             count.known += usize::from(self.gateways[peer].runs);
         }
         count
@@ -265,7 +269,12 @@
 }
 
 impl ModelGateway {
-    fn may_send(&mut self, policy: SharePolicy, now: Timestamp, endpoint: &EndpointLife) -> bool {
+    fn may_send(
+        &mut self,
+        policy: SharePolicy,
+        now: Timestamp,
+        endpoint: &EndpointProcess,
+    ) -> bool {
         if policy == SharePolicy::FewSenders || self.limits.rate(endpoint).is_none() {
             return !matches!(
                 self.limits.admit(now, endpoint),
@@ -374,7 +383,7 @@
     rate: Option<f64>,
 }
 
-/// Guards against outdated or malformed answers that remove a limit.
+/// Guards against outdated or malformed responses that remove a limit.
 #[test]
 fn outdated_answers_do_not_remove_a_limit() {
     let cases = [
@@ -403,7 +412,7 @@
             rate: Some(0.0),
         },
     ];
-    let endpoint = EndpointLife::new("engine", 1);
+    let endpoint = EndpointProcess::new("engine", 1);
     for case in cases {
         let mut limits = RateLimits::new("gateway".into());
         let limited = AdvertisedLimit::Limited(2.0);
@@ -422,8 +431,8 @@
 #[test]
 fn a_restarted_endpoint_has_no_limit() {
     let (former, next) = (
-        EndpointLife::new("engine", 1),
-        EndpointLife::new("engine", 2),
+        EndpointProcess::new("engine", 1),
+        EndpointProcess::new("engine", 2),
     );
     let mut limits = RateLimits::new("gateway".into());
     limits.record(ms(1_000), &former, ms(900), AdvertisedLimit::Limited(0.5));
@@ -435,10 +444,10 @@
 /// Guards against endpoints that never receive a request again because their limit is close to zero.
 #[test]
 fn a_zero_limit_admits_a_request_every_ten_seconds() {
-    let endpoint = EndpointLife::new("engine", 1);
+    let endpoint = EndpointProcess::new("engine", 1);
     let mut limits = RateLimits::new("gateway".into());
     limits.record(ms(1_000), &endpoint, ms(900), AdvertisedLimit::Limited(0.0));
-    limits.note_demand(ms(1_000), &endpoint);
+    limits.record_demand(ms(1_000), &endpoint);
     let limited = RateVerdict::RateLimited { until: ms(11_000) };
     assert_eq!(limits.verdict(ms(1_000), &endpoint), limited);
     assert_eq!(limits.admit(ms(11_000), &endpoint), RateVerdict::Admitted);
@@ -455,17 +464,24 @@
     // The longest delay is a third of the longest deadline.
     let longest_retry_after = ms(5_000);
     for rate in [0.5, 1.0, 4.0] {
-        let endpoint = EndpointLife::new("engine", 1);
+        let endpoint = EndpointProcess::new("engine", 1);
         let mut limits = RateLimits::new("gateway".into());
         limits.record(ms(900), &endpoint, ms(800), AdvertisedLimit::Limited(rate));
-        limits.note_demand(ms(1_000), &endpoint);
+        limits.record_demand(ms(1_000), &endpoint);
         let retried_at = ms(1_000) + longest_retry_after;
         let mut now = ms(1_000);
         while now < retried_at {
             now += TICK;
-            limits.tick(now, GatewayCount { heard: 1, known: 1 }, |_| true);
+            limits.tick(
+                now,
+                GatewayCount {
+                    reachable: 1,
+                    known: 1,
+                },
+                |_| true,
+            );
         }
-        limits.note_demand(retried_at, &endpoint);
+        limits.record_demand(retried_at, &endpoint);
         let verdict = limits.admit(retried_at, &endpoint);
         assert_eq!(verdict, RateVerdict::Admitted, "{rate}");
     }
--- a/lovagedock/tests/direct_state.rs
+++ b/lovagedock/tests/direct_state.rs
@@ -1,13 +1,14 @@
-//! Configuration, endpoints, watching, retries and event streams of a gateway without sidecars.
+//! Tests of configuration, endpoints, watcher selection, retries and event streams of a gateway
+//! without sidecars.
 
 mod direct_support;
 
 use std::time::Duration;
 
 use lovagedock::{
-    DirectEndpoint, EndpointLife, EndpointState, EndpointTable, EntryNews, EventSplitter,
+    DirectEndpoint, EndpointProcess, EndpointState, EndpointTable, EntryChange, EventSplitter,
     PeerContact, RetryShare, RetryShareSettings, RouteMatch, RouteMode, RouteRule, RouteTarget,
-    TrafficConfig, WatchDuty, WatchRole, prelude::*,
+    TrafficConfig, WatchRole, WatcherSelection, prelude::*,
 };
 
 fn route(name: &str, host: &str, prefix: &str) -> RouteRule {
@@ -82,7 +83,8 @@
     }
 }
 
-/// A share of a route is as large as its weight, and a weight of nothing gets nothing.
+/// Guards against a share of a route that differs from its weight, and against requests to a target
+/// with weight 0.
 #[test]
 fn weights_split_a_route() {
     let mut rule = route("split", "a.example", "/");
@@ -123,7 +125,7 @@
 
 fn endpoint(state: EndpointState) -> DirectEndpoint {
     DirectEndpoint {
-        life: EndpointLife::new("i-1", 1),
+        process: EndpointProcess::new("i-1", 1),
         service: "service".into(),
         address: ([127, 0, 0, 1], 9_000).into(),
         domain: "a".into(),
@@ -132,47 +134,48 @@
     }
 }
 
-/// A request never reaches an endpoint that said it was leaving.
+/// Guards against requests to an endpoint that announced that it is leaving.
 ///
-/// An entry that was read late says "ready" after the one that said "draining". Taken in, the
-/// endpoint would get work until it exits in the middle of it.
+/// An entry that was read late says "ready" after one that said "draining". If it were applied, the
+/// endpoint would get work and exit before the work ends.
 #[test]
 fn a_draining_endpoint_stays_draining() {
     let mut table = EndpointTable::new();
     let mut insert = |state| table.insert(ms(0), endpoint(state));
-    assert_eq!(insert(EndpointState::Ready), EntryNews::Changed);
-    assert_eq!(insert(EndpointState::Draining), EntryNews::Changed);
-    assert_eq!(insert(EndpointState::Ready), EntryNews::Unchanged);
+    assert_eq!(insert(EndpointState::Ready), EntryChange::Changed);
+    assert_eq!(insert(EndpointState::Draining), EntryChange::Changed);
+    assert_eq!(insert(EndpointState::Ready), EntryChange::Unchanged);
     assert_eq!(table.ready(&"service".into()).count(), 0);
     assert_eq!(table.unlisted(&[]), vec![EndpointId::from("i-1")]);
     assert!(table.remove(&"i-1".into()).is_some());
     assert_eq!(table.all().count(), 0);
 }
 
-struct DutyCase {
+struct RoleCase {
     name: &'static str,
     own: &'static str,
-    /// Name, time since it was heard, whether it reaches the store.
+    /// Name, time since the latest message, and whether the store is reachable.
     peers: &'static [(&'static str, u64, bool)],
     role: WatchRole,
 }
 
-/// Three watch, the others rely on them as long as two are heard and reach the store.
-const DUTY_CASES: &[DutyCase] = &[
-    DutyCase {
+/// Three gateways watch. The others rely on them while at least two are reachable and reach the
+/// store.
+const ROLE_CASES: &[RoleCase] = &[
+    RoleCase {
         name: "alone",
         own: "a1",
         peers: &[],
         role: WatchRole::Watcher,
     },
-    DutyCase {
+    RoleCase {
         name: "one of three",
         own: "a2",
         peers: &[("a1", 100, true), ("b1", 100, true)],
         role: WatchRole::Watcher,
     },
-    DutyCase {
-        name: "beside three watchers",
+    RoleCase {
+        name: "three other watchers",
         own: "a2",
         peers: &[
             ("a1", 100, true),
@@ -181,10 +184,10 @@
             ("c1", 100, true),
             ("c2", 100, true),
         ],
-        role: WatchRole::Listener,
+        role: WatchRole::Follower,
     },
-    DutyCase {
-        name: "beside watchers of which one reaches the store",
+    RoleCase {
+        name: "three other watchers, one reaches the store",
         own: "a2",
         peers: &[
             ("a1", 100, true),
@@ -193,10 +196,10 @@
             ("c1", 100, false),
             ("c2", 100, true),
         ],
-        role: WatchRole::Deputy,
+        role: WatchRole::Fallback,
     },
-    DutyCase {
-        name: "beside watchers that are silent",
+    RoleCase {
+        name: "the other watchers are silent",
         own: "a2",
         peers: &[
             ("a1", 2_000, true),
@@ -209,25 +212,31 @@
 ];
 
 #[test]
-fn few_gateways_watch_and_nobody_is_left_blind() {
-    for case in DUTY_CASES {
+fn few_gateways_watch_and_all_learn_of_changes() {
+    for case in ROLE_CASES {
         let now = ms(10_000);
-        let mut duty = WatchDuty::new();
+        let mut selection = WatcherSelection::new();
         for (name, silent_ms, store_reachable) in case.peers {
             let contact = PeerContact {
-                heard_at: now - ms(*silent_ms),
+                received_at: now - ms(*silent_ms),
                 store_reachable: *store_reachable,
             };
-            duty.hear((*name).into(), contact);
+            selection.record_peer((*name).into(), contact);
         }
-        assert_eq!(duty.role(now, &case.own.into()), case.role, "{}", case.name);
+        assert_eq!(
+            selection.role(now, &case.own.into()),
+            case.role,
+            "{}",
+            case.name
+        );
     }
 }
 
-/// However gateways count each other, all together retry less than the operator allows.
+/// Guards against retries of all gateways that exceed the operator's limit, however they count each
+/// other.
 ///
-/// Eight gateways hear each other; each gets a failing service's requests and retries all it may,
-/// for two windows. In any window the sum stays within the ratio and the slack.
+/// Eight gateways reach each other. Each gets requests of a failing service and retries as often as
+/// it may, for two windows. In any window, the sum stays within the ratio and the slack.
 #[test]
 fn retries_of_all_gateways_stay_within_the_limit() {
     let settings = RetryShareSettings {
@@ -257,9 +266,9 @@
     }
 }
 
-/// Callers get whole events only, however the bytes are cut on their way.
+/// Guards against partial events, however the stream is split in transit.
 #[test]
-fn events_come_out_whole() {
+fn only_whole_events_are_returned() {
     let stream = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata: c";
     for step in 1..stream.len() {
         let mut splitter = EventSplitter::new();
--- a/lovagedock/tests/direct_support/mod.rs
+++ b/lovagedock/tests/direct_support/mod.rs
@@ -1,15 +1,16 @@
-//! A pool of engines in virtual time: what is placed, when it is read and when it ends.
+//! Simulation of a pool of engines in virtual time: placements, ends of prefills and ends of
+//! responses.
 
 #![allow(dead_code)] // Each test file uses a part of it.
 
 use std::{cmp::Reverse, collections::BinaryHeap, time::Duration};
 
 use lovagedock::{
-    DirectChoice, DirectEndpoint, DirectPlacer, DirectRequest, EndpointLife, EndpointState,
+    DirectChoice, DirectEndpoint, DirectPlacer, DirectRequest, EndpointProcess, EndpointState,
     EngineProfile, PlacerCandidate, WorkKey, WorkLedger, prelude::*, short_lane_size,
 };
 
-/// An engine like those of our operators.
+/// Profile of an engine like those of our operators.
 pub(crate) const PROFILE: EngineProfile = EngineProfile {
     slots: 16,
     memory_tokens: 450_000,
@@ -25,7 +26,7 @@
     Duration::from_millis(ms)
 }
 
-/// A request for a short summary: first event in 300 ms, pauses of 200 ms.
+/// Returns a request for a short summary: first event in 300 ms, gaps of 200 ms.
 pub(crate) fn short() -> DirectRequest {
     DirectRequest {
         prompt: 5_000,
@@ -37,7 +38,7 @@
     }
 }
 
-/// A request with a long prompt: first event in 3 s, pauses of 800 ms.
+/// Returns a request with a long prompt: first event in 3 s, gaps of 800 ms.
 pub(crate) fn long(prompt: TokenCount) -> DirectRequest {
     DirectRequest {
         prompt,
@@ -49,10 +50,10 @@
     }
 }
 
-/// What happens at a time.
+/// Simulated event.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum PoolEvent {
-    Read(WorkKey),
+    Prefilled(WorkKey),
     End(WorkKey),
 }
 
@@ -67,7 +68,7 @@
 impl VirtualPool {
     pub(crate) fn new(engines: usize) -> Self {
         let endpoints = (0..engines).map(|index| DirectEndpoint {
-            life: EndpointLife::new(format!("engine-{index:02}"), 1),
+            process: EndpointProcess::new(format!("engine-{index:02}"), 1),
             service: "model".into(),
             address: ([127, 0, 0, 1], 9_000 + index as u16).into(),
             domain: "a".into(),
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Goes on to `now`; what is due until then ends.
+    /// Advances the time to `now` and processes the events due until then.
     pub(crate) fn advance(&mut self, now: Timestamp) {
         while let Some(Reverse((at, event))) = self.events.peek().copied() {
             if at > now {
@@ -90,18 +91,18 @@
             }
             self.events.pop();
             match event {
-                PoolEvent::Read(key) => self.ledger.finish_reading(at, key),
+                PoolEvent::Prefilled(key) => self.ledger.finish_prefill(at, key),
                 PoolEvent::End(key) => self.ledger.finish(at, key),
             }
         }
         self.now = now;
     }
 
-    /// Endpoints with a free slot, as placement sees them.
+    /// Returns the endpoints with a free slot, as candidates for placement.
     pub(crate) fn candidates(&self) -> Vec<PlacerCandidate<'_>> {
         let short = self.endpoints.iter();
         let short = short
-            .map(|endpoint| self.ledger.short_count(&endpoint.life))
+            .map(|endpoint| self.ledger.short_count(&endpoint.process))
             .sum();
         let lane = short_lane_size(short, PROFILE.slots, self.endpoints.len());
         let candidates = self
@@ -110,7 +111,7 @@
             .enumerate()
             .map(|(position, endpoint)| PlacerCandidate {
                 endpoint,
-                load: self.ledger.load(self.now, &endpoint.life),
+                load: self.ledger.load(self.now, &endpoint.process),
                 rank: position as f64 / self.endpoints.len() as f64,
                 short_lane: position < lane,
                 may_help: true,
@@ -121,25 +122,26 @@
             .collect()
     }
 
-    /// Places a request; `None` when there is no place.
+    /// Places a request. Returns `None` if there is no place.
     pub(crate) fn place(&mut self, request: &DirectRequest) -> Option<PlacedChoice> {
         let candidates = self.candidates();
         let placer = DirectPlacer::new(Some(&PROFILE));
         let choice = placer.place(request, &candidates)?;
         let lane = candidates.iter().filter(|c| c.short_lane);
-        let lane = lane.map(|c| c.endpoint.life.clone()).collect();
+        let lane = lane.map(|c| c.endpoint.process.clone()).collect();
         let works = placer.works(request, &choice, &candidates);
         let members = works.iter().map(|work| work.endpoint.clone()).collect();
-        let read_at = self.now + choice.first_event;
-        let writing = PROFILE.write_time(request.answer, ms(60));
+        let prefilled_at = self.now + choice.first_event;
+        let decode_time = PROFILE.decode_time(request.answer, ms(60));
         for (index, work) in works.into_iter().enumerate() {
             let key = self.ledger.place(self.now, work);
             let end = if index == 0 {
-                read_at + writing
+                prefilled_at + decode_time
             } else {
-                read_at
+                prefilled_at
             };
-            self.events.push(Reverse((read_at, PoolEvent::Read(key))));
+            self.events
+                .push(Reverse((prefilled_at, PoolEvent::Prefilled(key))));
             self.events.push(Reverse((end, PoolEvent::End(key))));
         }
         Some(PlacedChoice {
@@ -150,10 +152,10 @@
     }
 }
 
-/// A choice and the names behind its indices, lead first.
+/// A choice with the processes behind its indices, lead first.
 pub(crate) struct PlacedChoice {
     pub(crate) choice: DirectChoice,
-    pub(crate) members: Vec<EndpointLife>,
-    /// The short lane at that moment.
-    pub(crate) lane: Vec<EndpointLife>,
+    pub(crate) members: Vec<EndpointProcess>,
+    /// The short lane at the time of the choice.
+    pub(crate) lane: Vec<EndpointProcess>,
 }
--- a/lovagedock/tests/direct_suspect_wave/mod.rs
+++ b/lovagedock/tests/direct_suspect_wave/mod.rs
@@ -1,57 +1,58 @@
-//! A wave of engines that end under one request, in virtual time.
+//! Simulation of a series of engine ends caused by one request, in virtual time.
 
 use std::{collections::HashSet, time::Duration};
 
 use lovagedock::{
-    EndEvidence, EndpointLife, ProcessEnd, RequestFingerprint, SuspectLedger, Timestamp,
+    EndEvidence, EndpointProcess, ProcessEnd, RequestFingerprint, SuspectLedger, Timestamp,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
 const ENGINES: usize = 21;
-/// Requests that run at a time, and those up to which an engine is preferred to the next one.
+/// Number of requests that run concurrently, and the number of requests up to which an engine is
+/// preferred to the next one.
 const RUNNING: usize = 9 * 14;
-const PACKED: usize = 9;
+const PREFERRED_LOAD: usize = 9;
 
-/// Time of a whole answer, of an engine's next start, and from the beginning of a run to the end of
-/// its engine.
+/// Duration of a response, of an engine's restart, and from the start of the crashing request to
+/// the end of its engine.
 const ANSWER_TIME: Duration = Duration::from_secs(2);
 const RESTART_TIME: Duration = Duration::from_secs(2);
 const CRASH_TIME: Duration = Duration::from_millis(150);
 
-/// Time between two visits of the caller, of whom each has two attempts.
-const VISIT_TIME: Duration = Duration::from_millis(400);
-const VISITS: u32 = 40;
+/// Time between two submissions by the caller, and their number. Each submission has two attempts.
+const SUBMISSION_INTERVAL: Duration = Duration::from_millis(400);
+const SUBMISSIONS: u32 = 40;
 
-/// When the caller comes first; by then all engines are in use.
-const FIRST_VISIT: Duration = Duration::from_secs(4);
+/// Time of the first submission; by then all engines are in use.
+const FIRST_SUBMISSION: Duration = Duration::from_secs(4);
 
-/// Attempts at a request: two by its gateway, and two more when its caller comes back at once.
+/// Attempts at a request: two by its gateway, and two more when its caller retries at once.
 const ATTEMPTS: u32 = 4;
 
 const STEP: Duration = Duration::from_millis(10);
 
-/// The request that ends engines; those of other callers count up from the next.
+/// The request that ends engines. Requests of other callers are numbered from the next value on.
 const CRASHING: RequestFingerprint = 0;
 
-/// How a wave is played.
+/// Parameters of a series.
 pub(crate) struct WavePlan {
     pub(crate) seed: u64,
-    /// Whether requests under suspicion are kept apart.
-    pub(crate) apart: bool,
+    /// Whether suspect requests are isolated from each other.
+    pub(crate) isolated: bool,
 }
 
-/// What came of it.
+/// Result of a series.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct WaveOutcome {
-    pub(crate) innocents_in_quarantine: usize,
-    pub(crate) most_ends: usize,
+    pub(crate) others_quarantined: usize,
+    pub(crate) max_ends: usize,
 }
 
 impl WaveOutcome {
     pub(crate) fn add(&mut self, other: Self) {
-        self.innocents_in_quarantine += other.innocents_in_quarantine;
-        self.most_ends = self.most_ends.max(other.most_ends);
+        self.others_quarantined += other.others_quarantined;
+        self.max_ends = self.max_ends.max(other.max_ends);
     }
 }
 
@@ -69,31 +70,31 @@
     ledger: SuspectLedger,
     runs: Vec<WaveRun>,
     down_until: Vec<Timestamp>,
-    lives: u64,
+    ended_processes: u64,
     ends: usize,
     next: RequestFingerprint,
 }
 
-/// Plays a wave.
-pub(crate) fn play_wave(plan: &WavePlan) -> WaveOutcome {
+/// Simulates a series.
+pub(crate) fn simulate_wave(plan: &WavePlan) -> WaveOutcome {
     let mut wave = Wave {
         plan,
         random: ChaCha8Rng::seed_from_u64(plan.seed),
         ledger: SuspectLedger::new(),
         runs: Vec::new(),
         down_until: vec![Duration::ZERO; ENGINES],
-        lives: 0,
+        ended_processes: 0,
         ends: 0,
         next: CRASHING + 1,
     };
-    for step in 0..(VISIT_TIME * VISITS).as_millis() / STEP.as_millis() {
+    for step in 0..(SUBMISSION_INTERVAL * SUBMISSIONS).as_millis() / STEP.as_millis() {
         wave.step(STEP * step as u32);
     }
-    let now = VISIT_TIME * VISITS;
+    let now = SUBMISSION_INTERVAL * SUBMISSIONS;
     let quarantines = wave.ledger.quarantines(now);
     WaveOutcome {
-        innocents_in_quarantine: quarantines.filter(|(f, _)| *f != CRASHING).count(),
-        most_ends: wave.ends,
+        others_quarantined: quarantines.filter(|(f, _)| *f != CRASHING).count(),
+        max_ends: wave.ends,
     }
 }
 
@@ -103,7 +104,7 @@
             .filter(|run| self.runs[*run].ends_at <= now)
             .collect();
         for run in ended.into_iter().rev() {
-            // The end of an engine takes the others on it along.
+            // The end of an engine also removes the other requests on it.
             if run >= self.runs.len() || self.runs[run].ends_at > now {
                 continue;
             }
@@ -115,7 +116,11 @@
             let run = self.runs.swap_remove(run);
             self.ledger.record_served(now, run.fingerprint);
         }
-        if now >= FIRST_VISIT && now.as_millis().is_multiple_of(VISIT_TIME.as_millis()) {
+        if now >= FIRST_SUBMISSION
+            && now
+                .as_millis()
+                .is_multiple_of(SUBMISSION_INTERVAL.as_millis())
+        {
             self.place(now, CRASHING, 1);
         }
         while self.runs.len() < RUNNING {
@@ -127,15 +132,15 @@
 
     fn end_engine(&mut self, now: Timestamp, engine: usize) {
         self.ends += 1;
-        self.lives += 1;
+        self.ended_processes += 1;
         self.down_until[engine] = now + RESTART_TIME;
-        let life = EndpointLife::new(format!("i-{}", self.lives).as_str(), 1);
+        let process = EndpointProcess::new(format!("i-{}", self.ended_processes).as_str(), 1);
         let all = std::mem::take(&mut self.runs);
         let (lost, kept): (Vec<_>, Vec<_>) = all.into_iter().partition(|run| run.engine == engine);
         self.runs = kept;
         for run in &lost {
             let evidence = EndEvidence::new(true, now.saturating_sub(run.began_at));
-            let end = ProcessEnd::new(&life, evidence);
+            let end = ProcessEnd::new(&process, evidence);
             self.ledger.record_end(now, run.fingerprint, end);
         }
         for run in lost {
@@ -145,8 +150,8 @@
         }
     }
 
-    /// Sends a request to the first engine that has room: placement packs short prompts, so that other
-    /// engines are free for long ones.
+    /// Places a request on the first engine with free capacity. Like placement, this concentrates
+    /// short prompts on few engines, so that others stay free for long ones.
     fn place(&mut self, now: Timestamp, fingerprint: RequestFingerprint, attempts: u32) {
         if self.ledger.quarantined_for(now, fingerprint).is_some() {
             return;
@@ -155,7 +160,7 @@
         let mut engines: Vec<usize> = (0..ENGINES)
             .filter(|engine| self.down_until[*engine] <= now)
             .collect();
-        if is_suspect && self.plan.apart {
+        if is_suspect && self.plan.isolated {
             let suspects = self.runs.iter();
             let suspects = suspects.filter(|run| self.ledger.is_suspect(run.fingerprint));
             let taken: HashSet<usize> = suspects.map(|run| run.engine).collect();
@@ -165,18 +170,18 @@
         }
         let mut load = [0; ENGINES];
         self.runs.iter().for_each(|run| load[run.engine] += 1);
-        engines.sort_by_key(|engine| (load[*engine].max(PACKED), *engine));
-        let among = match is_suspect && self.plan.apart {
+        engines.sort_by_key(|engine| (load[*engine].max(PREFERRED_LOAD), *engine));
+        let choice_count = match is_suspect && self.plan.isolated {
             true => engines.len().div_ceil(2),
             false => 2,
         };
         let Some(engine) = engines
-            .get(self.random.random_range(0..among.max(1)))
+            .get(self.random.random_range(0..choice_count.max(1)))
             .copied()
         else {
             return;
         };
-        let took = match fingerprint {
+        let run_time = match fingerprint {
             CRASHING => CRASH_TIME,
             _ => ANSWER_TIME.mul_f64(self.random.random_range(0.5..1.5)),
         };
@@ -184,7 +189,7 @@
             fingerprint,
             engine,
             began_at: now,
-            ends_at: now + took,
+            ends_at: now + run_time,
             attempts,
         });
     }
