--- a/lovagedock-gateway/src/direct/board/state.rs
+++ b/lovagedock-gateway/src/direct/board/state.rs
@@ -24,7 +24,7 @@
     max_ejection: Duration::from_secs(6),
     max_ejected_percent: 34,
     probe_timeout: Duration::from_secs(2),
-    calm: Duration::from_secs(20),
+    reset_after: Duration::from_secs(20),
 };
 
 pub(super) struct FleetState {
--- a/lovagedock-gateway/src/shared.rs
+++ b/lovagedock-gateway/src/shared.rs
@@ -93,7 +93,7 @@
 
     /// Takes a retry from the service's budget, if there is one.
     pub(crate) fn take_retry(&self, service: &ServiceId, now: Timestamp) -> bool {
-        self.with_budget(service, now, |budget| budget.try_take(now))
+        self.with_budget(service, now, |budget| budget.try_consume(now))
     }
 
     /// Counts a request that completed.
--- a/lovagedock-sidecar/src/adapter/dialect.rs
+++ b/lovagedock-sidecar/src/adapter/dialect.rs
@@ -5,13 +5,13 @@
 use super::{
     client::EngineClient,
     error::EngineError,
-    message::{EngineHolding, EngineLoad},
+    message::{EngineAllocation, EngineLoad},
 };
 
 /// One vendor's way of reporting.
 #[async_trait]
 pub(crate) trait VendorDialect: Send + Sync + 'static {
-    async fn account(&self, client: &EngineClient) -> Result<Vec<EngineHolding>, EngineError>;
+    async fn account(&self, client: &EngineClient) -> Result<Vec<EngineAllocation>, EngineError>;
 
     async fn load(&self, client: &EngineClient) -> Result<EngineLoad, EngineError>;
 }
--- a/lovagedock-sidecar/src/adapter/json_report.rs
+++ b/lovagedock-sidecar/src/adapter/json_report.rs
@@ -11,7 +11,7 @@
     client::EngineClient,
     dialect::VendorDialect,
     error::EngineError,
-    message::{EngineHolding, EngineLoad},
+    message::{EngineAllocation, EngineLoad},
     model::ModelAdapter,
     registry::AdapterPlugin,
 };
@@ -55,7 +55,7 @@
 
 #[async_trait]
 impl VendorDialect for JsonReport {
-    async fn account(&self, client: &EngineClient) -> Result<Vec<EngineHolding>, EngineError> {
+    async fn account(&self, client: &EngineClient) -> Result<Vec<EngineAllocation>, EngineError> {
         let answer: AccountAnswer = client.get("/v1/requests").await?;
         Ok(answer.requests.iter().filter_map(holding).collect())
     }
@@ -76,8 +76,8 @@
 }
 
 /// Requests whose ids are not ours did not come through a sidecar and are left alone.
-fn holding(holding: &RequestHolding) -> Option<EngineHolding> {
-    Some(EngineHolding {
+fn holding(holding: &RequestHolding) -> Option<EngineAllocation> {
+    Some(EngineAllocation {
         request_id: parse_request_id(&holding.request_id)?,
         tokens: holding.blocks * holding.block_tokens,
     })
--- a/lovagedock-sidecar/src/adapter/message.rs
+++ b/lovagedock-sidecar/src/adapter/message.rs
@@ -108,7 +108,7 @@
 
 /// What one request holds by the engine's own account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct EngineHolding {
+pub struct EngineAllocation {
     /// Id of the request.
     pub request_id: RequestId,
     /// KV memory in tokens; 0 while it waits.
--- a/lovagedock-sidecar/src/adapter/mod.rs
+++ b/lovagedock-sidecar/src/adapter/mod.rs
@@ -18,8 +18,8 @@
 
 pub use error::EngineError;
 pub use message::{
-    AdapterCapabilities, CacheChange, CacheEvent, CacheReport, CacheSnapshot, EngineEnd,
-    EngineEvent, EngineHead, EngineHeader, EngineHolding, EngineLoad, EngineOrder, EngineRequest,
+    AdapterCapabilities, CacheChange, CacheEvent, CacheReport, CacheSnapshot, EngineAllocation,
+    EngineEnd, EngineEvent, EngineHead, EngineHeader, EngineLoad, EngineOrder, EngineRequest,
     OrderKind, SegmentHolder, SegmentRequest,
 };
 pub use port::{EngineAdapter, EngineStream};
--- a/lovagedock-sidecar/src/adapter/model.rs
+++ b/lovagedock-sidecar/src/adapter/model.rs
@@ -14,9 +14,9 @@
     dialect::VendorDialect,
     error::EngineError,
     message::{
-        AdapterCapabilities, CacheChange, CacheEvent, CacheReport, CacheSnapshot, EngineEnd,
-        EngineEvent, EngineHead, EngineHeader, EngineHolding, EngineLoad, EngineOrder,
-        EngineRequest, OrderKind, SegmentHolder, SegmentRequest,
+        AdapterCapabilities, CacheChange, CacheEvent, CacheReport, CacheSnapshot, EngineAllocation,
+        EngineEnd, EngineEvent, EngineHead, EngineHeader, EngineLoad, EngineOrder, EngineRequest,
+        OrderKind, SegmentHolder, SegmentRequest,
     },
     port::{EngineAdapter, EngineStream},
     registry::AdapterOptions,
@@ -73,7 +73,7 @@
         Ok(())
     }
 
-    async fn account(&self) -> Result<Vec<EngineHolding>, EngineError> {
+    async fn account(&self) -> Result<Vec<EngineAllocation>, EngineError> {
         self.dialect.account(&self.client).await
     }
 
--- a/lovagedock-sidecar/src/adapter/plain.rs
+++ b/lovagedock-sidecar/src/adapter/plain.rs
@@ -22,8 +22,8 @@
     client::{EngineClient, EngineResponse, bad_request},
     error::EngineError,
     message::{
-        AdapterCapabilities, CacheReport, CacheSnapshot, EngineEnd, EngineEvent, EngineHead,
-        EngineHeader, EngineHolding, EngineLoad, EngineOrder, EngineRequest, SegmentHolder,
+        AdapterCapabilities, CacheReport, CacheSnapshot, EngineAllocation, EngineEnd, EngineEvent,
+        EngineHead, EngineHeader, EngineLoad, EngineOrder, EngineRequest, SegmentHolder,
         SegmentRequest,
     },
     port::{EngineAdapter, EngineStream},
@@ -103,7 +103,7 @@
         Ok(())
     }
 
-    async fn account(&self) -> Result<Vec<EngineHolding>, EngineError> {
+    async fn account(&self) -> Result<Vec<EngineAllocation>, EngineError> {
         Ok(Vec::new())
     }
 
--- a/lovagedock-sidecar/src/adapter/prometheus_report.rs
+++ b/lovagedock-sidecar/src/adapter/prometheus_report.rs
@@ -13,7 +13,7 @@
     client::EngineClient,
     dialect::VendorDialect,
     error::EngineError,
-    message::{EngineHolding, EngineLoad},
+    message::{EngineAllocation, EngineLoad},
     model::ModelAdapter,
     registry::AdapterPlugin,
 };
@@ -47,7 +47,7 @@
 
 #[async_trait]
 impl VendorDialect for PrometheusReport {
-    async fn account(&self, client: &EngineClient) -> Result<Vec<EngineHolding>, EngineError> {
+    async fn account(&self, client: &EngineClient) -> Result<Vec<EngineAllocation>, EngineError> {
         let answer: AccountAnswer = client.get("/v1/requests").await?;
         Ok(answer.sequences.iter().filter_map(holding).collect())
     }
@@ -61,8 +61,8 @@
     }
 }
 
-fn holding(holding: &SequenceHolding) -> Option<EngineHolding> {
-    Some(EngineHolding {
+fn holding(holding: &SequenceHolding) -> Option<EngineAllocation> {
+    Some(EngineAllocation {
         request_id: parse_request_id(&holding.id)?,
         tokens: holding.kv_tokens,
     })
--- a/lovagedock-sidecar/src/config.rs
+++ b/lovagedock-sidecar/src/config.rs
@@ -102,7 +102,7 @@
         let longest = fleet.services.iter().map(|service| service.max_deadline_ms);
         let mut limits = self.limits.clone();
         if let Some(longest) = longest.max() {
-            limits.longest_deadline = Duration::from_millis(longest);
+            limits.max_deadline = Duration::from_millis(longest);
         }
         let spec = fleet
             .pools
--- a/lovagedock-sidecar/src/poll.rs
+++ b/lovagedock-sidecar/src/poll.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use lovagedock::{EndpointEvent, EngineHolding, EngineReport};
+use lovagedock::{EndpointEvent, EngineAllocation, EngineReport};
 use slog::{info, warn};
 use tokio::time::{MissedTickBehavior, interval, timeout};
 
@@ -58,11 +58,11 @@
     let account = state.adapter.account().await?;
     let holdings = account
         .iter()
-        .map(|holding| EngineHolding {
+        .map(|holding| EngineAllocation {
             request: holding.request_id,
             tokens: holding.tokens,
         })
         .collect();
-    state.decide(EndpointEvent::EngineAccount(holdings));
+    state.decide(EndpointEvent::EngineAllocations(holdings));
     Ok(())
 }
--- a/lovagedock-standin/tests/engine_contract.rs
+++ b/lovagedock-standin/tests/engine_contract.rs
@@ -9,7 +9,7 @@
 
 use lovagedock::prelude::{RanState, format_request_id};
 use lovagedock_sidecar::adapter::{
-    AdapterOptions, EngineError, EngineHolding, EngineRequest, adapter_names, build_adapter,
+    AdapterOptions, EngineAllocation, EngineError, EngineRequest, adapter_names, build_adapter,
 };
 use lovagedock_standin::engine::{
     ChatMessage, EngineFault, EngineOptions, JournalEvent, chat_prompt, expected_answer,
@@ -197,7 +197,7 @@
         let mut stream = bench.adapter.start(endless_request()).await.unwrap();
         first_bytes(&mut stream).await;
         drop(stream);
-        let holding = EngineHolding {
+        let holding = EngineAllocation {
             request_id: ID,
             tokens: 300_016,
         };
--- a/lovagedock-wire/src/codec.rs
+++ b/lovagedock-wire/src/codec.rs
@@ -406,7 +406,7 @@
 fn stage_number(stage: ShareStage) -> u8 {
     match stage {
         ShareStage::ByDemand => STAGE_BY_DEMAND,
-        ShareStage::Lesser => STAGE_LESSER,
+        ShareStage::Minimum => STAGE_LESSER,
         ShareStage::Silent => STAGE_SILENT,
         ShareStage::Equal => STAGE_EQUAL,
     }
@@ -415,7 +415,7 @@
 fn read_stage(number: u8) -> Decoded<ShareStage> {
     match number {
         STAGE_BY_DEMAND => Ok(ShareStage::ByDemand),
-        STAGE_LESSER => Ok(ShareStage::Lesser),
+        STAGE_LESSER => Ok(ShareStage::Minimum),
         STAGE_SILENT => Ok(ShareStage::Silent),
         STAGE_EQUAL => Ok(ShareStage::Equal),
         other => Err(WireError::Malformed(format!("unknown share stage {other}"))),
--- a/lovagedock/benches/admission.rs
+++ b/lovagedock/benches/admission.rs
@@ -49,7 +49,7 @@
         .with_concurrency(RUNNING as usize)
         .with_queue_length(queued as usize + 10);
     let mut core = EndpointCore::new(1, limits);
-    core.handle(NOW, EndpointEvent::EngineAccount(Vec::new()));
+    core.handle(NOW, EndpointEvent::EngineAllocations(Vec::new()));
     core.handle(
         NOW,
         EndpointEvent::EngineReport(EngineReport {
--- a/lovagedock/src/direct/retries.rs
+++ b/lovagedock/src/direct/retries.rs
@@ -68,7 +68,7 @@
 
     /// Takes one retry, or tells that none is left.
     pub fn try_take(&mut self, now: Timestamp) -> bool {
-        self.budget.try_take(now)
+        self.budget.try_consume(now)
     }
 }
 
--- a/lovagedock/src/endpoint/engine.rs
+++ b/lovagedock/src/endpoint/engine.rs
@@ -6,7 +6,7 @@
         core::EndpointCore,
         entry::{RequestEntry, RequestPhase},
         limits::{EndpointLimits, OrganisationShare},
-        messages::{EndpointAction, EngineAnswer, EngineHolding, EngineReport, EngineResult},
+        messages::{EndpointAction, EngineAllocation, EngineAnswer, EngineReport, EngineResult},
         speed::RunSample,
     },
     ids::{RequestId, Timestamp},
@@ -86,7 +86,7 @@
         }
     }
 
-    pub(super) fn engine_account(&mut self, now: Timestamp, account: &[EngineHolding]) {
+    pub(super) fn engine_account(&mut self, now: Timestamp, account: &[EngineAllocation]) {
         let grace = self.limits.orphan_grace;
         let lost = self.ledger.reconcile(now, account, grace);
         for request in lost {
@@ -128,7 +128,7 @@
     pub(super) fn bring_engine_up(&mut self, now: Timestamp) {
         if !self.engine_up {
             self.engine_up = true;
-            self.account_due = now + self.limits.account_wait;
+            self.account_due = now + self.limits.allocations_wait;
         }
     }
 
--- a/lovagedock/src/endpoint/limits.rs
+++ b/lovagedock/src/endpoint/limits.rs
@@ -38,7 +38,7 @@
     /// How long memory may be without an owner before it is cancelled.
     pub orphan_grace: Duration,
     /// How long starts wait for the first account of an engine that may hold old work.
-    pub account_wait: Duration,
+    pub allocations_wait: Duration,
     /// How often a cancellation that had no effect is repeated.
     pub cancel_retry: Duration,
     /// Largest share of the memory that spans may reserve, in percent.
@@ -46,7 +46,7 @@
     /// Longest hold of a reservation.
     pub reservation_hold: Duration,
     /// Longest time that a request may ask for.
-    pub longest_deadline: Duration,
+    pub max_deadline: Duration,
 }
 
 impl Default for EndpointLimits {
@@ -65,11 +65,11 @@
             tombstone_hold: Duration::from_secs(600),
             tombstone_count: 50_000,
             orphan_grace: Duration::from_secs(5),
-            account_wait: Duration::from_secs(1),
+            allocations_wait: Duration::from_secs(1),
             cancel_retry: Duration::from_secs(1),
             span_share_percent: SPAN_SHARE_PERCENT,
             reservation_hold: Duration::from_secs(60),
-            longest_deadline: Duration::from_secs(3_600),
+            max_deadline: Duration::from_secs(3_600),
         }
     }
 }
--- a/lovagedock/src/endpoint/messages.rs
+++ b/lovagedock/src/endpoint/messages.rs
@@ -89,7 +89,7 @@
 
 /// Memory that the engine says a request holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct EngineHolding {
+pub struct EngineAllocation {
     /// The request.
     pub request: RequestId,
     /// Tokens of KV memory.
@@ -142,7 +142,7 @@
         result: EngineResult,
     },
     /// The engine's own account of its memory, complete.
-    EngineAccount(Vec<EngineHolding>),
+    EngineAllocations(Vec<EngineAllocation>),
     /// The engine reports size and speed.
     EngineReport(EngineReport),
     /// The engine died or cannot be reached.
--- a/lovagedock/src/endpoint/mod.rs
+++ b/lovagedock/src/endpoint/mod.rs
@@ -28,7 +28,7 @@
 pub use ledger::{LeaseState, MemoryLease, MemoryLedger};
 pub use limits::{EndpointLimits, EndpointSafeguards, OrganisationShare};
 pub use messages::{
-    EndpointAction, EndpointEvent, EngineAnswer, EngineHolding, EngineReport, EngineResult,
+    EndpointAction, EndpointEvent, EngineAllocation, EngineAnswer, EngineReport, EngineResult,
     WorkOrder,
 };
 pub use snapshot::{EndpointLoad, EndpointSnapshot, RequestSnapshot};
--- a/lovagedock/src/endpoint/reconcile.rs
+++ b/lovagedock/src/endpoint/reconcile.rs
@@ -5,7 +5,7 @@
 use crate::{
     endpoint::{
         ledger::{LeaseState, MemoryLease, MemoryLedger, OrphanHolding},
-        messages::EngineHolding,
+        messages::EngineAllocation,
     },
     ids::{RequestId, Timestamp},
 };
@@ -16,7 +16,7 @@
     pub fn reconcile(
         &mut self,
         now: Timestamp,
-        account: &[EngineHolding],
+        account: &[EngineAllocation],
         grace: Duration,
     ) -> Vec<RequestId> {
         self.accounted = true;
@@ -65,7 +65,7 @@
         due
     }
 
-    fn adopt_orphans(&mut self, now: Timestamp, account: &[EngineHolding], grace: Duration) {
+    fn adopt_orphans(&mut self, now: Timestamp, account: &[EngineAllocation], grace: Duration) {
         for holding in account {
             if self.leases.contains_key(&holding.request) {
                 continue;
@@ -84,7 +84,7 @@
 
     /// A prompt that was estimated too short holds more than its lease: the lease grows as far
     /// as memory is free, so that nothing else is admitted into blocks that are taken.
-    fn correct_leases(&mut self, account: &[EngineHolding]) {
+    fn correct_leases(&mut self, account: &[EngineAllocation]) {
         for holding in account {
             let free = self.free();
             let Some(lease) = self.leases.get_mut(&holding.request) else {
--- a/lovagedock/src/endpoint/submit.rs
+++ b/lovagedock/src/endpoint/submit.rs
@@ -101,7 +101,7 @@
             order.tier = order.tier.min(share.highest_tier);
             order.weight = share.weight;
         }
-        order.remaining = order.remaining.min(self.limits.longest_deadline);
+        order.remaining = order.remaining.min(self.limits.max_deadline);
     }
 
     fn admission_error(&self, now: Timestamp, order: &WorkOrder) -> Option<AnswerEnd> {
--- a/lovagedock/src/lib.rs
+++ b/lovagedock/src/lib.rs
@@ -76,7 +76,7 @@
 };
 pub use endpoint::{
     EndpointAction, EndpointCore, EndpointEvent, EndpointLimits, EndpointLoad, EndpointSafeguards,
-    EndpointSnapshot, EngineAnswer, EngineHolding, EngineReport, EngineResult, LeaseState,
+    EndpointSnapshot, EngineAllocation, EngineAnswer, EngineReport, EngineResult, LeaseState,
     MemoryLease, MemoryLedger, OrganisationShare, RequestSnapshot, WorkOrder,
 };
 pub use fence::{FenceAction, FenceEvent, FenceGate, FencedOrder};
--- a/lovagedock/src/limits/limiter.rs
+++ b/lovagedock/src/limits/limiter.rs
@@ -249,7 +249,7 @@
         let equal = 1.0 / self.peers.gateways() as f64;
         let moving = match self.peers.stage() {
             ShareStage::ByDemand => by_demand,
-            ShareStage::Lesser | ShareStage::Silent => by_demand.min(equal),
+            ShareStage::Minimum | ShareStage::Silent => by_demand.min(equal),
             ShareStage::Equal => equal,
         };
         let floor = f64::from(self.timing.floor_percent) / 100.0;
--- a/lovagedock/src/limits/peers.rs
+++ b/lovagedock/src/limits/peers.rs
@@ -40,7 +40,7 @@
     /// By demand: all peers confirm.
     ByDemand,
     /// The lesser of both, while peers confirm or are about to.
-    Lesser,
+    Minimum,
     /// The lesser of both, and silent, so that no peer counts on this gateway any more.
     Silent,
     /// An equal part: some peer is out of reach.
@@ -81,7 +81,7 @@
             stage: if alone {
                 ShareStage::Equal
             } else {
-                ShareStage::Lesser
+                ShareStage::Minimum
             },
             stage_since: now,
         }
@@ -186,11 +186,11 @@
     /// Moves to the stage that is safe now; to be called before any share is used.
     pub(super) fn advance(&mut self, now: Timestamp) {
         let next = match self.stage {
-            ShareStage::ByDemand if !self.all_confirm(now) => ShareStage::Lesser,
-            ShareStage::Lesser if self.all_confirm(now) => ShareStage::ByDemand,
-            ShareStage::Lesser if self.is_overdue(now, self.timing.lease) => ShareStage::Silent,
+            ShareStage::ByDemand if !self.all_confirm(now) => ShareStage::Minimum,
+            ShareStage::Minimum if self.all_confirm(now) => ShareStage::ByDemand,
+            ShareStage::Minimum if self.is_overdue(now, self.timing.lease) => ShareStage::Silent,
             ShareStage::Silent if self.is_overdue(now, self.silence()) => ShareStage::Equal,
-            ShareStage::Equal if self.all_heard(now) => ShareStage::Lesser,
+            ShareStage::Equal if self.all_heard(now) => ShareStage::Minimum,
             same => same,
         };
         if next != self.stage {
@@ -234,5 +234,5 @@
 }
 
 fn may_share(stage: ShareStage) -> bool {
-    matches!(stage, ShareStage::ByDemand | ShareStage::Lesser)
+    matches!(stage, ShareStage::ByDemand | ShareStage::Minimum)
 }
--- a/lovagedock/src/outlier.rs
+++ b/lovagedock/src/outlier.rs
@@ -18,7 +18,7 @@
     /// Time after which a probe without an outcome counts as failed.
     pub probe_timeout: Duration,
     /// Time without a failure after which earlier ejections are forgotten.
-    pub calm: Duration,
+    pub reset_after: Duration,
 }
 
 impl Default for OutlierSettings {
@@ -29,7 +29,7 @@
             max_ejection: Duration::from_secs(300),
             max_ejected_percent: 30,
             probe_timeout: Duration::from_secs(30),
-            calm: Duration::from_secs(600),
+            reset_after: Duration::from_secs(600),
         }
     }
 }
@@ -172,7 +172,7 @@
     }
 
     fn succeeded(&mut self, now: Timestamp, id: EndpointId) -> Vec<OutlierAction> {
-        let calm = self.settings.calm;
+        let reset_after = self.settings.reset_after;
         let Some(record) = self.endpoints.get_mut(&id) else {
             return Vec::new();
         };
@@ -184,7 +184,7 @@
                 vec![action(id, false, OutlierCause::Readmitted)]
             }
             OutlierState::Admitted | OutlierState::Probation => {
-                if now.saturating_sub(record.failed_at) >= calm {
+                if now.saturating_sub(record.failed_at) >= reset_after {
                     record.state = OutlierState::Admitted;
                     record.ejections = 0;
                 }
--- a/lovagedock/src/placement/layout.rs
+++ b/lovagedock/src/placement/layout.rs
@@ -20,7 +20,7 @@
 #[derive(Debug)]
 struct LayoutEntry {
     id: EndpointId,
-    takes_work: bool,
+    accepts_work: bool,
     domain: usize,
     rank: usize,
 }
@@ -62,7 +62,7 @@
             let domain = self.domain_index(&view.domain);
             self.entries.push(LayoutEntry {
                 id: view.id.clone(),
-                takes_work: view.takes_work(),
+                accepts_work: view.accepts_work(),
                 domain,
                 rank: usize::MAX,
             });
@@ -75,7 +75,7 @@
             .entries
             .iter()
             .enumerate()
-            .filter(|(_, entry)| entry.takes_work)
+            .filter(|(_, entry)| entry.accepts_work)
             .map(|(index, entry)| (xxh3_64(entry.id.as_bytes()), index))
             .collect();
         order.sort_unstable();
@@ -102,7 +102,7 @@
 impl LayoutEntry {
     fn matches(&self, view: &EndpointView) -> bool {
         let same_id = std::sync::Arc::ptr_eq(&self.id, &view.id) || self.id == view.id;
-        same_id && self.takes_work == view.takes_work()
+        same_id && self.accepts_work == view.accepts_work()
     }
 }
 
--- a/lovagedock/src/placement/length_aware.rs
+++ b/lovagedock/src/placement/length_aware.rs
@@ -325,7 +325,7 @@
     let mut busy = 0_u32;
     let mut all = 0.0;
     let mut short = 0.0;
-    for view in pool.endpoints.iter().filter(|view| view.takes_work()) {
+    for view in pool.endpoints.iter().filter(|view| view.accepts_work()) {
         usable += 1;
         let Some(report) = &view.report else {
             continue;
--- a/lovagedock/src/placement/span.rs
+++ b/lovagedock/src/placement/span.rs
@@ -15,7 +15,7 @@
 
 /// Whether the request may go to the endpoint at all.
 pub(super) fn eligible(request: &PlacementRequest<'_>, view: &EndpointView) -> bool {
-    view.takes_work() && !request.excluded.contains(&view.id)
+    view.accepts_work() && !request.excluded.contains(&view.id)
 }
 
 /// Whether the endpoint has enough memory for the request when it is otherwise empty.
--- a/lovagedock/src/placement/types.rs
+++ b/lovagedock/src/placement/types.rs
@@ -92,7 +92,7 @@
     }
 
     /// Whether new work may go to it.
-    pub fn takes_work(&self) -> bool {
+    pub fn accepts_work(&self) -> bool {
         self.usable && !self.ejected
     }
 
--- a/lovagedock/src/retry.rs
+++ b/lovagedock/src/retry.rs
@@ -60,7 +60,7 @@
     }
 
     /// Takes one retry, or tells that none is left.
-    pub fn try_take(&mut self, now: Timestamp) -> bool {
+    pub fn try_consume(&mut self, now: Timestamp) -> bool {
         self.fill(now);
         if self.tokens < 1.0 {
             return false;
--- a/lovagedock/tests/endpoint_admission.rs
+++ b/lovagedock/tests/endpoint_admission.rs
@@ -36,7 +36,7 @@
             organisations: BTreeMap::new(),
             next: 0,
         };
-        fleet.tell(EndpointEvent::EngineAccount(Vec::new()));
+        fleet.tell(EndpointEvent::EngineAllocations(Vec::new()));
         fleet
     }
 
--- a/lovagedock/tests/endpoint_scenarios.rs
+++ b/lovagedock/tests/endpoint_scenarios.rs
@@ -8,7 +8,7 @@
 use datadriven::{TestCase, walk};
 use lovagedock::{
     AnswerEnd, AttemptKey, EndpointAction, EndpointCore, EndpointEvent, EndpointLimits,
-    EngineAnswer, EngineHolding, EngineReport, EngineResult, PriorityTier, RanState, Timestamp,
+    EngineAllocation, EngineAnswer, EngineReport, EngineResult, PriorityTier, RanState, Timestamp,
     WorkOrder,
 };
 
@@ -174,17 +174,17 @@
         "lost" => ended(EngineResult::Lost { detail }),
         "ended" => ended(EngineResult::Ended { detail }),
         "cancelled" => ended(EngineResult::Cancelled),
-        "holds" => EndpointEvent::EngineAccount(parse_account(line)),
+        "holds" => EndpointEvent::EngineAllocations(parse_account(line)),
         "reports" => EndpointEvent::EngineReport(parse_report(line)),
         other => panic!("unknown engine line: {other}"),
     }
 }
 
-fn parse_account(line: &Line<'_>) -> Vec<EngineHolding> {
+fn parse_account(line: &Line<'_>) -> Vec<EngineAllocation> {
     let mut account: Vec<_> = line
         .options
         .iter()
-        .map(|(request, tokens)| EngineHolding {
+        .map(|(request, tokens)| EngineAllocation {
             request: parse_request(request),
             tokens: tokens.parse().unwrap(),
         })
--- a/lovagedock/tests/outlier.rs
+++ b/lovagedock/tests/outlier.rs
@@ -13,7 +13,7 @@
     max_ejection: Duration::from_secs(60),
     max_ejected_percent: 30,
     probe_timeout: Duration::from_secs(10),
-    calm: Duration::from_secs(100),
+    reset_after: Duration::from_secs(100),
 };
 
 fn id(index: usize) -> EndpointId {
--- a/lovagedock/tests/retry_budget.rs
+++ b/lovagedock/tests/retry_budget.rs
@@ -45,7 +45,7 @@
             if request < case.successes {
                 budget.record_success(now);
             }
-            retries += u32::from(budget.try_take(now));
+            retries += u32::from(budget.try_consume(now));
         }
         assert!(
             retries <= case.most_retries,
@@ -67,7 +67,7 @@
         budget.record_success(Duration::from_millis(100) * request);
     }
     let now = Duration::from_secs(3600);
-    let granted = (0..1000).filter(|_| budget.try_take(now)).count();
+    let granted = (0..1000).filter(|_| budget.try_consume(now)).count();
     assert_eq!(granted, 20);
 }
 
--- a/lovagedock/tests/support/endpoint_world.rs
+++ b/lovagedock/tests/support/endpoint_world.rs
@@ -7,7 +7,7 @@
 
 use lovagedock::{
     AnswerEnd, AttemptKey, EndpointAction, EndpointCore, EndpointEvent, EndpointLimits,
-    EndpointSafeguards, EngineAnswer, EngineHolding, EngineResult, PriorityTier, RanState,
+    EndpointSafeguards, EngineAllocation, EngineAnswer, EngineResult, PriorityTier, RanState,
     RequestId, RevokeVerdict, Timestamp, WorkOrder,
 };
 
@@ -55,7 +55,7 @@
     wake: Option<Timestamp>,
     next_poll: Timestamp,
     engine: BTreeMap<RequestId, EngineRun>,
-    last_account: Vec<EngineHolding>,
+    last_account: Vec<EngineAllocation>,
     last_end: Option<EndpointEvent>,
     lose_cancels: u32,
     pending: Vec<EndpointEvent>,
@@ -144,7 +144,7 @@
             Step::RefuseRun(run) => self.engine_refuses(*run),
             Step::RepeatEnd => self.last_end.clone().into_iter().for_each(|e| self.tell(e)),
             Step::StaleAccount => {
-                self.tell(EndpointEvent::EngineAccount(self.last_account.clone()))
+                self.tell(EndpointEvent::EngineAllocations(self.last_account.clone()))
             }
             Step::LoseCancels(count) => self.lose_cancels = *count,
             Step::EngineDies => {
@@ -301,11 +301,11 @@
     fn poll(&mut self) {
         self.next_poll = self.now + POLL;
         self.last_account = self.account();
-        self.tell(EndpointEvent::EngineAccount(self.last_account.clone()));
+        self.tell(EndpointEvent::EngineAllocations(self.last_account.clone()));
     }
 
-    fn account(&self) -> Vec<EngineHolding> {
-        let holdings = self.engine.iter().map(|(request, run)| EngineHolding {
+    fn account(&self) -> Vec<EngineAllocation> {
+        let holdings = self.engine.iter().map(|(request, run)| EngineAllocation {
             request: *request,
             tokens: run.tokens,
         });
