--- a/lovagedock/examples/compare/engine.rs
+++ b/lovagedock/examples/compare/engine.rs
@@ -6,13 +6,13 @@
     CostParameters, EndpointBacklog, EndpointReport, PREFIX_PIECE_TOKENS, TokenCount,
 };
 
-use crate::traffic::{TRUE_COST, shared_hash};
+use crate::traffic::{TRUE_COST, conversation_hash};
 
 pub(crate) const ENGINE_MEMORY: TokenCount = 450_000;
 const LONG_TOKENS: TokenCount = 32_000;
 const CACHE_TOKENS: TokenCount = 150_000;
 /// Each running answer slows prefill by this share.
-const DECODE_DRAG: f64 = 0.01;
+const DECODE_SLOWDOWN: f64 = 0.01;
 
 /// How an engine orders its work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,7 +25,7 @@
 
 /// A request, or one part of a span, at one engine.
 #[derive(Clone, Debug)]
-pub(crate) struct Job {
+pub(crate) struct EngineJob {
     pub(crate) request: usize,
     pub(crate) prompt: TokenCount,
     pub(crate) memory: TokenCount,
@@ -38,7 +38,7 @@
     pub(crate) left: Option<f64>,
 }
 
-impl Job {
+impl EngineJob {
     /// Whether the sidecar drops it unstarted; parts of a span stay, since others hold memory.
     fn expired(&self, now: f64) -> bool {
         self.left.is_none() && self.share == 1.0 && now > self.deadline
@@ -52,8 +52,8 @@
 pub(crate) struct Engine {
     pub(crate) order: EngineOrder,
     pub(crate) cost: CostParameters,
-    pub(crate) queue: VecDeque<Job>,
-    pub(crate) current: Option<(Job, f64)>,
+    pub(crate) queue: VecDeque<EngineJob>,
+    pub(crate) current: Option<(EngineJob, f64)>,
     /// Counts starts, so that the end of an interrupted prefill is not mistaken for a later one's.
     pub(crate) starts: u64,
     pub(crate) used: TokenCount,
@@ -79,7 +79,7 @@
         }
     }
 
-    pub(crate) fn enqueue(&mut self, now: f64, job: Job) {
+    pub(crate) fn enqueue(&mut self, now: f64, job: EngineJob) {
         if self.order == EngineOrder::Fifo || job.prompt >= LONG_TOKENS {
             self.queue.push_back(job);
             return;
@@ -129,10 +129,10 @@
         };
         let job = self.queue.remove(at)?;
         self.used += job.missing_memory();
-        let drag = 1.0 + DECODE_DRAG * f64::from(self.decoding);
+        let slowdown = 1.0 + DECODE_SLOWDOWN * f64::from(self.decoding);
         let seconds = match job.left {
             Some(left) => left,
-            None => self.prefill_seconds(&job) * drag,
+            None => self.prefill_seconds(&job) * slowdown,
         };
         self.touch_cache(job.shared);
         self.starts += 1;
@@ -140,7 +140,7 @@
         Some((now + seconds, self.starts))
     }
 
-    pub(crate) fn prefill_seconds(&self, job: &Job) -> f64 {
+    pub(crate) fn prefill_seconds(&self, job: &EngineJob) -> f64 {
         if let Some(left) = job.left {
             return left;
         }
@@ -166,12 +166,12 @@
 
     fn backlog(&self, now: f64) -> EndpointBacklog {
         let left = self.current.as_ref().map_or(0.0, |(_, end)| end - now);
-        let waiting = |keep: &dyn Fn(&Job) -> bool| -> f64 {
+        let waiting = |keep: &dyn Fn(&EngineJob) -> bool| -> f64 {
             let jobs = self.queue.iter().filter(|job| keep(job));
             jobs.map(|job| self.prefill_seconds(job)).sum()
         };
         let all = left + waiting(&|_| true);
-        let is_short = |job: &Job| job.prompt < LONG_TOKENS;
+        let is_short = |job: &EngineJob| job.prompt < LONG_TOKENS;
         let short = match self.order {
             EngineOrder::Fifo => all,
             EngineOrder::ShortFirst => {
@@ -210,7 +210,7 @@
             cached_prefixes: self
                 .cache
                 .iter()
-                .map(|(c, pieces)| shared_hash(*c, *pieces))
+                .map(|(c, pieces)| conversation_hash(*c, *pieces))
                 .collect(),
         })
     }
--- a/lovagedock/examples/compare/fleet.rs
+++ b/lovagedock/examples/compare/fleet.rs
@@ -15,7 +15,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::{
-    engine::{ENGINE_MEMORY, Engine, EngineOrder, Job},
+    engine::{ENGINE_MEMORY, Engine, EngineJob, EngineOrder},
     traffic::{Arrival, arrivals},
 };
 
@@ -72,20 +72,20 @@
     Report(Vec<Arc<EndpointReport>>, f64),
 }
 
-struct Timed(f64, u64, Event);
+struct TimedEvent(f64, u64, Event);
 
-impl PartialEq for Timed {
+impl PartialEq for TimedEvent {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
-impl Eq for Timed {}
-impl PartialOrd for Timed {
+impl Eq for TimedEvent {}
+impl PartialOrd for TimedEvent {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Timed {
+impl Ord for TimedEvent {
     fn cmp(&self, other: &Self) -> Ordering {
         other.0.total_cmp(&self.0).then(other.1.cmp(&self.1))
     }
@@ -105,7 +105,7 @@
     arrivals: Vec<Arrival>,
     /// Engines of each request and the parts of it that are not prefilled.
     placed: Vec<(Vec<(usize, TokenCount)>, usize)>,
-    events: BinaryHeap<Timed>,
+    events: BinaryHeap<TimedEvent>,
     sequence: u64,
     rng: ChaCha8Rng,
     result: FleetResult,
@@ -164,7 +164,7 @@
         for index in 0..self.arrivals.len() {
             self.push(self.arrivals[index].at, Event::Arrive(index));
         }
-        while let Some(Timed(now, _, event)) = self.events.pop() {
+        while let Some(TimedEvent(now, _, event)) = self.events.pop() {
             match event {
                 Event::Arrive(request) => self.arrive(now, request),
                 Event::Prefilled { engine, start } => self.prefilled(now, engine, start),
@@ -179,7 +179,7 @@
 
     fn push(&mut self, at: f64, event: Event) {
         self.sequence += 1;
-        self.events.push(Timed(at, self.sequence, event));
+        self.events.push(TimedEvent(at, self.sequence, event));
     }
 
     fn snapshot(&mut self, now: f64) {
@@ -259,7 +259,7 @@
             if engine % DOMAINS != arrival.gateway % DOMAINS {
                 self.result.cross_domain += 1;
             }
-            let job = Job {
+            let job = EngineJob {
                 request: index,
                 prompt: arrival.prompt,
                 memory: (*memory).min(ENGINE_MEMORY),
--- a/lovagedock/examples/compare/main.rs
+++ b/lovagedock/examples/compare/main.rs
@@ -40,7 +40,7 @@
     };
     let gateways = args.next().map_or(3, |a| a.parse().expect("GATEWAYS"));
     for policy in policy_names().into_iter().filter(wanted) {
-        let runs: Vec<Pair> = (1..=seeds)
+        let runs: Vec<PairedRun> = (1..=seeds)
             .map(|seed| {
                 let setup = FleetSetup {
                     spec: PlacementSpec {
@@ -57,7 +57,7 @@
                     with_long: true,
                     with_backlog,
                 };
-                Pair::new(&setup)
+                PairedRun::new(&setup)
             })
             .collect();
         print_row(policy, &runs);
@@ -65,12 +65,12 @@
 }
 
 /// The same short requests with and without the long ones.
-struct Pair {
+struct PairedRun {
     mixed: FleetResult,
     short: FleetResult,
 }
 
-impl Pair {
+impl PairedRun {
     fn new(setup: &FleetSetup) -> Self {
         let short = FleetSetup {
             with_long: false,
@@ -87,7 +87,7 @@
     }
 }
 
-fn print_row(policy: &str, runs: &[Pair]) {
+fn print_row(policy: &str, runs: &[PairedRun]) {
     print!("| {policy} ");
     for bucket in LengthBucket::ALL {
         print!("| {:.2} ", spread(runs, |pair| pair.mixed.p95(bucket)).1);
@@ -105,7 +105,7 @@
 }
 
 /// Least, median and greatest value over the runs.
-fn spread(runs: &[Pair], value: impl Fn(&Pair) -> f64) -> (f64, f64, f64) {
+fn spread(runs: &[PairedRun], value: impl Fn(&PairedRun) -> f64) -> (f64, f64, f64) {
     let mut values: Vec<f64> = runs.iter().map(value).collect();
     values.sort_by(f64::total_cmp);
     (
--- a/lovagedock/examples/compare/traffic.rs
+++ b/lovagedock/examples/compare/traffic.rs
@@ -47,7 +47,7 @@
 }
 
 /// Hash of the first `pieces` pieces of a conversation.
-pub(crate) fn shared_hash(conversation: u64, pieces: u64) -> u64 {
+pub(crate) fn conversation_hash(conversation: u64, pieces: u64) -> u64 {
     (conversation + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ pieces.wrapping_mul(0xff51_afd7)
 }
 
@@ -91,7 +91,7 @@
     let unique: u64 = rng.random();
     let prefix = (1..=pieces)
         .map(|piece| match shares && piece <= shared_pieces {
-            true => shared_hash(conversation, piece),
+            true => conversation_hash(conversation, piece),
             false => unique.wrapping_add(piece),
         })
         .collect();
--- a/lovagedock/src/cost/model.rs
+++ b/lovagedock/src/cost/model.rs
@@ -128,7 +128,7 @@
             self.queue_seconds_per_token = rate;
             return;
         }
-        let gain = tokens / (tokens + QUEUE_MEMORY_TOKENS);
+        let gain = tokens / (tokens + QUEUE_RATE_DECAY_TOKENS);
         self.queue_seconds_per_token += gain * (rate - self.queue_seconds_per_token);
     }
 }
@@ -139,4 +139,4 @@
     }
 }
 
-const QUEUE_MEMORY_TOKENS: f64 = 1e6;
+const QUEUE_RATE_DECAY_TOKENS: f64 = 1e6;
--- a/lovagedock/src/cost/prefill.rs
+++ b/lovagedock/src/cost/prefill.rs
@@ -47,7 +47,7 @@
     pub(super) fn observe(&mut self, linear: f64, squared: f64, seconds: f64) {
         let features = [linear / LINEAR_UNIT, squared / SQUARED_UNIT];
         if self.observations == 0 {
-            self.start(features, seconds);
+            self.scale_prior(features, seconds);
         }
         self.observations += 1;
         let predicted = dot(features, self.theta);
@@ -60,7 +60,7 @@
 
     /// Scales the prior to the first observation: engines differ by far more in speed than in the
     /// ratio of the two coefficients, which short prompts alone cannot tell.
-    fn start(&mut self, features: [f64; 2], seconds: f64) {
+    fn scale_prior(&mut self, features: [f64; 2], seconds: f64) {
         let ratio = seconds / dot(features, self.theta);
         self.theta = [self.theta[0] * ratio, self.theta[1] * ratio];
         self.covariance = self.prior_covariance();
@@ -84,13 +84,13 @@
             self.streak = 0;
             return 1.0;
         }
-        self.note_streak(residual);
+        self.track_streak(residual);
         limit / size
     }
 
     /// Outliers come now and then and on both sides; several in a row on one side mean that the
     /// engine has changed, and what was learned before is in the way.
-    fn note_streak(&mut self, residual: f64) {
+    fn track_streak(&mut self, residual: f64) {
         let sign = if residual > 0.0 { 1 } else { -1 };
         let continued = self.streak.signum() == sign;
         self.streak = if continued { self.streak + sign } else { sign };
@@ -115,8 +115,8 @@
             return;
         }
         let noise = NOISE_VARIANCE / weight;
-        let left = (spread * noise / (noise + spread)).max(NOISE_VARIANCE * STEADY_GAIN);
-        let shrink = (1.0 - left / spread) / spread;
+        let remaining = (spread * noise / (noise + spread)).max(NOISE_VARIANCE * STEADY_GAIN);
+        let shrink = (1.0 - remaining / spread) / spread;
         for i in 0..2 {
             let gain = px[i] / (noise + spread);
             // Neither more tokens nor a longer context can save time.
--- a/lovagedock/src/endpoint/answers.rs
+++ b/lovagedock/src/endpoint/answers.rs
@@ -74,17 +74,17 @@
 
     /// Takes out what is past its time or over the bounds, oldest first.
     pub(crate) fn expire(&mut self, now: Timestamp) -> Vec<EndedAnswer> {
-        let mut gone = Vec::new();
-        while self.oldest_is_over(now) {
+        let mut expired = Vec::new();
+        while self.oldest_is_due(now) {
             let Some(request) = self.order.pop_front() else {
                 break;
             };
             if let Some(answer) = self.answers.remove(&request) {
                 self.held_bytes -= answer.end.length;
-                gone.push(answer);
+                expired.push(answer);
             }
         }
-        gone
+        expired
     }
 
     /// When the oldest answer is past its time.
@@ -98,7 +98,7 @@
         self.answers.len()
     }
 
-    fn oldest_is_over(&self, now: Timestamp) -> bool {
+    fn oldest_is_due(&self, now: Timestamp) -> bool {
         let over_bounds = self.answers.len() > self.count || self.held_bytes > self.bytes;
         over_bounds || self.next_due().is_some_and(|due| due <= now)
     }
--- a/lovagedock/src/endpoint/recall.rs
+++ b/lovagedock/src/endpoint/attempt_control.rs
@@ -12,40 +12,40 @@
 impl EndpointCore {
     pub(super) fn revoke(&mut self, now: Timestamp, key: AttemptKey) {
         if key.incarnation != self.incarnation {
-            return self.tell_verdict(key, RevokeVerdict::OtherLife);
+            return self.push_verdict(key, RevokeVerdict::OtherLife);
         }
         let phase = self.table.get(&key.request).map(|entry| entry.phase);
         let verdict = match phase {
             Some(RequestPhase::Starting | RequestPhase::Running) => RevokeVerdict::Running,
             Some(RequestPhase::Queued) => {
-                self.bury(now, key);
+                self.revoke_unstarted(now, key);
                 RevokeVerdict::Revoked
             }
             None if self.has_run(key) => RevokeVerdict::Ended,
             None => {
-                self.bury(now, key);
+                self.revoke_unstarted(now, key);
                 RevokeVerdict::Revoked
             }
         };
-        self.tell_verdict(key, verdict);
+        self.push_verdict(key, verdict);
     }
 
     fn has_run(&self, key: AttemptKey) -> bool {
-        let stone = self.refused.get(key.request);
+        let tombstone = self.refused.get(key.request);
         self.answers.get(key.request).is_some()
-            || stone.is_some_and(|stone| stone.ran != RanState::No)
+            || tombstone.is_some_and(|tombstone| tombstone.ran != RanState::No)
     }
 
     /// Leaves a tombstone, also for a submit that has not come yet, and takes the attempt out of
     /// the queue. A newer attempt that waits is left alone.
-    fn bury(&mut self, now: Timestamp, key: AttemptKey) {
+    fn revoke_unstarted(&mut self, now: Timestamp, key: AttemptKey) {
         if self.safeguards.tombstones {
-            let stone = Tombstone {
+            let tombstone = Tombstone {
                 attempt: key.attempt,
                 code: ResultCode::Revoked,
                 ran: RanState::No,
             };
-            self.revoked.insert(now, key.request, stone);
+            self.revoked.insert(now, key.request, tombstone);
         }
         let waits = self.table.get(&key.request);
         if waits.is_some_and(|entry| entry.key.attempt <= key.attempt) {
@@ -62,7 +62,7 @@
             return;
         }
         let Some(entry) = self.table.get(&key.request) else {
-            return self.bury(now, key);
+            return self.revoke_unstarted(now, key);
         };
         if key.attempt < entry.key.attempt || !entry.ends_without_sink() {
             return;
@@ -78,7 +78,7 @@
         };
         if let Some(entry) = self.table.get_mut(&key.request) {
             entry.sink_lost = None;
-            self.arm(key.request);
+            self.schedule_due(key.request);
         }
         self.actions
             .push(EndpointAction::ResumeFrom { key, offset, end });
@@ -93,7 +93,7 @@
         found.then(|| Some(answer.end.clone()))
     }
 
-    pub(super) fn lose_sink(&mut self, now: Timestamp, key: AttemptKey) {
+    pub(super) fn record_sink_loss(&mut self, now: Timestamp, key: AttemptKey) {
         let Some(entry) = self.table.get_mut(&key.request) else {
             return;
         };
@@ -101,6 +101,6 @@
             return;
         }
         entry.sink_lost = Some(now);
-        self.arm(key.request);
+        self.schedule_due(key.request);
     }
 }
--- a/lovagedock/src/endpoint/core.rs
+++ b/lovagedock/src/endpoint/core.rs
@@ -13,7 +13,7 @@
         queue::AdmissionQueue,
         speed::EngineSpeed,
         tombstones::TombstoneTable,
-        work::EngineRoom,
+        work::EngineCapacity,
     },
     ids::{Incarnation, OrganisationId, RequestId, Timestamp, TokenCount},
     outcome::{AttemptKey, RevokeVerdict},
@@ -51,10 +51,10 @@
     pub(super) batch_size: usize,
     pub(super) engine_up: bool,
     pub(super) draining: bool,
-    pub(super) account_due: Timestamp,
+    pub(super) allocations_due: Timestamp,
     pub(super) actions: Vec<EndpointAction>,
     pub(super) due: BTreeSet<DueRequest>,
-    drained_told: bool,
+    drained_reported: bool,
     pub(super) wake: Option<Timestamp>,
     pub(super) now: Timestamp,
 }
@@ -84,10 +84,10 @@
             batch_size: 0,
             engine_up: true,
             draining: false,
-            account_due: limits.allocations_wait,
+            allocations_due: limits.allocations_wait,
             actions: Vec::new(),
             due: BTreeSet::new(),
-            drained_told: false,
+            drained_reported: false,
             wake: None,
             now: Timestamp::ZERO,
             limits,
@@ -107,8 +107,8 @@
         self.expire(now);
         self.dispatch(now, event);
         self.start_next(now);
-        self.tell_drained();
-        self.ask_wake();
+        self.report_drained();
+        self.schedule_wake();
         std::mem::take(&mut self.actions)
     }
 
@@ -118,11 +118,13 @@
             EndpointEvent::Revoke(key) => self.revoke(now, key),
             EndpointEvent::Cancel(key) => self.cancel(now, key),
             EndpointEvent::Resume { key, offset } => self.resume(key, offset),
-            EndpointEvent::SinkLost(key) => self.lose_sink(now, key),
+            EndpointEvent::SinkLost(key) => self.record_sink_loss(now, key),
             EndpointEvent::EngineStarted(key) => self.engine_started(key),
             EndpointEvent::EngineBytes { key, length } => self.engine_bytes(now, key, length),
             EndpointEvent::EngineEnded { key, result } => self.engine_ended(now, key, result),
-            EndpointEvent::EngineAllocations(account) => self.engine_account(now, &account),
+            EndpointEvent::EngineAllocations(allocations) => {
+                self.engine_allocations(now, &allocations)
+            }
             EndpointEvent::EngineReport(report) => self.engine_report(now, report),
             EndpointEvent::EngineDown => self.engine_down(now),
             EndpointEvent::EngineUp => self.bring_engine_up(now),
@@ -139,13 +141,13 @@
         while self.may_start(now) && self.started.len() < self.concurrency() {
             let running = || self.started.iter().filter_map(|id| self.table.get(id));
             let free_at = |need| predict_free(now, need, running(), &self.ledger);
-            let room = EngineRoom {
+            let capacity = EngineCapacity {
                 memory: self.ledger.memory(),
                 free: self.ledger.free(),
                 free_at: &free_at,
             };
             let reserve = self.safeguards.head_reservation;
-            let Some(work) = self.queue.pop(now, room, &self.limits, reserve) else {
+            let Some(work) = self.queue.pop(now, capacity, &self.limits, reserve) else {
                 return;
             };
             let Some(entry) = self.table.get_mut(&work.request) else {
@@ -158,21 +160,21 @@
             entry.started_at = now;
             self.started.insert(work.request);
             self.actions.push(EndpointAction::Start(entry.key));
-            self.arm(work.request);
+            self.schedule_due(work.request);
         }
     }
 
     fn may_start(&self, now: Timestamp) -> bool {
         let leaving = self.draining && self.safeguards.drain_queue;
-        self.engine_up && !leaving && self.knows_engine(now)
+        self.engine_up && !leaving && self.knows_engine_state(now)
     }
 
     /// Whether the engine has told what it holds, or had its time to tell.
     ///
     /// After a restart of this sidecar its former work may still run on the engine. A start
     /// before the first account could run a request twice, or overfill the memory.
-    pub(super) fn knows_engine(&self, now: Timestamp) -> bool {
-        self.ledger.memory() == 0 || self.ledger.is_accounted() || self.account_due <= now
+    pub(super) fn knows_engine_state(&self, now: Timestamp) -> bool {
+        self.ledger.memory() == 0 || self.ledger.knows_allocations() || self.allocations_due <= now
     }
 
     /// Requests that were started and have not ended.
@@ -190,7 +192,7 @@
 
     fn drain(&mut self, now: Timestamp, leaving: bool) {
         self.draining = leaving;
-        self.drained_told = false;
+        self.drained_reported = false;
         if !leaving || !self.safeguards.drain_queue {
             return;
         }
@@ -199,17 +201,17 @@
         self.finish_queued(now, ResultCode::Draining);
     }
 
-    fn tell_drained(&mut self) {
+    fn report_drained(&mut self) {
         let empty = self.table.is_empty() && self.ledger.reserved() == 0;
-        if !self.draining || self.drained_told || !empty {
+        if !self.draining || self.drained_reported || !empty {
             return;
         }
-        self.drained_told = true;
+        self.drained_reported = true;
         self.actions.push(EndpointAction::Drained);
     }
 
     /// The verdict on an attempt, as an action.
-    pub(super) fn tell_verdict(&mut self, key: AttemptKey, verdict: RevokeVerdict) {
+    pub(super) fn push_verdict(&mut self, key: AttemptKey, verdict: RevokeVerdict) {
         self.actions.push(EndpointAction::Verdict { key, verdict });
     }
 }
--- a/lovagedock/src/endpoint/engine.rs
+++ b/lovagedock/src/endpoint/engine.rs
@@ -25,7 +25,7 @@
             return;
         };
         entry.phase = RequestPhase::Running;
-        entry.first_bytes.get_or_insert(now);
+        entry.first_bytes_at.get_or_insert(now);
         let offset = entry.delivered;
         entry.delivered += length;
         let key = entry.key;
@@ -38,13 +38,13 @@
 
     pub(super) fn engine_ended(&mut self, now: Timestamp, key: AttemptKey, result: EngineResult) {
         let Some(entry) = self.started_entry(key) else {
-            return self.late_end(key);
+            return self.release_after_late_end(key);
         };
         let delivered = entry.delivered;
         let started = entry.phase == RequestPhase::Running;
         let end = match result {
             EngineResult::Finished(answer) => {
-                self.learn(now, key.request, &answer);
+                self.learn_speed(now, key.request, &answer);
                 finished_end(&answer, delivered)
             }
             EngineResult::Refused { detail } if !started => {
@@ -61,13 +61,15 @@
                 AnswerEnd::new(ResultCode::EngineFailed).with_detail(detail)
             }
             EngineResult::Lost { detail } => {
-                let end = lost_answer(entry).with_detail(detail);
+                let end = connection_lost_end(entry).with_detail(detail);
                 // The engine may live and still hold the memory: it is freed when the engine's
                 // account says so. Freed at once, new work would be let into taken blocks.
                 return self.finish(now, key.request, end, false);
             }
             EngineResult::Ended { detail } => {
-                let end = lost_answer(entry).with_detail(detail).with_engine_ended();
+                let end = connection_lost_end(entry)
+                    .with_detail(detail)
+                    .with_engine_ended();
                 return self.finish(now, key.request, end, false);
             }
             EngineResult::Cancelled => {
@@ -79,27 +81,27 @@
 
     /// The engine's word on a request that has got its end here before: its memory is free. An
     /// end of another attempt than the one that holds the memory says nothing.
-    fn late_end(&mut self, key: AttemptKey) {
+    fn release_after_late_end(&mut self, key: AttemptKey) {
         let here = self.table.contains_key(&key.request) || self.ledger.is_reserved(key.request);
         if !here && key.incarnation == self.incarnation {
             self.free_memory(key.request);
         }
     }
 
-    pub(super) fn engine_account(&mut self, now: Timestamp, account: &[EngineAllocation]) {
+    pub(super) fn engine_allocations(&mut self, now: Timestamp, allocations: &[EngineAllocation]) {
         let grace = self.limits.orphan_grace;
-        let lost = self.ledger.reconcile(now, account, grace);
+        let lost = self.ledger.reconcile(now, allocations, grace);
         for request in lost {
             // The engine forgot it; waiting for its deadline would hold the caller for nothing.
             let end = AnswerEnd::new(ResultCode::EngineFailed)
                 .with_detail("the engine does not hold the request any more");
             self.finish(now, request, end, false);
         }
-        self.refuse_old_runs(now);
+        self.refuse_orphaned_requests(now);
     }
 
     /// What waits here may be running on the engine since before this sidecar's start.
-    fn refuse_old_runs(&mut self, now: Timestamp) {
+    fn refuse_orphaned_requests(&mut self, now: Timestamp) {
         if !self.safeguards.one_run {
             return;
         }
@@ -128,16 +130,16 @@
     pub(super) fn bring_engine_up(&mut self, now: Timestamp) {
         if !self.engine_up {
             self.engine_up = true;
-            self.account_due = now + self.limits.allocations_wait;
+            self.allocations_due = now + self.limits.allocations_wait;
         }
     }
 
     pub(super) fn engine_down(&mut self, now: Timestamp) {
         self.engine_up = false;
-        self.ledger.disown(now);
+        self.ledger.orphan_all(now);
         let running = self.running();
         let running: Vec<_> = running
-            .map(|entry| (entry.key.request, lost_end(entry)))
+            .map(|entry| (entry.key.request, engine_lost_end(entry)))
             .collect();
         for (request, end) in running {
             self.finish(now, request, end, true);
@@ -190,12 +192,12 @@
 
     pub(super) fn free_memory(&mut self, request: RequestId) {
         self.ledger.release(request);
-        self.queue.note_end(request);
+        self.queue.record_end(request);
     }
 
     /// Tells the engine to free what a request holds; the lease stays until it has.
     pub(super) fn close_memory(&mut self, now: Timestamp, request: RequestId) {
-        self.queue.note_end(request);
+        self.queue.record_end(request);
         let retry = self.limits.cancel_retry;
         if self.ledger.close(now, request, retry) {
             self.actions.push(EndpointAction::CancelOnEngine(request));
@@ -209,11 +211,11 @@
         (entry.started == Some(key)).then_some(entry)
     }
 
-    fn learn(&mut self, now: Timestamp, request: RequestId, answer: &EngineAnswer) {
+    fn learn_speed(&mut self, now: Timestamp, request: RequestId, answer: &EngineAnswer) {
         let Some(entry) = self.table.get(&request) else {
             return;
         };
-        let Some(first) = entry.first_bytes else {
+        let Some(first) = entry.first_bytes_at else {
             return;
         };
         // The engine counts the whole prompt of a span and prefilled a part of it.
@@ -227,8 +229,8 @@
             batch,
             prefill: first - entry.started_at,
             decode: now - first,
-            answered: answer.answer_tokens,
-            asked: entry.order.answer_tokens,
+            answer_tokens: answer.answer_tokens,
+            answer_limit: entry.order.answer_tokens,
         });
     }
 }
@@ -251,14 +253,14 @@
 
 /// The end of a request whose engine stopped talking: only bytes prove that it ran. Told "ran" or
 /// "not run" without them, a caller would act on a guess.
-fn lost_answer(entry: &RequestEntry) -> AnswerEnd {
-    match entry.first_bytes {
+fn connection_lost_end(entry: &RequestEntry) -> AnswerEnd {
+    match entry.first_bytes_at {
         Some(_) => AnswerEnd::new(ResultCode::EngineFailed),
         None => AnswerEnd::new(ResultCode::EndpointLost),
     }
 }
 
-fn lost_end(entry: &RequestEntry) -> AnswerEnd {
+fn engine_lost_end(entry: &RequestEntry) -> AnswerEnd {
     match entry.phase {
         RequestPhase::Running => {
             AnswerEnd::new(ResultCode::EngineFailed).with_detail("the engine died")
--- a/lovagedock/src/endpoint/entry.rs
+++ b/lovagedock/src/endpoint/entry.rs
@@ -43,7 +43,7 @@
     /// When the engine was told to start it.
     pub(crate) started_at: Timestamp,
     /// When the first bytes came.
-    pub(crate) first_bytes: Option<Timestamp>,
+    pub(crate) first_bytes_at: Option<Timestamp>,
     /// Bytes of the answer so far.
     pub(crate) delivered: u64,
 }
@@ -68,7 +68,7 @@
             due: deadline,
             sink_lost: None,
             started_at: now,
-            first_bytes: None,
+            first_bytes_at: None,
             delivered: 0,
         }
     }
@@ -95,7 +95,7 @@
 
     /// Prefill time that is predicted to be left.
     pub(crate) fn prefill_left(&self, now: Timestamp) -> Duration {
-        match (self.phase, self.first_bytes) {
+        match (self.phase, self.first_bytes_at) {
             (_, Some(_)) => Duration::ZERO,
             (RequestPhase::Queued, None) => self.cost.prefill,
             (RequestPhase::Starting | RequestPhase::Running, None) => self
--- a/lovagedock/src/endpoint/expiry.rs
+++ b/lovagedock/src/endpoint/expiry.rs
@@ -17,7 +17,7 @@
         self.refused.expire(now);
         self.expire_requests(now);
         self.forget_answers(now);
-        self.lapse_reservations(now);
+        self.expire_reservations(now);
         self.collect_memory(now);
     }
 
@@ -54,11 +54,11 @@
                 .with_detail("it waited so long that it cannot finish in time any more");
             return self.finish(now, request, end, false);
         }
-        self.arm(request);
+        self.schedule_due(request);
     }
 
     /// Sets when something is to be decided about a request next.
-    pub(super) fn arm(&mut self, request: RequestId) {
+    pub(super) fn schedule_due(&mut self, request: RequestId) {
         let Some(entry) = self.table.get_mut(&request) else {
             return;
         };
@@ -77,14 +77,14 @@
         }
     }
 
-    pub(super) fn ask_wake(&mut self) {
+    pub(super) fn schedule_wake(&mut self) {
         let request = self.due.first().map(|due| due.at);
-        let waits = self.queue.len() > 0 && !self.knows_engine(self.now);
-        let account = waits.then_some(self.account_due);
+        let waits = self.queue.len() > 0 && !self.knows_engine_state(self.now);
+        let allocations = waits.then_some(self.allocations_due);
         let answer = self.answers.next_due();
         let collects = self.engine_up && self.safeguards.orphan_collection;
         let memory = self.ledger.next_due().filter(|_| collects);
-        let times = [request, account, answer, memory];
+        let times = [request, allocations, answer, memory];
         let wake = times.into_iter().flatten().min();
         let wake = wake.map(|at| at.max(self.now));
         let fired = self.wake.is_some_and(|at| at <= self.now);
--- a/lovagedock/src/endpoint/fair.rs
+++ b/lovagedock/src/endpoint/fair_queue.rs
@@ -8,7 +8,7 @@
 pub(crate) type VirtualTime = u128;
 
 /// Cost that work has at least, so that order counts before any speed is known.
-const LEAST_COST: Duration = Duration::from_millis(1);
+const MIN_COST: Duration = Duration::from_millis(1);
 
 /// Start tags of one tier.
 ///
@@ -36,7 +36,7 @@
         weight: u32,
     ) -> VirtualTime {
         let tag = self.next(organisation);
-        let cost = cost.max(LEAST_COST).as_nanos() / u128::from(weight.max(1));
+        let cost = cost.max(MIN_COST).as_nanos() / u128::from(weight.max(1));
         self.finish.insert(organisation.clone(), tag + cost);
         tag
     }
--- a/lovagedock/src/endpoint/finish.rs
+++ b/lovagedock/src/endpoint/finish.rs
@@ -43,7 +43,7 @@
             self.close_memory(now, request);
         }
         if self.table.is_empty() {
-            self.queue.note_idle();
+            self.queue.reset_tags();
         }
         let key = entry.key;
         self.actions.push(EndpointAction::EndAnswer {
@@ -74,12 +74,12 @@
         if !self.safeguards.tombstones {
             return;
         }
-        let stone = Tombstone {
+        let tombstone = Tombstone {
             attempt: key.attempt,
             code: end.code,
             ran: end.ran,
         };
-        self.refused.insert(now, key.request, stone);
+        self.refused.insert(now, key.request, tombstone);
     }
 
     pub(super) fn forget_answers(&mut self, now: Timestamp) {
@@ -102,10 +102,10 @@
 
     /// When another try may succeed.
     pub(super) fn retry_after(&self) -> Duration {
-        const LEAST: Duration = Duration::from_secs(1);
-        const MOST: Duration = Duration::from_secs(60);
+        const MIN: Duration = Duration::from_secs(1);
+        const MAX: Duration = Duration::from_secs(60);
         let ahead = self.queue.all();
         let slots = self.concurrency().max(1) as u32;
-        ahead.prefill.max(ahead.total / slots).clamp(LEAST, MOST)
+        ahead.prefill.max(ahead.total / slots).clamp(MIN, MAX)
     }
 }
--- a/lovagedock/src/endpoint/head.rs
+++ b/lovagedock/src/endpoint/head_reservation.rs
@@ -14,8 +14,8 @@
 #[derive(Debug, Default)]
 pub(crate) struct HeadReservation {
     head: Option<WaitingHead>,
-    passers: BTreeMap<RequestId, TokenCount>,
-    passed: TokenCount,
+    bypassing: BTreeMap<RequestId, TokenCount>,
+    bypassing_tokens: TokenCount,
 }
 
 #[derive(Debug)]
@@ -33,7 +33,7 @@
     }
 
     /// Whether memory is kept for this request.
-    pub(crate) fn is(&self, request: RequestId) -> bool {
+    pub(crate) fn is_head(&self, request: RequestId) -> bool {
         self.request() == Some(request)
     }
 
@@ -55,14 +55,14 @@
 
     /// The request does not wait any more.
     pub(crate) fn clear_if(&mut self, request: RequestId) {
-        if self.is(request) {
+        if self.is_head(request) {
             *self = Self::default();
         }
     }
 
     /// Whether a request that fits, and is predicted to end at some time, may start before the
     /// head.
-    pub(crate) fn lets_pass(
+    pub(crate) fn allows_bypass(
         &self,
         now: Timestamp,
         need: TokenCount,
@@ -74,38 +74,38 @@
         };
         let early = now < head.bypass_until;
         let ends_before = ends_at > now && ends_at <= head.fits_at;
-        early || ends_before || self.leaves_room(need, memory)
+        early || ends_before || self.leaves_memory_for_head(need, memory)
     }
 
     /// Whether the head still fits beside this and all that passed it.
-    pub(crate) fn leaves_room(&self, need: TokenCount, memory: TokenCount) -> bool {
+    pub(crate) fn leaves_memory_for_head(&self, need: TokenCount, memory: TokenCount) -> bool {
         let Some(head) = &self.head else {
             return true;
         };
-        head.need + self.passed + need <= memory
+        head.need + self.bypassing_tokens + need <= memory
     }
 
     /// Memory that is left beside the head and all that passed it.
-    pub(crate) fn room(&self, memory: TokenCount) -> TokenCount {
+    pub(crate) fn available_beside_head(&self, memory: TokenCount) -> TokenCount {
         match &self.head {
-            Some(head) => memory.saturating_sub(head.need + self.passed),
+            Some(head) => memory.saturating_sub(head.need + self.bypassing_tokens),
             None => memory,
         }
     }
 
     /// A request started before the head.
-    pub(crate) fn note_start(&mut self, request: RequestId, need: TokenCount) {
+    pub(crate) fn record_bypass(&mut self, request: RequestId, need: TokenCount) {
         if self.head.is_none() {
             return;
         }
-        self.passers.insert(request, need);
-        self.passed += need;
+        self.bypassing.insert(request, need);
+        self.bypassing_tokens += need;
     }
 
     /// A started request has left the engine.
-    pub(crate) fn note_end(&mut self, request: RequestId) {
-        if let Some(need) = self.passers.remove(&request) {
-            self.passed -= need;
+    pub(crate) fn record_end(&mut self, request: RequestId) {
+        if let Some(need) = self.bypassing.remove(&request) {
+            self.bypassing_tokens -= need;
         }
     }
 }
--- a/lovagedock/src/endpoint/ledger.rs
+++ b/lovagedock/src/endpoint/ledger.rs
@@ -40,7 +40,7 @@
 
 /// Memory that the engine holds and no lease explains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct OrphanHolding {
+pub(super) struct OrphanAllocation {
     pub(super) tokens: TokenCount,
     /// Since when no account was there to tell whether it is still held.
     pub(super) since: Timestamp,
@@ -59,8 +59,8 @@
     pub(super) leased: TokenCount,
     pub(super) orphaned: TokenCount,
     pub(super) leases: BTreeMap<RequestId, MemoryLease>,
-    pub(super) orphans: BTreeMap<RequestId, OrphanHolding>,
-    pub(super) accounted: bool,
+    pub(super) orphans: BTreeMap<RequestId, OrphanAllocation>,
+    pub(super) allocations_known: bool,
 }
 
 impl MemoryLedger {
@@ -108,8 +108,8 @@
     }
 
     /// Whether the engine has given an account since the ledger was empty.
-    pub fn is_accounted(&self) -> bool {
-        self.accounted
+    pub fn knows_allocations(&self) -> bool {
+        self.allocations_known
     }
 
     /// Whether the engine holds memory under this request that no lease explains.
@@ -182,12 +182,12 @@
     ///
     /// If it was only cut off, everything is still there when it comes back and is cancelled at
     /// once; if it died, its next account lacks it.
-    pub fn disown(&mut self, now: Timestamp) {
+    pub fn orphan_all(&mut self, now: Timestamp) {
         for orphan in self.orphans.values_mut() {
             orphan.since = now;
         }
         for (request, lease) in std::mem::take(&mut self.leases) {
-            let orphan = OrphanHolding {
+            let orphan = OrphanAllocation {
                 tokens: lease.tokens,
                 since: now,
                 cancel_at: now,
@@ -196,16 +196,16 @@
         }
         self.leased = 0;
         self.orphaned = self.orphans.values().map(|orphan| orphan.tokens).sum();
-        self.accounted = false;
+        self.allocations_known = false;
     }
 
     /// Reservations that have lapsed.
-    pub fn lapsed(&self, now: Timestamp) -> Vec<RequestId> {
-        let lapsed = |lease: &MemoryLease| match lease.state {
+    pub fn expired_reservations(&self, now: Timestamp) -> Vec<RequestId> {
+        let expired = |lease: &MemoryLease| match lease.state {
             LeaseState::Reserved { until, .. } => until <= now,
             _ => false,
         };
-        let leases = self.leases.iter().filter(|(_, lease)| lapsed(lease));
+        let leases = self.leases.iter().filter(|(_, lease)| expired(lease));
         leases.map(|(request, _)| *request).collect()
     }
 
--- a/lovagedock/src/endpoint/mod.rs
+++ b/lovagedock/src/endpoint/mod.rs
@@ -4,18 +4,18 @@
 //! account for the engine's memory and order what waits. [`EndpointCore`] composes the parts.
 
 mod answers;
+mod attempt_control;
 mod core;
 mod engine;
 mod entry;
 mod expiry;
-mod fair;
+mod fair_queue;
 mod finish;
-mod head;
+mod head_reservation;
 mod ledger;
 mod limits;
 mod messages;
 mod queue;
-mod recall;
 mod reconcile;
 mod reserve;
 mod snapshot;
--- a/lovagedock/src/endpoint/queue.rs
+++ b/lovagedock/src/endpoint/queue.rs
@@ -5,10 +5,10 @@
 use crate::{
     config::PriorityTier,
     endpoint::{
-        fair::{FairTags, VirtualTime},
-        head::HeadReservation,
+        fair_queue::{FairTags, VirtualTime},
+        head_reservation::HeadReservation,
         limits::EndpointLimits,
-        work::{EngineRoom, QueuedWork, WorkAhead},
+        work::{EngineCapacity, QueuedWork, WorkAhead},
     },
     ids::{RequestId, Timestamp, TokenCount},
 };
@@ -27,13 +27,13 @@
 
 #[derive(Debug, Default)]
 struct TierQueue {
-    by_tag: BTreeSet<TagPlace>,
+    by_tag: BTreeSet<TagEntry>,
     ahead: WorkAhead,
     tags: FairTags,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct TagPlace {
+struct TagEntry {
     tag: VirtualTime,
     sequence: u64,
     request: RequestId,
@@ -63,7 +63,7 @@
         let cost = work.cost.total();
         let tag = tier.tags.push(&work.organisation, cost, work.weight);
         tier.ahead.add(work.cost);
-        tier.by_tag.insert(TagPlace {
+        tier.by_tag.insert(TagEntry {
             tag,
             sequence,
             request,
@@ -83,18 +83,18 @@
     pub(crate) fn pop(
         &mut self,
         now: Timestamp,
-        room: EngineRoom<'_>,
+        capacity: EngineCapacity<'_>,
         limits: &EndpointLimits,
         reserve: bool,
     ) -> Option<QueuedWork> {
-        let (request, aged) = self.choose(now, room, limits, reserve)?;
+        let (request, aged) = self.choose(now, capacity, limits, reserve)?;
         let tag = self.slots.get(&request)?.tag;
-        let was_head = self.head.is(request);
+        let was_head = self.head.is_head(request);
         let work = self.remove(request)?;
         self.tiers[work.tier as usize].tags.start(tag);
         self.starts_since_aged = if aged { 0 } else { self.starts_since_aged + 1 };
         if !was_head {
-            self.head.note_start(request, work.need);
+            self.head.record_bypass(request, work.need);
         }
         Some(work)
     }
@@ -103,7 +103,7 @@
     pub(crate) fn remove(&mut self, request: RequestId) -> Option<QueuedWork> {
         let slot = self.slots.remove(&request)?;
         let tier = &mut self.tiers[slot.work.tier as usize];
-        tier.by_tag.remove(&TagPlace {
+        tier.by_tag.remove(&TagEntry {
             tag: slot.tag,
             sequence: slot.sequence,
             request,
@@ -120,35 +120,39 @@
     }
 
     /// Nothing waits and nothing runs.
-    pub(crate) fn note_idle(&mut self) {
+    pub(crate) fn reset_tags(&mut self) {
         for tier in &mut self.tiers {
             tier.tags.reset();
         }
     }
 
     /// A started request has left the engine.
-    pub(crate) fn note_end(&mut self, request: RequestId) {
-        self.head.note_end(request);
+    pub(crate) fn record_end(&mut self, request: RequestId) {
+        self.head.record_end(request);
     }
 
     /// Whether memory may be given to something outside of the queue beside the waiting head.
-    pub(crate) fn leaves_room(&self, need: TokenCount, memory: TokenCount) -> bool {
-        self.head.leaves_room(need, memory)
+    pub(crate) fn leaves_memory_for_head(&self, need: TokenCount, memory: TokenCount) -> bool {
+        self.head.leaves_memory_for_head(need, memory)
     }
 
     /// Memory that is left beside the waiting head.
-    pub(crate) fn room(&self, memory: TokenCount) -> TokenCount {
-        self.head.room(memory)
+    pub(crate) fn available_beside_head(&self, memory: TokenCount) -> TokenCount {
+        self.head.available_beside_head(memory)
     }
 
     /// Memory was given to something outside of the queue.
-    pub(crate) fn note_taken(&mut self, request: RequestId, need: TokenCount) {
-        self.head.note_start(request, need);
+    pub(crate) fn record_external_grant(&mut self, request: RequestId, need: TokenCount) {
+        self.head.record_bypass(request, need);
     }
 
     /// The request to shed for a new one: the last in the order of the lowest tier, if the new
     /// one would go before it.
-    pub(crate) fn victim(&self, tier: PriorityTier, organisation: &str) -> Option<RequestId> {
+    pub(crate) fn shed_candidate(
+        &self,
+        tier: PriorityTier,
+        organisation: &str,
+    ) -> Option<RequestId> {
         let lowest = self.tiers.iter().position(|tier| !tier.by_tag.is_empty())?;
         let last = self.tiers[lowest].by_tag.last()?;
         let goes_before = match lowest.cmp(&(tier as usize)) {
@@ -174,8 +178,8 @@
             ahead.total += own.ahead.total;
             return ahead;
         }
-        for place in own.by_tag.iter().take_while(|place| place.tag <= tag) {
-            ahead.add(self.slots[&place.request].work.cost);
+        for entry in own.by_tag.iter().take_while(|entry| entry.tag <= tag) {
+            ahead.add(self.slots[&entry.request].work.cost);
         }
         ahead
     }
@@ -215,12 +219,12 @@
     fn choose(
         &mut self,
         now: Timestamp,
-        room: EngineRoom<'_>,
+        capacity: EngineCapacity<'_>,
         limits: &EndpointLimits,
         reserve: bool,
     ) -> Option<(RequestId, bool)> {
         if let Some(head) = self.head.request()
-            && self.need(head) <= room.free
+            && self.need(head) <= capacity.free
         {
             return Some((head, false));
         }
@@ -230,12 +234,12 @@
             };
             let need = slot.work.need;
             let ends_at = now + slot.work.cost.total();
-            let fits = need <= room.free;
-            if fits && (!reserve || self.head.lets_pass(now, need, ends_at, room.memory)) {
+            let fits = need <= capacity.free;
+            if fits && (!reserve || self.head.allows_bypass(now, need, ends_at, capacity.memory)) {
                 return Some((request, aged));
             }
             if !fits && reserve && self.head.request().is_none() {
-                let free_at = (room.free_at)(need);
+                let free_at = (capacity.free_at)(need);
                 self.head.set(request, need, now + limits.bypass, free_at);
             }
         }
@@ -246,7 +250,7 @@
     fn candidates(&self, now: Timestamp, limits: &EndpointLimits) -> Vec<(RequestId, bool)> {
         let aged = self.aged(now, limits);
         let by_tier = self.tiers.iter().rev().flat_map(|tier| tier.by_tag.iter());
-        let by_tier = by_tier.map(|place| (place.request, false));
+        let by_tier = by_tier.map(|entry| (entry.request, false));
         let aged = aged.map(|request| (request, true));
         aged.into_iter().chain(by_tier).take(SCAN_DEPTH).collect()
     }
--- a/lovagedock/src/endpoint/reconcile.rs
+++ b/lovagedock/src/endpoint/reconcile.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     endpoint::{
-        ledger::{LeaseState, MemoryLease, MemoryLedger, OrphanHolding},
+        ledger::{LeaseState, MemoryLease, MemoryLedger, OrphanAllocation},
         messages::EngineAllocation,
     },
     ids::{RequestId, Timestamp},
@@ -16,24 +16,27 @@
     pub fn reconcile(
         &mut self,
         now: Timestamp,
-        account: &[EngineAllocation],
+        allocations: &[EngineAllocation],
         grace: Duration,
     ) -> Vec<RequestId> {
-        self.accounted = true;
-        let held: BTreeSet<_> = account.iter().map(|holding| holding.request).collect();
-        self.adopt_orphans(now, account, grace);
+        self.allocations_known = true;
+        let held: BTreeSet<_> = allocations
+            .iter()
+            .map(|allocation| allocation.request)
+            .collect();
+        self.record_orphans(now, allocations, grace);
         self.orphans.retain(|request, _| held.contains(request));
         self.orphaned = self.orphans.values().map(|orphan| orphan.tokens).sum();
-        self.correct_leases(account);
-        self.drop_freed(&held);
-        self.note_missing(now, &held, grace)
+        self.grow_leases(allocations);
+        self.release_freed(&held);
+        self.track_missing(now, &held, grace)
     }
 
     /// Requests that the engine has to be told to cancel now, for the first time or again.
     pub fn collect(&mut self, now: Timestamp, grace: Duration, retry: Duration) -> Vec<RequestId> {
-        let accounted = self.accounted;
+        let allocations_known = self.allocations_known;
         let lost = |lease: &MemoryLease| match lease.state {
-            LeaseState::Closing { since, .. } => !accounted && since + grace <= now,
+            LeaseState::Closing { since, .. } => !allocations_known && since + grace <= now,
             _ => false,
         };
         // An engine that gives no account and confirms no cancellation cannot be asked: the
@@ -43,7 +46,7 @@
         for request in unconfirmed {
             self.release(request);
         }
-        if !accounted {
+        if !allocations_known {
             self.orphans.retain(|_, orphan| orphan.since + grace > now);
             self.orphaned = self.orphans.values().map(|orphan| orphan.tokens).sum();
         }
@@ -65,40 +68,45 @@
         due
     }
 
-    fn adopt_orphans(&mut self, now: Timestamp, account: &[EngineAllocation], grace: Duration) {
-        for holding in account {
-            if self.leases.contains_key(&holding.request) {
+    fn record_orphans(
+        &mut self,
+        now: Timestamp,
+        allocations: &[EngineAllocation],
+        grace: Duration,
+    ) {
+        for allocation in allocations {
+            if self.leases.contains_key(&allocation.request) {
                 continue;
             }
             let orphan = self
                 .orphans
-                .entry(holding.request)
-                .or_insert(OrphanHolding {
+                .entry(allocation.request)
+                .or_insert(OrphanAllocation {
                     tokens: 0,
                     since: now,
                     cancel_at: now + grace,
                 });
-            orphan.tokens = holding.tokens;
+            orphan.tokens = allocation.tokens;
         }
     }
 
     /// A prompt that was estimated too short holds more than its lease: the lease grows as far
     /// as memory is free, so that nothing else is admitted into blocks that are taken.
-    fn correct_leases(&mut self, account: &[EngineAllocation]) {
-        for holding in account {
+    fn grow_leases(&mut self, allocations: &[EngineAllocation]) {
+        for allocation in allocations {
             let free = self.free();
-            let Some(lease) = self.leases.get_mut(&holding.request) else {
+            let Some(lease) = self.leases.get_mut(&allocation.request) else {
                 continue;
             };
             lease.seen = true;
             lease.missing_since = None;
-            let growth = holding.tokens.saturating_sub(lease.tokens).min(free);
+            let growth = allocation.tokens.saturating_sub(lease.tokens).min(free);
             lease.tokens += growth;
             self.leased += growth;
         }
     }
 
-    fn drop_freed(&mut self, held: &BTreeSet<RequestId>) {
+    fn release_freed(&mut self, held: &BTreeSet<RequestId>) {
         let closed = |lease: &MemoryLease| matches!(lease.state, LeaseState::Closing { .. });
         let freed = self.leases.iter();
         let freed = freed.filter(|(request, lease)| closed(lease) && !held.contains(request));
@@ -108,7 +116,7 @@
         }
     }
 
-    fn note_missing(
+    fn track_missing(
         &mut self,
         now: Timestamp,
         held: &BTreeSet<RequestId>,
--- a/lovagedock/src/endpoint/reserve.rs
+++ b/lovagedock/src/endpoint/reserve.rs
@@ -18,7 +18,7 @@
     ) {
         if let Some(reservation) = self.reservation(key.request) {
             let enough = reservation.tokens >= tokens;
-            if !enough || key.attempt < reservation.attempt || !self.is_own_life(key) {
+            if !enough || key.attempt < reservation.attempt || !self.is_own_incarnation(key) {
                 return self.refuse_reservation(key);
             }
             return self.hold_reservation(now, key, tokens, hold);
@@ -26,7 +26,7 @@
         if !self.may_reserve(now, key, tokens) {
             return self.refuse_reservation(key);
         }
-        self.queue.note_taken(key.request, tokens);
+        self.queue.record_external_grant(key.request, tokens);
         self.hold_reservation(now, key, tokens, hold);
     }
 
@@ -53,18 +53,20 @@
         let known = self.table.contains_key(&key.request)
             || self.ledger.lease(key.request).is_some()
             || self.ledger.is_orphan(key.request)
-            || self.buried(key).is_some();
-        let serving = self.engine_up && !self.draining && self.knows_engine(now);
+            || self.tombstone_refusal(key).is_some();
+        let serving = self.engine_up && !self.draining && self.knows_engine_state(now);
         let fits = tokens <= self.ledger.free();
         let percent = TokenCount::from(self.limits.span_share_percent);
         let share = self.ledger.memory() * percent / 100;
         let in_share = self.span_tokens().saturating_add(tokens) <= share;
-        self.is_own_life(key)
+        self.is_own_incarnation(key)
             && serving
             && !known
             && in_share
             && fits
-            && self.queue.leaves_room(tokens, self.ledger.memory())
+            && self
+                .queue
+                .leaves_memory_for_head(tokens, self.ledger.memory())
     }
 
     /// Memory that spans hold, reserved or running.
@@ -94,11 +96,11 @@
     pub fn holds_reservation(&self, key: AttemptKey) -> bool {
         let reservation = self.reservation(key.request);
         let own = reservation.is_some_and(|reservation| reservation.attempt == key.attempt);
-        own && self.is_own_life(key)
+        own && self.is_own_incarnation(key)
     }
 
-    pub(super) fn lapse_reservations(&mut self, now: Timestamp) {
-        for request in self.ledger.lapsed(now) {
+    pub(super) fn expire_reservations(&mut self, now: Timestamp) {
+        for request in self.ledger.expired_reservations(now) {
             self.close_memory(now, request);
         }
     }
@@ -123,7 +125,7 @@
         }
     }
 
-    fn is_own_life(&self, key: AttemptKey) -> bool {
+    fn is_own_incarnation(&self, key: AttemptKey) -> bool {
         key.incarnation == self.incarnation
     }
 
--- a/lovagedock/src/endpoint/snapshot.rs
+++ b/lovagedock/src/endpoint/snapshot.rs
@@ -92,7 +92,7 @@
     pub fn load(&self) -> EndpointLoad {
         let running = self.running();
         let prefilling =
-            running.filter(|entry| entry.first_bytes.is_none() && entry.order.span.is_empty());
+            running.filter(|entry| entry.first_bytes_at.is_none() && entry.order.span.is_empty());
         EndpointLoad {
             draining: self.draining,
             engine_up: self.engine_up,
@@ -102,7 +102,7 @@
             free_tokens: self
                 .ledger
                 .free()
-                .min(self.queue.room(self.ledger.memory())),
+                .min(self.queue.available_beside_head(self.ledger.memory())),
             orphaned_tokens: self.ledger.orphaned(),
             reserved_tokens: self.ledger.reserved(),
             queued: self.queue.len(),
--- a/lovagedock/src/endpoint/speed.rs
+++ b/lovagedock/src/endpoint/speed.rs
@@ -11,9 +11,9 @@
 /// Weight of the newest observation.
 const LEARNING_RATE: f64 = 0.2;
 /// An answer whose bytes all came within this time came in one piece.
-const WHOLE_ANSWER_DECODE: Duration = Duration::from_micros(200);
+const UNSTREAMED_MAX_DECODE: Duration = Duration::from_micros(200);
 /// Share of the answer bound that is expected to be used before anything is known.
-const FIRST_ANSWER_SHARE: f64 = 0.5;
+const INITIAL_ANSWER_SHARE: f64 = 0.5;
 
 /// Times that a request is predicted to take once it has started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -45,16 +45,16 @@
     /// From the first bytes to the end.
     pub(crate) decode: Duration,
     /// Answer tokens.
-    pub(crate) answered: TokenCount,
+    pub(crate) answer_tokens: TokenCount,
     /// Bound of the answer that the caller asked for.
-    pub(crate) asked: TokenCount,
+    pub(crate) answer_limit: TokenCount,
 }
 
 impl RunSample {
     /// Whether the answer came in one piece, so that its first bytes say nothing about its first
     /// token.
-    fn came_whole(&self) -> bool {
-        self.answered > 1 && self.decode < WHOLE_ANSWER_DECODE
+    fn is_unstreamed(&self) -> bool {
+        self.answer_tokens > 1 && self.decode < UNSTREAMED_MAX_DECODE
     }
 }
 
@@ -74,7 +74,7 @@
         Self {
             reported: CostParameters::default(),
             model: CostModel::new(),
-            answer_share: FIRST_ANSWER_SHARE,
+            answer_share: INITIAL_ANSWER_SHARE,
         }
     }
 
@@ -85,7 +85,7 @@
 
     /// Learns from a run.
     pub(crate) fn observe(&mut self, sample: RunSample) {
-        if !sample.came_whole() {
+        if !sample.is_unstreamed() {
             self.model.observe_prefill(&PrefillObservation {
                 prompt_tokens: sample.prompt,
                 cached_tokens: sample.cached,
@@ -97,8 +97,8 @@
                 self.model.observe_decode(sample.batch, interval);
             }
         }
-        if sample.asked > 0 {
-            let share = sample.answered as f64 / sample.asked as f64;
+        if sample.answer_limit > 0 {
+            let share = sample.answer_tokens as f64 / sample.answer_limit as f64;
             self.answer_share += LEARNING_RATE * (share.min(1.0) - self.answer_share);
         }
     }
@@ -108,12 +108,12 @@
     pub(crate) fn predict(
         &self,
         prompt: TokenCount,
-        elsewhere: TokenCount,
+        prefilled: TokenCount,
         answer: TokenCount,
     ) -> RunCost {
         let parameters = self.parameters();
         RunCost {
-            prefill: parameters.prefill(prompt, elsewhere),
+            prefill: parameters.prefill(prompt, prefilled),
             decode: parameters.decode(answer).mul_f64(self.answer_share),
         }
     }
@@ -139,6 +139,6 @@
 }
 
 fn interval(sample: RunSample) -> Option<Duration> {
-    let gaps = u32::try_from(sample.answered.checked_sub(1)?).ok()?;
+    let gaps = u32::try_from(sample.answer_tokens.checked_sub(1)?).ok()?;
     sample.decode.checked_div(gaps)
 }
--- a/lovagedock/src/endpoint/submit.rs
+++ b/lovagedock/src/endpoint/submit.rs
@@ -22,10 +22,10 @@
         if key.incarnation != self.incarnation {
             return self.refuse(key, AnswerEnd::new(ResultCode::StaleIncarnation));
         }
-        if self.safeguards.one_run && self.meet_earlier(key) {
+        if self.safeguards.one_run && self.resolve_duplicate(key) {
             return;
         }
-        if let Some(end) = self.buried(key) {
+        if let Some(end) = self.tombstone_refusal(key) {
             return self.refuse(key, end);
         }
         self.apply_share(&mut order);
@@ -46,7 +46,7 @@
     ///
     /// A retry through another gateway or on a new connection otherwise starts the same request
     /// beside its first run, and the caller gets two answers mixed or a receipt twice.
-    fn meet_earlier(&mut self, key: AttemptKey) -> bool {
+    fn resolve_duplicate(&mut self, key: AttemptKey) -> bool {
         if let Some(entry) = self.table.get_mut(&key.request) {
             if key.attempt < entry.key.attempt {
                 let ran = match entry.phase {
@@ -61,7 +61,7 @@
             }
             entry.key = key;
             entry.sink_lost = None;
-            self.arm(key.request);
+            self.schedule_due(key.request);
             self.attach(key, 0, None);
             return true;
         }
@@ -85,14 +85,14 @@
             .push(EndpointAction::ResumeFrom { key, offset, end });
     }
 
-    pub(super) fn buried(&self, key: AttemptKey) -> Option<AnswerEnd> {
+    pub(super) fn tombstone_refusal(&self, key: AttemptKey) -> Option<AnswerEnd> {
         if !self.safeguards.tombstones {
             return None;
         }
-        let stones = [&self.revoked, &self.refused];
-        let mut stones = stones.iter().filter_map(|table| table.get(key.request));
-        let stone = stones.find(|stone| stone.covers(key.attempt))?;
-        Some(AnswerEnd::new(stone.code).with_ran(stone.ran))
+        let tombstones = [&self.revoked, &self.refused];
+        let mut tombstones = tombstones.iter().filter_map(|table| table.get(key.request));
+        let tombstone = tombstones.find(|tombstone| tombstone.covers(key.attempt))?;
+        Some(AnswerEnd::new(tombstone.code).with_ran(tombstone.ran))
     }
 
     /// The configuration in force here goes before what an older one at the gateway said.
@@ -175,7 +175,7 @@
 
     fn admit(&mut self, now: Timestamp, order: WorkOrder) {
         let key = order.key;
-        if self.queue.len() >= self.limits.queue_length && !self.shed_for(now, &order) {
+        if self.queue.len() >= self.limits.queue_length && !self.shed_lower(now, &order) {
             let end = AnswerEnd::new(ResultCode::Shed).with_retry_after(self.retry_after());
             self.remember_refusal(now, key, &end);
             return self.refuse(key, end);
@@ -200,17 +200,17 @@
         );
         let entry = RequestEntry::new(now, order, need, cost, deadline);
         self.table.insert(key.request, entry);
-        self.arm(key.request);
+        self.schedule_due(key.request);
         self.actions.push(EndpointAction::Accept(key));
     }
 
     /// Makes room in a full queue at the cost of the lowest tier.
-    fn shed_for(&mut self, now: Timestamp, order: &WorkOrder) -> bool {
-        let Some(victim) = self.queue.victim(order.tier, &order.organisation) else {
+    fn shed_lower(&mut self, now: Timestamp, order: &WorkOrder) -> bool {
+        let Some(candidate) = self.queue.shed_candidate(order.tier, &order.organisation) else {
             return false;
         };
         let end = AnswerEnd::new(ResultCode::Shed).with_retry_after(self.retry_after());
-        self.finish(now, victim, end, false);
+        self.finish(now, candidate, end, false);
         true
     }
 
--- a/lovagedock/src/endpoint/tombstones.rs
+++ b/lovagedock/src/endpoint/tombstones.rs
@@ -40,14 +40,14 @@
 pub(crate) struct TombstoneTable {
     hold: Duration,
     count: usize,
-    stones: BTreeMap<RequestId, KeptTombstone>,
+    tombstones: BTreeMap<RequestId, StoredTombstone>,
     order: VecDeque<ExpiryMark>,
     forgotten_early: u64,
 }
 
 #[derive(Debug)]
-struct KeptTombstone {
-    stone: Tombstone,
+struct StoredTombstone {
+    tombstone: Tombstone,
     until: Timestamp,
 }
 
@@ -63,7 +63,7 @@
         Self {
             hold,
             count,
-            stones: BTreeMap::new(),
+            tombstones: BTreeMap::new(),
             order: VecDeque::new(),
             forgotten_early: 0,
         }
@@ -77,25 +77,27 @@
     }
 
     /// Remembers a request; an older tombstone of it is widened, never narrowed.
-    pub(crate) fn insert(&mut self, now: Timestamp, request: RequestId, stone: Tombstone) {
+    pub(crate) fn insert(&mut self, now: Timestamp, request: RequestId, tombstone: Tombstone) {
         let until = now + self.hold;
-        let kept = self
-            .stones
+        let stored = self
+            .tombstones
             .entry(request)
-            .or_insert(KeptTombstone { stone, until });
-        if kept.stone.ran == RanState::No {
-            kept.stone.code = stone.code;
-            kept.stone.ran = stone.ran;
+            .or_insert(StoredTombstone { tombstone, until });
+        if stored.tombstone.ran == RanState::No {
+            stored.tombstone.code = tombstone.code;
+            stored.tombstone.ran = tombstone.ran;
         }
-        kept.stone.attempt = kept.stone.attempt.max(stone.attempt);
-        kept.until = until;
+        stored.tombstone.attempt = stored.tombstone.attempt.max(tombstone.attempt);
+        stored.until = until;
         self.order.push_back(ExpiryMark { until, request });
         self.trim();
     }
 
     /// The tombstone of a request.
     pub(crate) fn get(&self, request: RequestId) -> Option<&Tombstone> {
-        self.stones.get(&request).map(|kept| &kept.stone)
+        self.tombstones
+            .get(&request)
+            .map(|stored| &stored.tombstone)
     }
 
     /// Forgets what is past its time.
@@ -107,7 +109,7 @@
 
     /// Number of requests remembered.
     pub(crate) fn len(&self) -> usize {
-        self.stones.len()
+        self.tombstones.len()
     }
 
     /// Tombstones that the count pushed out before their time.
@@ -128,11 +130,14 @@
         let Some(mark) = self.order.pop_front() else {
             return false;
         };
-        let current = self.stones.get(&mark.request).map(|kept| kept.until);
+        let current = self
+            .tombstones
+            .get(&mark.request)
+            .map(|stored| stored.until);
         if current != Some(mark.until) {
             return false;
         }
-        self.stones.remove(&mark.request);
+        self.tombstones.remove(&mark.request);
         true
     }
 }
--- a/lovagedock/src/endpoint/work.rs
+++ b/lovagedock/src/endpoint/work.rs
@@ -27,7 +27,7 @@
 
 /// What is left of the engine for a start.
 #[derive(Clone, Copy)]
-pub(crate) struct EngineRoom<'a> {
+pub(crate) struct EngineCapacity<'a> {
     /// All memory.
     pub(crate) memory: TokenCount,
     /// Memory that no lease takes.
--- a/lovagedock/src/limits/bucket.rs
+++ b/lovagedock/src/limits/bucket.rs
@@ -34,12 +34,12 @@
     }
 
     /// Whether the bucket has this much.
-    pub(super) fn has(&self, amount: f64) -> bool {
+    pub(super) fn has_available(&self, amount: f64) -> bool {
         self.level >= amount
     }
 
     /// Takes an amount, into debt when there is less.
-    pub(super) fn take(&mut self, amount: f64) {
+    pub(super) fn consume(&mut self, amount: f64) {
         self.level -= amount;
     }
 
@@ -47,9 +47,9 @@
     pub(super) fn time_until(&self, amount: f64) -> Duration {
         let missing = (amount - self.level).max(0.0);
         if self.rate <= 0.0 {
-            return MAX_ADVICE;
+            return MAX_RETRY_AFTER;
         }
-        Duration::from_secs_f64((missing / self.rate).min(MAX_ADVICE.as_secs_f64()))
+        Duration::from_secs_f64((missing / self.rate).min(MAX_RETRY_AFTER.as_secs_f64()))
     }
 
     fn fill(&mut self, now: Timestamp) {
@@ -59,4 +59,4 @@
     }
 }
 
-const MAX_ADVICE: Duration = Duration::from_secs(60);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
--- a/lovagedock/src/limits/demand.rs
+++ b/lovagedock/src/limits/demand.rs
@@ -22,7 +22,7 @@
     }
 
     /// Demand for places: what is held, and what came and may want one.
-    pub(super) fn places(&self) -> u64 {
+    pub(super) fn concurrency_demand(&self) -> u64 {
         self.requests + u64::from(self.in_flight)
     }
 
@@ -47,7 +47,7 @@
 
 impl OwnDemand {
     /// Closes an exchange: what came becomes the value of this report.
-    pub(super) fn close(&mut self, sequence: u64) {
+    pub(super) fn close_exchange(&mut self, sequence: u64) {
         let former = self.latest();
         let value = self.current.smoothed(former);
         self.current = DemandVector::default();
@@ -73,7 +73,7 @@
     ///
     /// A peer may know any value since the confirmed one. The least of them is never above what a
     /// peer counts for this gateway, so the shares that all compute add up to one at most.
-    pub(super) fn counted(&mut self, confirmed: u64) -> DemandVector {
+    pub(super) fn confirmed_demand(&mut self, confirmed: u64) -> DemandVector {
         while self
             .reported
             .get(1)
--- a/lovagedock/src/limits/limiter.rs
+++ b/lovagedock/src/limits/limiter.rs
@@ -6,7 +6,7 @@
     demand::DemandVector,
     message::{LimitAction, LimitEvent, UsageAck, UsageEntry, UsageReport},
     peers::{LimitTiming, PeerTable, ShareStage},
-    usage::{LimitShares, OrganisationUse},
+    usage::{LimitShares, OrganisationUsage},
 };
 use crate::{
     config::OrganisationLimits,
@@ -50,7 +50,7 @@
     timing: LimitTiming,
     peers: PeerTable,
     sequence: u64,
-    organisations: HashMap<OrganisationId, OrganisationUse>,
+    organisations: HashMap<OrganisationId, OrganisationUsage>,
 }
 
 impl UsageLimiter {
@@ -72,7 +72,7 @@
         limits: OrganisationLimits,
     ) {
         let entry = self.organisations.entry(organisation.clone());
-        entry.or_insert_with(|| OrganisationUse::new(now)).limits = limits;
+        entry.or_insert_with(|| OrganisationUsage::new(now)).limits = limits;
     }
 
     /// Decides about a request of this many tokens, and counts it when it is admitted.
@@ -87,14 +87,14 @@
         let Some(usage) = self.organisations.get_mut(organisation) else {
             return LimitDecision::Admitted;
         };
-        usage.apply(now, &shares);
+        usage.apply_shares(now, &shares);
         usage.admit(&shares, tokens)
     }
 
     /// Counts a request that ended, with the tokens that its admission did not know of.
-    pub fn finish(&mut self, organisation: &OrganisationId, more_tokens: TokenCount) {
+    pub fn finish(&mut self, organisation: &OrganisationId, extra_tokens: TokenCount) {
         if let Some(usage) = self.organisations.get_mut(organisation) {
-            usage.finish(more_tokens);
+            usage.finish(extra_tokens);
         }
     }
 
@@ -116,7 +116,7 @@
             LimitEvent::Tick => self.exchange(now),
         };
         self.peers.advance(now);
-        self.apply_all(now);
+        self.apply_all_shares(now);
         actions
     }
 
@@ -149,12 +149,12 @@
         peer: GatewayId,
         report: &UsageReport,
     ) -> Vec<LimitAction> {
-        if !self.peers.receive(now, &peer, report) || !self.peers.speaks() {
+        if !self.peers.receive(now, &peer, report) || !self.peers.may_send() {
             return Vec::new();
         }
         // Shares shrink before the confirmation lets the peer's grow.
         self.peers.advance(now);
-        self.apply_all(now);
+        self.apply_all_shares(now);
         let ack = UsageAck {
             sequence: report.sequence,
             stage: self.peers.stage(),
@@ -165,14 +165,14 @@
     fn exchange(&mut self, now: Timestamp) -> Vec<LimitAction> {
         self.sequence += 1;
         for usage in self.organisations.values_mut() {
-            usage.close(self.sequence);
+            usage.close_exchange(self.sequence);
         }
         // A demand that shrank counts here before a peer hears of it.
-        self.apply_all(now);
-        if !self.peers.speaks() {
+        self.apply_all_shares(now);
+        if !self.peers.may_send() {
             return Vec::new();
         }
-        self.peers.note_sent(now, self.sequence);
+        self.peers.record_sent(now, self.sequence);
         let peers: Vec<GatewayId> = self.peers.names().cloned().collect();
         let report = |peer: GatewayId| LimitAction::Report {
             report: self.report_to(&peer),
@@ -202,7 +202,7 @@
         }
     }
 
-    fn apply_all(&mut self, now: Timestamp) {
+    fn apply_all_shares(&mut self, now: Timestamp) {
         let busy = self
             .organisations
             .iter()
@@ -211,7 +211,7 @@
         for organisation in busy {
             let shares = self.shares(&organisation);
             if let Some(usage) = self.organisations.get_mut(&organisation) {
-                usage.apply(now, &shares);
+                usage.apply_shares(now, &shares);
             }
         }
     }
@@ -221,18 +221,18 @@
         let peers = self.peers.demands(organisation);
         let usage = self.organisations.get_mut(organisation);
         let own = usage.map_or(DemandVector::default(), |usage| {
-            usage.demand.counted(confirmed)
+            usage.demand.confirmed_demand(confirmed)
         });
         let share = |field: fn(&DemandVector) -> u64| {
             let others = peers
                 .as_ref()
                 .map(|peers| peers.iter().map(field).sum::<u64>());
-            self.staged_share(field(&own), others)
+            self.share_in_stage(field(&own), others)
         };
         LimitShares {
             requests: share(|demand| demand.requests),
             tokens: share(|demand| demand.tokens),
-            concurrency: share(DemandVector::places),
+            concurrency: share(DemandVector::concurrency_demand),
             peers_in_flight: peers
                 .iter()
                 .flatten()
@@ -241,18 +241,18 @@
         }
     }
 
-    fn staged_share(&self, own: u64, others: Option<u64>) -> f64 {
+    fn share_in_stage(&self, own: u64, others: Option<u64>) -> f64 {
         let by_demand = match others {
             Some(others) if own > 0 => own as f64 / (own + others) as f64,
             _ => 0.0,
         };
         let equal = 1.0 / self.peers.gateways() as f64;
-        let moving = match self.peers.stage() {
+        let variable = match self.peers.stage() {
             ShareStage::ByDemand => by_demand,
             ShareStage::Minimum | ShareStage::Silent => by_demand.min(equal),
             ShareStage::Equal => equal,
         };
         let floor = f64::from(self.timing.floor_percent) / 100.0;
-        floor * equal + (1.0 - floor) * moving
+        floor * equal + (1.0 - floor) * variable
     }
 }
--- a/lovagedock/src/limits/peers.rs
+++ b/lovagedock/src/limits/peers.rs
@@ -55,7 +55,7 @@
     confirmed_sent_at: Option<Timestamp>,
     /// Latest report from it.
     received: u64,
-    heard_at: Option<Timestamp>,
+    received_at: Option<Timestamp>,
     stage: Option<ShareStage>,
     demands: HashMap<OrganisationId, DemandVector>,
 }
@@ -114,26 +114,26 @@
 
     /// What the peers want together; `None` until each has told.
     pub(super) fn demands(&self, organisation: &OrganisationId) -> Option<Vec<DemandVector>> {
-        let told = |state: &PeerState| {
+        let reported = |state: &PeerState| {
             let demand = state.demands.get(organisation).copied().unwrap_or_default();
             (state.received > 0).then_some(demand)
         };
-        self.peers.values().map(told).collect()
+        self.peers.values().map(reported).collect()
     }
 
-    pub(super) fn connect(&mut self, peer: &GatewayId, life: Incarnation) {
+    pub(super) fn connect(&mut self, peer: &GatewayId, incarnation: Incarnation) {
         let Some(state) = self.peers.get_mut(peer) else {
             return;
         };
-        if state.incarnation != Some(life) {
+        if state.incarnation != Some(incarnation) {
             *state = PeerState {
-                incarnation: Some(life),
+                incarnation: Some(incarnation),
                 ..PeerState::default()
             };
         }
     }
 
-    pub(super) fn note_sent(&mut self, now: Timestamp, sequence: u64) {
+    pub(super) fn record_sent(&mut self, now: Timestamp, sequence: u64) {
         let lease = self.timing.lease;
         self.sent_at.retain(|_, sent_at| now < *sent_at + lease);
         self.sent_at.insert(sequence, now);
@@ -155,7 +155,7 @@
             return false;
         }
         state.received = report.sequence;
-        state.heard_at = Some(now);
+        state.received_at = Some(now);
         state.stage = Some(report.stage);
         for entry in &report.entries {
             let demand = DemandVector {
@@ -178,7 +178,7 @@
             return;
         }
         state.confirmed = sequence;
-        if may_share(stage) {
+        if permits_demand_shares(stage) {
             state.confirmed_sent_at = state.confirmed_sent_at.max(sent_at);
         }
     }
@@ -186,11 +186,13 @@
     /// Moves to the stage that is safe now; to be called before any share is used.
     pub(super) fn advance(&mut self, now: Timestamp) {
         let next = match self.stage {
-            ShareStage::ByDemand if !self.all_confirm(now) => ShareStage::Minimum,
-            ShareStage::Minimum if self.all_confirm(now) => ShareStage::ByDemand,
-            ShareStage::Minimum if self.is_overdue(now, self.timing.lease) => ShareStage::Silent,
-            ShareStage::Silent if self.is_overdue(now, self.silence()) => ShareStage::Equal,
-            ShareStage::Equal if self.all_heard(now) => ShareStage::Minimum,
+            ShareStage::ByDemand if !self.all_leases_valid(now) => ShareStage::Minimum,
+            ShareStage::Minimum if self.all_leases_valid(now) => ShareStage::ByDemand,
+            ShareStage::Minimum if self.stage_lasted(now, self.timing.lease) => ShareStage::Silent,
+            ShareStage::Silent if self.stage_lasted(now, self.silence_period()) => {
+                ShareStage::Equal
+            }
+            ShareStage::Equal if self.all_reachable(now) => ShareStage::Minimum,
             same => same,
         };
         if next != self.stage {
@@ -200,39 +202,43 @@
     }
 
     /// Whether peers may count on this gateway's reports and confirmations.
-    pub(super) fn speaks(&self) -> bool {
+    pub(super) fn may_send(&self) -> bool {
         self.stage != ShareStage::Silent
     }
 
-    fn is_overdue(&self, now: Timestamp, time: Duration) -> bool {
+    fn stage_lasted(&self, now: Timestamp, time: Duration) -> bool {
         !self.peers.is_empty() && now >= self.stage_since + time
     }
 
     /// After this much silence no peer's lease rests on a confirmation of this gateway.
-    fn silence(&self) -> Duration {
+    fn silence_period(&self) -> Duration {
         self.timing.lease + self.timing.max_delay
     }
 
     /// No peer can be on equal shares: each confirmed lately that it is not, and a peer goes there
     /// only after a silence that outlasts this.
-    fn all_confirm(&self, now: Timestamp) -> bool {
+    fn all_leases_valid(&self, now: Timestamp) -> bool {
         let lease = self.timing.lease;
-        let confirms = |state: &PeerState| {
+        let lease_valid = |state: &PeerState| {
             state
                 .confirmed_sent_at
                 .is_some_and(|sent_at| now < sent_at + lease)
-                && state.stage.is_some_and(may_share)
+                && state.stage.is_some_and(permits_demand_shares)
         };
-        !self.peers.is_empty() && self.peers.values().all(confirms)
+        !self.peers.is_empty() && self.peers.values().all(lease_valid)
     }
 
-    fn all_heard(&self, now: Timestamp) -> bool {
+    fn all_reachable(&self, now: Timestamp) -> bool {
         let lease = self.timing.lease;
-        let heard = |state: &PeerState| state.heard_at.is_some_and(|heard| now < heard + lease);
-        !self.peers.is_empty() && self.peers.values().all(heard)
+        let reachable = |state: &PeerState| {
+            state
+                .received_at
+                .is_some_and(|received| now < received + lease)
+        };
+        !self.peers.is_empty() && self.peers.values().all(reachable)
     }
 }
 
-fn may_share(stage: ShareStage) -> bool {
+fn permits_demand_shares(stage: ShareStage) -> bool {
     matches!(stage, ShareStage::ByDemand | ShareStage::Minimum)
 }
--- a/lovagedock/src/limits/usage.rs
+++ b/lovagedock/src/limits/usage.rs
@@ -18,7 +18,7 @@
 const CONCURRENCY_RETRY: Duration = Duration::from_secs(1);
 
 #[derive(Debug)]
-pub(super) struct OrganisationUse {
+pub(super) struct OrganisationUsage {
     pub(super) limits: OrganisationLimits,
     requests: ShareBucket,
     tokens: ShareBucket,
@@ -34,7 +34,7 @@
     pub(super) peers_in_flight: u64,
 }
 
-impl OrganisationUse {
+impl OrganisationUsage {
     pub(super) fn new(now: Timestamp) -> Self {
         Self {
             limits: OrganisationLimits::default(),
@@ -49,7 +49,7 @@
         self.in_flight == 0 && self.demand.is_idle()
     }
 
-    pub(super) fn apply(&mut self, now: Timestamp, shares: &LimitShares) {
+    pub(super) fn apply_shares(&mut self, now: Timestamp, shares: &LimitShares) {
         let rate = f64::from(self.limits.requests_per_second) * shares.requests;
         self.requests
             .set_rate(now, rate, (rate * REQUEST_BURST_SECONDS).max(1.0));
@@ -58,16 +58,16 @@
             .set_rate(now, rate, (rate * TOKEN_BURST_SECONDS).max(1.0));
     }
 
-    pub(super) fn finish(&mut self, more_tokens: TokenCount) {
+    pub(super) fn finish(&mut self, extra_tokens: TokenCount) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        self.tokens.take(more_tokens as f64);
-        self.demand.current.tokens += more_tokens;
+        self.tokens.consume(extra_tokens as f64);
+        self.demand.current.tokens += extra_tokens;
     }
 
     /// Closes an exchange.
-    pub(super) fn close(&mut self, sequence: u64) {
+    pub(super) fn close_exchange(&mut self, sequence: u64) {
         self.demand.current.in_flight = self.in_flight;
-        self.demand.close(sequence);
+        self.demand.close_exchange(sequence);
     }
 
     pub(super) fn admit(&mut self, shares: &LimitShares, tokens: TokenCount) -> LimitDecision {
@@ -77,26 +77,26 @@
         if let Some((limit, retry_after)) = refused {
             return LimitDecision::Refused { limit, retry_after };
         }
-        self.requests.take(1.0);
-        self.tokens.take(tokens as f64);
+        self.requests.consume(1.0);
+        self.tokens.consume(tokens as f64);
         self.in_flight += 1;
         LimitDecision::Admitted
     }
 
     fn refusal(&self, shares: &LimitShares) -> Option<(LimitKind, Duration)> {
-        if self.limits.requests_per_second > 0 && !self.requests.has(1.0) {
+        if self.limits.requests_per_second > 0 && !self.requests.has_available(1.0) {
             return Some((LimitKind::Requests, self.requests.time_until(1.0)));
         }
         // One request may be larger than a share: it is let in while there is anything left, and
         // the debt is worked off before the next.
-        if self.limits.tokens_per_minute > 0 && !self.tokens.has(1.0) {
+        if self.limits.tokens_per_minute > 0 && !self.tokens.has_available(1.0) {
             return Some((LimitKind::Tokens, self.tokens.time_until(1.0)));
         }
         let limit = self.limits.concurrency;
         let allowed = (f64::from(limit) * shares.concurrency) as u32;
-        let full = self.in_flight >= allowed.max(1);
-        let crowded = u64::from(self.in_flight) + shares.peers_in_flight >= u64::from(limit);
-        if limit > 0 && (full || (crowded && self.in_flight > 0)) {
+        let share_used = self.in_flight >= allowed.max(1);
+        let limit_reached = u64::from(self.in_flight) + shares.peers_in_flight >= u64::from(limit);
+        if limit > 0 && (share_used || (limit_reached && self.in_flight > 0)) {
             return Some((LimitKind::Concurrency, CONCURRENCY_RETRY));
         }
         None
--- a/lovagedock/src/placement/baseline.rs
+++ b/lovagedock/src/placement/baseline.rs
@@ -8,7 +8,7 @@
 
 use super::{
     predict::{LengthClass, cost_of, predict_first_token},
-    span::{eligible, fits, take_span},
+    span::{eligible, fits, select_span},
     types::{
         EndpointView, PlacementChoice, PlacementPolicy, PlacementReason, PlacementRequest, PoolView,
     },
@@ -90,7 +90,7 @@
         }
         self.sort(&mut candidates, rng, pool);
         let first = candidates[0];
-        match take_span(request, pool, candidates.into_iter()) {
+        match select_span(request, pool, candidates.into_iter()) {
             Some(members) => PlacementChoice::Span {
                 members,
                 predicted_first_token: predict_first_token(
--- a/lovagedock/src/placement/length_aware.rs
+++ b/lovagedock/src/placement/length_aware.rs
@@ -13,10 +13,10 @@
 
 use super::{
     layout::PoolLayout,
-    mix::{MixTracker, PoolPulse},
+    mix::{MixTracker, PoolActivity},
     predict::{LengthClass, cost_of, queue_seconds},
     prefix::PREFIX_PIECE_TOKENS,
-    span::{eligible, fits, memory_need, take_span},
+    span::{eligible, fits, memory_need, select_span},
     types::{
         EndpointReport, EndpointView, PlacementChoice, PlacementPolicy, PlacementReason,
         PlacementRequest, PoolView,
@@ -65,7 +65,7 @@
             if confined && !self.layout.in_long_share(index, share) {
                 continue;
             }
-            shortlist.offer(Candidate::new(now, request, class, view, index));
+            shortlist.insert(Candidate::new(now, request, class, view, index));
         }
         shortlist
     }
@@ -79,7 +79,7 @@
         rng: &mut dyn Rng,
     ) -> PlacementChoice {
         let chosen = shortlist.pick(rng);
-        let chosen = match refuse_late(chosen.finish, request) {
+        let chosen = match refuse_if_late(chosen.finish, request) {
             Some(_) => shortlist.soonest_finish(),
             None => chosen,
         };
@@ -88,11 +88,12 @@
             let wait = chosen.first_token - chosen.prefill;
             self.mix.record_short_wait(now, wait);
         }
-        if let Some(refusal) = refuse_late(chosen.finish, request) {
+        if let Some(refusal) = refuse_if_late(chosen.finish, request) {
             return refusal;
         }
         let long = self.class(request) == LengthClass::Long;
-        self.mix.record(now, chosen.prefill, long, pool_pulse(pool));
+        self.mix
+            .record(now, chosen.prefill, long, pool_activity(pool));
         PlacementChoice::One {
             endpoint: view.id.clone(),
             predicted_first_token: Duration::from_secs_f64(chosen.first_token),
@@ -114,8 +115,12 @@
             .enumerate()
             .filter(|(_, view)| eligible(request, view))
             .map(|(index, view)| {
-                let outside = !self.layout.in_long_share(index, share);
-                (outside, queue_seconds(now, view, LengthClass::Long), index)
+                let outside_share = !self.layout.in_long_share(index, share);
+                (
+                    outside_share,
+                    queue_seconds(now, view, LengthClass::Long),
+                    index,
+                )
             })
             .collect();
         order.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
@@ -125,18 +130,18 @@
         // The span begins when the last of its members is free.
         let queues = running_maximum(order.iter().map(|(_, queue, _)| *queue));
         let indices = order.into_iter().map(|(_, _, index)| index);
-        let Some(members) = take_span(request, pool, indices) else {
+        let Some(members) = select_span(request, pool, indices) else {
             return refusal(PlacementReason::ExceedsPool);
         };
         let cost = cost_of(&pool.endpoints[first]);
         let prefill = cost.prefill_seconds(request.prompt_tokens, 0);
         let each = prefill / members.len() as f64;
         let first_token = queues[members.len() - 1] + each;
-        let finish = first_token + learned_decode(request, &pool.endpoints[first]);
-        if let Some(refusal) = refuse_late(finish, request) {
+        let finish = first_token + learned_decode_seconds(request, &pool.endpoints[first]);
+        if let Some(refusal) = refuse_if_late(finish, request) {
             return refusal;
         }
-        self.mix.record(now, prefill, true, pool_pulse(pool));
+        self.mix.record(now, prefill, true, pool_activity(pool));
         PlacementChoice::Span {
             members,
             predicted_first_token: Duration::from_secs_f64(first_token),
@@ -191,20 +196,20 @@
         let queue = queue_seconds(now, view, class);
         let wait = queue.max(memory_wait(now, request, view));
         let first_token = wait + prefill;
-        let (away, unseen) = if view.domain == request.own_domain {
+        let (domain_latency, unseen_work) = if view.domain == request.own_domain {
             (0.0, 0.0)
         } else {
             (OTHER_DOMAIN_SECONDS, OTHER_DOMAIN_UNSEEN_SECONDS)
         };
-        let disturbed = match class {
-            LengthClass::Short => disturbance(view),
+        let interference = match class {
+            LengthClass::Short => interference_seconds(view),
             LengthClass::Long => 0.0,
         };
         Self {
             index,
-            score: first_token + away + unseen + disturbed,
-            first_token: first_token + away,
-            finish: first_token + away + learned_decode(request, view),
+            score: first_token + domain_latency + unseen_work + interference,
+            first_token: first_token + domain_latency,
+            finish: first_token + domain_latency + learned_decode_seconds(request, view),
             prefill,
             cached,
         }
@@ -233,7 +238,7 @@
         self.length == 0
     }
 
-    fn offer(&mut self, candidate: Candidate) {
+    fn insert(&mut self, candidate: Candidate) {
         let full = self.length == SHORTLIST_LENGTH;
         if full && candidate.score >= self.candidates[self.length - 1].score {
             return;
@@ -259,11 +264,11 @@
     /// Gateways that see the same old reports would otherwise all choose the same endpoint.
     fn pick(&self, rng: &mut dyn Rng) -> Candidate {
         let limit = self.candidates[0].score * NEAR_RATIO + NEAR_SECONDS;
-        let near = self.candidates[..self.length]
+        let near_best = self.candidates[..self.length]
             .iter()
             .take_while(|candidate| candidate.score <= limit)
             .count();
-        self.candidates[rng.random_range(0..near)]
+        self.candidates[rng.random_range(0..near_best)]
     }
 }
 
@@ -272,7 +277,7 @@
 /// A refusal rests on it. An assumed speed would refuse long answers on an idle engine that has
 /// run nothing, and since nothing is sent there its speed would never be learned. Without one the
 /// request is tried; its deadline bounds what a slow engine can cost.
-fn learned_decode(request: &PlacementRequest<'_>, view: &EndpointView) -> f64 {
+fn learned_decode_seconds(request: &PlacementRequest<'_>, view: &EndpointView) -> f64 {
     let decode = |report: &EndpointReport| report.cost.decode(request.answer_tokens);
     let report = view.report.as_deref();
     report.map_or(0.0, |report| decode(report).as_secs_f64())
@@ -306,21 +311,22 @@
 
 /// What a long prefill under way costs a short prompt that overtakes it: engines work in steps, so
 /// it waits for the step that runs, and each of its own may carry a chunk of the long one.
-fn disturbance(view: &EndpointView) -> f64 {
+fn interference_seconds(view: &EndpointView) -> f64 {
     let Some(report) = &view.report else {
         return 0.0;
     };
-    let long_under_way = report
+    let long_prefill_runs = report
         .backlog
         .is_some_and(|backlog| backlog.all > backlog.short);
-    if !long_under_way {
+    if !long_prefill_runs {
         return 0.0;
     }
     let cost = cost_of(view);
-    DISTURBED_STEPS * cost.prefill_seconds(CHUNK_DEPTH + CHUNK_TOKENS, CHUNK_DEPTH)
+    INTERFERENCE_STEPS
+        * cost.prefill_seconds(CHUNK_CONTEXT_TOKENS + CHUNK_TOKENS, CHUNK_CONTEXT_TOKENS)
 }
 
-fn pool_pulse(pool: &PoolView<'_>) -> PoolPulse {
+fn pool_activity(pool: &PoolView<'_>) -> PoolActivity {
     let mut usable = 0_u32;
     let mut busy = 0_u32;
     let mut all = 0.0;
@@ -336,7 +342,7 @@
             short += backlog.short.as_secs_f64();
         }
     }
-    PoolPulse {
+    PoolActivity {
         busy: f64::from(busy) / f64::from(usable.max(1)),
         overtaking: (all > 0.0).then(|| (1.0 - short / all).clamp(0.0, 1.0)),
     }
@@ -356,11 +362,11 @@
 }
 
 /// Refuses what is predicted to end after its time, with the time that it would lack.
-fn refuse_late(finish: f64, request: &PlacementRequest<'_>) -> Option<PlacementChoice> {
-    let lacking = finish - request.remaining.as_secs_f64();
-    (lacking > 0.0).then(|| PlacementChoice::Refuse {
+fn refuse_if_late(finish: f64, request: &PlacementRequest<'_>) -> Option<PlacementChoice> {
+    let excess = finish - request.remaining.as_secs_f64();
+    (excess > 0.0).then(|| PlacementChoice::Refuse {
         code: ResultCode::NoCapacity,
-        retry_after: retry_after(lacking),
+        retry_after: retry_after(excess),
         reason: PlacementReason::OutOfTime,
     })
 }
@@ -384,11 +390,11 @@
 /// Tokens that an engine is assumed to prefill in one step.
 const CHUNK_TOKENS: TokenCount = 2_048;
 /// Position in a long prompt at which a chunk is assumed to be.
-const CHUNK_DEPTH: TokenCount = 200_000;
+const CHUNK_CONTEXT_TOKENS: TokenCount = 200_000;
 /// Steps of a short prompt that count as lost to a long prefill. It breaks ties and no more: with a
 /// whole step or two, short prompts crowd on the few engines without a long one and wait there for
 /// each other (`policy_comparison` fails).
-const DISTURBED_STEPS: f64 = 0.25;
+const INTERFERENCE_STEPS: f64 = 0.25;
 /// Candidates that are kept for the random choice.
 const SHORTLIST_LENGTH: usize = 8;
 /// A candidate is as good as the best when its score is within this ratio and time of it.
--- a/lovagedock/src/placement/span.rs
+++ b/lovagedock/src/placement/span.rs
@@ -7,7 +7,7 @@
     request.prompt_tokens.saturating_add(request.answer_tokens)
 }
 
-pub(super) fn memory_of(view: &EndpointView) -> TokenCount {
+pub(super) fn total_memory(view: &EndpointView) -> TokenCount {
     view.report
         .as_ref()
         .map_or(0, |report| report.memory_tokens)
@@ -22,7 +22,7 @@
 ///
 /// Plain services and engines that have not reported yet have no known limit.
 pub(super) fn fits(request: &PlacementRequest<'_>, view: &EndpointView) -> bool {
-    let memory = memory_of(view);
+    let memory = total_memory(view);
     memory == 0 || memory_need(request) <= memory
 }
 
@@ -31,45 +31,45 @@
 ///
 /// Endpoints whose memory is free now go first. When these are too few, the others are asked too,
 /// and the span backs off until they have room.
-pub(super) fn take_span(
+pub(super) fn select_span(
     request: &PlacementRequest<'_>,
     pool: &PoolView<'_>,
     order: impl Iterator<Item = usize> + Clone,
 ) -> Option<Vec<SpanMember>> {
-    let free = |view: &EndpointView| span_memory(view).min(free_of(view));
-    take_enough(request, pool, order.clone(), free)
-        .or_else(|| take_enough(request, pool, order, span_memory))
+    let free = |view: &EndpointView| span_memory(view).min(free_memory(view));
+    select_enough(request, pool, order.clone(), free)
+        .or_else(|| select_enough(request, pool, order, span_memory))
 }
 
 /// Memory of an endpoint that spans may hold; the sidecar refuses a reservation beyond it.
 fn span_memory(view: &EndpointView) -> TokenCount {
-    memory_of(view) * TokenCount::from(SPAN_SHARE_PERCENT) / 100
+    total_memory(view) * TokenCount::from(SPAN_SHARE_PERCENT) / 100
 }
 
-fn free_of(view: &EndpointView) -> TokenCount {
+fn free_memory(view: &EndpointView) -> TokenCount {
     let report = view.report.as_ref();
     let free = report.map_or(0, |report| report.free_tokens);
     free.saturating_sub(view.sent_since.tokens)
 }
 
-fn take_enough(
+fn select_enough(
     request: &PlacementRequest<'_>,
     pool: &PoolView<'_>,
     order: impl Iterator<Item = usize>,
     memory_for: impl Fn(&EndpointView) -> TokenCount,
 ) -> Option<Vec<SpanMember>> {
     let need = memory_need(request);
-    let mut taken: Vec<(usize, TokenCount)> = Vec::new();
+    let mut selected: Vec<(usize, TokenCount)> = Vec::new();
     let mut memory = 0;
     for index in order {
         let available = memory_for(&pool.endpoints[index]);
         if available == 0 {
             continue;
         }
-        taken.push((index, available));
+        selected.push((index, available));
         memory += available;
         if memory >= need {
-            return Some(share_evenly(need, &taken, pool));
+            return Some(share_evenly(need, &selected, pool));
         }
     }
     None
@@ -78,19 +78,19 @@
 /// Gives each endpoint an equal part, or all of its memory where that is less.
 fn share_evenly(
     need: TokenCount,
-    taken: &[(usize, TokenCount)],
+    selected: &[(usize, TokenCount)],
     pool: &PoolView<'_>,
 ) -> Vec<SpanMember> {
-    let mut smallest_first: Vec<usize> = (0..taken.len()).collect();
-    smallest_first.sort_by_key(|place| taken[*place].1);
-    let mut parts = vec![0; taken.len()];
-    let mut left = need;
-    for (done, place) in smallest_first.into_iter().enumerate() {
-        let others = (taken.len() - done) as TokenCount;
-        parts[place] = left.div_ceil(others).min(taken[place].1);
-        left -= parts[place];
+    let mut smallest_first: Vec<usize> = (0..selected.len()).collect();
+    smallest_first.sort_by_key(|position| selected[*position].1);
+    let mut parts = vec![0; selected.len()];
+    let mut remaining = need;
+    for (assigned, position) in smallest_first.into_iter().enumerate() {
+        let others = (selected.len() - assigned) as TokenCount;
+        parts[position] = remaining.div_ceil(others).min(selected[position].1);
+        remaining -= parts[position];
     }
-    let members = taken.iter().zip(parts);
+    let members = selected.iter().zip(parts);
     members
         .map(|((index, _), tokens)| SpanMember {
             endpoint: pool.endpoints[*index].id.clone(),
--- a/lovagedock/src/subset.rs
+++ b/lovagedock/src/subset.rs
@@ -106,7 +106,7 @@
             let hash = xxh3_64(member.id.as_bytes());
             let chosen = &mut plan[endpoint];
             if let Some(own) = domains.iter().find(|domain| domain.id == member.domain) {
-                own.take(
+                own.select_gateways(
                     hash,
                     self.settings.own_domain_gateways,
                     &mut own_loads,
@@ -114,7 +114,7 @@
                 );
             }
             let missing = self.total_gateways().saturating_sub(chosen.len());
-            take_elsewhere(&domains, member, hash, missing, &mut other_loads, chosen);
+            select_other_domains(&domains, member, hash, missing, &mut other_loads, chosen);
         }
         plan
     }
@@ -177,15 +177,21 @@
 
 impl GatewayDomain {
     /// Takes the `count` best gateways for an endpoint, those that are not full first.
-    fn take(&self, endpoint: u64, count: usize, loads: &mut LoadTable, chosen: &mut Vec<usize>) {
+    fn select_gateways(
+        &self,
+        endpoint: u64,
+        count: usize,
+        loads: &mut LoadTable,
+        chosen: &mut Vec<usize>,
+    ) {
         let mut ranked: Vec<_> = self
             .members
             .iter()
             .filter(|(gateway, _)| !chosen.contains(gateway))
             .map(|(gateway, hash)| {
                 (
-                    loads.full(*gateway),
-                    Reverse(mix(*hash, endpoint)),
+                    loads.is_full(*gateway),
+                    Reverse(rendezvous_hash(*hash, endpoint)),
                     *gateway,
                 )
             })
@@ -215,7 +221,7 @@
         }
     }
 
-    fn full(&self, gateway: usize) -> bool {
+    fn is_full(&self, gateway: usize) -> bool {
         self.counts[gateway] >= self.limits[gateway]
     }
 }
@@ -242,7 +248,7 @@
 
 /// Takes one gateway from each other domain in turn, those of the same region first, until
 /// `missing` are found or there are no more.
-fn take_elsewhere(
+fn select_other_domains(
     domains: &[GatewayDomain],
     endpoint: &SubsetMember,
     hash: u64,
@@ -255,20 +261,23 @@
         .filter(|domain| domain.id != endpoint.domain)
         .collect();
     order.sort_by_key(|domain| {
-        let full = domain.members.iter().all(|(index, _)| loads.full(*index));
+        let full = domain
+            .members
+            .iter()
+            .all(|(index, _)| loads.is_full(*index));
         (
             full,
             domain.region != endpoint.region,
-            mix(domain.hash, hash),
+            rendezvous_hash(domain.hash, hash),
         )
     });
     let wanted = chosen.len() + missing;
-    let mut before = usize::MAX;
-    while chosen.len() < wanted && chosen.len() != before {
-        before = chosen.len();
+    let mut previous_count = usize::MAX;
+    while chosen.len() < wanted && chosen.len() != previous_count {
+        previous_count = chosen.len();
         for domain in &order {
             if chosen.len() < wanted {
-                domain.take(hash, 1, loads, chosen);
+                domain.select_gateways(hash, 1, loads, chosen);
             }
         }
     }
@@ -284,6 +293,6 @@
     order
 }
 
-fn mix(hash: u64, endpoint: u64) -> u64 {
+fn rendezvous_hash(hash: u64, endpoint: u64) -> u64 {
     xxh3_64_with_seed(&hash.to_le_bytes(), endpoint)
 }
--- a/lovagedock/tests/cost_model.rs
+++ b/lovagedock/tests/cost_model.rs
@@ -68,14 +68,14 @@
     for case in cases {
         let mut rng = ChaCha8Rng::seed_from_u64(5);
         let mut model = CostModel::new();
-        for turn in 0..600 {
+        for round in 0..600 {
             let mut factor = 1.0 + case.noise * (2.0 * rng.random::<f64>() - 1.0);
             if rng.random_bool(case.late) {
                 factor *= 2.0 + 18.0 * rng.random::<f64>();
             } else if rng.random_bool(case.fast) {
                 factor *= 0.1;
             }
-            let prompt = LENGTHS[turn % LENGTHS.len()];
+            let prompt = LENGTHS[round % LENGTHS.len()];
             model.observe_prefill(&observation(prompt, 0, factor));
         }
         for prompt in LENGTHS {
@@ -86,13 +86,13 @@
 }
 
 #[test]
-fn follows_an_engine_that_changes_its_speed() {
+fn adapts_to_a_change_of_engine_speed() {
     let mut model = CostModel::new();
-    for turn in 0..300 {
-        model.observe_prefill(&observation(LENGTHS[turn % 5], 0, 1.0));
+    for round in 0..300 {
+        model.observe_prefill(&observation(LENGTHS[round % 5], 0, 1.0));
     }
-    for turn in 0..300 {
-        model.observe_prefill(&observation(LENGTHS[turn % 5], 0, 2.5));
+    for round in 0..300 {
+        model.observe_prefill(&observation(LENGTHS[round % 5], 0, 2.5));
     }
     let slower = CostParameters {
         prefill_ns_per_token: TRUE_COST.prefill_ns_per_token * 2.5,
@@ -108,8 +108,8 @@
 #[test]
 fn cached_tokens_are_not_charged_twice() {
     let mut model = CostModel::new();
-    for turn in 0..300 {
-        let prompt = LENGTHS[turn % 5];
+    for round in 0..300 {
+        let prompt = LENGTHS[round % 5];
         model.observe_prefill(&observation(prompt, prompt / 2, 1.0));
     }
     let predicted = model.predict_first_token(0, 256_000, 128_000);
@@ -122,7 +122,7 @@
 /// without end, and noise had moved it far off. The variance is limited, so it stays near its
 /// prior.
 #[test]
-fn short_prompts_alone_do_not_spoil_the_prediction_for_long_ones() {
+fn short_prompts_alone_do_not_distort_the_prediction_for_long_ones() {
     let mut rng = ChaCha8Rng::seed_from_u64(9);
     let mut model = CostModel::new();
     for _ in 0..20_000 {
@@ -151,20 +151,19 @@
 }
 
 #[test]
-fn queue_tokens_cost_what_the_mix_costs() {
+fn queue_tokens_cost_the_mean_of_the_mix() {
     let mut model = CostModel::new();
-    for turn in 0..600 {
-        model.observe_prefill(&observation(LENGTHS[turn % 2], 0, 1.0));
+    for round in 0..600 {
+        model.observe_prefill(&observation(LENGTHS[round % 2], 0, 1.0));
     }
-    let waits =
-        model.predict_first_token(50_000, 1_000, 0) - model.predict_first_token(0, 1_000, 0);
+    let wait = model.predict_first_token(50_000, 1_000, 0) - model.predict_first_token(0, 1_000, 0);
     let rate = TRUE_COST.prefill(4_000, 0).as_secs_f64() / 4_000.0;
     let expected = 50_000.0 * rate;
-    assert!((waits.as_secs_f64() / expected - 1.0).abs() < 0.1);
+    assert!((wait.as_secs_f64() / expected - 1.0).abs() < 0.1);
 }
 
 #[test]
-fn nothing_observed_reads_as_unknown() {
+fn model_without_observations_has_unknown_parameters() {
     let mut model = CostModel::new();
     assert_eq!(model.parameters(), CostParameters::default());
     assert_eq!(model.decode_interval(8), None);
--- a/lovagedock/tests/endpoint_admission.rs
+++ b/lovagedock/tests/endpoint_admission.rs
@@ -15,7 +15,7 @@
 const STEP: Duration = Duration::from_millis(100);
 
 /// Plays arrivals against an engine on which each request takes a fixed time.
-struct Fleet {
+struct EngineSimulation {
     core: EndpointCore,
     now: Timestamp,
     run_time: Duration,
@@ -25,9 +25,9 @@
     next: RequestId,
 }
 
-impl Fleet {
+impl EngineSimulation {
     fn new(limits: EndpointLimits, safeguards: EndpointSafeguards, run_time: Duration) -> Self {
-        let mut fleet = Self {
+        let mut simulation = Self {
             core: EndpointCore::new(1, limits).with_safeguards(safeguards),
             now: Timestamp::ZERO,
             run_time,
@@ -36,15 +36,15 @@
             organisations: BTreeMap::new(),
             next: 0,
         };
-        fleet.tell(EndpointEvent::EngineAllocations(Vec::new()));
-        fleet
+        simulation.handle(EndpointEvent::EngineAllocations(Vec::new()));
+        simulation
     }
 
     fn submit(&mut self, organisation: &'static str, tier: PriorityTier, prompt: u64) -> RequestId {
         self.next += 1;
         let request = self.next;
         self.organisations.insert(request, organisation);
-        self.tell(EndpointEvent::Submit(WorkOrder {
+        self.handle(EndpointEvent::Submit(WorkOrder {
             key: key(request),
             service: "service".into(),
             organisation: organisation.into(),
@@ -72,16 +72,16 @@
                 cached_tokens: 0,
                 answer_tokens: 0,
             };
-            self.tell(EndpointEvent::EngineEnded {
+            self.handle(EndpointEvent::EngineEnded {
                 key: key(request),
                 result: EngineResult::Finished(answer),
             });
         }
         self.now = until;
-        self.tell(EndpointEvent::Tick);
+        self.handle(EndpointEvent::Tick);
     }
 
-    fn tell(&mut self, event: EndpointEvent) {
+    fn handle(&mut self, event: EndpointEvent) {
         for action in self.core.handle(self.now, event) {
             if let EndpointAction::Start(key) = action {
                 self.started.insert(key.request, self.now);
@@ -90,7 +90,7 @@
         }
     }
 
-    fn started_of(&self, organisation: &str) -> usize {
+    fn started_count(&self, organisation: &str) -> usize {
         let started = self.started.keys();
         let own = started.filter(|request| self.organisations[request] == organisation);
         own.count()
@@ -109,7 +109,7 @@
 // needs nine tenths of the memory starts soon all the same, and it does not without the
 // reservation.
 #[test]
-fn a_stream_of_short_prompts_does_not_starve_a_long_one() {
+fn stream_of_short_prompts_does_not_starve_a_long_one() {
     struct Case {
         reserve: bool,
         starts: bool,
@@ -132,18 +132,18 @@
             head_reservation: case.reserve,
             ..EndpointSafeguards::default()
         };
-        let mut fleet = Fleet::new(limits, safeguards, Duration::from_secs(1));
+        let mut simulation = EngineSimulation::new(limits, safeguards, Duration::from_secs(1));
         let mut long = None;
         for round in 0..300 {
             for _ in 0..10 {
-                fleet.submit("shop", PriorityTier::Standard, 1_000);
+                simulation.submit("shop", PriorityTier::Standard, 1_000);
             }
             if round == 20 {
-                long = Some(fleet.submit("audit", PriorityTier::Standard, 90_000));
+                long = Some(simulation.submit("audit", PriorityTier::Standard, 90_000));
             }
-            fleet.advance(STEP);
+            simulation.advance(STEP);
         }
-        let started = fleet.started.get(&long.unwrap());
+        let started = simulation.started.get(&long.unwrap());
         assert_eq!(started.is_some(), case.starts, "reserve: {}", case.reserve);
         // It came at 2 s, may be passed for 2 s, and what passed runs for 1 s.
         let bound = Duration::from_secs(5);
@@ -154,7 +154,7 @@
 // An interactive stream keeps the only slot busy for two minutes. The batch request starts within
 // its ageing time and a few starts; with ageing switched off it does not start at all.
 #[test]
-fn a_stream_of_higher_tier_does_not_starve_a_batch_request() {
+fn stream_of_a_higher_tier_does_not_starve_a_batch_request() {
     struct Case {
         aged_interval: u32,
         starts: bool,
@@ -173,14 +173,14 @@
         let mut limits = EndpointLimits::default().with_concurrency(1);
         limits.aged_interval = case.aged_interval;
         let run_time = Duration::from_millis(500);
-        let mut fleet = Fleet::new(limits, EndpointSafeguards::default(), run_time);
-        fleet.submit("shop", PriorityTier::Interactive, 100);
-        let batch = fleet.submit("audit", PriorityTier::Batch, 100);
+        let mut simulation = EngineSimulation::new(limits, EndpointSafeguards::default(), run_time);
+        simulation.submit("shop", PriorityTier::Interactive, 100);
+        let batch = simulation.submit("audit", PriorityTier::Batch, 100);
         for _ in 0..240 {
-            fleet.submit("shop", PriorityTier::Interactive, 100);
-            fleet.advance(Duration::from_millis(500));
+            simulation.submit("shop", PriorityTier::Interactive, 100);
+            simulation.advance(Duration::from_millis(500));
         }
-        let started = fleet.started.get(&batch);
+        let started = simulation.started.get(&batch);
         assert_eq!(started.is_some(), case.starts, "{}", case.aged_interval);
         let bound = Duration::from_secs(13);
         assert!(started.is_none_or(|at| *at <= bound), "{started:?}");
@@ -190,13 +190,13 @@
 // One organisation sends nine requests for each one of another; both always wait. The engine's
 // time is shared by weight and predicted cost, not by who sends more.
 #[test]
-fn a_large_organisation_does_not_spoil_a_small_one() {
+fn large_organisation_does_not_delay_a_small_one() {
     let limits = EndpointLimits::default()
         .with_concurrency(1)
         .with_queue_length(10_000);
     let run_time = Duration::from_millis(500);
-    let mut fleet = Fleet::new(limits, EndpointSafeguards::default(), run_time);
-    fleet.tell(EndpointEvent::EngineReport(EngineReport {
+    let mut simulation = EngineSimulation::new(limits, EndpointSafeguards::default(), run_time);
+    simulation.handle(EndpointEvent::EngineReport(EngineReport {
         cost: CostParameters {
             prefill_ns_per_token: 500_000.0,
             ..CostParameters::default()
@@ -205,11 +205,14 @@
     }));
     for _ in 0..100 {
         for _ in 0..9 {
-            fleet.submit("large", PriorityTier::Standard, 1_000);
+            simulation.submit("large", PriorityTier::Standard, 1_000);
         }
-        fleet.submit("small", PriorityTier::Standard, 1_000);
-        fleet.advance(run_time);
+        simulation.submit("small", PriorityTier::Standard, 1_000);
+        simulation.advance(run_time);
     }
-    let (large, small) = (fleet.started_of("large"), fleet.started_of("small"));
+    let (large, small) = (
+        simulation.started_count("large"),
+        simulation.started_count("small"),
+    );
     assert!(large.abs_diff(small) <= 2, "{large} large, {small} small");
 }
--- a/lovagedock/tests/endpoint_properties.rs
+++ b/lovagedock/tests/endpoint_properties.rs
@@ -1,14 +1,14 @@
 //! What must hold at a sidecar, over random schedules of gateways, engine and faults.
 
+#[path = "support/endpoint_simulation.rs"]
+mod endpoint_simulation;
 #[path = "support/endpoint_steps.rs"]
 mod endpoint_steps;
-#[path = "support/endpoint_world.rs"]
-mod endpoint_world;
 
 use std::collections::BTreeSet;
 
+use endpoint_simulation::{EndpointSimulation, Violation};
 use endpoint_steps::schedules;
-use endpoint_world::{EndpointWorld, Violation};
 use lovagedock::EndpointSafeguards;
 use proptest::{
     prelude::*,
@@ -17,7 +17,7 @@
 };
 
 const CASES: u32 = 600;
-const SWITCHED_CASES: u32 = 200;
+const SAFEGUARD_CASES: u32 = 200;
 const LENGTH: usize = 90;
 
 fn config() -> ProptestConfig {
@@ -36,60 +36,60 @@
     // loses cancellations; the sidecar restarts and drains. No request starts twice or after "not
     // run", each gets one end by its deadline, the ledger adds up, and no memory stays ownerless.
     #[test]
-    fn nothing_forbidden_is_seen(steps in schedules(LENGTH)) {
-        let world = EndpointWorld::new(EndpointSafeguards::default()).run(&steps);
-        prop_assert!(world.violations.is_empty(), "{:?}", world.violations);
+    fn invariants_hold_over_random_schedules(steps in schedules(LENGTH)) {
+        let simulation = EndpointSimulation::new(EndpointSafeguards::default()).run(&steps);
+        prop_assert!(simulation.violations.is_empty(), "{:?}", simulation.violations);
     }
 }
 
-struct SwitchCase {
+struct SafeguardCase {
     name: &'static str,
     safeguards: EndpointSafeguards,
-    seen: Violation,
+    expected: Violation,
 }
 
-fn switch_cases() -> Vec<SwitchCase> {
+fn safeguard_cases() -> Vec<SafeguardCase> {
     let on = EndpointSafeguards::default();
     vec![
-        SwitchCase {
+        SafeguardCase {
             name: "tombstones",
             safeguards: EndpointSafeguards {
                 tombstones: false,
                 ..on
             },
-            seen: Violation::StartedAfterNotRun,
+            expected: Violation::StartedAfterNotRun,
         },
-        SwitchCase {
+        SafeguardCase {
             name: "one run",
             safeguards: EndpointSafeguards {
                 one_run: false,
                 ..on
             },
-            seen: Violation::StartedTwice,
+            expected: Violation::StartedTwice,
         },
-        SwitchCase {
+        SafeguardCase {
             name: "orphan collection",
             safeguards: EndpointSafeguards {
                 orphan_collection: false,
                 ..on
             },
-            seen: Violation::OrphanKept,
+            expected: Violation::OrphanKept,
         },
-        SwitchCase {
+        SafeguardCase {
             name: "deadlines",
             safeguards: EndpointSafeguards {
                 deadlines: false,
                 ..on
             },
-            seen: Violation::NoEndInTime,
+            expected: Violation::NoEndInTime,
         },
-        SwitchCase {
+        SafeguardCase {
             name: "drain queue",
             safeguards: EndpointSafeguards {
                 drain_queue: false,
                 ..on
             },
-            seen: Violation::StartedWhileLeaving,
+            expected: Violation::StartedWhileLeaving,
         },
     ]
 }
@@ -97,10 +97,10 @@
 // The same schedules with one safeguard off each time: the violation that it prevents is seen. So
 // the checks can fail, and the schedules reach the failure that each safeguard is for.
 #[test]
-fn without_a_safeguard_its_violation_is_seen() {
-    for case in switch_cases() {
+fn without_a_safeguard_its_violation_occurs() {
+    for case in safeguard_cases() {
         let seen = violations(case.safeguards);
-        assert!(seen.contains(&case.seen), "{}: {seen:?}", case.name);
+        assert!(seen.contains(&case.expected), "{}: {seen:?}", case.name);
     }
 }
 
@@ -108,27 +108,27 @@
     let mut runner = TestRunner::new(config());
     let strategy = schedules(LENGTH);
     let mut seen = BTreeSet::new();
-    for _ in 0..SWITCHED_CASES {
+    for _ in 0..SAFEGUARD_CASES {
         let steps = strategy.new_tree(&mut runner).unwrap().current();
-        seen.extend(EndpointWorld::new(safeguards).run(&steps).violations);
+        seen.extend(EndpointSimulation::new(safeguards).run(&steps).violations);
     }
     seen
 }
 
 // A world in which nothing starts would hold every property.
 #[test]
-fn the_schedules_start_work() {
+fn schedules_start_requests() {
     let mut runner = TestRunner::new(config());
     let strategy = schedules(LENGTH);
-    let started: usize = (0..SWITCHED_CASES)
+    let started: usize = (0..SAFEGUARD_CASES)
         .map(|_| {
             let steps = strategy.new_tree(&mut runner).unwrap().current();
-            let world = EndpointWorld::new(EndpointSafeguards::default()).run(&steps);
-            world.started
+            let simulation = EndpointSimulation::new(EndpointSafeguards::default()).run(&steps);
+            simulation.started
         })
         .sum();
     assert!(
-        started * 2 > SWITCHED_CASES as usize * 5,
+        started * 2 > SAFEGUARD_CASES as usize * 5,
         "{started} starts"
     );
 }
--- a/lovagedock/tests/endpoint_scenarios.rs
+++ b/lovagedock/tests/endpoint_scenarios.rs
@@ -14,7 +14,7 @@
 
 const INCARNATION: u64 = 1;
 
-struct Story {
+struct Scenario {
     core: EndpointCore,
     now: Timestamp,
     wake: Option<Timestamp>,
@@ -37,25 +37,25 @@
         }
     }
 
-    fn number(&self, name: &str, default: u64) -> u64 {
-        let value = self.options.get(name);
-        value.map_or(default, |value| value.parse().expect(name))
+    fn number(&self, option: &str, default: u64) -> u64 {
+        let value = self.options.get(option);
+        value.map_or(default, |value| value.parse().expect(option))
     }
 
-    fn time(&self, name: &str, default: &str) -> Duration {
-        parse_time(self.options.get(name).copied().unwrap_or(default))
+    fn time(&self, option: &str, default: &str) -> Duration {
+        parse_time(self.options.get(option).copied().unwrap_or(default))
     }
 
     fn key(&self, word: usize) -> AttemptKey {
         AttemptKey {
             request: parse_request(self.words[word]),
             attempt: self.number("attempt", 1) as u32,
-            incarnation: self.number("life", INCARNATION),
+            incarnation: self.number("incarnation", INCARNATION),
         }
     }
 }
 
-impl Story {
+impl Scenario {
     fn new(case: &mut TestCase) -> Self {
         let mut limits = EndpointLimits::default()
             .with_memory_tokens(case.try_take_arg("memory").unwrap().unwrap_or(0))
@@ -174,14 +174,14 @@
         "lost" => ended(EngineResult::Lost { detail }),
         "ended" => ended(EngineResult::Ended { detail }),
         "cancelled" => ended(EngineResult::Cancelled),
-        "holds" => EndpointEvent::EngineAllocations(parse_account(line)),
+        "holds" => EndpointEvent::EngineAllocations(parse_allocations(line)),
         "reports" => EndpointEvent::EngineReport(parse_report(line)),
         other => panic!("unknown engine line: {other}"),
     }
 }
 
-fn parse_account(line: &Line<'_>) -> Vec<EngineAllocation> {
-    let mut account: Vec<_> = line
+fn parse_allocations(line: &Line<'_>) -> Vec<EngineAllocation> {
+    let mut allocations: Vec<_> = line
         .options
         .iter()
         .map(|(request, tokens)| EngineAllocation {
@@ -189,8 +189,8 @@
             tokens: tokens.parse().unwrap(),
         })
         .collect();
-    account.sort_by_key(|holding| holding.request);
-    account
+    allocations.sort_by_key(|allocation| allocation.request);
+    allocations
 }
 
 fn parse_report(line: &Line<'_>) -> EngineReport {
@@ -228,42 +228,53 @@
 
 fn describe(action: &EndpointAction) -> String {
     match action {
-        EndpointAction::Accept(key) => format!("accept {}", name(key)),
-        EndpointAction::Refuse { key, end } => format!("refuse {}: {}", name(key), ending(end)),
-        EndpointAction::Start(key) => format!("START {} on the engine", name(key)),
+        EndpointAction::Accept(key) => format!("accept {}", attempt_name(key)),
+        EndpointAction::Refuse { key, end } => {
+            format!("refuse {}: {}", attempt_name(key), describe_end(end))
+        }
+        EndpointAction::Start(key) => format!("START {} on the engine", attempt_name(key)),
         EndpointAction::CancelOnEngine(request) => format!("CANCEL r{request} on the engine"),
         EndpointAction::Deliver {
             key,
             offset,
             length,
         } => {
-            format!("deliver {}: {length} bytes from {offset}", name(key))
+            format!(
+                "deliver {}: {length} bytes from {offset}",
+                attempt_name(key)
+            )
+        }
+        EndpointAction::EndAnswer { key, end } => {
+            format!("end {}: {}", attempt_name(key), describe_end(end))
+        }
+        EndpointAction::Verdict { key, verdict } => {
+            format!("verdict {}: {verdict:?}", attempt_name(key))
         }
-        EndpointAction::EndAnswer { key, end } => format!("end {}: {}", name(key), ending(end)),
-        EndpointAction::Verdict { key, verdict } => format!("verdict {}: {verdict:?}", name(key)),
         EndpointAction::ResumeFrom { key, offset, end } => {
-            let end = end.as_ref().map(|end| format!(", then {}", ending(end)));
+            let end = end
+                .as_ref()
+                .map(|end| format!(", then {}", describe_end(end)));
             let end = end.unwrap_or_default();
-            format!("resume {} from {offset}{end}", name(key))
+            format!("resume {} from {offset}{end}", attempt_name(key))
         }
-        EndpointAction::NotFound(key) => format!("nothing to resume of {}", name(key)),
+        EndpointAction::NotFound(key) => format!("nothing to resume of {}", attempt_name(key)),
         EndpointAction::GrantReservation { key, free_tokens } => {
-            format!("reserve {}: granted, {free_tokens} free", name(key))
+            format!("reserve {}: granted, {free_tokens} free", attempt_name(key))
         }
         EndpointAction::RefuseReservation { key, free_tokens } => {
-            format!("reserve {}: refused, {free_tokens} free", name(key))
+            format!("reserve {}: refused, {free_tokens} free", attempt_name(key))
         }
-        EndpointAction::ForgetAnswer(key) => format!("forget {}", name(key)),
+        EndpointAction::ForgetAnswer(key) => format!("forget {}", attempt_name(key)),
         EndpointAction::WakeAt(at) => format!("wake at {at:?}"),
         EndpointAction::Drained => "DRAINED".to_owned(),
     }
 }
 
-fn name(key: &AttemptKey) -> String {
+fn attempt_name(key: &AttemptKey) -> String {
     format!("r{}/{}", key.request, key.attempt)
 }
 
-fn ending(end: &AnswerEnd) -> String {
+fn describe_end(end: &AnswerEnd) -> String {
     let ran = match end.ran {
         RanState::No => "not run",
         RanState::Yes => "ran",
@@ -280,15 +291,15 @@
 }
 
 #[test]
-fn scenarios_end_as_written() {
+fn scenarios_produce_the_expected_output() {
     walk("tests/scenarios/endpoint", |file| {
-        let mut story = None;
+        let mut scenario = None;
         file.run(|case| match case.directive.as_str() {
             "world" => {
-                story = Some(Story::new(case));
+                scenario = Some(Scenario::new(case));
                 String::new()
             }
-            "run" => story.as_mut().expect("world first").run(&case.input),
+            "run" => scenario.as_mut().expect("world first").run(&case.input),
             other => panic!("unknown directive: {other}"),
         });
     });
--- a/lovagedock/tests/limit_properties.rs
+++ b/lovagedock/tests/limit_properties.rs
@@ -52,18 +52,18 @@
     in_flight: u32,
 }
 
-fn play(phases: &[Phase], delays: &[u64], hold_ms: u64) -> Excess {
+fn run_phases(phases: &[Phase], delays: &[u64], hold_ms: u64) -> Excess {
     let mut group = GatewayGroup::new(GATEWAYS, delays.to_vec());
     let mut requests = LeakyMeter::new(f64::from(LIMITS.requests_per_second));
     let mut tokens = LeakyMeter::new(LIMITS.tokens_per_minute as f64 / 60.0);
     let mut excess = Excess::default();
     for phase in phases {
-        group.cut = vec![vec![false; GATEWAYS]; GATEWAYS];
+        group.cut_links = vec![vec![false; GATEWAYS]; GATEWAYS];
         for (from, to) in &phase.cuts {
-            group.cut[*from][*to] = true;
+            group.cut_links[*from][*to] = true;
         }
-        if let Some(at) = phase.restart {
-            group.restart(at);
+        if let Some(index) = phase.restart {
+            group.restart(index);
         }
         for _ in 0..PHASE_STEPS {
             group.step(&phase.arrivals, hold_ms);
@@ -101,7 +101,7 @@
 // links between gateways fail one way or both, and gateways restart. The shares never add up to
 // more than one, so the limits hold within the burst that is stated.
 #[test]
-fn limits_hold_over_all_gateways_within_the_stated_error() {
+fn limits_hold_over_all_gateways_within_the_stated_burst() {
     let config = ProptestConfig {
         cases: 60,
         failure_persistence: None,
@@ -112,7 +112,7 @@
     let strategy = (phases(), prop::collection::vec(1..400u64, 7), hold_ms);
     let outcome =
         TestRunner::new_with_rng(config, rng).run(&strategy, |(phases, delays, hold_ms)| {
-            let excess = play(&phases, &delays, hold_ms);
+            let excess = run_phases(&phases, &delays, hold_ms);
             let restarts = phases
                 .iter()
                 .filter(|phase| phase.restart.is_some())
@@ -191,9 +191,9 @@
     for case in cases {
         let mut group = GatewayGroup::new(GATEWAYS, vec![3, 2, 4]);
         for peer in 0..GATEWAYS {
-            if let Some(at) = case.cut_off {
-                group.cut[at][peer] = true;
-                group.cut[peer][at] = true;
+            if let Some(index) = case.cut_off {
+                group.cut_links[index][peer] = true;
+                group.cut_links[peer][index] = true;
             }
         }
         let run = |group: &mut GatewayGroup| {
--- a/lovagedock/tests/limit_support/mod.rs
+++ b/lovagedock/tests/limit_support/mod.rs
@@ -16,19 +16,19 @@
 };
 pub(crate) const REQUEST_TOKENS: TokenCount = 150;
 
-struct Mail {
+struct Message {
     due: u64,
     from: usize,
-    from_life: Incarnation,
+    from_incarnation: Incarnation,
     to: usize,
-    to_life: Incarnation,
+    to_incarnation: Incarnation,
     event: LimitEvent,
 }
 
 pub(crate) struct Gateway {
     pub(crate) limiter: UsageLimiter,
-    life: Incarnation,
-    known: Vec<Incarnation>,
+    incarnation: Incarnation,
+    known_incarnations: Vec<Incarnation>,
     /// When each request in flight ends.
     ends: Vec<u64>,
     pub(crate) admitted: u64,
@@ -39,8 +39,8 @@
     pub(crate) now: u64,
     pub(crate) gateways: Vec<Gateway>,
     /// `cut[from][to]`: messages are lost.
-    pub(crate) cut: Vec<Vec<bool>>,
-    mail: Vec<Mail>,
+    pub(crate) cut_links: Vec<Vec<bool>>,
+    messages: Vec<Message>,
     delays: Vec<u64>,
     pub(crate) admitted_in_step: u64,
 }
@@ -50,27 +50,27 @@
         let mut group = Self {
             now: 0,
             gateways: Vec::new(),
-            cut: vec![vec![false; count]; count],
-            mail: Vec::new(),
+            cut_links: vec![vec![false; count]; count],
+            messages: Vec::new(),
             delays,
             admitted_in_step: 0,
         };
-        for at in 0..count {
-            let gateway = group.start(at, count, 1);
+        for index in 0..count {
+            let gateway = group.start_gateway(index, count, 1);
             group.gateways.push(gateway);
         }
         group
     }
 
-    fn start(&self, at: usize, count: usize, life: Incarnation) -> Gateway {
+    fn start_gateway(&self, index: usize, count: usize, incarnation: Incarnation) -> Gateway {
         let now = Duration::from_millis(self.now);
-        let peers = (0..count).filter(|peer| *peer != at).map(name).collect();
+        let peers = (0..count).filter(|peer| *peer != index).map(name).collect();
         let mut limiter = UsageLimiter::new(now, peers, LimitTiming::default());
         limiter.set_limits(now, &organisation(), LIMITS);
         Gateway {
             limiter,
-            life,
-            known: vec![0; count],
+            incarnation,
+            known_incarnations: vec![0; count],
             ends: Vec::new(),
             admitted: 0,
             refused: 0,
@@ -78,9 +78,9 @@
     }
 
     /// The gateway dies with its requests and starts again, knowing nothing.
-    pub(crate) fn restart(&mut self, at: usize) {
-        let life = self.gateways[at].life + 1;
-        self.gateways[at] = self.start(at, self.gateways.len(), life);
+    pub(crate) fn restart(&mut self, index: usize) {
+        let incarnation = self.gateways[index].incarnation + 1;
+        self.gateways[index] = self.start_gateway(index, self.gateways.len(), incarnation);
     }
 
     /// One step: messages, ends of requests, new requests, and now and then an exchange.
@@ -89,22 +89,22 @@
         self.admitted_in_step = 0;
         self.deliver();
         let now = Duration::from_millis(self.now);
-        for (at, arrivals) in arrivals.iter().enumerate().take(self.gateways.len()) {
-            self.end_requests(at);
+        for (index, arrivals) in arrivals.iter().enumerate().take(self.gateways.len()) {
+            self.end_requests(index);
             for _ in 0..*arrivals {
-                self.arrive(at, hold_ms);
+                self.arrive(index, hold_ms);
             }
             // Gateways do not exchange at the same moment.
-            if (self.now / STEP_MS + 3 * at as u64).is_multiple_of(10) {
-                let actions = self.gateways[at].limiter.handle(now, LimitEvent::Tick);
-                self.post(at, actions);
+            if (self.now / STEP_MS + 3 * index as u64).is_multiple_of(10) {
+                let actions = self.gateways[index].limiter.handle(now, LimitEvent::Tick);
+                self.send(index, actions);
             }
         }
     }
 
-    fn arrive(&mut self, at: usize, hold_ms: u64) {
+    fn arrive(&mut self, index: usize, hold_ms: u64) {
         let now = Duration::from_millis(self.now);
-        let gateway = &mut self.gateways[at];
+        let gateway = &mut self.gateways[index];
         match gateway.limiter.admit(now, &organisation(), REQUEST_TOKENS) {
             LimitDecision::Admitted => {
                 gateway.admitted += 1;
@@ -115,9 +115,9 @@
         }
     }
 
-    fn end_requests(&mut self, at: usize) {
+    fn end_requests(&mut self, index: usize) {
         let now = self.now;
-        let gateway = &mut self.gateways[at];
+        let gateway = &mut self.gateways[index];
         let ended = gateway.ends.iter().filter(|end| **end <= now).count();
         gateway.ends.retain(|end| *end > now);
         for _ in 0..ended {
@@ -126,30 +126,32 @@
     }
 
     fn deliver(&mut self) {
-        let due: Vec<Mail> = self
-            .mail
-            .extract_if(.., |mail| mail.due <= self.now)
+        let due: Vec<Message> = self
+            .messages
+            .extract_if(.., |message| message.due <= self.now)
             .collect();
-        for mail in due {
+        for message in due {
             let now = Duration::from_millis(self.now);
-            let receiver = &mut self.gateways[mail.to];
-            if receiver.life != mail.to_life || mail.from_life < receiver.known[mail.from] {
+            let receiver = &mut self.gateways[message.to];
+            if receiver.incarnation != message.to_incarnation
+                || message.from_incarnation < receiver.known_incarnations[message.from]
+            {
                 continue;
             }
-            if receiver.known[mail.from] != mail.from_life {
-                receiver.known[mail.from] = mail.from_life;
-                let peer = name(mail.from);
-                let incarnation = mail.from_life;
+            if receiver.known_incarnations[message.from] != message.from_incarnation {
+                receiver.known_incarnations[message.from] = message.from_incarnation;
+                let peer = name(message.from);
+                let incarnation = message.from_incarnation;
                 receiver
                     .limiter
                     .handle(now, LimitEvent::PeerConnected { peer, incarnation });
             }
-            let actions = receiver.limiter.handle(now, mail.event);
-            self.post(mail.to, actions);
+            let actions = receiver.limiter.handle(now, message.event);
+            self.send(message.to, actions);
         }
     }
 
-    fn post(&mut self, from: usize, actions: Vec<LimitAction>) {
+    fn send(&mut self, from: usize, actions: Vec<LimitAction>) {
         for action in actions {
             let peer = name(from);
             let (to, event) = match action {
@@ -163,18 +165,18 @@
             let is_reply = matches!(event, LimitEvent::AckReceived { .. });
             let to: usize = to[1..].parse().expect("a gateway of this test");
             self.delays.rotate_left(1);
-            if self.cut[from][to] {
+            if self.cut_links[from][to] {
                 continue;
             }
-            self.mail.push(Mail {
+            self.messages.push(Message {
                 due: self.now + self.delays[0],
                 from,
-                from_life: self.gateways[from].life,
+                from_incarnation: self.gateways[from].incarnation,
                 to,
                 // A reply reaches only the life that asked.
-                to_life: match is_reply {
-                    true => self.gateways[from].known[to],
-                    false => self.gateways[to].life,
+                to_incarnation: match is_reply {
+                    true => self.gateways[from].known_incarnations[to],
+                    false => self.gateways[to].incarnation,
                 },
                 event,
             });
@@ -197,8 +199,8 @@
     }
 }
 
-fn name(at: usize) -> GatewayId {
-    GatewayId::from(format!("g{at}"))
+fn name(index: usize) -> GatewayId {
+    GatewayId::from(format!("g{index}"))
 }
 
 pub(crate) fn organisation() -> OrganisationId {
--- a/lovagedock/tests/loaded_memory.rs
+++ b/lovagedock/tests/loaded_memory.rs
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn the_memory_follows_orders_and_reports() {
+fn loaded_memory_follows_orders_and_reports() {
     for case in cases() {
         let mut memory = LoadedMemory::new();
         for step in case.steps {
--- a/lovagedock/tests/outlier.rs
+++ b/lovagedock/tests/outlier.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn only_failures_in_a_row_eject() {
+fn only_consecutive_failures_eject() {
     let mut detector = detector(10);
     for _ in 0..10 {
         for event in [
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn one_probe_decides_and_the_interval_grows() {
+fn one_probe_decides_and_ejections_grow_longer() {
     let mut detector = detector(10);
     eject(&mut detector, at(0), 0);
     let mut now = 0;
@@ -135,7 +135,7 @@
 /// What the caller sees: nothing; the probe was cancelled or its outcome was lost. Without a time
 /// limit the endpoint would stay out for good.
 #[test]
-fn a_probe_without_an_outcome_counts_as_failed() {
+fn probe_without_an_outcome_counts_as_failed() {
     let mut detector = detector(10);
     eject(&mut detector, at(0), 0);
     detector.handle(at(5), OutlierEvent::Tick);
@@ -149,15 +149,15 @@
 /// Were it judged anew after each probe, each turn would cost a row of failures. It is on
 /// probation instead: one failure ejects it again, for twice as long.
 #[test]
-fn a_flapping_endpoint_costs_one_failure_a_turn() {
+fn flapping_endpoint_is_ejected_after_one_failure() {
     let mut detector = detector(10);
     eject(&mut detector, at(0), 0);
     let mut now = 5;
     for expected in [10, 20, 40] {
         detector.handle(at(now), OutlierEvent::Tick);
         detector.handle(at(now), OutlierEvent::ProbeSent(id(0)));
-        let back = detector.handle(at(now), OutlierEvent::Succeeded(id(0)));
-        assert_eq!(cause(&back), Some(OutlierCause::Readmitted));
+        let readmitted = detector.handle(at(now), OutlierEvent::Succeeded(id(0)));
+        assert_eq!(cause(&readmitted), Some(OutlierCause::Readmitted));
         let again = detector.handle(at(now), OutlierEvent::Failed(id(0)));
         assert_eq!(cause(&again), Some(OutlierCause::FailedOnProbation));
         assert_eq!(
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn an_old_answer_does_not_readmit() {
+fn answer_from_before_the_ejection_does_not_readmit() {
     let mut detector = detector(10);
     eject(&mut detector, at(0), 0);
     assert_eq!(detector.handle(at(1), OutlierEvent::Succeeded(id(0))), []);
--- a/lovagedock/tests/placement.rs
+++ b/lovagedock/tests/placement.rs
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn one_endpoint_stands_out() {
+fn best_endpoint_is_chosen() {
     struct Case {
         name: &'static str,
         pool: PoolState,
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn cached_prefix_draws_until_the_queue_costs_more() {
+fn cached_prefix_is_preferred_until_its_queue_costs_more() {
     let prompt = vec![b'x'; 40_000];
     let hashes = prefix_hashes(&prompt, 4.0);
     assert_eq!(hashes.len(), 9);
@@ -238,7 +238,7 @@
 /// gateways have the same old report and choose the same best engine. They choose at random among
 /// engines that are nearly as good.
 #[test]
-fn gateways_with_the_same_reports_do_not_herd() {
+fn gateways_with_the_same_reports_spread_their_requests() {
     let pool = pool(30, |_| idle_report());
     let mut counts = [0; 30];
     for seed in 0..200 {
@@ -288,7 +288,7 @@
 }
 
 #[test]
-fn refusals_say_why_and_when_to_come_back() {
+fn refusals_carry_a_reason_and_a_retry_time() {
     struct Case {
         name: &'static str,
         pool: PoolState,
@@ -368,7 +368,7 @@
 /// not get it refused while another can finish in time, and an engine that has run nothing must
 /// not be judged by an assumed speed: it would never be tried, and so never be known.
 #[test]
-fn an_answer_goes_where_it_can_end_in_time() {
+fn long_answer_is_placed_where_it_can_finish_in_time() {
     struct Case {
         name: &'static str,
         decode_ns: [f64; 2],
--- a/lovagedock/tests/policy_comparison.rs
+++ b/lovagedock/tests/policy_comparison.rs
@@ -37,14 +37,14 @@
         .fold(f64::INFINITY, f64::min)
 }
 
-fn ours(order: EngineOrder) -> FleetResult {
+fn default_policy_result(order: EngineOrder) -> FleetResult {
     run(&setup(DEFAULT, order, true))
 }
 
 #[test]
 fn short_prompts_are_faster_than_with_any_baseline_and_long_ones_no_slower() {
     for order in [EngineOrder::Fifo, EngineOrder::ShortFirst] {
-        let result = ours(order);
+        let result = default_policy_result(order);
         let k1 = result.p95(LengthBucket::K1) / best_baseline(order, LengthBucket::K1);
         assert!(k1 < 0.5, "{order:?} 1k: {k1}");
         let m1 = result.p95(LengthBucket::M1) / best_baseline(order, LengthBucket::M1);
@@ -56,7 +56,7 @@
 #[test]
 fn long_prompts_hardly_slow_short_ones_where_engines_honour_priorities() {
     let order = EngineOrder::ShortFirst;
-    let mixed = ours(order).p95(LengthBucket::K1);
+    let mixed = default_policy_result(order).p95(LengthBucket::K1);
     let alone = run(&setup(DEFAULT, order, false)).p95(LengthBucket::K1);
     let slowdown = mixed / alone;
     assert!(slowdown < 1.25, "{slowdown}");
--- a/lovagedock/tests/subset.rs
+++ b/lovagedock/tests/subset.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn small_fleets_are_seen_whole() {
+fn small_fleets_are_fully_connected() {
     let gateways = members("g", 6, 3);
     let endpoints = members("e", 28, 3);
     let plan = SubsetPlanner::default().plan(&gateways, &endpoints);
@@ -52,12 +52,12 @@
     let endpoints = members("e", 200, 4);
     let planner = SubsetPlanner::new(SETTINGS);
     let plan = planner.plan(&gateways, &endpoints);
-    let turned: Vec<_> = gateways.iter().rev().cloned().collect();
-    let other = planner.plan(&turned, &endpoints);
+    let reversed: Vec<_> = gateways.iter().rev().cloned().collect();
+    let other = planner.plan(&reversed, &endpoints);
     for endpoint in 0..endpoints.len() {
         assert_eq!(
             gateway_names(&plan, &gateways, endpoint),
-            gateway_names(&other, &turned, endpoint)
+            gateway_names(&other, &reversed, endpoint)
         );
     }
 }
@@ -92,7 +92,7 @@
     })]
 
     #[test]
-    fn plans_are_complete_near_equal_and_steady(
+    fn plans_are_complete_balanced_and_stable(
         domains in 2..7_usize,
         gateways_per_domain in 4..12_usize,
         endpoints in 40..400_usize,
--- a/lovagedock/tests/support/endpoint_world.rs
+++ b/lovagedock/tests/support/endpoint_simulation.rs
@@ -26,11 +26,11 @@
     StartedTwice,
     StartedAfterNotRun,
     StartedWhileLeaving,
-    LedgerWrong,
+    LedgerInconsistent,
     NoEndInTime,
     EndedTwice,
     OrphanKept,
-    NotEmptyAtLast,
+    NotEmptyAtEnd,
 }
 
 struct EngineRun {
@@ -46,16 +46,16 @@
 }
 
 /// The world of one schedule.
-pub(crate) struct EndpointWorld {
+pub(crate) struct EndpointSimulation {
     core: EndpointCore,
     safeguards: EndpointSafeguards,
-    life: u64,
-    born: Timestamp,
+    incarnation: u64,
+    process_started: Timestamp,
     now: Timestamp,
     wake: Option<Timestamp>,
     next_poll: Timestamp,
     engine: BTreeMap<RequestId, EngineRun>,
-    last_account: Vec<EngineAllocation>,
+    last_allocations: Vec<EngineAllocation>,
     last_end: Option<EndpointEvent>,
     lose_cancels: u32,
     pending: Vec<EndpointEvent>,
@@ -64,24 +64,24 @@
     not_run: BTreeMap<RequestId, u32>,
     starts: BTreeSet<AttemptKey>,
     ran: BTreeSet<RequestId>,
-    ownerless: BTreeMap<RequestId, Timestamp>,
+    unowned_since: BTreeMap<RequestId, Timestamp>,
     draining: bool,
     pub(crate) started: usize,
     pub(crate) violations: BTreeSet<Violation>,
 }
 
-impl EndpointWorld {
+impl EndpointSimulation {
     pub(crate) fn new(safeguards: EndpointSafeguards) -> Self {
         Self {
             core: new_core(1, safeguards),
             safeguards,
-            life: 1,
-            born: Timestamp::ZERO,
+            incarnation: 1,
+            process_started: Timestamp::ZERO,
             now: Timestamp::ZERO,
             wake: None,
             next_poll: FIRST_POLL,
             engine: BTreeMap::new(),
-            last_account: Vec::new(),
+            last_allocations: Vec::new(),
             last_end: None,
             lose_cancels: 0,
             pending: Vec::new(),
@@ -90,7 +90,7 @@
             not_run: BTreeMap::new(),
             starts: BTreeSet::new(),
             ran: BTreeSet::new(),
-            ownerless: BTreeMap::new(),
+            unowned_since: BTreeMap::new(),
             draining: false,
             started: 0,
             violations: BTreeSet::new(),
@@ -100,33 +100,33 @@
     /// Plays a schedule, then lets everything settle.
     pub(crate) fn run(mut self, steps: &[Step]) -> Self {
         for step in steps {
-            self.play(step);
+            self.apply_step(step);
         }
         self.lose_cancels = 0;
         self.advance(self.now + SETTLE);
         if !self.engine.is_empty() || self.core.ledger().leased() > 0 {
-            self.violations.insert(Violation::NotEmptyAtLast);
+            self.violations.insert(Violation::NotEmptyAtEnd);
         }
         self
     }
 
-    fn play(&mut self, step: &Step) {
+    fn apply_step(&mut self, step: &Step) {
         let own = |key: &StepKey| AttemptKey {
             request: key.request,
             attempt: key.attempt,
-            incarnation: self.life,
+            incarnation: self.incarnation,
         };
         match step {
             Step::Wait(ms) => self.advance(self.now + Duration::from_millis(*ms)),
             Step::Submit(order) => self.submit(order),
-            Step::Revoke(key) => self.tell(EndpointEvent::Revoke(own(key))),
-            Step::Cancel(key) => self.tell(EndpointEvent::Cancel(own(key))),
+            Step::Revoke(key) => self.handle_event(EndpointEvent::Revoke(own(key))),
+            Step::Cancel(key) => self.handle_event(EndpointEvent::Cancel(own(key))),
             Step::Resume(key, offset) => {
                 let key = own(key);
                 let offset = *offset;
-                self.tell(EndpointEvent::Resume { key, offset });
+                self.handle_event(EndpointEvent::Resume { key, offset });
             }
-            Step::SinkLost(key) => self.tell(EndpointEvent::SinkLost(own(key))),
+            Step::SinkLost(key) => self.handle_event(EndpointEvent::SinkLost(own(key))),
             Step::Started(run) => self.engine_started(*run),
             Step::Bytes(run, length) => self.engine_bytes(*run, *length),
             Step::Finish(run) => self.engine_ends(*run, |run| {
@@ -142,43 +142,47 @@
                 detail: String::new(),
             }),
             Step::RefuseRun(run) => self.engine_refuses(*run),
-            Step::RepeatEnd => self.last_end.clone().into_iter().for_each(|e| self.tell(e)),
-            Step::StaleAccount => {
-                self.tell(EndpointEvent::EngineAllocations(self.last_account.clone()))
-            }
+            Step::RepeatEnd => self
+                .last_end
+                .clone()
+                .into_iter()
+                .for_each(|e| self.handle_event(e)),
+            Step::StaleAllocations => self.handle_event(EndpointEvent::EngineAllocations(
+                self.last_allocations.clone(),
+            )),
             Step::LoseCancels(count) => self.lose_cancels = *count,
             Step::EngineDies => {
                 self.engine.clear();
-                self.blip();
+                self.reconnect_engine();
             }
-            Step::EngineBlip => self.blip(),
+            Step::EngineReconnects => self.reconnect_engine(),
             Step::Restart => self.restart(),
             Step::Reserve(key, tokens, hold) => {
                 let (key, tokens, hold) = (own(key), *tokens, Duration::from_millis(*hold));
-                self.tell(EndpointEvent::Reserve { key, tokens, hold });
+                self.handle_event(EndpointEvent::Reserve { key, tokens, hold });
             }
             Step::Renew(key, hold) => {
                 let (key, hold) = (own(key), Duration::from_millis(*hold));
-                self.tell(EndpointEvent::Renew { key, hold });
+                self.handle_event(EndpointEvent::Renew { key, hold });
             }
-            Step::Release(key) => self.tell(EndpointEvent::Release(own(key))),
+            Step::Release(key) => self.handle_event(EndpointEvent::Release(own(key))),
             Step::Segment(key) => self.segment(own(key)),
             Step::Drain(leaving) => {
                 self.draining = *leaving;
-                self.tell(EndpointEvent::Drain(*leaving));
+                self.handle_event(EndpointEvent::Drain(*leaving));
             }
         }
     }
 
     fn submit(&mut self, order: &StepOrder) {
-        let incarnation = self.life + u64::from(order.other_life);
+        let incarnation = self.incarnation + u64::from(order.other_incarnation);
         self.remaining = Duration::from_millis(order.remaining_ms);
         let tiers = [
             PriorityTier::Batch,
             PriorityTier::Standard,
             PriorityTier::Interactive,
         ];
-        self.tell(EndpointEvent::Submit(WorkOrder {
+        self.handle_event(EndpointEvent::Submit(WorkOrder {
             key: AttemptKey {
                 request: order.key.request,
                 attempt: order.key.attempt,
@@ -197,34 +201,34 @@
         }));
     }
 
-    fn nth_run(&self, index: usize) -> Option<RequestId> {
+    fn run_at(&self, index: usize) -> Option<RequestId> {
         let count = self.engine.len().max(1);
         self.engine.keys().nth(index % count).copied()
     }
 
     fn engine_started(&mut self, index: usize) {
-        let Some(request) = self.nth_run(index) else {
+        let Some(request) = self.run_at(index) else {
             return;
         };
         let run = self.engine.get_mut(&request).unwrap();
         run.started = true;
         let key = run.key;
-        self.tell(EndpointEvent::EngineStarted(key));
+        self.handle_event(EndpointEvent::EngineStarted(key));
     }
 
     fn engine_bytes(&mut self, index: usize, length: u64) {
-        let Some(request) = self.nth_run(index) else {
+        let Some(request) = self.run_at(index) else {
             return;
         };
         let run = self.engine.get_mut(&request).unwrap();
         run.started = true;
         run.bytes += length;
         let key = run.key;
-        self.tell(EndpointEvent::EngineBytes { key, length });
+        self.handle_event(EndpointEvent::EngineBytes { key, length });
     }
 
     fn engine_ends(&mut self, index: usize, result: impl Fn(&EngineRun) -> EngineResult) {
-        let Some(request) = self.nth_run(index) else {
+        let Some(request) = self.run_at(index) else {
             return;
         };
         let run = self.engine.remove(&request).unwrap();
@@ -234,11 +238,11 @@
             result,
         };
         self.last_end = Some(event.clone());
-        self.tell(event);
+        self.handle_event(event);
     }
 
     fn engine_refuses(&mut self, index: usize) {
-        let request = self.nth_run(index);
+        let request = self.run_at(index);
         if request.is_some_and(|request| !self.engine[&request].started) {
             self.ran.remove(&request.unwrap());
             let detail = String::new();
@@ -248,26 +252,26 @@
         }
     }
 
-    fn blip(&mut self) {
-        self.tell(EndpointEvent::EngineDown);
-        self.tell(EndpointEvent::EngineUp);
+    fn reconnect_engine(&mut self) {
+        self.handle_event(EndpointEvent::EngineDown);
+        self.handle_event(EndpointEvent::EngineUp);
         self.next_poll = self.now + FIRST_POLL;
     }
 
     /// The sidecar loses all that it knew; the engine goes on.
     fn restart(&mut self) {
-        self.life += 2;
-        self.core = new_core(self.life, self.safeguards);
-        self.born = self.now;
+        self.incarnation += 2;
+        self.core = new_core(self.incarnation, self.safeguards);
+        self.process_started = self.now;
         self.wake = None;
         self.next_poll = self.now + FIRST_POLL;
         // A process reads each account itself, so none is older than its start.
-        self.last_account = self.account();
+        self.last_allocations = self.allocations();
         self.open.clear();
         self.not_run.clear();
         self.ran.clear();
         // The bound counts from the sidecar's last start, since it remembers nothing from before.
-        self.ownerless.clear();
+        self.unowned_since.clear();
         self.draining = false;
     }
 
@@ -285,13 +289,13 @@
 
     fn advance(&mut self, until: Timestamp) {
         loop {
-            let wake = self.wake.map_or(until, |wake| wake + self.born);
+            let wake = self.wake.map_or(until, |wake| wake + self.process_started);
             let next = wake.min(self.next_poll).min(until);
             self.now = next.max(self.now);
             if self.next_poll <= self.now {
                 self.poll();
             } else if wake <= self.now && self.wake.is_some() {
-                self.tell(EndpointEvent::Tick);
+                self.handle_event(EndpointEvent::Tick);
             } else {
                 return;
             }
@@ -300,11 +304,13 @@
 
     fn poll(&mut self) {
         self.next_poll = self.now + POLL;
-        self.last_account = self.account();
-        self.tell(EndpointEvent::EngineAllocations(self.last_account.clone()));
+        self.last_allocations = self.allocations();
+        self.handle_event(EndpointEvent::EngineAllocations(
+            self.last_allocations.clone(),
+        ));
     }
 
-    fn account(&self) -> Vec<EngineAllocation> {
+    fn allocations(&self) -> Vec<EngineAllocation> {
         let holdings = self.engine.iter().map(|(request, run)| EngineAllocation {
             request: *request,
             tokens: run.tokens,
@@ -312,20 +318,20 @@
         holdings.collect()
     }
 
-    fn tell(&mut self, event: EndpointEvent) {
+    fn handle_event(&mut self, event: EndpointEvent) {
         self.pending.push(event);
         while let Some(event) = self.pending.pop() {
-            let now = self.now - self.born;
+            let now = self.now - self.process_started;
             self.wake = self.wake.filter(|wake| *wake > now);
             let actions = self.core.handle(now, event);
             for (index, action) in actions.iter().enumerate() {
-                self.see(action, actions.get(index + 1));
+                self.check_action(action, actions.get(index + 1));
             }
             self.check();
         }
     }
 
-    fn see(&mut self, action: &EndpointAction, next: Option<&EndpointAction>) {
+    fn check_action(&mut self, action: &EndpointAction, next: Option<&EndpointAction>) {
         match action {
             EndpointAction::Accept(key)
                 if !matches!(next, Some(EndpointAction::ResumeFrom { .. })) =>
@@ -333,15 +339,15 @@
                 self.open_request(key);
             }
             EndpointAction::Refuse { key, end } if end.ran == RanState::No => {
-                self.see_not_run(key);
+                self.check_not_run(key);
             }
-            EndpointAction::Start(key) => self.see_start(key),
-            EndpointAction::CancelOnEngine(request) => self.see_cancel(*request),
-            EndpointAction::EndAnswer { key, end } => self.see_end(key, end),
+            EndpointAction::Start(key) => self.check_start(key),
+            EndpointAction::CancelOnEngine(request) => self.check_cancel(*request),
+            EndpointAction::EndAnswer { key, end } => self.check_end(key, end),
             EndpointAction::Verdict {
                 key,
                 verdict: RevokeVerdict::Revoked,
-            } => self.see_not_run(key),
+            } => self.check_not_run(key),
             EndpointAction::WakeAt(at) => self.wake = Some(*at),
             _ => {}
         }
@@ -358,8 +364,8 @@
         }
     }
 
-    fn see_not_run(&mut self, key: &AttemptKey) {
-        if key.incarnation != self.life {
+    fn check_not_run(&mut self, key: &AttemptKey) {
+        if key.incarnation != self.incarnation {
             return;
         }
         let attempt = self.not_run.entry(key.request).or_default();
@@ -370,10 +376,10 @@
         }
     }
 
-    fn see_start(&mut self, key: &AttemptKey) {
+    fn check_start(&mut self, key: &AttemptKey) {
         self.started += 1;
-        let told = self.not_run.get(&key.request).copied().unwrap_or(0);
-        if key.attempt <= told {
+        let not_run_attempt = self.not_run.get(&key.request).copied().unwrap_or(0);
+        if key.attempt <= not_run_attempt {
             self.violations.insert(Violation::StartedAfterNotRun);
         }
         if self.draining {
@@ -395,8 +401,8 @@
         self.engine.insert(key.request, run);
     }
 
-    fn see_cancel(&mut self, request: RequestId) {
-        self.ownerless.insert(request, self.now);
+    fn check_cancel(&mut self, request: RequestId) {
+        self.unowned_since.insert(request, self.now);
         if self.lose_cancels > 0 {
             self.lose_cancels -= 1;
             return;
@@ -413,7 +419,7 @@
         }
     }
 
-    fn see_end(&mut self, key: &AttemptKey, end: &AnswerEnd) {
+    fn check_end(&mut self, key: &AttemptKey, end: &AnswerEnd) {
         let Some(request) = self.open.get_mut(&key.request) else {
             self.violations.insert(Violation::EndedTwice);
             return;
@@ -423,7 +429,7 @@
         }
         request.ended = true;
         if end.ran == RanState::No {
-            self.see_not_run(key);
+            self.check_not_run(key);
         }
     }
 
@@ -431,7 +437,7 @@
         let ledger = self.core.ledger();
         let sum: u64 = ledger.leases().map(|(_, lease)| lease.tokens).sum();
         if sum != ledger.leased() || sum > MEMORY {
-            self.violations.insert(Violation::LedgerWrong);
+            self.violations.insert(Violation::LedgerInconsistent);
         }
         let mut open = self.open.values();
         if open.any(|request| !request.ended && request.deadline < self.now) {
@@ -443,27 +449,27 @@
     fn check_owners(&mut self) {
         for (request, run) in &self.engine {
             let open = self.open.get(request).is_some_and(|open| !open.ended);
-            let started = run.key.incarnation == self.life && open;
+            let started = run.key.incarnation == self.incarnation && open;
             // A newer attempt takes its request's reservation over, with what it holds.
             if started || self.core.ledger().is_reserved(*request) {
-                self.ownerless.remove(request);
+                self.unowned_since.remove(request);
                 continue;
             }
-            let since = *self.ownerless.entry(*request).or_insert(self.now);
+            let since = *self.unowned_since.entry(*request).or_insert(self.now);
             if since + ORPHAN_BOUND < self.now {
                 self.violations.insert(Violation::OrphanKept);
             }
         }
         let engine = &self.engine;
-        self.ownerless
+        self.unowned_since
             .retain(|request, _| engine.contains_key(request));
     }
 }
 
-fn new_core(life: u64, safeguards: EndpointSafeguards) -> EndpointCore {
+fn new_core(incarnation: u64, safeguards: EndpointSafeguards) -> EndpointCore {
     let limits = EndpointLimits::default()
         .with_memory_tokens(MEMORY)
         .with_concurrency(4)
         .with_queue_length(6);
-    EndpointCore::new(life, limits).with_safeguards(safeguards)
+    EndpointCore::new(incarnation, limits).with_safeguards(safeguards)
 }
--- a/lovagedock/tests/support/endpoint_steps.rs
+++ b/lovagedock/tests/support/endpoint_steps.rs
@@ -18,10 +18,10 @@
     Fail(usize),
     RefuseRun(usize),
     RepeatEnd,
-    StaleAccount,
+    StaleAllocations,
     LoseCancels(u32),
     EngineDies,
-    EngineBlip,
+    EngineReconnects,
     Restart,
     Reserve(StepKey, u64, u64),
     Renew(StepKey, u64),
@@ -44,7 +44,7 @@
     pub(crate) tier: u8,
     pub(crate) non_idempotent: bool,
     pub(crate) span: bool,
-    pub(crate) other_life: bool,
+    pub(crate) other_incarnation: bool,
 }
 
 /// Random schedules of up to `length` steps.
@@ -66,7 +66,7 @@
         tier: sizes.2,
         non_idempotent: flags.0 < 3,
         span: flags.1 == 0,
-        other_life: flags.2 == 0,
+        other_incarnation: flags.2 == 0,
     })
 }
 
@@ -87,10 +87,10 @@
     ];
     let faults = prop_oneof![
         2 => Just(Step::RepeatEnd),
-        2 => Just(Step::StaleAccount),
+        2 => Just(Step::StaleAllocations),
         2 => (1..6u32).prop_map(Step::LoseCancels),
         1 => Just(Step::EngineDies),
-        1 => Just(Step::EngineBlip),
+        1 => Just(Step::EngineReconnects),
         1 => Just(Step::Restart),
         2 => any::<bool>().prop_map(Step::Drain),
     ];
