--- a/lovagedock/benches/admission.rs
+++ b/lovagedock/benches/admission.rs
@@ -1,4 +1,4 @@
-//! Cost of one admission and of one start at a sidecar, by the number of requests that wait.
+//! Cost of one admission and of one start at a sidecar by the number of queued requests.
 
 use std::{hint::black_box, time::Duration};
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// A sidecar with a full engine and so many requests that wait.
+/// Creates a sidecar with a full engine and this many queued requests.
 fn full_core(queued: u128) -> EndpointCore {
     let limits = EndpointLimits::default()
         .with_memory_tokens(1_000_000)
--- a/lovagedock/benches/placement.rs
+++ b/lovagedock/benches/placement.rs
@@ -1,4 +1,4 @@
-//! Time of one placement against the number of endpoints that a gateway knows.
+//! Time of one placement by the number of endpoints known to the gateway.
 
 use std::{hint::black_box, sync::Arc, time::Duration};
 
--- a/lovagedock/examples/compare/engine.rs
+++ b/lovagedock/examples/compare/engine.rs
@@ -1,4 +1,4 @@
-//! An engine with one prefill at a time, a memory that decodes hold, and a prefix cache.
+//! Simulated engine that runs one prefill at a time, with KV memory and a prefix cache.
 
 use std::{collections::VecDeque, sync::Arc, time::Duration};
 
@@ -11,10 +11,10 @@
 pub(crate) const ENGINE_MEMORY: TokenCount = 450_000;
 const LONG_TOKENS: TokenCount = 32_000;
 const CACHE_TOKENS: TokenCount = 150_000;
-/// Each running answer slows prefill by this share.
+/// Slowdown of prefill per decoding request.
 const DECODE_SLOWDOWN: f64 = 0.01;
 
-/// How an engine orders its work.
+/// Scheduling order of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EngineOrder {
     /// First come, first served.
@@ -23,23 +23,24 @@
     ShortFirst,
 }
 
-/// A request, or one part of a span, at one engine.
+/// A request or one part of a span on one engine.
 #[derive(Clone, Debug)]
 pub(crate) struct EngineJob {
     pub(crate) request: usize,
     pub(crate) prompt: TokenCount,
     pub(crate) memory: TokenCount,
     pub(crate) shared: Option<(u64, u64)>,
-    /// Share of the prompt's prefill that this engine does.
+    /// Share of the prompt's prefill that runs on this engine.
     pub(crate) share: f64,
-    /// Virtual time after which it is not started any more.
+    /// Virtual time after which the job is no longer started.
     pub(crate) deadline: f64,
-    /// Seconds of prefill left, once it was started.
+    /// Remaining seconds of prefill of a started job.
     pub(crate) left: Option<f64>,
 }
 
 impl EngineJob {
-    /// Whether the sidecar drops it unstarted; parts of a span stay, since others hold memory.
+    /// Whether the sidecar drops the queued job. Parts of a span are kept because the other parts
+    /// hold memory.
     fn expired(&self, now: f64) -> bool {
         self.left.is_none() && self.share == 1.0 && now > self.deadline
     }
@@ -54,7 +55,8 @@
     pub(crate) cost: CostParameters,
     pub(crate) queue: VecDeque<EngineJob>,
     pub(crate) current: Option<(EngineJob, f64)>,
-    /// Counts starts, so that the end of an interrupted prefill is not mistaken for a later one's.
+    /// Number of starts. It distinguishes the end of an interrupted prefill from that of a later
+    /// one.
     pub(crate) starts: u64,
     pub(crate) used: TokenCount,
     pub(crate) decoding: u32,
@@ -114,7 +116,7 @@
         }
     }
 
-    /// Starts the next prefill if it can; returns when it ends and its number.
+    /// Starts the next prefill if possible. Returns its end time and its start number.
     pub(crate) fn start(&mut self, now: f64) -> Option<(f64, u64)> {
         if self.current.is_some() {
             return None;
@@ -122,7 +124,7 @@
         self.queue.retain(|job| !job.expired(now));
         let free = ENGINE_MEMORY - self.used;
         let head_fits = self.queue.front()?.missing_memory() <= free;
-        // What was interrupted goes on when the head has to wait for the memory that it holds.
+        // An interrupted job continues if the first job must wait for the memory that it holds.
         let at = match head_fits {
             true => 0,
             false => self.queue.iter().position(|job| job.left.is_some())?,
--- a/lovagedock/examples/compare/fleet.rs
+++ b/lovagedock/examples/compare/fleet.rs
@@ -1,4 +1,4 @@
-//! Several gateways with old reports in front of single-queue engines, in virtual time.
+//! Simulation of gateways with delayed reports and single-queue engines in virtual time.
 
 use std::{
     cmp::Ordering,
@@ -24,7 +24,7 @@
 const DOMAINS: usize = 3;
 const SPEED_SPREAD: f64 = 0.15;
 
-/// One run.
+/// Settings of one run.
 #[derive(Clone, Debug)]
 pub(crate) struct FleetSetup {
     pub(crate) spec: PlacementSpec,
@@ -38,16 +38,16 @@
     pub(crate) with_backlog: bool,
 }
 
-/// What became of the requests of a run.
+/// Outcomes of the requests of a run.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FleetResult {
-    /// First-token seconds by bucket.
+    /// First-token times in seconds by bucket.
     pub(crate) first_token: [Vec<f64>; 6],
     pub(crate) in_time: u64,
-    /// First token late or, dropped from a queue, never.
+    /// Requests whose first token was late or that were dropped from a queue.
     pub(crate) late: u64,
     pub(crate) refused: [u64; 6],
-    /// Prompt tokens of the requests whose first token came in time.
+    /// Prompt tokens of the requests whose first token was in time.
     pub(crate) good_tokens: TokenCount,
     pub(crate) cross_domain: u64,
 }
@@ -103,7 +103,7 @@
     engines: Vec<Engine>,
     gateways: Vec<Gateway>,
     arrivals: Vec<Arrival>,
-    /// Engines of each request and the parts of it that are not prefilled.
+    /// Engines of each request, and the number of its parts that remain to be prefilled.
     placed: Vec<(Vec<(usize, TokenCount)>, usize)>,
     events: BinaryHeap<TimedEvent>,
     sequence: u64,
@@ -203,7 +203,7 @@
                 for (_, _, work) in gateway.sent.iter().filter(|(_, to, _)| to == id) {
                     unreported.add(work);
                 }
-                // The report is as old as its lag when it arrives.
+                // A report was generated one lag before it arrives.
                 let at = Duration::from_secs_f64(now - REPORT_LAG_SECONDS);
                 gateway
                     .pool
--- a/lovagedock/examples/compare/main.rs
+++ b/lovagedock/examples/compare/main.rs
@@ -1,8 +1,9 @@
-//! Compares the registered placement policies over seeds.
+//! Compares the registered placement policies over several seeds.
 //!
-//! `cargo run --release -p lovagedock --example compare -- [LOAD] [SEEDS] [fifo|short-first] [SHARE] [POLICY|all] [GATEWAYS]`
-//! prints one row for each policy: the p95 first token of each bucket in seconds of virtual time
-//! (median over the seeds), the short slowdown with its range, and what was refused or late.
+//! `cargo run --release -p lovagedock --example compare -- [LOAD] [SEEDS] [fifo|short-first]
+//! [SHARE] [POLICY|all] [GATEWAYS]` prints one row per policy: the p95 first-token time of each
+//! bucket in seconds of virtual time (median over the seeds), the slowdown of short prompts with
+//! its range, and the numbers of refused and late requests.
 
 mod engine;
 mod fleet;
@@ -21,7 +22,7 @@
     let order = match args.next().as_deref() {
         None | Some("fifo") => EngineOrder::Fifo,
         Some("short-first") => EngineOrder::ShortFirst,
-        Some(other) => panic!("no engine order is named {other}"),
+        Some(other) => panic!("unknown engine order: {other}"),
     };
     let default = PlacementSpec::default();
     let share = args
@@ -64,7 +65,7 @@
     }
 }
 
-/// The same short requests with and without the long ones.
+/// Results of the same short requests with and without the long ones.
 struct PairedRun {
     mixed: FleetResult,
     short: FleetResult,
@@ -104,7 +105,7 @@
     println!("| {refused:?} | {late} | {good:.1} |");
 }
 
-/// Least, median and greatest value over the runs.
+/// Returns the minimum, median and maximum over the runs.
 fn spread(runs: &[PairedRun], value: impl Fn(&PairedRun) -> f64) -> (f64, f64, f64) {
     let mut values: Vec<f64> = runs.iter().map(value).collect();
     values.sort_by(f64::total_cmp);
--- a/lovagedock/examples/compare/traffic.rs
+++ b/lovagedock/examples/compare/traffic.rs
@@ -1,4 +1,4 @@
-//! Seeded arrivals of unlike lengths.
+//! Random arrivals with a mix of prompt lengths.
 
 use std::time::Duration;
 
@@ -6,14 +6,15 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// True cost of work on an engine of speed 1.
+/// True cost parameters of an engine with speed 1.
 pub(crate) const TRUE_COST: CostParameters = CostParameters {
     prefill_ns_per_token: 50_000.0,
     prefill_ns_per_token_squared: 0.05,
     decode_ns: 20_000_000.0,
 };
 
-/// One in fifty is longer than 100k, one in 250 about a million.
+/// Buckets with their probability, typical length in tokens and deadline in seconds. One prompt in
+/// fifty is longer than 100k tokens, and one in 250 has about a million.
 const MIX: [(LengthBucket, f64, f64, u64); 6] = [
     (LengthBucket::K1, 0.50, 1_000.0, 60),
     (LengthBucket::K4, 0.28, 4_000.0, 60),
@@ -36,7 +37,7 @@
     pub(crate) deadline: Duration,
     pub(crate) gateway: usize,
     pub(crate) prefix: Vec<u64>,
-    /// Conversation and the pieces that it shares with others of it.
+    /// Conversation and the number of prompt pieces shared with its other requests.
     pub(crate) shared: Option<(u64, u64)>,
 }
 
@@ -46,12 +47,12 @@
     }
 }
 
-/// Hash of the first `pieces` pieces of a conversation.
+/// Returns the hash of the first `pieces` pieces of a conversation.
 pub(crate) fn conversation_hash(conversation: u64, pieces: u64) -> u64 {
     (conversation + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ pieces.wrapping_mul(0xff51_afd7)
 }
 
-/// Arrivals over `seconds` that would keep `engines` busy to `load` without any cache.
+/// Generates arrivals over `seconds` that load `engines` engines to `load` without cache hits.
 pub(crate) fn arrivals(
     rng: &mut ChaCha8Rng,
     load: f64,
--- a/lovagedock/examples/subset.rs
+++ b/lovagedock/examples/subset.rs
@@ -1,4 +1,4 @@
-//! Prints how even subsets are, and how much of them moves when members come and go.
+//! Prints how balanced subsets are, and how many sessions move when members are added or removed.
 //!
 //! `cargo run --release -p lovagedock --example subset`
 
--- a/lovagedock/src/cost/decode.rs
+++ b/lovagedock/src/cost/decode.rs
@@ -1,6 +1,6 @@
-//! Interval between the tokens of an answer against the batch size.
+//! Interval between the tokens of an answer as a function of the batch size.
 
-/// A smoothed interval for each power of two of the batch size.
+/// Smoothed token intervals, one for each power of two of the batch size.
 #[derive(Clone, Debug, Default)]
 pub(super) struct DecodeTable {
     slots: [DecodeSlot; DECODE_SLOTS],
@@ -20,13 +20,13 @@
             slot.seconds = seconds;
             return;
         }
-        // A stalled engine or a late report must not pass for a slow batch.
+        // Limits the effect of a stalled engine or a late report on the mean.
         let limited = seconds.min(slot.seconds * MAX_STEP_RATIO);
         let gain = DECODE_GAIN.max(1.0 / f64::from(slot.observations));
         slot.seconds += gain * (limited - slot.seconds);
     }
 
-    /// The interval at a batch size, from the nearest sizes that were seen.
+    /// Returns the interval at a batch size, interpolated between the nearest observed sizes.
     pub(super) fn seconds(&self, batch: u32) -> Option<f64> {
         let at = slot_of(batch);
         let below = (0..=at).rev().find(|slot| self.seen(*slot));
@@ -53,7 +53,7 @@
     (batch.max(1).ilog2() as usize).min(DECODE_SLOTS - 1)
 }
 
-/// Batch sizes of 1 to 1,023.
+/// Number of slots, for batch sizes of 1 to 1,023.
 const DECODE_SLOTS: usize = 10;
 const DECODE_GAIN: f64 = 0.1;
 const MAX_STEP_RATIO: f64 = 1.5;
--- a/lovagedock/src/cost/error.rs
+++ b/lovagedock/src/cost/error.rs
@@ -1,15 +1,15 @@
-//! How far predictions were from what was observed.
+//! Errors of the predictions relative to the observed times.
 
 use crate::length::LengthBucket;
 
 /// Smoothed relative error of the prefill predictions of one length bucket.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PredictionError {
-    /// Predictions that were compared.
+    /// Number of predictions compared with an observation.
     pub count: u64,
     /// Mean of `|predicted - observed| / observed`.
     pub absolute: f64,
-    /// Mean of `(predicted - observed) / observed`; positive when predictions are too long.
+    /// Mean of `(predicted - observed) / observed`; positive if predictions are too long.
     pub bias: f64,
 }
 
--- a/lovagedock/src/cost/mod.rs
+++ b/lovagedock/src/cost/mod.rs
@@ -1,4 +1,4 @@
-//! What work costs on an engine: parameters for the wire and the model that learns them.
+//! Cost of work on an engine: the parameters sent in reports and the model that learns them.
 
 mod decode;
 mod error;
--- a/lovagedock/src/cost/model.rs
+++ b/lovagedock/src/cost/model.rs
@@ -9,7 +9,7 @@
     prefill::PrefillEstimator,
 };
 
-/// Learns what work costs on one engine from what its sidecar observes.
+/// Learns the cost of work on one engine from the observations of its sidecar.
 #[derive(Clone, Debug)]
 pub struct CostModel {
     prefill: PrefillEstimator,
@@ -19,23 +19,23 @@
     batch: u32,
 }
 
-/// One prompt that was prefilled.
+/// An observed prefill of one prompt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PrefillObservation {
     /// Length of the prompt.
     pub prompt_tokens: TokenCount,
-    /// Tokens of it that came from the engine's cache.
+    /// Prompt tokens that came from the engine's cache.
     pub cached_tokens: TokenCount,
-    /// Time that it waited before the engine began with it; part of `first_token`.
+    /// Time before the engine started the prefill; included in `first_token`.
     pub queue_wait: Duration,
-    /// Time from its arrival to its first token.
+    /// Time from the arrival of the prompt to its first token.
     pub first_token: Duration,
-    /// Requests that ran with it.
+    /// Number of requests in the same batch.
     pub batch: u32,
 }
 
 impl CostModel {
-    /// A model that knows nothing about its engine.
+    /// Creates a model without observations.
     pub fn new() -> Self {
         Self {
             prefill: PrefillEstimator::new(&CostParameters::ASSUMED),
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Learns from one prefill; one without any time or tokens is ignored.
+    /// Learns from one prefill. An observation without any time or tokens is ignored.
     pub fn observe_prefill(&mut self, observation: &PrefillObservation) {
         let seconds = observation
             .first_token
@@ -75,7 +75,8 @@
         self.decode.observe(batch, interval.as_secs_f64());
     }
 
-    /// First-token time of a prompt behind `queue_tokens` of prompts of the usual mix.
+    /// Predicts the first-token time of a prompt behind `queue_tokens` tokens of queued prompts
+    /// with the recently observed mix of lengths.
     pub fn predict_first_token(
         &self,
         queue_tokens: TokenCount,
@@ -92,12 +93,13 @@
         cost.predict_first_token(queue, prompt, cached)
     }
 
-    /// Interval between tokens when `batch` requests run; `None` until one was observed.
+    /// Returns the interval between tokens when `batch` requests run; `None` before the first
+    /// observation.
     pub fn decode_interval(&self, batch: u32) -> Option<Duration> {
         self.decode.seconds(batch).map(Duration::from_secs_f64)
     }
 
-    /// What goes onto the wire; zeros where nothing is known.
+    /// Returns the parameters sent in reports. Unknown parameters are zero.
     pub fn parameters(&self) -> CostParameters {
         let decode_ns = self.decode.seconds(self.batch).unwrap_or(0.0) * NS_PER_SECOND;
         if self.prefill.observations() == 0 {
@@ -114,13 +116,14 @@
         }
     }
 
-    /// How far the predictions for a length were off.
+    /// Returns the error of the predictions for a length bucket.
     pub fn error(&self, bucket: LengthBucket) -> PredictionError {
         self.errors.get(bucket)
     }
 
-    /// Prompts differ in length, so the tokens of a queue cost more than the linear coefficient:
-    /// this is the mean over the prompts that came lately, each weighted by its tokens.
+    /// Updates the mean cost of a queued token. Prompts differ in length, so the tokens of a queue
+    /// cost more than the linear coefficient. The mean is taken over recent prompts, each weighted
+    /// by its number of tokens.
     fn learn_queue_rate(&mut self, prompt: TokenCount, cached: TokenCount) {
         let tokens = (prompt - cached) as f64;
         let rate = self.parameters().prefill_seconds(prompt, cached) / tokens;
@@ -139,4 +142,5 @@
     }
 }
 
+/// Number of tokens over which the mean cost of a queued token is averaged.
 const QUEUE_RATE_DECAY_TOKENS: f64 = 1e6;
--- a/lovagedock/src/cost/parameters.rs
+++ b/lovagedock/src/cost/parameters.rs
@@ -2,10 +2,10 @@
 
 use crate::ids::TokenCount;
 
-/// Cost of work on one engine, small enough to travel with each load report.
+/// Cost of work on one engine. It is small enough to be part of each load report.
 ///
 /// Prefilling `n` tokens behind a cached prefix of `c` tokens takes
-/// `n * ns_per_token + ((c + n)^2 - c^2) * ns_per_token_squared`: the second term is the attention
+/// `n * ns_per_token + ((c + n)^2 - c^2) * ns_per_token_squared`. The second term is the attention
 /// of each new token to all tokens before it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CostParameters {
@@ -13,19 +13,20 @@
     pub prefill_ns_per_token: f64,
     /// Growth of prefill time with length, in nanoseconds for each squared token.
     pub prefill_ns_per_token_squared: f64,
-    /// Interval between the tokens of one answer at the present batch size, in nanoseconds.
+    /// Interval between the tokens of one answer at the current batch size, in nanoseconds.
     pub decode_ns: f64,
 }
 
 impl CostParameters {
-    /// Used for an engine that has reported nothing yet; a cautious guess for a mid-size model.
+    /// Parameters for an engine that has not reported yet: a conservative guess for a mid-size
+    /// model.
     pub const ASSUMED: Self = Self {
         prefill_ns_per_token: 100_000.0,
         prefill_ns_per_token_squared: 0.2,
         decode_ns: 30_000_000.0,
     };
 
-    /// The parameters, or the assumed ones where nothing has been learned.
+    /// Returns the parameters, with unknown ones replaced by the assumed ones.
     pub fn or_assumed(self) -> Self {
         if self.prefill_ns_per_token > 0.0 {
             return self;
@@ -40,17 +41,17 @@
         }
     }
 
-    /// Time to prefill a prompt whose first `cached` tokens are in the engine's cache.
+    /// Returns the time to prefill a prompt whose first `cached` tokens are in the engine's cache.
     pub fn prefill(&self, prompt: TokenCount, cached: TokenCount) -> Duration {
         Duration::from_secs_f64(self.prefill_seconds(prompt, cached))
     }
 
-    /// Time to decode an answer after its first token.
+    /// Returns the time to decode an answer after its first token.
     pub fn decode(&self, answer: TokenCount) -> Duration {
         Duration::from_secs_f64(self.decode_ns * answer as f64 / NS_PER_SECOND)
     }
 
-    /// First-token time behind `queue` of work that is already there.
+    /// Returns the first-token time of a prompt that waits for `queue` before its prefill.
     pub fn predict_first_token(
         &self,
         queue: Duration,
@@ -70,7 +71,7 @@
 }
 
 impl Default for CostParameters {
-    /// Nothing known.
+    /// Returns zeros, which mean that the parameters are unknown.
     fn default() -> Self {
         Self {
             prefill_ns_per_token: 0.0,
--- a/lovagedock/src/cost/prefill.rs
+++ b/lovagedock/src/cost/prefill.rs
@@ -1,19 +1,21 @@
-//! Prefill time against length, by recursive least squares.
+//! Estimates prefill time as a function of prompt length by recursive least squares.
 
 use super::parameters::{CostParameters, NS_PER_SECOND};
 
 /// Learns `seconds = a * linear + b * squared`.
 ///
-/// Errors are relative: a prompt of a thousand tokens counts as much as one of a million. An
-/// observation is divided by its own duration, so that one that is late by a factor pulls the less,
-/// the later it is; one that is far too fast for the model (a cache hit that nobody reported) is
-/// divided by part of the prediction instead. A Huber weight limits what is left of both.
+/// Errors are relative, so a prompt of a thousand tokens counts as much as one of a million. Each
+/// observation is divided by its own duration, so the weight of a delayed observation decreases
+/// with its delay. An observation that is far too fast for the model, such as an unreported cache
+/// hit, is divided by part of the prediction instead. A Huber weight limits the remaining effect of
+/// both kinds of outlier.
 #[derive(Clone, Debug)]
 pub(super) struct PrefillEstimator {
     theta: [f64; 2],
     covariance: [[f64; 2]; 2],
     residual_scale: f64,
-    /// Limited residuals of one sign in a row; negative when the engine was faster each time.
+    /// Number of consecutive clipped residuals of the same sign; negative if the engine was faster
+    /// than predicted.
     streak: i32,
     observations: u64,
 }
@@ -36,7 +38,7 @@
         self.observations
     }
 
-    /// Nanoseconds for each token and each squared token.
+    /// Returns the nanoseconds per token and per squared token.
     pub(super) fn coefficients(&self) -> (f64, f64) {
         (
             self.theta[0] / LINEAR_UNIT * NS_PER_SECOND,
@@ -58,8 +60,8 @@
         self.update(scaled, residual, weight);
     }
 
-    /// Scales the prior to the first observation: engines differ by far more in speed than in the
-    /// ratio of the two coefficients, which short prompts alone cannot tell.
+    /// Scales the prior to the first observation. Engines differ far more in speed than in the
+    /// ratio of the two coefficients, and short prompts alone do not determine that ratio.
     fn scale_prior(&mut self, features: [f64; 2], seconds: f64) {
         let ratio = seconds / dot(features, self.theta);
         self.theta = [self.theta[0] * ratio, self.theta[1] * ratio];
@@ -88,8 +90,9 @@
         limit / size
     }
 
-    /// Outliers come now and then and on both sides; several in a row on one side mean that the
-    /// engine has changed, and what was learned before is in the way.
+    /// Resets the estimate after several consecutive outliers on the same side. Ordinary outliers
+    /// are rare and occur on both sides. A series on one side means that the engine's speed has
+    /// changed and that earlier observations no longer apply.
     fn track_streak(&mut self, residual: f64) {
         let sign = if residual > 0.0 { 1 } else { -1 };
         let continued = self.streak.signum() == sign;
@@ -101,12 +104,12 @@
         }
     }
 
-    /// A least-squares step with directional forgetting.
+    /// Performs a least-squares step with directional forgetting.
     ///
-    /// Plain forgetting lets the variance grow without end in a direction that is not observed, for
-    /// instance that of the squared term while there are only short prompts; noise then moves it
-    /// far off, and the first long prompt is mispredicted. Here the variance is kept up only in the
-    /// direction of the observation itself.
+    /// Exponential forgetting lets the variance grow without bound in a direction that is not
+    /// observed, such as that of the squared term while there are only short prompts. Noise then
+    /// moves the coefficient far from its true value, and the first long prompt is mispredicted.
+    /// Directional forgetting maintains the variance only in the direction of the observation.
     fn update(&mut self, x: [f64; 2], residual: f64, weight: f64) {
         let p = self.covariance;
         let px = [dot(p[0], x), dot(p[1], x)];
@@ -119,7 +122,7 @@
         let shrink = (1.0 - remaining / spread) / spread;
         for i in 0..2 {
             let gain = px[i] / (noise + spread);
-            // Neither more tokens nor a longer context can save time.
+            // Coefficients are never negative: more tokens or a longer context cannot save time.
             self.theta[i] = (self.theta[i] + gain * residual).max(0.0);
             for (j, pxj) in px.iter().enumerate() {
                 self.covariance[i][j] = p[i][j] - shrink * px[i] * pxj;
@@ -132,20 +135,20 @@
     a[0] * b[0] + a[1] * b[1]
 }
 
-/// Units that keep both features near one for typical prompts.
+/// Units that scale both features to about one for typical prompts.
 const LINEAR_UNIT: f64 = 1e4;
 const SQUARED_UNIT: f64 = 1e8;
-/// Part of its error that an observation still corrects after many others.
+/// Share of its error that an observation still corrects after many earlier observations.
 const STEADY_GAIN: f64 = 0.01;
-/// Least share of the prediction that an observation is divided by.
+/// An observation is divided by at least this share of the prediction.
 const MIN_OBSERVED_RATIO: f64 = 0.5;
-/// Limited residuals in a row that mean that the engine has changed.
+/// Number of consecutive clipped residuals after which the engine counts as changed.
 const CHANGE_STREAK: i32 = 6;
 /// Variance of the relative error of one observation.
 const NOISE_VARIANCE: f64 = 0.01;
 /// Spread of the prior relative to its mean.
 const PRIOR_SPREAD: f64 = 1.0;
-/// Residuals beyond this many typical residuals are limited.
+/// Residuals larger than this multiple of the typical residual are clipped.
 const HUBER_SCALES: f64 = 2.5;
 const INITIAL_RESIDUAL: f64 = 0.5;
 const MIN_RESIDUAL: f64 = 0.02;
--- a/lovagedock/src/endpoint/answers.rs
+++ b/lovagedock/src/endpoint/answers.rs
@@ -1,4 +1,4 @@
-//! Ended answers that a gateway may still resume.
+//! Completed answers that a gateway may still resume.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -10,17 +10,17 @@
     outcome::{AnswerEnd, AttemptKey},
 };
 
-/// An answer that has ended and is still kept by the daemon.
+/// An answer that has ended and that the daemon still retains.
 #[derive(Clone, Debug)]
 pub(crate) struct EndedAnswer {
-    /// The newest attempt that took it.
+    /// The newest attempt that received the answer.
     pub(crate) key: AttemptKey,
-    /// How it ended.
+    /// The end of the answer.
     pub(crate) end: AnswerEnd,
     until: Timestamp,
 }
 
-/// Keeps ended answers for a bounded time, count and number of bytes.
+/// Retains ended answers, limited by time, count and number of bytes.
 #[derive(Debug)]
 pub(crate) struct AnswerTable {
     hold: Duration,
@@ -32,7 +32,7 @@
 }
 
 impl AnswerTable {
-    /// An empty table with its bounds.
+    /// Creates an empty table with these bounds.
     pub(crate) fn new(hold: Duration, count: usize, bytes: u64) -> Self {
         Self {
             hold,
@@ -44,14 +44,14 @@
         }
     }
 
-    /// Replaces the bounds; what is over them goes with the next expiry.
+    /// Replaces the bounds. Answers beyond them are removed by the next expiry.
     pub(crate) fn set_bounds(&mut self, hold: Duration, count: usize, bytes: u64) {
         self.hold = hold;
         self.count = count;
         self.bytes = bytes;
     }
 
-    /// Keeps an answer; a request ends only once.
+    /// Adds an answer. Each request ends only once.
     pub(crate) fn insert(&mut self, now: Timestamp, key: AttemptKey, end: AnswerEnd) {
         self.held_bytes += end.length;
         let until = now + self.hold;
@@ -60,19 +60,19 @@
         self.order.push_back(key.request);
     }
 
-    /// The answer of a request.
+    /// Returns the answer of a request.
     pub(crate) fn get(&self, request: RequestId) -> Option<&EndedAnswer> {
         self.answers.get(&request)
     }
 
-    /// Lets a newer attempt take the answer.
+    /// Makes a newer attempt the receiver of the answer.
     pub(crate) fn attach(&mut self, key: AttemptKey) {
         if let Some(answer) = self.answers.get_mut(&key.request) {
             answer.key = key;
         }
     }
 
-    /// Takes out what is past its time or over the bounds, oldest first.
+    /// Removes and returns the answers that are expired or beyond the bounds, oldest first.
     pub(crate) fn expire(&mut self, now: Timestamp) -> Vec<EndedAnswer> {
         let mut expired = Vec::new();
         while self.oldest_is_due(now) {
@@ -87,13 +87,13 @@
         expired
     }
 
-    /// When the oldest answer is past its time.
+    /// Returns the time at which the oldest answer expires.
     pub(crate) fn next_due(&self) -> Option<Timestamp> {
         let oldest = self.order.front()?;
         self.answers.get(oldest).map(|answer| answer.until)
     }
 
-    /// Number of answers kept.
+    /// Returns the number of retained answers.
     pub(crate) fn len(&self) -> usize {
         self.answers.len()
     }
--- a/lovagedock/src/endpoint/attempt_control.rs
+++ b/lovagedock/src/endpoint/attempt_control.rs
@@ -1,4 +1,4 @@
-//! What gateways ask about a request that they have submitted: revoke, cancel, resume.
+//! Operations of gateways on submitted requests: revoke, cancel, resume and loss of the sink.
 
 use crate::{
     codes::{RanState, ResultCode},
@@ -36,8 +36,8 @@
             || tombstone.is_some_and(|tombstone| tombstone.ran != RanState::No)
     }
 
-    /// Leaves a tombstone, also for a submit that has not come yet, and takes the attempt out of
-    /// the queue. A newer attempt that waits is left alone.
+    /// Records a tombstone, even if the submit has not arrived yet, and removes the attempt from
+    /// the queue. A newer queued attempt is not affected.
     fn revoke_unstarted(&mut self, now: Timestamp, key: AttemptKey) {
         if self.safeguards.tombstones {
             let tombstone = Tombstone {
@@ -67,7 +67,7 @@
         if key.attempt < entry.key.attempt || !entry.ends_without_sink() {
             return;
         }
-        let end = self.abandoned_end(key.request, "the caller cancelled");
+        let end = self.abandoned_end(key.request, "cancelled by the caller");
         self.finish(now, key.request, end, false);
     }
 
--- a/lovagedock/src/endpoint/core.rs
+++ b/lovagedock/src/endpoint/core.rs
@@ -1,4 +1,4 @@
-//! The state of a sidecar's decisions and the round of each event.
+//! The state of the sidecar core and the handling of events.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,11 +19,11 @@
     outcome::{AttemptKey, RevokeVerdict},
 };
 
-/// Everything that a sidecar decides about the work of its endpoint.
+/// The state machine of a sidecar. It makes all decisions about the work of the endpoint.
 ///
-/// The daemon feeds it each wire call, each piece of engine traffic and, at the time that
-/// [`EndpointAction::WakeAt`] names, a tick; it carries the actions out in their order. Payloads
-/// and answer bytes stay with the daemon, keyed by request id.
+/// The daemon passes in an event for each wire call, for each message from the engine, and a tick
+/// at the time given by [`EndpointAction::WakeAt`]. It executes the returned actions in order.
+/// Payloads and answer bytes stay with the daemon, keyed by request id.
 ///
 /// ```
 /// use std::time::Duration;
@@ -40,7 +40,7 @@
     pub(super) safeguards: EndpointSafeguards,
     pub(super) shares: BTreeMap<OrganisationId, OrganisationShare>,
     pub(super) table: BTreeMap<RequestId, RequestEntry>,
-    /// Requests that were started and have not ended.
+    /// Requests that have started and not ended.
     pub(super) started: BTreeSet<RequestId>,
     pub(super) queue: AdmissionQueue,
     pub(super) ledger: MemoryLedger,
@@ -59,7 +59,7 @@
     pub(super) now: Timestamp,
 }
 
-/// When something is to be decided about a request.
+/// The time of the next decision about a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct DueRequest {
     pub(super) at: Timestamp,
@@ -67,7 +67,7 @@
 }
 
 impl EndpointCore {
-    /// The decisions of a sidecar that has just started.
+    /// Creates the core of a sidecar that has just started.
     pub fn new(incarnation: Incarnation, limits: EndpointLimits) -> Self {
         Self {
             incarnation,
@@ -94,13 +94,13 @@
         }
     }
 
-    /// Switches safeguards, for tests that show what happens without one.
+    /// Sets the safeguards, for tests that show the effect of switching one off.
     pub fn with_safeguards(mut self, safeguards: EndpointSafeguards) -> Self {
         self.safeguards = safeguards;
         self
     }
 
-    /// Decides on an event; `now` never goes back.
+    /// Handles an event and returns the resulting actions. `now` must not decrease.
     pub fn handle(&mut self, now: Timestamp, event: EndpointEvent) -> Vec<EndpointAction> {
         self.now = now.max(self.now);
         let now = self.now;
@@ -169,20 +169,20 @@
         self.engine_up && !leaving && self.knows_engine_state(now)
     }
 
-    /// Whether the engine has told what it holds, or had its time to tell.
+    /// Whether the engine has reported its allocations, or the time to wait for them is over.
     ///
-    /// After a restart of this sidecar its former work may still run on the engine. A start
-    /// before the first account could run a request twice, or overfill the memory.
+    /// After a restart of this sidecar, earlier work may still run on the engine. A start before
+    /// the first report could run a request twice or exceed the memory.
     pub(super) fn knows_engine_state(&self, now: Timestamp) -> bool {
         self.ledger.memory() == 0 || self.ledger.knows_allocations() || self.allocations_due <= now
     }
 
-    /// Requests that were started and have not ended.
+    /// Returns the requests that have started and not ended.
     pub(super) fn running(&self) -> impl Iterator<Item = &RequestEntry> {
         self.started.iter().filter_map(|id| self.table.get(id))
     }
 
-    /// Requests that run at once at most.
+    /// Returns the maximum number of running requests.
     pub(super) fn concurrency(&self) -> usize {
         if self.batch_size > 0 {
             return self.batch_size;
@@ -196,8 +196,8 @@
         if !leaving || !self.safeguards.drain_queue {
             return;
         }
-        // Nothing that waits may start after the endpoint has announced that it leaves; given
-        // back as not run, it is placed elsewhere at once.
+        // Queued requests must not start once the endpoint has announced that it drains. They are
+        // returned as not run, so that they are placed on other endpoints immediately.
         self.finish_queued(now, ResultCode::Draining);
     }
 
@@ -210,13 +210,13 @@
         self.actions.push(EndpointAction::Drained);
     }
 
-    /// The verdict on an attempt, as an action.
+    /// Adds an action with the verdict on an attempt.
     pub(super) fn push_verdict(&mut self, key: AttemptKey, verdict: RevokeVerdict) {
         self.actions.push(EndpointAction::Verdict { key, verdict });
     }
 }
 
-/// When so much memory is free if each running request ends as predicted.
+/// Predicts when this much memory is free, assuming that each running request ends as predicted.
 fn predict_free<'a>(
     now: Timestamp,
     need: TokenCount,
--- a/lovagedock/src/endpoint/engine.rs
+++ b/lovagedock/src/endpoint/engine.rs
@@ -1,4 +1,4 @@
-//! What the engine says: starts, bytes, ends, its account of memory, its death.
+//! Events from the engine: starts, bytes, ends, reported allocations and loss of the engine.
 
 use crate::{
     codes::{RanState, ResultCode},
@@ -62,8 +62,9 @@
             }
             EngineResult::Lost { detail } => {
                 let end = connection_lost_end(entry).with_detail(detail);
-                // The engine may live and still hold the memory: it is freed when the engine's
-                // account says so. Freed at once, new work would be let into taken blocks.
+                // The engine may still be running and hold the memory, so the memory is freed only
+                // when the engine no longer reports it. If it were freed immediately, new requests
+                // would be admitted into memory that is still in use.
                 return self.finish(now, key.request, end, false);
             }
             EngineResult::Ended { detail } => {
@@ -72,15 +73,14 @@
                     .with_engine_ended();
                 return self.finish(now, key.request, end, false);
             }
-            EngineResult::Cancelled => {
-                AnswerEnd::new(ResultCode::EngineFailed).with_detail("cancelled on the engine")
-            }
+            EngineResult::Cancelled => AnswerEnd::new(ResultCode::EngineFailed)
+                .with_detail("the engine cancelled the request"),
         };
         self.finish(now, key.request, end, true);
     }
 
-    /// The engine's word on a request that has got its end here before: its memory is free. An
-    /// end of another attempt than the one that holds the memory says nothing.
+    /// Frees the memory of a request that had already ended when the engine reported its end. The
+    /// end of an attempt that does not hold the memory has no effect.
     fn release_after_late_end(&mut self, key: AttemptKey) {
         let here = self.table.contains_key(&key.request) || self.ledger.is_reserved(key.request);
         if !here && key.incarnation == self.incarnation {
@@ -92,15 +92,15 @@
         let grace = self.limits.orphan_grace;
         let lost = self.ledger.reconcile(now, allocations, grace);
         for request in lost {
-            // The engine forgot it; waiting for its deadline would hold the caller for nothing.
+            // The engine has lost the request, so the caller need not wait until the deadline.
             let end = AnswerEnd::new(ResultCode::EngineFailed)
-                .with_detail("the engine does not hold the request any more");
+                .with_detail("the engine no longer reports memory of the request");
             self.finish(now, request, end, false);
         }
         self.refuse_orphaned_requests(now);
     }
 
-    /// What waits here may be running on the engine since before this sidecar's start.
+    /// Ends queued requests that still run on the engine since before this sidecar's start.
     fn refuse_orphaned_requests(&mut self, now: Timestamp) {
         if !self.safeguards.one_run {
             return;
@@ -113,7 +113,7 @@
         let waiting: Vec<_> = orphans.into_iter().filter(waits).collect();
         for request in waiting {
             let end = AnswerEnd::new(ResultCode::EndpointLost)
-                .with_detail("an earlier run is being cancelled");
+                .with_detail("an earlier run of the request is being cancelled on the engine");
             self.finish(now, request, end, false);
         }
     }
@@ -169,11 +169,12 @@
         self.refuse_too_large(now);
     }
 
-    /// What waits for more memory than the engine turned out to have never starts.
+    /// Ends queued requests that need more memory than the engine has, since they would never
+    /// start.
     fn refuse_too_large(&mut self, now: Timestamp) {
         for request in self.queue.too_large(self.ledger.memory()) {
             let end = AnswerEnd::new(ResultCode::NoCapacity)
-                .with_detail("it does not fit the memory of this engine any more");
+                .with_detail("the request no longer fits into the memory of this engine");
             self.finish(now, request, end, false);
         }
     }
@@ -195,7 +196,8 @@
         self.queue.record_end(request);
     }
 
-    /// Tells the engine to free what a request holds; the lease stays until it has.
+    /// Tells the engine to free the memory of a request. The lease is kept until the memory is
+    /// free.
     pub(super) fn close_memory(&mut self, now: Timestamp, request: RequestId) {
         self.queue.record_end(request);
         let retry = self.limits.cancel_retry;
@@ -204,8 +206,8 @@
         }
     }
 
-    /// The entry that the engine means. Bytes and ends of another attempt, or of a request that
-    /// has got its end, never reach a caller.
+    /// Returns the entry of a started attempt. Bytes and ends of other attempts, or of requests
+    /// that have already ended, never reach a caller.
     fn started_entry(&mut self, key: AttemptKey) -> Option<&mut RequestEntry> {
         let entry = self.table.get_mut(&key.request)?;
         (entry.started == Some(key)).then_some(entry)
@@ -218,7 +220,7 @@
         let Some(first) = entry.first_bytes_at else {
             return;
         };
-        // The engine counts the whole prompt of a span and prefilled a part of it.
+        // For a span, the engine counts the whole prompt but has prefilled only a part of it.
         if !entry.order.span.is_empty() {
             return;
         }
@@ -235,11 +237,14 @@
     }
 }
 
-/// A whole answer, unless bytes are missing: then its digest would vouch for what the caller
-/// never got.
+/// Returns the end of a finished answer. If bytes are missing, the answer counts as damaged: its
+/// digest would otherwise confirm bytes that the caller has not received.
 fn finished_end(answer: &EngineAnswer, delivered: u64) -> AnswerEnd {
     if answer.length != delivered {
-        let detail = format!("{} bytes of {} came", delivered, answer.length);
+        let detail = format!(
+            "answer truncated: got {} of {} bytes",
+            delivered, answer.length
+        );
         return AnswerEnd::new(ResultCode::AnswerDamaged).with_detail(detail);
     }
     AnswerEnd {
@@ -251,8 +256,9 @@
     }
 }
 
-/// The end of a request whose engine stopped talking: only bytes prove that it ran. Told "ran" or
-/// "not run" without them, a caller would act on a guess.
+/// Returns the end of a request whose connection to the engine was lost. Only received bytes prove
+/// that the request ran. Without them it is unknown whether it ran, and reporting either would make
+/// the caller act on a guess.
 fn connection_lost_end(entry: &RequestEntry) -> AnswerEnd {
     match entry.first_bytes_at {
         Some(_) => AnswerEnd::new(ResultCode::EngineFailed),
@@ -262,11 +268,10 @@
 
 fn engine_lost_end(entry: &RequestEntry) -> AnswerEnd {
     match entry.phase {
-        RequestPhase::Running => {
-            AnswerEnd::new(ResultCode::EngineFailed).with_detail("the engine died")
-        }
+        RequestPhase::Running => AnswerEnd::new(ResultCode::EngineFailed)
+            .with_detail("the engine ended or became unreachable"),
         RequestPhase::Queued | RequestPhase::Starting => AnswerEnd::new(ResultCode::EndpointLost)
             .with_ran(RanState::Unknown)
-            .with_detail("the engine died before it confirmed the start"),
+            .with_detail("the engine ended or became unreachable before it confirmed the start"),
     }
 }
--- a/lovagedock/src/endpoint/entry.rs
+++ b/lovagedock/src/endpoint/entry.rs
@@ -1,4 +1,4 @@
-//! A request that waits or runs.
+//! State of a queued or running request.
 
 use std::time::Duration;
 
@@ -8,48 +8,48 @@
     outcome::AttemptKey,
 };
 
-/// How far a request has come.
+/// Phase of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestPhase {
-    /// It waits; it has not run.
+    /// The request is queued and has not run.
     Queued,
-    /// The engine was told to start it and has not confirmed; it may be running.
+    /// The engine was told to start the request and has not confirmed. The request may be running.
     Starting,
-    /// The engine works on it.
+    /// The engine is running the request.
     Running,
 }
 
 /// A request that was accepted and has not ended.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestEntry {
-    /// The newest attempt; its sink takes the answer.
+    /// The newest attempt. Its sink receives the answer.
     pub(crate) key: AttemptKey,
     /// The attempt that was started on the engine.
     pub(crate) started: Option<AttemptKey>,
-    /// The order.
+    /// The submitted request.
     pub(crate) order: WorkOrder,
-    /// How far it has come.
+    /// Current phase.
     pub(crate) phase: RequestPhase,
-    /// Memory that it needs.
+    /// Memory that the request needs, in tokens.
     pub(crate) need: TokenCount,
-    /// What it is predicted to take.
+    /// Predicted run time.
     pub(crate) cost: RunCost,
-    /// When it has to have ended.
+    /// Time by which the request must have ended.
     pub(crate) deadline: Timestamp,
-    /// When something is to be decided about it next.
+    /// Time of the next decision about the request.
     pub(crate) due: Timestamp,
-    /// Since when nobody takes the answer.
+    /// Time since which the answer has no sink.
     pub(crate) sink_lost: Option<Timestamp>,
-    /// When the engine was told to start it.
+    /// Time at which the engine was told to start the request.
     pub(crate) started_at: Timestamp,
-    /// When the first bytes came.
+    /// Time at which the first bytes of the answer were received.
     pub(crate) first_bytes_at: Option<Timestamp>,
-    /// Bytes of the answer so far.
+    /// Number of answer bytes received so far.
     pub(crate) delivered: u64,
 }
 
 impl RequestEntry {
-    /// A request that begins to wait.
+    /// Creates the entry of a newly queued request.
     pub(crate) fn new(
         now: Timestamp,
         order: WorkOrder,
@@ -73,18 +73,18 @@
         }
     }
 
-    /// Whether it waits.
+    /// Whether the request is queued.
     pub(crate) fn is_queued(&self) -> bool {
         self.phase == RequestPhase::Queued
     }
 
-    /// Whether the loss of its sink ends it. A non-idempotent request that has started goes on,
-    /// so that its answer can be recorded for the caller's next try.
+    /// Whether the request ends when its sink is lost. A started non-idempotent request continues,
+    /// so that its answer can be recorded for a retry by the caller.
     pub(crate) fn ends_without_sink(&self) -> bool {
         self.is_queued() || !self.order.non_idempotent
     }
 
-    /// The last moment at which a start can still meet the deadline, for a request that waits.
+    /// Returns the latest start time with which a queued request can still meet its deadline.
     pub(crate) fn latest_start(&self) -> Option<Timestamp> {
         let total = self.cost.total();
         if !self.is_queued() || total.is_zero() {
@@ -93,7 +93,7 @@
         Some(self.deadline.saturating_sub(total))
     }
 
-    /// Prefill time that is predicted to be left.
+    /// Returns the predicted remaining prefill time.
     pub(crate) fn prefill_left(&self, now: Timestamp) -> Duration {
         match (self.phase, self.first_bytes_at) {
             (_, Some(_)) => Duration::ZERO,
--- a/lovagedock/src/endpoint/expiry.rs
+++ b/lovagedock/src/endpoint/expiry.rs
@@ -1,4 +1,4 @@
-//! What time alone brings about: deadlines, graces, lapses.
+//! Expiry of deadlines, grace periods, reservations and retained state.
 
 use crate::{
     codes::ResultCode,
@@ -45,19 +45,22 @@
             return self.finish(now, request, end, false);
         }
         if entry.ends_without_sink() && entry.sink_lost.is_some_and(|at| at + grace <= now) {
-            let end = self.abandoned_end(request, "nobody took the answer");
+            let end = self.abandoned_end(
+                request,
+                "the answer had no receiver until the grace period ended",
+            );
             return self.finish(now, request, end, false);
         }
         if entry.latest_start().is_some_and(|at| at <= now) {
             let end = AnswerEnd::new(ResultCode::NoCapacity)
                 .with_retry_after(self.retry_after())
-                .with_detail("it waited so long that it cannot finish in time any more");
+                .with_detail("cannot finish before the deadline after its time in the queue");
             return self.finish(now, request, end, false);
         }
         self.schedule_due(request);
     }
 
-    /// Sets when something is to be decided about a request next.
+    /// Sets the time of the next decision about a request.
     pub(super) fn schedule_due(&mut self, request: RequestId) {
         let Some(entry) = self.table.get_mut(&request) else {
             return;
--- a/lovagedock/src/endpoint/fair_queue.rs
+++ b/lovagedock/src/endpoint/fair_queue.rs
@@ -1,4 +1,4 @@
-//! Start-time fair queueing over organisations.
+//! Start-time fair queueing between organisations.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -7,14 +7,15 @@
 /// Cost of work divided by weight, in nanoseconds.
 pub(crate) type VirtualTime = u128;
 
-/// Cost that work has at least, so that order counts before any speed is known.
+/// Minimum cost of a request, so that requests are ordered fairly before any speed is known.
 const MIN_COST: Duration = Duration::from_millis(1);
 
 /// Start tags of one tier.
 ///
-/// The start tag of a request is the later of the tier's virtual time and the finish tag of its
-/// organisation's previous request; the smallest start tag goes first. An organisation that
-/// sends ten times as much waits behind its own requests, not the others behind it.
+/// The start tag of a request is the later of the tier's virtual time and the finish tag of the
+/// previous request of its organisation. The request with the smallest start tag goes first. An
+/// organisation that sends ten times as much waits behind its own requests and does not delay the
+/// others.
 #[derive(Debug, Default)]
 pub(crate) struct FairTags {
     now: VirtualTime,
@@ -22,13 +23,13 @@
 }
 
 impl FairTags {
-    /// The start tag that a new request of the organisation would get.
+    /// Returns the start tag that a new request of the organisation would get.
     pub(crate) fn next(&self, organisation: &str) -> VirtualTime {
         let finish = self.finish.get(organisation).copied().unwrap_or(0);
         finish.max(self.now)
     }
 
-    /// Gives a start tag to a new request.
+    /// Assigns a start tag to a new request.
     pub(crate) fn push(
         &mut self,
         organisation: &OrganisationId,
@@ -41,17 +42,17 @@
         tag
     }
 
-    /// A request with this start tag has started.
+    /// Advances the virtual time when a request with this start tag starts.
     pub(crate) fn start(&mut self, tag: VirtualTime) {
         self.now = self.now.max(tag);
     }
 
-    /// Neither waits nor runs anything: nobody owes anybody.
+    /// Clears all tags when no request is queued or running.
     pub(crate) fn reset(&mut self) {
         *self = Self::default();
     }
 
-    /// Nothing waits any more; forgets organisations whose finish tag has passed.
+    /// Removes organisations whose finish tag has passed when the tier's queue is empty.
     pub(crate) fn clear(&mut self) {
         let now = self.now;
         self.finish.retain(|_, finish| *finish > now);
--- a/lovagedock/src/endpoint/finish.rs
+++ b/lovagedock/src/endpoint/finish.rs
@@ -1,4 +1,4 @@
-//! How requests end and what is remembered of them.
+//! Ends requests and records their outcomes.
 
 use std::time::Duration;
 
@@ -14,10 +14,10 @@
 };
 
 impl EndpointCore {
-    /// Ends a request: the caller's end, its memory, and what is remembered of it.
+    /// Ends a request: sends the end to the caller, frees its memory and records the outcome.
     ///
-    /// Without the engine's word that it is done, the memory stays leased and the engine is told
-    /// to cancel until its account lacks the request.
+    /// If the engine has not confirmed the end, the memory stays leased and the cancellation is
+    /// repeated until the engine no longer reports an allocation of the request.
     pub(super) fn finish(
         &mut self,
         now: Timestamp,
@@ -58,7 +58,7 @@
         self.actions.push(EndpointAction::ForgetAnswer(key));
     }
 
-    /// An end for a request that nobody waits for.
+    /// Returns the end of a request that no caller is waiting for.
     pub(super) fn abandoned_end(&self, request: RequestId, detail: &str) -> AnswerEnd {
         let queued = self
             .table
@@ -84,14 +84,14 @@
 
     pub(super) fn forget_answers(&mut self, now: Timestamp) {
         for answer in self.answers.expire(now) {
-            // A submit that comes even later must not run a second time.
+            // A submit that arrives after this must not run the request a second time.
             let end = AnswerEnd::new(ResultCode::AnswerLost).with_ran(answer.end.ran);
             self.remember_refusal(now, answer.key, &end);
             self.actions.push(EndpointAction::ForgetAnswer(answer.key));
         }
     }
 
-    /// Ends everything that waits.
+    /// Ends all queued requests.
     pub(super) fn finish_queued(&mut self, now: Timestamp, code: ResultCode) {
         let queued = self.table.values().filter(|entry| entry.is_queued());
         let queued: Vec<_> = queued.map(|entry| entry.key.request).collect();
@@ -100,7 +100,7 @@
         }
     }
 
-    /// When another try may succeed.
+    /// Returns the time after which a retry may succeed.
     pub(super) fn retry_after(&self) -> Duration {
         const MIN: Duration = Duration::from_secs(1);
         const MAX: Duration = Duration::from_secs(60);
--- a/lovagedock/src/endpoint/head_reservation.rs
+++ b/lovagedock/src/endpoint/head_reservation.rs
@@ -1,16 +1,20 @@
-//! Memory kept free for the first request that waits for memory.
+//! Reservation of memory for the first queued request that does not fit.
 
 use std::collections::BTreeMap;
 
 use crate::ids::{RequestId, Timestamp, TokenCount};
 
-/// Keeps memory free for one request that does not fit yet.
+/// Keeps memory free for one request that does not fit yet, the head.
 ///
-/// Without it a stream of short prompts would take every block that comes free and a long one
-/// would starve. Three kinds of requests may pass: for a bounded time everything that fits; until
-/// the head is predicted to fit, what is predicted to end before; and at any time what fits
-/// beside it, counting all that passed. The prediction is made once, when the head begins to
-/// wait, so the head starts at the latest when the work from before it and the last passer end.
+/// Without this reservation, a stream of short prompts would use all memory that becomes free, and
+/// a long prompt would starve. Three kinds of requests may start before the head:
+///
+/// - for a bounded time, every request that fits;
+/// - until the head is predicted to fit, requests that are predicted to end before that;
+/// - at any time, requests that fit in addition to the head and to all requests that bypassed it.
+///
+/// The prediction is made once, when the head starts to wait. The head therefore starts at the
+/// latest when the earlier work and the last bypassing request have ended.
 #[derive(Debug, Default)]
 pub(crate) struct HeadReservation {
     head: Option<WaitingHead>,
@@ -27,7 +31,7 @@
 }
 
 impl HeadReservation {
-    /// The request that memory is kept for.
+    /// Returns the request that memory is kept for.
     pub(crate) fn request(&self) -> Option<RequestId> {
         self.head.as_ref().map(|head| head.request)
     }
@@ -37,7 +41,7 @@
         self.request() == Some(request)
     }
 
-    /// Keeps memory for a request that is predicted to fit at some time.
+    /// Starts to keep memory for a request that is predicted to fit at `fits_at`.
     pub(crate) fn set(
         &mut self,
         request: RequestId,
@@ -53,15 +57,14 @@
         });
     }
 
-    /// The request does not wait any more.
+    /// Ends the reservation if the request is the head.
     pub(crate) fn clear_if(&mut self, request: RequestId) {
         if self.is_head(request) {
             *self = Self::default();
         }
     }
 
-    /// Whether a request that fits, and is predicted to end at some time, may start before the
-    /// head.
+    /// Whether a request that fits and is predicted to end at `ends_at` may start before the head.
     pub(crate) fn allows_bypass(
         &self,
         now: Timestamp,
@@ -77,7 +80,7 @@
         early || ends_before || self.leaves_memory_for_head(need, memory)
     }
 
-    /// Whether the head still fits beside this and all that passed it.
+    /// Whether the head fits in addition to this request and all requests that bypassed it.
     pub(crate) fn leaves_memory_for_head(&self, need: TokenCount, memory: TokenCount) -> bool {
         let Some(head) = &self.head else {
             return true;
@@ -85,7 +88,7 @@
         head.need + self.bypassing_tokens + need <= memory
     }
 
-    /// Memory that is left beside the head and all that passed it.
+    /// Returns the memory left in addition to the head and all requests that bypassed it.
     pub(crate) fn available_beside_head(&self, memory: TokenCount) -> TokenCount {
         match &self.head {
             Some(head) => memory.saturating_sub(head.need + self.bypassing_tokens),
@@ -93,7 +96,7 @@
         }
     }
 
-    /// A request started before the head.
+    /// Records that a request started before the head.
     pub(crate) fn record_bypass(&mut self, request: RequestId, need: TokenCount) {
         if self.head.is_none() {
             return;
@@ -102,7 +105,7 @@
         self.bypassing_tokens += need;
     }
 
-    /// A started request has left the engine.
+    /// Records that a started request has left the engine.
     pub(crate) fn record_end(&mut self, request: RequestId) {
         if let Some(need) = self.bypassing.remove(&request) {
             self.bypassing_tokens -= need;
--- a/lovagedock/src/endpoint/ledger.rs
+++ b/lovagedock/src/endpoint/ledger.rs
@@ -1,26 +1,26 @@
-//! Leases on an engine's memory, reconciled with the engine's own account.
+//! Leases on an engine's memory, reconciled with the allocations that the engine reports.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use crate::ids::{AttemptNumber, RequestId, Timestamp, TokenCount};
 
-/// Why memory is leased.
+/// The state of a memory lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseState {
-    /// A request that was started, or a span's request that waits for its start.
+    /// Held by a started request, or by a queued request of a span.
     Running,
-    /// A reservation for a span that lapses by itself.
+    /// A reservation for a span. It expires unless it is renewed.
     Reserved {
-        /// The attempt that holds it.
+        /// The attempt that holds the reservation.
         attempt: AttemptNumber,
-        /// When it lapses without renewal.
+        /// Time at which the reservation expires without renewal.
         until: Timestamp,
     },
-    /// The owner is gone and the engine was told to free it.
+    /// The request has ended and the engine has been instructed to free the memory.
     Closing {
-        /// When the engine was told first.
+        /// Time at which the engine was told for the first time.
         since: Timestamp,
-        /// When the engine is told again.
+        /// Time at which the cancellation is repeated.
         retry_at: Timestamp,
     },
 }
@@ -30,29 +30,31 @@
 pub struct MemoryLease {
     /// Tokens of KV memory.
     pub tokens: TokenCount,
-    /// Why it is leased.
+    /// State of the lease.
     pub state: LeaseState,
-    /// Whether the engine's account has shown it.
+    /// Whether the engine has reported an allocation of the request.
     pub(super) seen: bool,
-    /// Since when the account, which showed it before, lacks it.
+    /// Time since which the engine no longer reports an allocation that it reported before.
     pub(super) missing_since: Option<Timestamp>,
 }
 
-/// Memory that the engine holds and no lease explains.
+/// Memory that the engine holds without a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct OrphanAllocation {
     pub(super) tokens: TokenCount,
-    /// Since when no account was there to tell whether it is still held.
+    /// Time of the first report that contained the allocation, or at which the engine was last
+    /// lost.
     pub(super) since: Timestamp,
     pub(super) cancel_at: Timestamp,
 }
 
-/// A lease for everything that holds memory of the engine.
+/// Leases on the memory of an engine.
 ///
-/// The ledger decides what fits, the engine's account what is true: without the account, memory
-/// of a request whose owner died (a crash of this sidecar, a lost cancellation) would stay
-/// occupied for good and the engine would fill up. Whatever no lease explains for a stated time
-/// is cancelled again and again until the account lacks it, so no block stays without an owner.
+/// The ledger decides whether a request fits, and the allocations reported by the engine show what
+/// is really in use. Without these reports, memory would stay occupied for good after a crash of
+/// this sidecar or a lost cancellation, and the engine would fill up. Memory without a lease for a
+/// set time is cancelled repeatedly until the engine no longer reports it, so no memory stays
+/// without an owner.
 #[derive(Debug, Default)]
 pub struct MemoryLedger {
     pub(super) memory: TokenCount,
@@ -64,7 +66,7 @@
 }
 
 impl MemoryLedger {
-    /// An empty ledger of an engine with so much memory.
+    /// Creates an empty ledger for an engine with this much memory.
     pub fn new(memory: TokenCount) -> Self {
         Self {
             memory,
@@ -72,47 +74,48 @@
         }
     }
 
-    /// Changes the size of the memory; leases stay.
+    /// Changes the size of the memory. Existing leases are kept.
     pub fn set_memory(&mut self, memory: TokenCount) {
         self.memory = memory;
     }
 
-    /// All memory, in tokens.
+    /// Returns the size of the memory in tokens.
     pub fn memory(&self) -> TokenCount {
         self.memory
     }
 
-    /// Sum of all leases.
+    /// Returns the sum of all leases in tokens.
     pub fn leased(&self) -> TokenCount {
         self.leased
     }
 
-    /// Memory that the engine holds without a lease.
+    /// Returns the memory that the engine holds without a lease, in tokens.
     pub fn orphaned(&self) -> TokenCount {
         self.orphaned
     }
 
-    /// Memory that a new lease may take.
+    /// Returns the memory available to new leases, in tokens.
     pub fn free(&self) -> TokenCount {
         self.memory.saturating_sub(self.leased + self.orphaned)
     }
 
-    /// All leases by request.
+    /// Returns all leases with their requests.
     pub fn leases(&self) -> impl Iterator<Item = (RequestId, &MemoryLease)> {
         self.leases.iter().map(|(request, lease)| (*request, lease))
     }
 
-    /// The lease of a request.
+    /// Returns the lease of a request.
     pub fn lease(&self, request: RequestId) -> Option<&MemoryLease> {
         self.leases.get(&request)
     }
 
-    /// Whether the engine has given an account since the ledger was empty.
+    /// Whether the engine has reported its allocations since the sidecar started or last lost the
+    /// engine.
     pub fn knows_allocations(&self) -> bool {
         self.allocations_known
     }
 
-    /// Whether the engine holds memory under this request that no lease explains.
+    /// Whether the engine holds memory for this request without a lease.
     pub fn is_orphan(&self, request: RequestId) -> bool {
         self.orphans.contains_key(&request)
     }
@@ -123,12 +126,12 @@
         lease.is_some_and(|lease| matches!(lease.state, LeaseState::Reserved { .. }))
     }
 
-    /// Requests whose memory no lease explains.
+    /// Returns the requests for which the engine holds memory without a lease.
     pub fn orphans(&self) -> impl Iterator<Item = RequestId> {
         self.orphans.keys().copied()
     }
 
-    /// Memory reserved for spans that have not started.
+    /// Returns the memory reserved for spans that have not been submitted, in tokens.
     pub fn reserved(&self) -> TokenCount {
         self.leases
             .values()
@@ -137,7 +140,7 @@
             .sum()
     }
 
-    /// Grants a lease if it fits; a lease that the request has already changes its state only.
+    /// Grants a lease if it fits. If the request already has a lease, only its state changes.
     pub fn grant(&mut self, request: RequestId, tokens: TokenCount, state: LeaseState) -> bool {
         if let Some(lease) = self.leases.get_mut(&request) {
             lease.state = state;
@@ -157,7 +160,8 @@
         true
     }
 
-    /// The owner is gone: the lease stays until the engine has freed the memory.
+    /// Starts to close the lease of a request that has ended. The lease is kept until the engine
+    /// has freed the memory.
     ///
     /// Returns whether there was a lease, that is, whether the engine has to be told.
     pub fn close(&mut self, now: Timestamp, request: RequestId, retry: Duration) -> bool {
@@ -171,17 +175,18 @@
         true
     }
 
-    /// The engine has freed the memory.
+    /// Removes the lease of a request after the engine has freed its memory.
     pub fn release(&mut self, request: RequestId) {
         if let Some(lease) = self.leases.remove(&request) {
             self.leased -= lease.tokens;
         }
     }
 
-    /// The engine is dead or cut off: what it held is ownerless from now on.
+    /// Turns all leases into orphans after the engine has ended or become unreachable.
     ///
-    /// If it was only cut off, everything is still there when it comes back and is cancelled at
-    /// once; if it died, its next account lacks it.
+    /// If the engine was only unreachable, it still holds the memory when it is reachable again,
+    /// and the memory is cancelled immediately. If the engine has ended, its next report no longer
+    /// contains the allocations.
     pub fn orphan_all(&mut self, now: Timestamp) {
         for orphan in self.orphans.values_mut() {
             orphan.since = now;
@@ -199,7 +204,7 @@
         self.allocations_known = false;
     }
 
-    /// Reservations that have lapsed.
+    /// Returns the requests whose reservations have expired.
     pub fn expired_reservations(&self, now: Timestamp) -> Vec<RequestId> {
         let expired = |lease: &MemoryLease| match lease.state {
             LeaseState::Reserved { until, .. } => until <= now,
@@ -209,7 +214,8 @@
         leases.map(|(request, _)| *request).collect()
     }
 
-    /// When [`Self::collect`] or [`Self::lapsed`] has something to say, at the earliest.
+    /// Returns the earliest time at which [`Self::collect`] or [`Self::expired_reservations`] may
+    /// return a request.
     pub fn next_due(&self) -> Option<Timestamp> {
         let leases = self.leases.values().filter_map(|lease| match lease.state {
             LeaseState::Running => None,
--- a/lovagedock/src/endpoint/limits.rs
+++ b/lovagedock/src/endpoint/limits.rs
@@ -1,4 +1,4 @@
-//! Bounds of a sidecar's decisions.
+//! Limits of the sidecar core.
 
 use std::time::Duration;
 
@@ -8,44 +8,46 @@
     span::SPAN_SHARE_PERCENT,
 };
 
-/// Bounds of a sidecar's decisions; each has a default that suits a model engine.
+/// Limits of the sidecar core. The defaults suit a model engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointLimits {
-    /// KV memory of the engine in tokens; 0 for a plain service, which has no ledger.
+    /// Size of the engine's KV memory in tokens; 0 for a plain service, which has no ledger.
     pub memory_tokens: TokenCount,
-    /// Requests that run at once until the engine reports its batch size.
+    /// Maximum number of running requests until the engine reports its batch size.
     pub concurrency: usize,
-    /// Requests that wait at most.
+    /// Maximum number of queued requests.
     pub queue_length: usize,
-    /// A request that waited this long goes before higher tiers, in a bounded share of starts.
+    /// Waiting time after which a request may start before higher tiers, in a bounded share of
+    /// starts.
     pub ageing: Duration,
-    /// One start in this many may be an aged one; 0 switches ageing off.
+    /// At most one start in this many goes to an aged request; 0 disables ageing.
     pub aged_interval: u32,
-    /// How long others that fit may pass a request that waits for memory.
+    /// Time for which any request that fits may start before a request that waits for memory.
     pub bypass: Duration,
-    /// How long a running request without a sink is kept for a resume.
+    /// Time for which a running request without a sink is kept for a resume.
     pub resume_grace: Duration,
-    /// How long an ended answer is kept for a resume.
+    /// Time for which an ended answer is kept for a resume.
     pub answer_hold: Duration,
-    /// Ended answers that are kept at most.
+    /// Maximum number of retained answers.
     pub answer_count: usize,
-    /// Bytes of ended answers that are kept at most.
+    /// Maximum number of bytes of retained answers.
     pub answer_bytes: u64,
-    /// How long it is remembered that an attempt must not run.
+    /// Lifetime of a tombstone.
     pub tombstone_hold: Duration,
-    /// Attempts remembered so at most, for each of the kinds revoked and refused.
+    /// Maximum number of tombstones of each kind, revoked and refused.
     pub tombstone_count: usize,
-    /// How long memory may be without an owner before it is cancelled.
+    /// Time after which memory without a lease is cancelled.
     pub orphan_grace: Duration,
-    /// How long starts wait for the first account of an engine that may hold old work.
+    /// Time for which starts wait for the first list of allocations of an engine, which may still
+    /// hold earlier work.
     pub allocations_wait: Duration,
-    /// How often a cancellation that had no effect is repeated.
+    /// Interval at which a cancellation without effect is repeated.
     pub cancel_retry: Duration,
-    /// Largest share of the memory that spans may reserve, in percent.
+    /// Maximum share of the memory that spans may reserve, in percent.
     pub span_share_percent: u8,
-    /// Longest hold of a reservation.
+    /// Maximum time until a reservation must be renewed.
     pub reservation_hold: Duration,
-    /// Longest time that a request may ask for.
+    /// Maximum time until the deadline of a request.
     pub max_deadline: Duration,
 }
 
@@ -75,52 +77,52 @@
 }
 
 impl EndpointLimits {
-    /// Sets the engine's KV memory in tokens.
+    /// Sets the size of the engine's KV memory in tokens.
     pub fn with_memory_tokens(mut self, memory_tokens: TokenCount) -> Self {
         self.memory_tokens = memory_tokens;
         self
     }
 
-    /// Sets how many requests run at once.
+    /// Sets the maximum number of running requests.
     pub fn with_concurrency(mut self, concurrency: usize) -> Self {
         self.concurrency = concurrency;
         self
     }
 
-    /// Sets how many requests wait at most.
+    /// Sets the maximum number of queued requests.
     pub fn with_queue_length(mut self, queue_length: usize) -> Self {
         self.queue_length = queue_length;
         self
     }
 }
 
-/// What the configuration in force says of one organisation.
+/// Settings of one organisation in the configuration in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OrganisationShare {
     /// The organisation.
     pub organisation: OrganisationId,
-    /// Highest tier that its requests get.
+    /// Highest tier that the organisation's requests may have.
     pub highest_tier: PriorityTier,
-    /// Share relative to other organisations of the same tier.
+    /// Weight relative to other organisations in the same tier.
     pub weight: u32,
 }
 
-/// Switches of single safeguards, so that a test can show that each is needed.
+/// Switches for individual safeguards, so that tests can show that each one is needed.
 ///
-/// All are on by default; nothing but a test has a reason to switch one off.
+/// All are on by default. Only tests have a reason to switch one off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointSafeguards {
-    /// Remember attempts that must not run.
+    /// Record tombstones for attempts that must not run.
     pub tombstones: bool,
-    /// Attach or refuse another attempt of a request that is here.
+    /// Attach or refuse another attempt of a known request instead of running it again.
     pub one_run: bool,
-    /// Cancel memory that nobody owns.
+    /// Cancel memory that the engine holds without a lease.
     pub orphan_collection: bool,
     /// End requests at their deadline.
     pub deadlines: bool,
-    /// Give queued requests back when the endpoint leaves.
+    /// Return queued requests to their gateways when the endpoint drains.
     pub drain_queue: bool,
-    /// Reserve memory for the first request that waits for it.
+    /// Keep memory free for the first request that waits for memory.
     pub head_reservation: bool,
 }
 
--- a/lovagedock/src/endpoint/messages.rs
+++ b/lovagedock/src/endpoint/messages.rs
@@ -1,4 +1,4 @@
-//! What a sidecar's decisions are told and what they ask for.
+//! Events and actions of the sidecar core.
 
 use std::time::Duration;
 
@@ -10,84 +10,84 @@
     outcome::{AnswerEnd, AttemptKey, RevokeVerdict},
 };
 
-/// One request as far as decisions need it; the daemon keeps the payload.
+/// The properties of a submitted request that decisions need. The daemon keeps the payload.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkOrder {
-    /// Which attempt this is.
+    /// Key of the attempt.
     pub key: AttemptKey,
     /// Service that the caller addressed.
     pub service: ServiceId,
-    /// Organisation that pays for the work.
+    /// Organisation that the work is billed to.
     pub organisation: OrganisationId,
-    /// Priority of the request.
+    /// Priority tier of the request.
     pub tier: PriorityTier,
-    /// Share of its organisation when the endpoint is busy.
+    /// Weight of the organisation when the endpoint is busy.
     pub weight: u32,
     /// Time left until the deadline.
     pub remaining: Duration,
-    /// The gateway's estimate of the prompt's length.
+    /// Prompt length as estimated by the gateway.
     pub prompt_tokens: TokenCount,
     /// Upper bound of the answer's length.
     pub answer_tokens: TokenCount,
-    /// Whether a second run would do harm.
+    /// Whether the request must not run a second time.
     pub non_idempotent: bool,
-    /// First-token time that the gateway predicted.
+    /// First-token time predicted by the gateway.
     pub predicted: Duration,
-    /// Endpoints with memory reserved for this request, the decoding one first; empty for a
-    /// request that fits one engine.
+    /// Endpoints with memory reserved for this request, the decoding one first. Empty for a request
+    /// that fits on one engine.
     pub span: Vec<EndpointId>,
 }
 
-/// How the engine says that a request ended.
+/// Result of a request as reported by the engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EngineResult {
-    /// The whole answer came.
+    /// The answer is complete.
     Finished(EngineAnswer),
-    /// The engine never started it.
+    /// The engine refused the request and has not started it.
     Refused {
         /// The engine's reason.
         detail: String,
     },
-    /// The engine refused the request for what it says; no other engine would take it.
+    /// The engine refused the content of the request. Any other engine would refuse it too.
     Invalid {
         /// The engine's reason.
         detail: String,
     },
-    /// The engine failed after it may have started.
+    /// The engine failed and may have started the request.
     Failed {
         /// The engine's reason.
         detail: String,
     },
-    /// The connection to the engine broke or went silent after the request was sent.
+    /// The connection to the engine broke or timed out after the request was sent.
     Lost {
-        /// What was seen last.
+        /// Last observation on the connection.
         detail: String,
     },
-    /// The same, and the engine's process has ended.
+    /// The connection was lost and the engine's process has ended.
     Ended {
-        /// What was seen last.
+        /// Last observation on the connection.
         detail: String,
     },
-    /// The engine stopped because it was told to.
+    /// The engine stopped the request after a cancellation.
     Cancelled,
 }
 
-/// What the engine and the daemon know of a whole answer.
+/// Properties of a complete answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineAnswer {
-    /// Bytes that the daemon received.
+    /// Number of bytes received by the daemon.
     pub length: u64,
     /// BLAKE3 of these bytes.
     pub digest: [u8; 32],
-    /// Prompt tokens as the engine counted them.
+    /// Number of prompt tokens counted by the engine.
     pub prompt_tokens: TokenCount,
-    /// Prompt tokens that the prefix cache held.
+    /// Number of prompt tokens found in the prefix cache.
     pub cached_tokens: TokenCount,
-    /// Answer tokens as the engine counted them.
+    /// Number of answer tokens counted by the engine.
     pub answer_tokens: TokenCount,
 }
 
-/// Memory that the engine says a request holds.
+/// KV memory held by a request according to the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineAllocation {
     /// The request.
@@ -96,158 +96,159 @@
     pub tokens: TokenCount,
 }
 
-/// What the engine or its adapter reports of itself; zero means not known.
+/// Properties reported by the engine or its adapter; zero means unknown.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EngineReport {
-    /// KV memory in tokens.
+    /// Size of the KV memory in tokens.
     pub memory_tokens: TokenCount,
-    /// Requests that the engine batches at once.
+    /// Maximum number of requests in the engine's batch.
     pub batch_size: usize,
-    /// Speed as the engine or its adapter measured it.
+    /// Cost parameters measured by the engine or its adapter.
     pub cost: CostParameters,
 }
 
-/// Something that happened at a sidecar.
+/// An event at a sidecar.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndpointEvent {
-    /// A gateway hands over a request.
+    /// A gateway submits a request.
     Submit(WorkOrder),
-    /// A gateway asks that an attempt never runs.
+    /// A gateway revokes an attempt so that it never runs.
     Revoke(AttemptKey),
-    /// The caller does not want the answer any more.
+    /// The caller cancelled the request.
     Cancel(AttemptKey),
-    /// A gateway wants the answer from an offset, on this connection.
+    /// A gateway requests the answer from an offset on this connection.
     Resume {
         /// The attempt.
         key: AttemptKey,
-        /// First byte that is wanted.
+        /// Offset of the first requested byte.
         offset: u64,
     },
-    /// The session that took the answer is gone.
+    /// The session that received the answer was lost.
     SinkLost(AttemptKey),
-    /// The engine began to work on a request.
+    /// The engine started a request.
     EngineStarted(AttemptKey),
-    /// Bytes of an answer came from the engine.
+    /// The engine produced bytes of an answer.
     EngineBytes {
         /// Attempt that was started.
         key: AttemptKey,
         /// Number of bytes.
         length: u64,
     },
-    /// The engine is done with a request.
+    /// The engine finished a request.
     EngineEnded {
         /// Attempt that was started.
         key: AttemptKey,
-        /// How it ended.
+        /// Result of the request.
         result: EngineResult,
     },
-    /// The engine's own account of its memory, complete.
+    /// The engine's complete list of the KV memory held by requests.
     EngineAllocations(Vec<EngineAllocation>),
-    /// The engine reports size and speed.
+    /// The engine reported its size and speed.
     EngineReport(EngineReport),
-    /// The engine died or cannot be reached.
+    /// The engine has ended or is unreachable.
     EngineDown,
-    /// The engine can be reached, perhaps in a new life.
+    /// The engine is reachable. It may have been restarted.
     EngineUp,
-    /// A gateway wants memory for a part of a span.
+    /// A gateway reserves memory for a part of a span.
     Reserve {
         /// The attempt that will use the memory.
         key: AttemptKey,
         /// Tokens of KV memory.
         tokens: TokenCount,
-        /// How long the reservation lasts without renewal.
+        /// Time after which the reservation expires unless it is renewed.
         hold: Duration,
     },
-    /// A gateway still wants its reservation.
+    /// A gateway renews its reservation.
     Renew {
-        /// The attempt that holds it.
+        /// The attempt that holds the reservation.
         key: AttemptKey,
-        /// How long it lasts from now.
+        /// Time from now after which the reservation expires.
         hold: Duration,
     },
-    /// A gateway does not need its reservation any more.
+    /// A gateway releases its reservation.
     Release(AttemptKey),
-    /// The endpoint begins to leave, or stays after all.
+    /// The endpoint starts to drain (`true`), or the drain is cancelled (`false`).
     Drain(bool),
-    /// A configuration came into force.
+    /// A configuration came into effect.
     Configure {
         /// Bounds of the decisions.
         limits: EndpointLimits,
         /// Tier and weight of each organisation that differs from the default.
         shares: Vec<OrganisationShare>,
     },
-    /// Time passed.
+    /// Time has passed.
     Tick,
 }
 
-/// Something that the daemon has to do.
+/// An action for the daemon.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndpointAction {
-    /// Tell the gateway that the request is queued, running or answered here.
+    /// Tell the gateway that the request is accepted: it is queued, running or already answered.
     Accept(AttemptKey),
-    /// Tell the gateway that this attempt is not taken.
+    /// Tell the gateway that the attempt is refused.
     Refuse {
         /// The attempt.
         key: AttemptKey,
-        /// Why.
+        /// The end of the request, with the reason.
         end: AnswerEnd,
     },
-    /// Start the request on the engine now; at most once for each attempt.
+    /// Start the request on the engine now. Requested at most once per attempt.
     Start(AttemptKey),
-    /// Stop whatever the engine does under this request and free its memory.
+    /// Cancel all work of the request on the engine and free its memory.
     CancelOnEngine(RequestId),
-    /// Hand bytes of the answer to the sink, if there is one.
+    /// Send bytes of the answer to the sink, if there is one.
     Deliver {
-        /// Attempt whose sink takes the answer.
+        /// Attempt whose sink receives the answer.
         key: AttemptKey,
         /// Offset of the first byte.
         offset: u64,
         /// Number of bytes.
         length: u64,
     },
-    /// Tell the sink how the request ended, after all bytes; once for each accepted request.
+    /// Send the end of the request to the sink after all bytes. Requested once per accepted
+    /// request.
     EndAnswer {
-        /// Attempt whose sink takes the end.
+        /// Attempt whose sink receives the end.
         key: AttemptKey,
-        /// How it ended.
+        /// The end of the request.
         end: AnswerEnd,
     },
-    /// Answer a revocation.
+    /// Reply to a revocation.
     Verdict {
-        /// The attempt that was asked about.
+        /// The attempt to be revoked.
         key: AttemptKey,
-        /// What is true of it.
+        /// The state of the attempt.
         verdict: RevokeVerdict,
     },
-    /// Make the connection that asked the sink, and send what is kept from the offset on.
+    /// Make the requesting connection the sink, and send the retained bytes from the offset on.
     ResumeFrom {
-        /// Attempt whose sink takes the answer from now on.
+        /// Attempt whose sink receives the answer from now on.
         key: AttemptKey,
         /// First byte to send.
         offset: u64,
-        /// How the answer ended, when it has.
+        /// The end of the answer, if it has ended.
         end: Option<AnswerEnd>,
     },
-    /// Tell the connection that asked that there is nothing to resume.
+    /// Tell the requesting connection that there is nothing to resume.
     NotFound(AttemptKey),
     /// Tell the gateway that the memory is reserved.
     GrantReservation {
-        /// The attempt that holds it.
+        /// The attempt that holds the reservation.
         key: AttemptKey,
-        /// Memory that is still free.
+        /// Memory that is still free, in tokens.
         free_tokens: TokenCount,
     },
-    /// Tell the gateway that the memory is not reserved, or not any more.
+    /// Tell the gateway that the memory is not reserved or no longer reserved.
     RefuseReservation {
-        /// The attempt that asked.
+        /// The attempt that requested the memory.
         key: AttemptKey,
-        /// Memory that is free.
+        /// Memory that is free, in tokens.
         free_tokens: TokenCount,
     },
-    /// Drop the payload and the kept answer of a request.
+    /// Delete the payload and the retained answer of a request.
     ForgetAnswer(AttemptKey),
-    /// Send a tick at this time, if nothing happens before.
+    /// Send a tick at this time unless another event occurs before.
     WakeAt(Timestamp),
-    /// The endpoint is leaving and nothing is left on it.
+    /// The endpoint is draining and has no work left.
     Drained,
 }
--- a/lovagedock/src/endpoint/mod.rs
+++ b/lovagedock/src/endpoint/mod.rs
@@ -1,7 +1,8 @@
-//! What a sidecar decides: admission, memory, and what became of each request.
+//! Decisions of a sidecar: admission, memory accounting, and the outcome of each request.
 //!
-//! A sidecar is the one door to its endpoint, so it alone can tell whether a request has run,
-//! account for the engine's memory and order what waits. [`EndpointCore`] composes the parts.
+//! All requests to an endpoint go through its sidecar. The sidecar is therefore the only process
+//! that can tell whether a request has run, account for the engine's memory, and order the queue.
+//! [`EndpointCore`] combines the parts.
 
 mod answers;
 mod attempt_control;
--- a/lovagedock/src/endpoint/queue.rs
+++ b/lovagedock/src/endpoint/queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for the engine, and which goes next.
+//! The queue of requests waiting for the engine, and the choice of the next one to start.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,7 +13,7 @@
     ids::{RequestId, Timestamp, TokenCount},
 };
 
-/// Candidates looked at behind one that waits for memory.
+/// Maximum number of queued requests examined for one start.
 const SCAN_DEPTH: usize = 64;
 const TIER_COUNT: usize = 3;
 
@@ -39,8 +39,9 @@
     request: RequestId,
 }
 
-/// Orders what waits: tiers first, within a tier start-time fair by organisation, with a bounded
-/// share of starts for what has waited longest and a reservation for what waits for memory.
+/// The queue of a sidecar. Higher tiers go first. Within a tier, organisations are served by
+/// start-time fair queueing. A bounded share of starts goes to the oldest request, and memory is
+/// reserved for the first request that does not fit.
 #[derive(Debug, Default)]
 pub(crate) struct AdmissionQueue {
     slots: BTreeMap<RequestId, QueueSlot>,
@@ -53,7 +54,7 @@
 }
 
 impl AdmissionQueue {
-    /// Puts a request at the end of its organisation's line.
+    /// Appends a request to the queue of its organisation.
     pub(crate) fn push(&mut self, now: Timestamp, work: QueuedWork) {
         let request = work.request;
         self.remove(request);
@@ -79,7 +80,7 @@
         self.slots.insert(request, slot);
     }
 
-    /// Takes out the request that is to start now, if any fits.
+    /// Removes and returns the request to start now, if any fits.
     pub(crate) fn pop(
         &mut self,
         now: Timestamp,
@@ -99,7 +100,7 @@
         Some(work)
     }
 
-    /// Takes a request out.
+    /// Removes a request.
     pub(crate) fn remove(&mut self, request: RequestId) -> Option<QueuedWork> {
         let slot = self.slots.remove(&request)?;
         let tier = &mut self.tiers[slot.work.tier as usize];
@@ -119,35 +120,35 @@
         Some(slot.work)
     }
 
-    /// Nothing waits and nothing runs.
+    /// Resets the fair-queueing tags when no request is queued or running.
     pub(crate) fn reset_tags(&mut self) {
         for tier in &mut self.tiers {
             tier.tags.reset();
         }
     }
 
-    /// A started request has left the engine.
+    /// Records that a started request has left the engine.
     pub(crate) fn record_end(&mut self, request: RequestId) {
         self.head.record_end(request);
     }
 
-    /// Whether memory may be given to something outside of the queue beside the waiting head.
+    /// Whether the head still fits if this memory is granted outside the queue.
     pub(crate) fn leaves_memory_for_head(&self, need: TokenCount, memory: TokenCount) -> bool {
         self.head.leaves_memory_for_head(need, memory)
     }
 
-    /// Memory that is left beside the waiting head.
+    /// Returns the memory that is available in addition to the memory kept for the head.
     pub(crate) fn available_beside_head(&self, memory: TokenCount) -> TokenCount {
         self.head.available_beside_head(memory)
     }
 
-    /// Memory was given to something outside of the queue.
+    /// Records that memory was granted outside the queue.
     pub(crate) fn record_external_grant(&mut self, request: RequestId, need: TokenCount) {
         self.head.record_bypass(request, need);
     }
 
-    /// The request to shed for a new one: the last in the order of the lowest tier, if the new
-    /// one would go before it.
+    /// Returns the request to shed in favour of a new one: the last request of the lowest non-empty
+    /// tier, if the new request would start before it.
     pub(crate) fn shed_candidate(
         &self,
         tier: PriorityTier,
@@ -163,7 +164,7 @@
         goes_before.then_some(last.request)
     }
 
-    /// Work that goes before a new request.
+    /// Returns the work that would start before a new request.
     pub(crate) fn ahead_of(&self, tier: PriorityTier, organisation: &str) -> WorkAhead {
         let rank = tier as usize;
         let mut ahead = WorkAhead::default();
@@ -184,7 +185,7 @@
         ahead
     }
 
-    /// All work that waits.
+    /// Returns all queued work.
     pub(crate) fn all(&self) -> WorkAhead {
         let mut all = WorkAhead::default();
         for tier in &self.tiers {
@@ -194,24 +195,24 @@
         all
     }
 
-    /// Requests that need more memory than there is.
+    /// Returns the requests that need more than this much memory.
     pub(crate) fn too_large(&self, memory: TokenCount) -> Vec<RequestId> {
         let slots = self.slots.values();
         let slots = slots.filter(|slot| slot.work.need > memory);
         slots.map(|slot| slot.work.request).collect()
     }
 
-    /// Number of requests that wait.
+    /// Returns the number of queued requests.
     pub(crate) fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// Memory that all of them need.
+    /// Returns the memory that all queued requests need, in tokens.
     pub(crate) fn tokens(&self) -> TokenCount {
         self.tokens
     }
 
-    /// The request that memory is being kept free for.
+    /// Returns the request that memory is kept free for.
     pub(crate) fn waiting_head(&self) -> Option<RequestId> {
         self.head.request()
     }
@@ -246,7 +247,7 @@
         None
     }
 
-    /// The order in which requests are tried.
+    /// Returns the requests in the order in which they are tried.
     fn candidates(&self, now: Timestamp, limits: &EndpointLimits) -> Vec<(RequestId, bool)> {
         let aged = self.aged(now, limits);
         let by_tier = self.tiers.iter().rev().flat_map(|tier| tier.by_tag.iter());
@@ -255,9 +256,10 @@
         aged.into_iter().chain(by_tier).take(SCAN_DEPTH).collect()
     }
 
-    /// What has waited longest goes first in one of a few starts. Strict tiers alone would let a
-    /// steady stream of short interactive requests starve a long batch prompt until its
-    /// deadline; the bounded share keeps the tiers from turning into one line under overload.
+    /// Returns the oldest request if it is due to start before higher tiers. With strict tiers
+    /// alone, a steady stream of short interactive requests would starve a long batch prompt until
+    /// its deadline. Only one of `aged_interval` starts goes to the oldest request, so that the
+    /// tiers do not collapse into a single queue under overload.
     fn aged(&self, now: Timestamp, limits: &EndpointLimits) -> Option<RequestId> {
         if limits.aged_interval == 0 || self.starts_since_aged + 1 < limits.aged_interval {
             return None;
--- a/lovagedock/src/endpoint/reconcile.rs
+++ b/lovagedock/src/endpoint/reconcile.rs
@@ -1,4 +1,4 @@
-//! Reconciliation of the ledger with the engine's own account.
+//! Reconciliation of the ledger with the allocations that the engine reports.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -11,8 +11,8 @@
 };
 
 impl MemoryLedger {
-    /// Takes the engine's complete account; returns running requests that it lacks for longer
-    /// than `grace` after it had shown them.
+    /// Applies the engine's complete list of allocations. Returns the running requests that were in
+    /// an earlier list and have been missing for longer than `grace`.
     pub fn reconcile(
         &mut self,
         now: Timestamp,
@@ -32,15 +32,17 @@
         self.track_missing(now, &held, grace)
     }
 
-    /// Requests that the engine has to be told to cancel now, for the first time or again.
+    /// Returns the requests whose cancellation must be sent to the engine now, for the first time
+    /// or again.
     pub fn collect(&mut self, now: Timestamp, grace: Duration, retry: Duration) -> Vec<RequestId> {
         let allocations_known = self.allocations_known;
         let lost = |lease: &MemoryLease| match lease.state {
             LeaseState::Closing { since, .. } => !allocations_known && since + grace <= now,
             _ => false,
         };
-        // An engine that gives no account and confirms no cancellation cannot be asked: the
-        // lease goes after the grace, or a lost confirmation would occupy it for good.
+        // There is no way to check the memory of an engine that neither lists its allocations nor
+        // confirms cancellations. The lease is removed after the grace period, since a lost
+        // confirmation would otherwise occupy the memory for good.
         let unconfirmed = self.leases.iter().filter(|(_, lease)| lost(lease));
         let unconfirmed: Vec<_> = unconfirmed.map(|(request, _)| *request).collect();
         for request in unconfirmed {
@@ -90,8 +92,9 @@
         }
     }
 
-    /// A prompt that was estimated too short holds more than its lease: the lease grows as far
-    /// as memory is free, so that nothing else is admitted into blocks that are taken.
+    /// Grows leases that are smaller than the reported allocation, as far as memory is free. This
+    /// happens when the length of a prompt was underestimated. Without it, new requests would be
+    /// admitted into memory that is already in use.
     fn grow_leases(&mut self, allocations: &[EngineAllocation]) {
         for allocation in allocations {
             let free = self.free();
--- a/lovagedock/src/endpoint/reserve.rs
+++ b/lovagedock/src/endpoint/reserve.rs
@@ -1,4 +1,4 @@
-//! Memory that spans reserve ahead of their request.
+//! Memory reservations for spans, made before the request is submitted.
 
 use std::time::Duration;
 
@@ -47,8 +47,9 @@
             .push(EndpointAction::GrantReservation { key, free_tokens });
     }
 
-    /// Spans get free memory at once or not at all: one that waited here while it holds memory
-    /// elsewhere could wait for another span that waits for it.
+    /// Whether a reservation may be granted. It is granted immediately or refused and never waits.
+    /// A span that waited here while holding memory on other engines could deadlock with another
+    /// span.
     fn may_reserve(&self, now: Timestamp, key: AttemptKey, tokens: TokenCount) -> bool {
         let known = self.table.contains_key(&key.request)
             || self.ledger.lease(key.request).is_some()
@@ -69,7 +70,7 @@
                 .leaves_memory_for_head(tokens, self.ledger.memory())
     }
 
-    /// Memory that spans hold, reserved or running.
+    /// Memory held by spans, both reserved and running.
     fn span_tokens(&self) -> TokenCount {
         let running = self
             .table
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Whether an attempt holds a reservation here, so that a part of a span may be prefilled.
+    /// Whether an attempt holds a reservation, so that a part of its span may be prefilled.
     pub fn holds_reservation(&self, key: AttemptKey) -> bool {
         let reservation = self.reservation(key.request);
         let own = reservation.is_some_and(|reservation| reservation.attempt == key.attempt);
@@ -105,8 +106,8 @@
         }
     }
 
-    /// Frees the reservation of an attempt or an older one; memory of a request that runs is not
-    /// touched.
+    /// Frees a reservation of this attempt or an older one. Memory of a running request is not
+    /// affected.
     pub(super) fn close_reservation(&mut self, now: Timestamp, key: AttemptKey) {
         let reservation = self.reservation(key.request);
         if reservation.is_some_and(|reservation| reservation.attempt <= key.attempt) {
--- a/lovagedock/src/endpoint/snapshot.rs
+++ b/lovagedock/src/endpoint/snapshot.rs
@@ -1,4 +1,4 @@
-//! What a sidecar shows of its decisions in dumps and load reports.
+//! State of the sidecar core for dumps and load reports.
 
 use std::time::Duration;
 
@@ -20,32 +20,32 @@
 /// Counts for a load report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct EndpointLoad {
-    /// Whether new work is refused because the endpoint leaves.
+    /// Whether new work is refused because the endpoint is draining.
     pub draining: bool,
-    /// Whether the engine can be reached.
+    /// Whether the engine is reachable.
     pub engine_up: bool,
-    /// KV memory of the engine in tokens.
+    /// Size of the engine's KV memory in tokens.
     pub memory_tokens: TokenCount,
-    /// Memory that a new request may take, in tokens.
+    /// Memory available to new requests, in tokens.
     pub free_tokens: TokenCount,
-    /// Memory that the engine holds for nobody, in tokens.
+    /// Memory that the engine holds without a lease, in tokens.
     pub orphaned_tokens: TokenCount,
     /// Memory reserved for spans, in tokens.
     pub reserved_tokens: TokenCount,
-    /// Requests that wait.
+    /// Number of queued requests.
     pub queued: usize,
-    /// Memory that they need, in tokens.
+    /// Memory that the queued requests need, in tokens.
     pub queued_tokens: TokenCount,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: usize,
-    /// Prompt tokens of running requests that have no first token yet.
+    /// Prompt tokens of running requests that have not produced a first token.
     pub prefill_tokens_left: TokenCount,
-    /// Ended answers that are kept.
+    /// Number of retained answers.
     pub answers_kept: usize,
-    /// Attempts that are remembered as not to run.
+    /// Number of tombstones for attempts that must not run.
     pub tombstones: usize,
-    /// Tombstones that their count pushed out before their time; more than zero means that the
-    /// bound is too small.
+    /// Number of tombstones removed before their expiry because of the limit on their count. A
+    /// value above zero means that the limit is too small.
     pub tombstones_forgotten_early: u64,
 }
 
@@ -60,35 +60,35 @@
     pub phase: &'static str,
     /// Service that the caller addressed.
     pub service: ServiceId,
-    /// Organisation that pays.
+    /// Organisation that the request is billed to.
     pub organisation: OrganisationId,
-    /// Memory that it needs, in tokens.
+    /// Memory that the request needs, in tokens.
     pub need_tokens: TokenCount,
-    /// Bytes of the answer so far.
+    /// Number of answer bytes received so far.
     pub delivered: u64,
     /// Deadline in milliseconds since the process started.
     pub deadline_ms: u128,
-    /// Whether nobody takes the answer at the moment.
+    /// Whether the answer currently has no sink.
     pub sink_lost: bool,
 }
 
-/// The whole state, for a dump.
+/// The complete state for a dump.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct EndpointSnapshot {
-    /// Life of the sidecar.
+    /// Incarnation of the sidecar.
     pub incarnation: u64,
-    /// Counts.
+    /// Counts of requests, memory and tombstones.
     pub load: EndpointLoad,
-    /// The request that memory is being kept free for.
+    /// The request that memory is kept free for.
     pub waiting_head: Option<String>,
-    /// Requests whose memory nobody owns.
+    /// Requests for which the engine holds memory without a lease.
     pub orphans: Vec<String>,
-    /// Requests that wait or run.
+    /// Queued and running requests.
     pub requests: Vec<RequestSnapshot>,
 }
 
 impl EndpointCore {
-    /// Counts for a load report.
+    /// Returns the counts for a load report.
     pub fn load(&self) -> EndpointLoad {
         let running = self.running();
         let prefilling =
@@ -97,8 +97,8 @@
             draining: self.draining,
             engine_up: self.engine_up,
             memory_tokens: self.ledger.memory(),
-            // What is kept for a waiting request is free and yet not to be had: a gateway that
-            // counted on it would send short prompts to wait behind a long one.
+            // Memory kept for the head of the queue is free but not available. If gateways counted
+            // it, they would send short prompts that then wait behind a long one.
             free_tokens: self
                 .ledger
                 .free()
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Running requests whose prompt has at least so many tokens.
+    /// Returns the number of running requests whose prompt has at least this many tokens.
     pub fn running_long(&self, long_tokens: TokenCount) -> usize {
         let long = self
             .running()
@@ -124,18 +124,18 @@
         long.count()
     }
 
-    /// Learned cost of work on the engine; zeros where nothing is known.
+    /// Returns the known cost parameters of the engine. Unknown ones are zero.
     pub fn cost_parameters(&self) -> CostParameters {
         self.speed.parameters()
     }
 
-    /// How far first-token predictions for a length were off.
+    /// Returns the error of the first-token predictions for a length bucket.
     pub fn prediction_error(&self, bucket: LengthBucket) -> PredictionError {
         self.speed.error(bucket)
     }
 
-    /// Time until a prompt that comes now would begin to be prefilled. Long prompts wait behind
-    /// all others; short ones overtake the long ones, here and on the engine.
+    /// Predicts the time until the prefill of a prompt that arrives now would start. Long prompts
+    /// wait behind all others. Short prompts overtake long ones in the queue and on the engine.
     pub fn backlog(&self, now: Timestamp, long_tokens: TokenCount) -> EndpointBacklog {
         let slot = self.slot_wait();
         let mut backlog = EndpointBacklog {
@@ -152,7 +152,7 @@
         backlog
     }
 
-    /// Time until a place in the engine's batch is free, when all are taken.
+    /// Predicts the time until a slot in the engine's batch is free; zero if one is free now.
     fn slot_wait(&self) -> Duration {
         let slots = self.concurrency().max(1);
         if self.running().count() < slots {
@@ -164,22 +164,22 @@
         mean.saturating_mul(ahead) / u32::try_from(slots).unwrap_or(u32::MAX)
     }
 
-    /// The memory ledger.
+    /// Returns the memory ledger.
     pub fn ledger(&self) -> &MemoryLedger {
         &self.ledger
     }
 
-    /// The newest attempt of a request that waits or runs.
+    /// Returns the newest attempt of a queued or running request.
     pub fn current_attempt(&self, request: RequestId) -> Option<AttemptKey> {
         self.table.get(&request).map(|entry| entry.key)
     }
 
-    /// The newest attempts of the requests that run.
+    /// Returns the newest attempts of all running requests.
     pub fn running_attempts(&self) -> Vec<AttemptKey> {
         self.running().map(|entry| entry.key).collect()
     }
 
-    /// The whole state, for a dump.
+    /// Returns the complete state for a dump.
     pub fn snapshot(&self) -> EndpointSnapshot {
         EndpointSnapshot {
             incarnation: self.incarnation,
--- a/lovagedock/src/endpoint/speed.rs
+++ b/lovagedock/src/endpoint/speed.rs
@@ -1,4 +1,4 @@
-//! What the engine's speed has shown itself to be.
+//! Learned speed of the engine.
 
 use std::time::Duration;
 
@@ -10,57 +10,56 @@
 
 /// Weight of the newest observation.
 const LEARNING_RATE: f64 = 0.2;
-/// An answer whose bytes all came within this time came in one piece.
+/// An answer whose bytes all arrive within this time counts as not streamed.
 const UNSTREAMED_MAX_DECODE: Duration = Duration::from_micros(200);
-/// Share of the answer bound that is expected to be used before anything is known.
+/// Initial estimate of the share of the answer limit that is used.
 const INITIAL_ANSWER_SHARE: f64 = 0.5;
 
-/// Times that a request is predicted to take once it has started.
+/// Predicted run time of a request after its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct RunCost {
-    /// Until the first token.
+    /// Time until the first token.
     pub(crate) prefill: Duration,
-    /// From the first token to the last.
+    /// Time from the first token to the last.
     pub(crate) decode: Duration,
 }
 
 impl RunCost {
-    /// Both together.
+    /// Returns the sum of both.
     pub(crate) fn total(&self) -> Duration {
         self.prefill + self.decode
     }
 }
 
-/// One run, as seen from outside of the engine.
+/// An observed run of a request on the engine.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RunSample {
-    /// Prompt tokens as the engine counted them.
+    /// Number of prompt tokens counted by the engine.
     pub(crate) prompt: TokenCount,
-    /// Those of them that its cache spared.
+    /// Number of prompt tokens found in the engine's cache.
     pub(crate) cached: TokenCount,
-    /// Requests that ran with it.
+    /// Number of requests in the same batch.
     pub(crate) batch: u32,
-    /// From the start to the first bytes.
+    /// Time from the start to the first bytes.
     pub(crate) prefill: Duration,
-    /// From the first bytes to the end.
+    /// Time from the first bytes to the end.
     pub(crate) decode: Duration,
-    /// Answer tokens.
+    /// Number of answer tokens.
     pub(crate) answer_tokens: TokenCount,
-    /// Bound of the answer that the caller asked for.
+    /// Maximum number of answer tokens that the caller requested.
     pub(crate) answer_limit: TokenCount,
 }
 
 impl RunSample {
-    /// Whether the answer came in one piece, so that its first bytes say nothing about its first
-    /// token.
+    /// Whether the answer was not streamed, so that its first bytes do not mark its first token.
     fn is_unstreamed(&self) -> bool {
         self.answer_tokens > 1 && self.decode < UNSTREAMED_MAX_DECODE
     }
 }
 
-/// Learned speed of an engine; nothing is predicted while nothing is known.
+/// Learned speed of an engine. Predictions are zero until something is known.
 ///
-/// The engine's own report goes before what was observed from outside.
+/// Parameters reported by the engine take precedence over learned ones.
 #[derive(Clone, Debug)]
 pub(crate) struct EngineSpeed {
     reported: CostParameters,
@@ -69,7 +68,7 @@
 }
 
 impl EngineSpeed {
-    /// Nothing known.
+    /// Creates a speed without observations.
     pub(crate) fn new() -> Self {
         Self {
             reported: CostParameters::default(),
@@ -78,12 +77,12 @@
         }
     }
 
-    /// Takes over what the engine reports.
+    /// Sets the parameters reported by the engine.
     pub(crate) fn set_reported(&mut self, reported: CostParameters) {
         self.reported = reported;
     }
 
-    /// Learns from a run.
+    /// Learns from an observed run.
     pub(crate) fn observe(&mut self, sample: RunSample) {
         if !sample.is_unstreamed() {
             self.model.observe_prefill(&PrefillObservation {
@@ -103,8 +102,8 @@
         }
     }
 
-    /// Predicts a run whose first `elsewhere` prompt tokens other engines hold; all zero while
-    /// nothing is known.
+    /// Predicts a run whose first `prefilled` prompt tokens are already prefilled on the engines of
+    /// a span. All times are zero until something is known.
     pub(crate) fn predict(
         &self,
         prompt: TokenCount,
@@ -118,7 +117,7 @@
         }
     }
 
-    /// What is known of the cost of work; zeros where nothing is.
+    /// Returns the known cost parameters. Unknown ones are zero.
     pub(crate) fn parameters(&self) -> CostParameters {
         let learned = self.model.parameters();
         let mut parameters = self.reported;
@@ -132,7 +131,7 @@
         parameters
     }
 
-    /// How far predictions for a length were off.
+    /// Returns the error of the predictions for a length bucket.
     pub(crate) fn error(&self, bucket: LengthBucket) -> PredictionError {
         self.model.error(bucket)
     }
--- a/lovagedock/src/endpoint/submit.rs
+++ b/lovagedock/src/endpoint/submit.rs
@@ -1,4 +1,4 @@
-//! What gateways ask for: submit, revoke, cancel, resume.
+//! Submission and admission of requests.
 
 use std::time::Duration;
 
@@ -42,10 +42,12 @@
         self.actions.push(EndpointAction::Refuse { key, end });
     }
 
-    /// Attaches or refuses an attempt whose request is here already, so that it never runs twice.
+    /// Attaches or refuses an attempt of a request that is already known, so that the request never
+    /// runs twice. Returns whether the attempt was handled.
     ///
-    /// A retry through another gateway or on a new connection otherwise starts the same request
-    /// beside its first run, and the caller gets two answers mixed or a receipt twice.
+    /// Otherwise a retry through another gateway or on a new connection would start the request a
+    /// second time while the first run continues, and the caller would get two mixed answers or a
+    /// receipt twice.
     fn resolve_duplicate(&mut self, key: AttemptKey) -> bool {
         if let Some(entry) = self.table.get_mut(&key.request) {
             if key.attempt < entry.key.attempt {
@@ -55,7 +57,7 @@
                 };
                 let end = AnswerEnd::new(ResultCode::Revoked)
                     .with_ran(ran)
-                    .with_detail("a newer attempt is here");
+                    .with_detail("superseded by a newer attempt");
                 self.refuse(key, end);
                 return true;
             }
@@ -95,7 +97,8 @@
         Some(AnswerEnd::new(tombstone.code).with_ran(tombstone.ran))
     }
 
-    /// The configuration in force here goes before what an older one at the gateway said.
+    /// Applies the configuration of this sidecar, which takes precedence over an older one at the
+    /// gateway.
     fn apply_share(&self, order: &mut WorkOrder) {
         if let Some(share) = self.shares.get(&order.organisation) {
             order.tier = order.tier.min(share.highest_tier);
@@ -109,16 +112,19 @@
             return Some(AnswerEnd::new(ResultCode::Draining));
         }
         if !self.engine_up {
-            let end = AnswerEnd::new(ResultCode::EngineRefused).with_detail("the engine is down");
+            let end = AnswerEnd::new(ResultCode::EngineRefused)
+                .with_detail("the engine has ended or is unreachable");
             return Some(end.with_retry_after(self.retry_after()));
         }
         if order.remaining.is_zero() {
             return Some(AnswerEnd::new(ResultCode::ExpiredWaiting));
         }
         if self.safeguards.one_run && self.ledger.is_orphan(order.key.request) {
-            // A run from before this sidecar's start is still on the engine.
+            // The engine still holds a run from before this sidecar's start.
             let end = AnswerEnd::new(ResultCode::EndpointLost);
-            return Some(end.with_detail("an earlier run is being cancelled"));
+            return Some(
+                end.with_detail("an earlier run of the request is being cancelled on the engine"),
+            );
         }
         self.memory_error(order)
             .or_else(|| self.time_error(now, order))
@@ -128,21 +134,24 @@
         let no_capacity = AnswerEnd::new(ResultCode::NoCapacity);
         if !order.span.is_empty() {
             let reserved = self.holds_reservation(order.key);
-            let end = no_capacity.with_detail("the span's reservation has lapsed");
+            let end = no_capacity.with_detail("the memory reservation of the span has expired");
             return (!reserved).then_some(end);
         }
         if self.ledger.lease(order.key.request).is_some() {
-            // Memory of an earlier attempt is still being freed.
-            let end = no_capacity.with_detail("an earlier attempt still holds memory");
+            // The memory of an earlier attempt has not been freed yet.
+            let end =
+                no_capacity.with_detail("an earlier attempt of the request still holds memory");
             return Some(end.with_retry_after(self.limits.cancel_retry));
         }
         let too_large = self.need(order) > self.ledger.memory();
-        too_large.then(|| no_capacity.with_detail("it does not fit the memory of this engine"))
+        too_large.then(|| {
+            no_capacity.with_detail("the request does not fit into the memory of this engine")
+        })
     }
 
-    /// Refuses what is predicted to miss its deadline. It would run out of time in the queue or
-    /// half-way and take the place of work that can still finish; refused at once as not run, it
-    /// may go elsewhere while there is time.
+    /// Refuses a request that is predicted to miss its deadline. It would expire in the queue or
+    /// while running, and would take capacity from requests that can still finish. Since it is
+    /// refused immediately as not run, it can still be sent to another endpoint in time.
     fn time_error(&self, now: Timestamp, order: &WorkOrder) -> Option<AnswerEnd> {
         let cost = self.cost(order);
         let wait = self.predicted_wait(now, order);
@@ -150,7 +159,7 @@
             return None;
         }
         let detail = format!(
-            "predicted to wait {} ms and run {} ms, {} ms are left",
+            "predicted to wait {} ms and run {} ms, but only {} ms remain until the deadline",
             wait.as_millis(),
             cost.total().as_millis(),
             order.remaining.as_millis(),
@@ -159,7 +168,7 @@
         Some(end.with_retry_after(self.retry_after()))
     }
 
-    /// Time until a new request of an organisation starts, as far as can be told.
+    /// Predicts the time until a new request would start.
     fn predicted_wait(&self, now: Timestamp, order: &WorkOrder) -> Duration {
         if self.queue.len() == 0 && self.started.len() < self.concurrency() {
             return Duration::ZERO;
@@ -184,7 +193,7 @@
         let cost = self.cost(&order);
         let deadline = now + order.remaining;
         if !order.span.is_empty() {
-            // From here on the reservation lasts as long as the request.
+            // From now on the lease lasts as long as the request.
             self.ledger.grant(key.request, 0, LeaseState::Running);
         }
         self.queue.push(
@@ -204,7 +213,7 @@
         self.actions.push(EndpointAction::Accept(key));
     }
 
-    /// Makes room in a full queue at the cost of the lowest tier.
+    /// Sheds a request of the lowest tier to make space in a full queue.
     fn shed_lower(&mut self, now: Timestamp, order: &WorkOrder) -> bool {
         let Some(candidate) = self.queue.shed_candidate(order.tier, &order.organisation) else {
             return false;
@@ -214,7 +223,7 @@
         true
     }
 
-    /// Memory that has to come free for an order; a span has reserved its own.
+    /// Returns the memory that must be free for a request. A span has already reserved its memory.
     fn need(&self, order: &WorkOrder) -> TokenCount {
         if self.ledger.memory() == 0 || !order.span.is_empty() {
             return 0;
@@ -222,10 +231,11 @@
         order.prompt_tokens.saturating_add(order.answer_tokens)
     }
 
-    /// Predicted time of an order; of a span that of its answer alone.
+    /// Returns the predicted run time of a request. For a span this is the time of the answer only.
     fn cost(&self, order: &WorkOrder) -> RunCost {
-        // The engines of a span, this one included, have prefilled the prompt before the submit.
-        // Counted again, it would be refused as too late when all that is left is the answer.
+        // The engines of a span, including this one, have prefilled the prompt before the submit.
+        // If the prefill were counted again, a span would be refused as late although only its
+        // answer remains.
         let prefilled = match order.span.is_empty() {
             true => 0,
             false => order.prompt_tokens,
--- a/lovagedock/src/endpoint/tombstones.rs
+++ b/lovagedock/src/endpoint/tombstones.rs
@@ -1,4 +1,4 @@
-//! Attempts that must not run, kept for a bounded time and count.
+//! Tombstones for attempts that must not run, limited by time and count.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -10,32 +10,33 @@
     ids::{AttemptNumber, RequestId, Timestamp},
 };
 
-/// Why attempts of a request up to a number must not run.
+/// Prevents attempts of a request up to a number from running.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Tombstone {
-    /// The newest attempt that it covers.
+    /// The newest attempt covered by the tombstone.
     pub(crate) attempt: AttemptNumber,
-    /// What the gateway was told.
+    /// Result code reported to the gateway.
     pub(crate) code: ResultCode,
-    /// Whether the request ran here.
+    /// Whether the request ran on this endpoint.
     pub(crate) ran: RanState,
 }
 
 impl Tombstone {
-    /// Whether a submit of this attempt is to be refused.
+    /// Whether a submit of this attempt must be refused.
     ///
-    /// What ran here is not started a second time under any attempt; what did not run may come
-    /// back as a newer one.
+    /// A request that ran on this endpoint is not started again by any attempt. A request that did
+    /// not run may be submitted again as a newer attempt.
     pub(crate) fn covers(&self, attempt: AttemptNumber) -> bool {
         attempt <= self.attempt || self.ran != RanState::No
     }
 }
 
-/// Remembers attempts that must not run.
+/// Table of tombstones by request.
 ///
-/// Without it, a submit that a silent connection delivers late would start a request whose
-/// gateway was told "not run" and has sent it elsewhere. A tombstone outlives every session on
-/// which the submit may still be under way, since sessions end seconds after they fall silent.
+/// Without tombstones, a submit that an unresponsive connection delivers late would start a request
+/// that was reported to its gateway as "not run" and has been sent to another endpoint. A tombstone
+/// outlives every session on which the submit may still be in transit, since sessions are closed
+/// seconds after they stop responding.
 #[derive(Debug)]
 pub(crate) struct TombstoneTable {
     hold: Duration,
@@ -58,7 +59,7 @@
 }
 
 impl TombstoneTable {
-    /// An empty table with its bounds.
+    /// Creates an empty table with these bounds.
     pub(crate) fn new(hold: Duration, count: usize) -> Self {
         Self {
             hold,
@@ -76,7 +77,7 @@
         self.trim();
     }
 
-    /// Remembers a request; an older tombstone of it is widened, never narrowed.
+    /// Adds a tombstone. An existing tombstone of the request is extended and never narrowed.
     pub(crate) fn insert(&mut self, now: Timestamp, request: RequestId, tombstone: Tombstone) {
         let until = now + self.hold;
         let stored = self
@@ -93,26 +94,27 @@
         self.trim();
     }
 
-    /// The tombstone of a request.
+    /// Returns the tombstone of a request.
     pub(crate) fn get(&self, request: RequestId) -> Option<&Tombstone> {
         self.tombstones
             .get(&request)
             .map(|stored| &stored.tombstone)
     }
 
-    /// Forgets what is past its time.
+    /// Removes expired tombstones.
     pub(crate) fn expire(&mut self, now: Timestamp) {
         while self.order.front().is_some_and(|mark| mark.until <= now) {
             self.drop_oldest();
         }
     }
 
-    /// Number of requests remembered.
+    /// Returns the number of tombstones.
     pub(crate) fn len(&self) -> usize {
         self.tombstones.len()
     }
 
-    /// Tombstones that the count pushed out before their time.
+    /// Returns the number of tombstones removed before their expiry because of the limit on their
+    /// count.
     pub(crate) fn forgotten_early(&self) -> u64 {
         self.forgotten_early
     }
@@ -125,7 +127,7 @@
         }
     }
 
-    /// Drops the oldest mark and, unless a newer mark renewed it, its tombstone.
+    /// Removes the oldest expiry mark. Also removes its tombstone unless a newer mark renewed it.
     fn drop_oldest(&mut self) -> bool {
         let Some(mark) = self.order.pop_front() else {
             return false;
--- a/lovagedock/src/endpoint/work.rs
+++ b/lovagedock/src/endpoint/work.rs
@@ -1,4 +1,4 @@
-//! What the queue is told of requests and of the engine.
+//! Properties of requests and of the engine that the queue uses.
 
 use std::time::Duration;
 
@@ -8,45 +8,45 @@
     ids::{OrganisationId, RequestId, Timestamp, TokenCount},
 };
 
-/// A request that waits.
+/// A queued request.
 #[derive(Clone, Debug)]
 pub(crate) struct QueuedWork {
-    /// The request.
+    /// Id of the request.
     pub(crate) request: RequestId,
-    /// Organisation that pays for it.
+    /// Organisation that the request is billed to.
     pub(crate) organisation: OrganisationId,
-    /// Its priority.
+    /// Priority tier.
     pub(crate) tier: PriorityTier,
-    /// Share of the organisation.
+    /// Weight of the organisation.
     pub(crate) weight: u32,
-    /// What it is predicted to take.
+    /// Predicted run time.
     pub(crate) cost: RunCost,
-    /// Memory that it needs.
+    /// Memory that the request needs, in tokens.
     pub(crate) need: TokenCount,
 }
 
-/// What is left of the engine for a start.
+/// Memory of the engine that is available for a start.
 #[derive(Clone, Copy)]
 pub(crate) struct EngineCapacity<'a> {
-    /// All memory.
+    /// Size of the memory in tokens.
     pub(crate) memory: TokenCount,
-    /// Memory that no lease takes.
+    /// Free memory in tokens.
     pub(crate) free: TokenCount,
-    /// When so much memory is predicted to be free at the earliest.
+    /// Predicts the earliest time at which the given amount of memory is free.
     pub(crate) free_at: &'a dyn Fn(TokenCount) -> Timestamp,
 }
 
-/// Work that goes before a new request of some tier and organisation.
+/// Work that starts before a new request of a tier and organisation.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct WorkAhead {
     /// Sum of prefill times.
     pub(crate) prefill: Duration,
-    /// Sum of whole run times.
+    /// Sum of run times.
     pub(crate) total: Duration,
 }
 
 impl WorkAhead {
-    /// Adds one request.
+    /// Adds the cost of one request.
     pub(crate) fn add(&mut self, cost: RunCost) {
         self.prefill += cost.prefill;
         self.total += cost.total();
--- a/lovagedock/src/length.rs
+++ b/lovagedock/src/length.rs
@@ -1,4 +1,4 @@
-//! Buckets of prompt length, as every report names them.
+//! Buckets of prompt length used in reports and metrics.
 
 use crate::ids::TokenCount;
 
@@ -20,7 +20,7 @@
 }
 
 impl LengthBucket {
-    /// Every bucket, shortest first.
+    /// All buckets, shortest first.
     pub const ALL: [Self; 6] = [
         Self::K1,
         Self::K4,
@@ -30,7 +30,7 @@
         Self::M1,
     ];
 
-    /// The bucket that a prompt of `tokens` is counted in.
+    /// Returns the bucket of a prompt with `tokens` tokens.
     pub fn of(tokens: TokenCount) -> Self {
         match tokens {
             0..=2_000 => Self::K1,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The name in reports and metrics.
+    /// Returns the name used in reports and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::K1 => "1k",
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Position in [`Self::ALL`].
+    /// Returns the position in [`Self::ALL`].
     pub fn index(self) -> usize {
         self as usize
     }
--- a/lovagedock/src/limits/bucket.rs
+++ b/lovagedock/src/limits/bucket.rs
@@ -1,10 +1,10 @@
-//! A token bucket whose rate changes, and which may go into debt.
+//! A token bucket with a variable rate that may go into debt.
 
 use std::time::Duration;
 
 use crate::ids::Timestamp;
 
-/// Tokens that may be spent now, filled at a rate that the owner gives.
+/// A token bucket that is filled at a rate set by its owner.
 #[derive(Clone, Debug)]
 pub(super) struct ShareBucket {
     level: f64,
@@ -14,7 +14,7 @@
 }
 
 impl ShareBucket {
-    /// A bucket that is full at its first rate.
+    /// Creates a bucket that is full when its first rate is set.
     pub(super) fn new(now: Timestamp) -> Self {
         Self {
             level: f64::INFINITY,
@@ -24,8 +24,9 @@
         }
     }
 
-    /// Fills at the former rate up to now, then applies the new one; what does not fit is lost, so
-    /// that a share that moved to another gateway is not spent here as well.
+    /// Fills the bucket at the previous rate up to now, then sets the new rate and capacity. Tokens
+    /// beyond the new capacity are lost, so a share that has moved to another gateway is not also
+    /// spent here.
     pub(super) fn set_rate(&mut self, now: Timestamp, rate: f64, capacity: f64) {
         self.fill(now);
         self.rate = rate;
@@ -33,17 +34,17 @@
         self.level = self.level.min(capacity);
     }
 
-    /// Whether the bucket has this much.
+    /// Whether the bucket contains at least this amount.
     pub(super) fn has_available(&self, amount: f64) -> bool {
         self.level >= amount
     }
 
-    /// Takes an amount, into debt when there is less.
+    /// Removes an amount. The bucket goes into debt if it contains less.
     pub(super) fn consume(&mut self, amount: f64) {
         self.level -= amount;
     }
 
-    /// Time until the bucket has this much at the present rate.
+    /// Returns the time until the bucket contains this amount at the current rate.
     pub(super) fn time_until(&self, amount: f64) -> Duration {
         let missing = (amount - self.level).max(0.0);
         if self.rate <= 0.0 {
--- a/lovagedock/src/limits/demand.rs
+++ b/lovagedock/src/limits/demand.rs
@@ -1,4 +1,4 @@
-//! What one organisation wants, here and at the peers.
+//! Demand of one organisation at this gateway and at its peers.
 
 use std::collections::VecDeque;
 
@@ -21,12 +21,12 @@
         }
     }
 
-    /// Demand for places: what is held, and what came and may want one.
+    /// Demand for concurrency: the requests in flight and those that arrived.
     pub(super) fn concurrency_demand(&self) -> u64 {
         self.requests + u64::from(self.in_flight)
     }
 
-    /// The new demand, or three quarters of the former where that is more.
+    /// Returns the larger of the new demand and three quarters of the previous one.
     fn smoothed(self, former: Self) -> Self {
         Self {
             requests: self.requests.max(former.requests * 3 / 4),
@@ -36,17 +36,17 @@
     }
 }
 
-/// This gateway's demand, as it was reported.
+/// Demand at this gateway, with the values reported to the peers.
 #[derive(Clone, Debug, Default)]
 pub(super) struct OwnDemand {
     /// Demand since the last exchange.
     pub(super) current: DemandVector,
-    /// Reported values by the number of the report that first had them, the oldest first.
+    /// Reported values, oldest first, each with the number of the first report that contained it.
     reported: VecDeque<(u64, DemandVector)>,
 }
 
 impl OwnDemand {
-    /// Closes an exchange: what came becomes the value of this report.
+    /// Ends an exchange. The demand since the previous exchange becomes the value of this report.
     pub(super) fn close_exchange(&mut self, sequence: u64) {
         let former = self.latest();
         let value = self.current.smoothed(former);
@@ -62,17 +62,19 @@
             .map_or(DemandVector::default(), |(_, value)| *value)
     }
 
-    /// Whether a peer that confirmed this report lacks the latest value.
+    /// Whether the latest value is newer than the report with this number.
     pub(super) fn changed_since(&self, confirmed: u64) -> bool {
         self.reported
             .back()
             .is_some_and(|(sequence, _)| *sequence > confirmed)
     }
 
-    /// The demand that this gateway may count on, when all peers confirmed this report at least.
+    /// Returns the demand by which this gateway may compute its own share, given that all peers
+    /// have confirmed at least the report with this number.
     ///
-    /// A peer may know any value since the confirmed one. The least of them is never above what a
-    /// peer counts for this gateway, so the shares that all compute add up to one at most.
+    /// A peer may have any of the values since the confirmed one. Their minimum is never above the
+    /// value that a peer uses for this gateway, so the shares of all gateways add up to at most
+    /// one.
     pub(super) fn confirmed_demand(&mut self, confirmed: u64) -> DemandVector {
         while self
             .reported
--- a/lovagedock/src/limits/limiter.rs
+++ b/lovagedock/src/limits/limiter.rs
@@ -1,4 +1,4 @@
-//! Admits requests within an organisation's limits.
+//! Admission of requests within the limits of their organisation.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -13,38 +13,38 @@
     ids::{GatewayId, OrganisationId, Timestamp, TokenCount},
 };
 
-/// Which limit a request would pass.
+/// The limit that a request would exceed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LimitKind {
-    /// Requests a second.
+    /// Requests per second.
     Requests,
-    /// Tokens a minute.
+    /// Tokens per minute.
     Tokens,
     /// Requests in flight.
     Concurrency,
 }
 
-/// Whether a request is within its organisation's limits.
+/// The decision whether a request is within its organisation's limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitDecision {
-    /// It is, and it is counted.
+    /// The request is within the limits and has been counted.
     Admitted,
-    /// It is not.
+    /// The request exceeds a limit.
     Refused {
-        /// The limit that it would pass.
+        /// The limit that the request would exceed.
         limit: LimitKind,
-        /// When another try makes sense.
+        /// Time after which a retry may succeed.
         retry_after: Duration,
     },
 }
 
-/// Keeps the limits of organisations over all gateways together.
+/// Enforces the limits of organisations over all gateways together.
 ///
 /// Each gateway has a share of each limit. Shares follow the demand that gateways report to each
-/// other, and never add up to more than one. Over any time `w` all gateways together admit at most
-/// `limit * (w + 1 s)` requests and one more for each gateway, and tokens of `limit * (w + 10 s)`
-/// and one more request for each gateway. Concurrency may be passed by what was admitted before a
-/// share moved; see the design record.
+/// other, and their sum never exceeds one. Within any period `w`, all gateways together admit at
+/// most `limit * (w + 1 s)` requests plus one request per gateway, and at most
+/// `limit * (w + 10 s)` tokens plus one request per gateway. The concurrency limit may be exceeded
+/// by the requests that were admitted before a share moved; see the design record.
 #[derive(Debug)]
 pub struct UsageLimiter {
     timing: LimitTiming,
@@ -54,7 +54,7 @@
 }
 
 impl UsageLimiter {
-    /// A limiter of one gateway among these peers.
+    /// Creates the limiter of a gateway with these peers.
     pub fn new(now: Timestamp, peers: Vec<GatewayId>, timing: LimitTiming) -> Self {
         Self {
             timing,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Sets an organisation's limits, as the configuration has them.
+    /// Sets an organisation's limits from the configuration.
     pub fn set_limits(
         &mut self,
         now: Timestamp,
@@ -75,7 +75,7 @@
         entry.or_insert_with(|| OrganisationUsage::new(now)).limits = limits;
     }
 
-    /// Decides about a request of this many tokens, and counts it when it is admitted.
+    /// Decides whether to admit a request with this many tokens, and counts it if it is admitted.
     pub fn admit(
         &mut self,
         now: Timestamp,
@@ -91,14 +91,14 @@
         usage.admit(&shares, tokens)
     }
 
-    /// Counts a request that ended, with the tokens that its admission did not know of.
+    /// Records the end of a request, with the tokens that were not known at its admission.
     pub fn finish(&mut self, organisation: &OrganisationId, extra_tokens: TokenCount) {
         if let Some(usage) = self.organisations.get_mut(organisation) {
             usage.finish(extra_tokens);
         }
     }
 
-    /// Answers an event with actions.
+    /// Handles an event and returns the resulting actions.
     pub fn handle(&mut self, now: Timestamp, event: LimitEvent) -> Vec<LimitAction> {
         self.peers.advance(now);
         let actions = match event {
@@ -120,12 +120,12 @@
         actions
     }
 
-    /// How shares are computed now.
+    /// Returns the stage by which shares are currently computed.
     pub fn stage(&self) -> ShareStage {
         self.peers.stage()
     }
 
-    /// Share of a limit that this gateway has now, `0.0..=1.0`.
+    /// Returns this gateway's current share of a limit, `0.0..=1.0`.
     pub fn share(&mut self, now: Timestamp, organisation: &OrganisationId, kind: LimitKind) -> f64 {
         self.peers.advance(now);
         let shares = self.shares(organisation);
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Requests of an organisation that are in flight at this gateway.
+    /// Returns the number of an organisation's requests in flight at this gateway.
     pub fn in_flight(&self, organisation: &OrganisationId) -> u32 {
         self.organisations
             .get(organisation)
@@ -152,7 +152,7 @@
         if !self.peers.receive(now, &peer, report) || !self.peers.may_send() {
             return Vec::new();
         }
-        // Shares shrink before the confirmation lets the peer's grow.
+        // This gateway's shares must shrink before the confirmation allows the peer's to grow.
         self.peers.advance(now);
         self.apply_all_shares(now);
         let ack = UsageAck {
@@ -167,7 +167,7 @@
         for usage in self.organisations.values_mut() {
             usage.close_exchange(self.sequence);
         }
-        // A demand that shrank counts here before a peer hears of it.
+        // A lower demand takes effect on this gateway before it is reported to a peer.
         self.apply_all_shares(now);
         if !self.peers.may_send() {
             return Vec::new();
--- a/lovagedock/src/limits/message.rs
+++ b/lovagedock/src/limits/message.rs
@@ -1,29 +1,31 @@
-//! What gateways tell each other about the use of limits.
+//! Messages that gateways exchange about the use of limits.
 
 use super::peers::ShareStage;
 use crate::ids::{GatewayId, Incarnation, OrganisationId, TokenCount};
 
-/// What one organisation wants at one gateway. Values are absolute, so repeating one is harmless.
+/// Demand of one organisation at one gateway. Values are absolute, so a repeated entry has no
+/// effect.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UsageEntry {
     /// The organisation.
     pub organisation: OrganisationId,
-    /// Requests that lately came within one exchange, refused ones included.
+    /// Smoothed number of requests per exchange, including refused ones.
     pub requests: u64,
-    /// Tokens that lately came within one exchange, refused ones included.
+    /// Smoothed number of tokens per exchange, including those of refused requests.
     pub tokens: TokenCount,
     /// Requests in flight.
     pub in_flight: u32,
 }
 
-/// One gateway's report to another: the entries that changed since the last one it confirmed.
+/// A report from one gateway to another. It contains the entries that changed since the latest
+/// report that the receiver has confirmed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UsageReport {
-    /// Number of the report; grows by one with each exchange of the sender's life.
+    /// Number of the report. It increases by one with each exchange of the sender's incarnation.
     pub sequence: u64,
-    /// Report that the entries are changes to; 0 for a whole one.
+    /// Number of the report that the entries are changes to; 0 for a complete report.
     pub base: u64,
-    /// How the sender computes its shares.
+    /// Stage by which the sender computes its shares.
     pub stage: ShareStage,
     /// The entries.
     pub entries: Vec<UsageEntry>,
@@ -34,39 +36,39 @@
 pub struct UsageAck {
     /// Number of the report.
     pub sequence: u64,
-    /// How the confirming gateway computes its shares.
+    /// Stage by which the confirming gateway computes its shares.
     pub stage: ShareStage,
 }
 
-/// What a limiter is told.
+/// An event for a limiter.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LimitEvent {
-    /// A session to a peer is up.
+    /// A session to a peer has been established.
     PeerConnected {
         /// The peer.
         peer: GatewayId,
-        /// Its life.
+        /// Incarnation of the peer.
         incarnation: Incarnation,
     },
-    /// A report came.
+    /// A report was received.
     ReportReceived {
         /// Sender.
         peer: GatewayId,
         /// The report.
         report: UsageReport,
     },
-    /// A confirmation came, as the reply to a report of this life.
+    /// A confirmation was received for a report of this incarnation.
     AckReceived {
         /// Sender.
         peer: GatewayId,
         /// The confirmation.
         ack: UsageAck,
     },
-    /// Time for an exchange; due every [`super::LimitTiming::interval`].
+    /// An exchange is due. This event occurs every [`super::LimitTiming::interval`].
     Tick,
 }
 
-/// What a limiter asks for.
+/// An action requested by a limiter.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LimitAction {
     /// Send a report to a peer.
--- a/lovagedock/src/limits/mod.rs
+++ b/lovagedock/src/limits/mod.rs
@@ -1,4 +1,4 @@
-//! Limits of organisations over all gateways together, without a store write for each request.
+//! Limits of organisations, enforced over all gateways together without a store write per request.
 
 mod bucket;
 mod demand;
--- a/lovagedock/src/limits/peers.rs
+++ b/lovagedock/src/limits/peers.rs
@@ -1,20 +1,21 @@
-//! The other gateways: what they confirmed, and whether shares may follow demand.
+//! State of the other gateways: their confirmations, and whether shares may follow demand.
 
 use std::{collections::HashMap, time::Duration};
 
 use super::{demand::DemandVector, message::UsageReport};
 use crate::ids::{GatewayId, Incarnation, OrganisationId, Timestamp};
 
-/// Times of the exchange between gateways.
+/// Timing of the exchange between gateways.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitTiming {
     /// Time between two reports.
     pub interval: Duration,
-    /// How long a confirmation allows to follow demand, counted from before the report was sent.
+    /// Time for which a confirmation permits shares to follow demand, measured from the time at
+    /// which the confirmed report was sent.
     pub lease: Duration,
-    /// Longest time that a message may take and still be taken for current.
+    /// Maximum delay of a message that is still treated as current.
     pub max_delay: Duration,
-    /// Part of each limit that is split equally whatever the demand, in percent.
+    /// Part of each limit that is split equally regardless of demand, in percent.
     pub floor_percent: u32,
 }
 
@@ -29,38 +30,40 @@
     }
 }
 
-/// How a gateway computes its share of each limit.
+/// The method by which a gateway computes its share of each limit.
 ///
-/// Shares that follow demand add up to one, and equal shares add up to one, but a mix of both does
-/// not: the sum would be up to twice the limit while a partition begins or ends. Between the two
-/// lies a stage that takes the lesser of both, and a gateway enters either side only when no other
-/// can be on the opposite side any more.
+/// Shares by demand add up to one, and so do equal shares, but a mix of both does not. While a
+/// network partition begins or ends, the sum could reach twice the limit. An intermediate stage
+/// therefore uses the minimum of both. A gateway switches to shares by demand or to equal shares
+/// only when no other gateway can still use the opposite method.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ShareStage {
-    /// By demand: all peers confirm.
+    /// By demand, while all peers confirm.
     ByDemand,
-    /// The lesser of both, while peers confirm or are about to.
+    /// The minimum of both, while the peers confirm or are expected to confirm.
     Minimum,
-    /// The lesser of both, and silent, so that no peer counts on this gateway any more.
+    /// The minimum of both. The gateway sends nothing, so that its confirmations expire at all
+    /// peers.
     Silent,
-    /// An equal part: some peer is out of reach.
+    /// Equal shares, because a peer is unreachable.
     Equal,
 }
 
 #[derive(Debug, Default)]
 struct PeerState {
     incarnation: Option<Incarnation>,
-    /// Latest report that it confirmed, and when that was sent.
+    /// Number of the latest report that the peer has confirmed.
     confirmed: u64,
+    /// Time at which this gateway sent that report.
     confirmed_sent_at: Option<Timestamp>,
-    /// Latest report from it.
+    /// Number of the latest report received from the peer.
     received: u64,
     received_at: Option<Timestamp>,
     stage: Option<ShareStage>,
     demands: HashMap<OrganisationId, DemandVector>,
 }
 
-/// All other gateways of the configuration.
+/// All other gateways in the configuration.
 #[derive(Debug)]
 pub(super) struct PeerTable {
     timing: LimitTiming,
@@ -103,7 +106,7 @@
         self.peers.get(peer).map_or(0, |state| state.confirmed)
     }
 
-    /// The report that every peer has confirmed; 0 while one has confirmed none.
+    /// Returns the latest report that all peers have confirmed; 0 while a peer has confirmed none.
     pub(super) fn confirmed_by_all(&self) -> u64 {
         self.peers
             .values()
@@ -112,7 +115,7 @@
             .unwrap_or(0)
     }
 
-    /// What the peers want together; `None` until each has told.
+    /// Returns the demand of each peer; `None` until every peer has reported.
     pub(super) fn demands(&self, organisation: &OrganisationId) -> Option<Vec<DemandVector>> {
         let reported = |state: &PeerState| {
             let demand = state.demands.get(organisation).copied().unwrap_or_default();
@@ -139,7 +142,7 @@
         self.sent_at.insert(sequence, now);
     }
 
-    /// Whether the report is new and its sender known.
+    /// Stores a report. Returns whether it is new, applicable and from a known peer.
     pub(super) fn receive(
         &mut self,
         now: Timestamp,
@@ -149,8 +152,9 @@
         let Some(state) = self.peers.get_mut(peer) else {
             return false;
         };
-        // Changes to a report that this gateway does not have, as after its restart, would leave
-        // out demand that did not change since, and this gateway's share would come out too large.
+        // The report may be based on one that this gateway does not have, for example after its
+        // restart. Unchanged demand would then be missing, and this gateway's share would be too
+        // large.
         if report.sequence <= state.received || report.base > state.received {
             return false;
         }
@@ -183,7 +187,7 @@
         }
     }
 
-    /// Moves to the stage that is safe now; to be called before any share is used.
+    /// Switches to the stage that is safe now. Must be called before any share is used.
     pub(super) fn advance(&mut self, now: Timestamp) {
         let next = match self.stage {
             ShareStage::ByDemand if !self.all_leases_valid(now) => ShareStage::Minimum,
@@ -201,7 +205,7 @@
         }
     }
 
-    /// Whether peers may count on this gateway's reports and confirmations.
+    /// Whether this gateway may send reports and confirmations to its peers.
     pub(super) fn may_send(&self) -> bool {
         self.stage != ShareStage::Silent
     }
@@ -210,13 +214,14 @@
         !self.peers.is_empty() && now >= self.stage_since + time
     }
 
-    /// After this much silence no peer's lease rests on a confirmation of this gateway.
+    /// Time without messages after which no peer has a valid lease from a confirmation of this
+    /// gateway.
     fn silence_period(&self) -> Duration {
         self.timing.lease + self.timing.max_delay
     }
 
-    /// No peer can be on equal shares: each confirmed lately that it is not, and a peer goes there
-    /// only after a silence that outlasts this.
+    /// Whether no peer can be using equal shares. Each peer has recently confirmed that it is not,
+    /// and a peer switches to equal shares only after a silence that is longer than this lease.
     fn all_leases_valid(&self, now: Timestamp) -> bool {
         let lease = self.timing.lease;
         let lease_valid = |state: &PeerState| {
--- a/lovagedock/src/limits/usage.rs
+++ b/lovagedock/src/limits/usage.rs
@@ -1,4 +1,4 @@
-//! One organisation's use of its limits at this gateway.
+//! Usage of one organisation's limits at this gateway.
 
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
     pub(super) demand: OwnDemand,
 }
 
-/// Share of each limit, and what the peers have in flight.
+/// This gateway's share of each limit, and the number of requests in flight at its peers.
 pub(super) struct LimitShares {
     pub(super) requests: f64,
     pub(super) tokens: f64,
@@ -64,7 +64,7 @@
         self.demand.current.tokens += extra_tokens;
     }
 
-    /// Closes an exchange.
+    /// Ends the exchange with this number.
     pub(super) fn close_exchange(&mut self, sequence: u64) {
         self.demand.current.in_flight = self.in_flight;
         self.demand.close_exchange(sequence);
@@ -87,8 +87,8 @@
         if self.limits.requests_per_second > 0 && !self.requests.has_available(1.0) {
             return Some((LimitKind::Requests, self.requests.time_until(1.0)));
         }
-        // One request may be larger than a share: it is let in while there is anything left, and
-        // the debt is worked off before the next.
+        // A single request may be larger than the share. It is admitted while any tokens are left,
+        // and the resulting debt is paid off before the next one is admitted.
         if self.limits.tokens_per_minute > 0 && !self.tokens.has_available(1.0) {
             return Some((LimitKind::Tokens, self.tokens.time_until(1.0)));
         }
--- a/lovagedock/src/outlier.rs
+++ b/lovagedock/src/outlier.rs
@@ -1,23 +1,23 @@
-//! Ejects endpoints that fail although their sessions and reports look healthy.
+//! Ejects endpoints whose requests fail although their sessions and reports look healthy.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use crate::ids::{EndpointId, Timestamp};
 
-/// When endpoints are ejected and for how long.
+/// Thresholds and durations of ejections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OutlierSettings {
-    /// Failures in a row that eject an endpoint.
+    /// Number of consecutive failures that eject an endpoint.
     pub consecutive_failures: u32,
-    /// Length of the first ejection; doubles with each further one.
+    /// Duration of the first ejection. It doubles with each further ejection.
     pub base_ejection: Duration,
-    /// Longest ejection.
+    /// Maximum duration of an ejection.
     pub max_ejection: Duration,
-    /// Largest share of a pool that may be ejected at once, in percent.
+    /// Maximum share of a pool that may be ejected at the same time, in percent.
     pub max_ejected_percent: u8,
     /// Time after which a probe without an outcome counts as failed.
     pub probe_timeout: Duration,
-    /// Time without a failure after which earlier ejections are forgotten.
+    /// Time without a failure after which the count of ejections is reset.
     pub reset_after: Duration,
 }
 
@@ -34,61 +34,61 @@
     }
 }
 
-/// What happened to an endpoint.
+/// An event at an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OutlierEvent {
-    /// It belongs to the pool from now on.
+    /// The endpoint joined the pool.
     Joined(EndpointId),
-    /// It no longer belongs to the pool.
+    /// The endpoint left the pool.
     Left(EndpointId),
-    /// A request ended well there.
+    /// A request to the endpoint succeeded.
     Succeeded(EndpointId),
-    /// A request failed there through the endpoint's fault.
+    /// A request failed because of the endpoint.
     Failed(EndpointId),
-    /// A session to it with work in flight went silent.
+    /// A session to the endpoint with work in flight stopped responding.
     WentSilent(EndpointId),
-    /// The one request that an ejected endpoint may get was sent.
+    /// The probe, the single request that an ejected endpoint may get, was sent.
     ProbeSent(EndpointId),
-    /// Time passed.
+    /// Time has passed.
     Tick,
 }
 
-/// A change of whether an endpoint may get work.
+/// A change of the decision whether an endpoint may receive work.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OutlierAction {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// Whether it is ejected from now on.
+    /// Whether the endpoint is ejected from now on.
     pub ejected: bool,
-    /// Why.
+    /// Cause of the change.
     pub cause: OutlierCause,
 }
 
-/// Why an endpoint may or may not get work.
+/// The cause of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum OutlierCause {
-    /// Too many failures in a row.
+    /// Too many consecutive failures.
     ConsecutiveFailures,
-    /// A session went silent.
+    /// A session stopped responding.
     SilentSession,
-    /// It failed again soon after it was let back.
+    /// The endpoint failed again soon after it was readmitted.
     FailedOnProbation,
-    /// Its time is over: the next request is the probe.
+    /// The ejection has ended, and the next request is the probe.
     ProbeAllowed,
-    /// The probe is on its way and nothing else may follow it yet.
+    /// The probe was sent. No other request may follow until it has ended.
     ProbeSent,
-    /// The probe failed or had no outcome in time.
+    /// The probe failed or timed out.
     ProbeFailed,
-    /// The probe ended well.
+    /// The probe succeeded.
     Readmitted,
 }
 
-/// Watches the endpoints of one pool.
+/// Detects failing endpoints in one pool.
 ///
-/// An endpoint can answer heartbeats and fail every request, and it then looks idle, so that a
-/// policy by load would send it everything. After some failures in a row it is ejected. At most a
-/// share of the pool is ejected at once: when most endpoints fail, the cause is elsewhere, and
-/// ejecting them would only move the load onto the rest.
+/// An endpoint may respond to heartbeats and still fail every request. It then looks idle, and a
+/// load-based policy would send all requests to it. The detector ejects it after a number of
+/// consecutive failures. Only a share of the pool is ejected at the same time: if most endpoints
+/// fail, the cause is elsewhere, and ejecting them would only move the load to the others.
 #[derive(Clone, Debug)]
 pub struct OutlierDetector {
     settings: OutlierSettings,
@@ -107,8 +107,8 @@
 enum OutlierState {
     #[default]
     Admitted,
-    /// Let back lately: one failure ejects it again, so that a flapping endpoint costs one
-    /// request a turn and not a row of them.
+    /// Recently readmitted. A single failure ejects the endpoint again, so a flapping endpoint
+    /// fails one request per cycle instead of several.
     Probation,
     Ejected {
         until: Timestamp,
@@ -129,7 +129,7 @@
 }
 
 impl OutlierDetector {
-    /// A detector for a pool without endpoints.
+    /// Creates a detector without endpoints.
     pub fn new(settings: OutlierSettings) -> Self {
         Self {
             settings,
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Takes in one event and tells whose admission changes.
+    /// Handles an event and returns the resulting changes.
     pub fn handle(&mut self, now: Timestamp, event: OutlierEvent) -> Vec<OutlierAction> {
         match event {
             OutlierEvent::Joined(id) => {
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Endpoints that count as ejected, the one that is being probed included.
+    /// Returns the number of ejected endpoints, including those that are being probed.
     pub fn ejected_count(&self) -> usize {
         self.endpoints
             .values()
@@ -164,7 +164,8 @@
             .count()
     }
 
-    /// Most endpoints that may be ejected at once; never all of them.
+    /// Returns the number of endpoints that may be ejected at the same time. It is always less than
+    /// the size of the pool.
     pub fn ejection_limit(&self) -> usize {
         let total = self.endpoints.len();
         let share = total * usize::from(self.settings.max_ejected_percent) / 100;
@@ -190,7 +191,7 @@
                 }
                 Vec::new()
             }
-            // An answer to a request from before the ejection proves nothing about new ones.
+            // The request was sent before the ejection, so its success says nothing about new ones.
             OutlierState::Ejected { .. } | OutlierState::AwaitingProbe => Vec::new(),
         }
     }
--- a/lovagedock/src/placement/baseline.rs
+++ b/lovagedock/src/placement/baseline.rs
@@ -1,4 +1,4 @@
-//! Plain policies that others are measured against.
+//! Simple load-balancing policies that serve as baselines for comparisons.
 
 use std::time::Duration;
 
@@ -61,7 +61,7 @@
         candidates[nth]
     }
 
-    /// All candidates in the policy's order of preference, for a span.
+    /// Sorts the candidates of a span by the policy's order of preference.
     fn sort(&mut self, candidates: &mut [usize], rng: &mut dyn Rng, pool: &PoolView<'_>) {
         match self.order {
             BaselineOrder::Random | BaselineOrder::TwoChoices => candidates.shuffle(rng),
--- a/lovagedock/src/placement/layout.rs
+++ b/lovagedock/src/placement/layout.rs
@@ -1,4 +1,4 @@
-//! Where each endpoint of a pool stands in the order in which long prompts take endpoints.
+//! The order in which the endpoints of a pool are opened to long prompts.
 
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -6,11 +6,11 @@
 
 use super::types::{EndpointView, PoolView};
 
-/// The usable endpoints of each failure domain in an order that all gateways agree on.
+/// The usable endpoints of each failure domain in an order that is the same on all gateways.
 ///
-/// Long prompts may use the first few of each domain. The order comes from a hash of the names, so
-/// gateways that see different mixes use sets that contain each other, and a host that comes or
-/// goes moves at most one place of the set.
+/// Long prompts may use the first endpoints of each failure domain. Endpoints are ordered by a
+/// hash of their ids. Gateways that observe different mixes of prompts therefore use sets of which
+/// one contains the other, and adding or removing a host changes at most one member of the set.
 #[derive(Debug, Default)]
 pub(super) struct PoolLayout {
     entries: Vec<LayoutEntry>,
@@ -32,14 +32,14 @@
 }
 
 impl PoolLayout {
-    /// Works the order out again if endpoints came, went, or changed whether they take work.
+    /// Recomputes the order if endpoints were added or removed, or accept work now or no longer.
     pub(super) fn refresh(&mut self, pool: &PoolView<'_>) {
         if !self.matches(pool) {
             self.rebuild(pool);
         }
     }
 
-    /// Whether long prompts may use the endpoint when they hold `share` of each domain.
+    /// Whether long prompts may use the endpoint if they may use `share` of each failure domain.
     pub(super) fn in_long_share(&self, index: usize, share: f64) -> bool {
         let entry = &self.entries[index];
         let usable = self.domains[entry.domain].usable;
@@ -106,8 +106,8 @@
     }
 }
 
-/// Rounded down in favour of short prompts, but at least one, so that long prompts have a place
-/// even in the smallest domain.
+/// Number of endpoints that long prompts may use. It is rounded down in favour of short prompts,
+/// but is at least one, so that long prompts can be placed even in the smallest failure domain.
 fn long_count(usable: usize, share: f64) -> usize {
     let count = (usable as f64 * share) as usize;
     count.clamp(1, usable.max(1))
--- a/lovagedock/src/placement/length_aware.rs
+++ b/lovagedock/src/placement/length_aware.rs
@@ -1,4 +1,5 @@
-//! The default policy: the soonest first token, with long prompts kept to a share of the pool.
+//! The default policy. It minimises the predicted first-token time and confines long prompts to a
+//! share of the pool.
 
 use std::time::Duration;
 
@@ -127,7 +128,7 @@
         let Some(&(_, _, first)) = order.first() else {
             return refusal(PlacementReason::NoEndpoint);
         };
-        // The span begins when the last of its members is free.
+        // A span starts when the last of its members is free.
         let queues = running_maximum(order.iter().map(|(_, queue, _)| *queue));
         let indices = order.into_iter().map(|(_, _, index)| index);
         let Some(members) = select_span(request, pool, indices) else {
@@ -162,7 +163,7 @@
         let long = self.class(request) == LengthClass::Long;
         let mut shortlist = self.scan(now, request, pool, long);
         if long && shortlist.is_empty() {
-            // All of the long share is excluded or too small; elsewhere is better than nowhere.
+            // All endpoints of the long share are excluded or too small, so use any endpoint.
             shortlist = self.scan(now, request, pool, false);
         }
         if shortlist.is_empty() {
@@ -172,7 +173,7 @@
     }
 }
 
-/// One endpoint that could take the request; times in seconds.
+/// An endpoint that could run the request; all times are in seconds.
 #[derive(Clone, Copy, Debug, Default)]
 struct Candidate {
     index: usize,
@@ -252,16 +253,16 @@
         self.length = (self.length + 1).min(SHORTLIST_LENGTH);
     }
 
-    /// The one that ends the answer first.
+    /// Returns the candidate that is predicted to finish the answer first.
     fn soonest_finish(&self) -> Candidate {
         let candidates = self.candidates[..self.length].iter();
         let soonest = candidates.min_by(|a, b| a.finish.total_cmp(&b.finish));
         soonest.copied().unwrap_or_default()
     }
 
-    /// Any one of those that are nearly as good as the best.
+    /// Picks a random candidate among those whose score is close to the best.
     ///
-    /// Gateways that see the same old reports would otherwise all choose the same endpoint.
+    /// Gateways with the same stale reports would otherwise all choose the same endpoint.
     fn pick(&self, rng: &mut dyn Rng) -> Candidate {
         let limit = self.candidates[0].score * NEAR_RATIO + NEAR_SECONDS;
         let near_best = self.candidates[..self.length]
@@ -274,16 +275,17 @@
 
 /// Time to decode the answer, in seconds; zero on an engine whose speed is not known yet.
 ///
-/// A refusal rests on it. An assumed speed would refuse long answers on an idle engine that has
-/// run nothing, and since nothing is sent there its speed would never be learned. Without one the
-/// request is tried; its deadline bounds what a slow engine can cost.
+/// The result decides whether a request is refused as late. With an assumed speed, long answers
+/// would be refused on an idle engine that has not run anything. The engine would then get no
+/// requests, and its speed would never be learned. Without an assumption the request is tried, and
+/// its deadline limits the cost of a slow engine.
 fn learned_decode_seconds(request: &PlacementRequest<'_>, view: &EndpointView) -> f64 {
     let decode = |report: &EndpointReport| report.cost.decode(request.answer_tokens);
     let report = view.report.as_deref();
     report.map_or(0.0, |report| decode(report).as_secs_f64())
 }
 
-/// Tokens of the prompt that the endpoint was last known to have in its cache.
+/// Tokens of the prompt that are in the endpoint's cache according to its latest report.
 fn cached_tokens(request: &PlacementRequest<'_>, view: &EndpointView) -> TokenCount {
     let Some(report) = &view.report else {
         return 0;
@@ -295,8 +297,8 @@
     pieces.map_or(0, |last| (last as u64 + 1) * PREFIX_PIECE_TOKENS)
 }
 
-/// Expected wait for memory that others hold: until what is there is prefilled and a typical
-/// answer has ended. Zero when there is enough.
+/// Expected wait for memory held by other requests, in seconds. It lasts until the present work is
+/// prefilled and a typical answer has ended. Zero if there is enough free memory.
 fn memory_wait(now: Timestamp, request: &PlacementRequest<'_>, view: &EndpointView) -> f64 {
     let Some(report) = &view.report else {
         return 0.0;
@@ -309,8 +311,9 @@
     queue_seconds(now, view, LengthClass::Long) + answer.as_secs_f64()
 }
 
-/// What a long prefill under way costs a short prompt that overtakes it: engines work in steps, so
-/// it waits for the step that runs, and each of its own may carry a chunk of the long one.
+/// Delay of a short prompt that overtakes a running long prefill, in seconds. Engines work in
+/// steps: the short prompt waits for the current step, and each of its own steps may include a
+/// chunk of the long prefill.
 fn interference_seconds(view: &EndpointView) -> f64 {
     let Some(report) = &view.report else {
         return 0.0;
@@ -361,7 +364,8 @@
         .collect()
 }
 
-/// Refuses what is predicted to end after its time, with the time that it would lack.
+/// Refuses a request that is predicted to finish after its deadline. The retry time is the time by
+/// which it would be late.
 fn refuse_if_late(finish: f64, request: &PlacementRequest<'_>) -> Option<PlacementChoice> {
     let excess = finish - request.remaining.as_secs_f64();
     (excess > 0.0).then(|| PlacementChoice::Refuse {
@@ -387,26 +391,28 @@
     }
 }
 
-/// Tokens that an engine is assumed to prefill in one step.
+/// Number of tokens that an engine is assumed to prefill in one step.
 const CHUNK_TOKENS: TokenCount = 2_048;
-/// Position in a long prompt at which a chunk is assumed to be.
+/// Number of tokens that are assumed to precede a chunk of a long prompt.
 const CHUNK_CONTEXT_TOKENS: TokenCount = 200_000;
-/// Steps of a short prompt that count as lost to a long prefill. It breaks ties and no more: with a
-/// whole step or two, short prompts crowd on the few engines without a long one and wait there for
-/// each other (`policy_comparison` fails).
+/// Number of steps by which a long prefill is counted to delay a short prompt. The value only
+/// breaks ties. With a whole step or two, short prompts pile up on the few engines without a long
+/// prefill and wait there for each other, and the `policy_comparison` test fails.
 const INTERFERENCE_STEPS: f64 = 0.25;
-/// Candidates that are kept for the random choice.
+/// Number of candidates kept for the random choice.
 const SHORTLIST_LENGTH: usize = 8;
-/// A candidate is as good as the best when its score is within this ratio and time of it.
+/// A candidate is close to the best one if its score is at most this ratio of the best score plus
+/// [`NEAR_SECONDS`].
 const NEAR_RATIO: f64 = 1.2;
 const NEAR_SECONDS: f64 = 0.01;
 /// Round trip to another failure domain.
 const OTHER_DOMAIN_SECONDS: f64 = 0.003;
-/// Risk of work in another failure domain that its own gateways sent since the last report. In its
-/// own domain a gateway knows most of the work, since it sent it; each gateway keeping mostly to
-/// its own is what lets many of them act on old reports without collisions.
+/// Penalty for work in another failure domain that other gateways may have sent since the latest
+/// report. In its own failure domain a gateway knows most of the work because it sent the work
+/// itself. Many gateways can act on stale reports without collisions because each of them mostly
+/// uses its own failure domain.
 const OTHER_DOMAIN_UNSEEN_SECONDS: f64 = 0.03;
-/// Length of an answer that holds memory, for the wait until memory is free.
+/// Assumed length of an answer when the wait for free memory is estimated.
 const TYPICAL_ANSWER_TOKENS: TokenCount = 128;
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
--- a/lovagedock/src/placement/mix.rs
+++ b/lovagedock/src/placement/mix.rs
@@ -1,9 +1,9 @@
-//! How much of a pool long prompts need.
+//! Estimates the share of a pool that long prompts need.
 
 use crate::ids::Timestamp;
 
-/// Decaying sums of predicted prefill time by whether the prompt was long, and of how busy the
-/// pool was.
+/// Exponentially decaying sums of the predicted prefill time, in total and for long prompts, and
+/// decaying means of the pool's activity.
 #[derive(Debug, Default)]
 pub(super) struct MixTracker {
     updated_at: Timestamp,
@@ -14,12 +14,12 @@
     throttle: ShareThrottle,
 }
 
-/// What the last reports say of a pool.
+/// Activity of a pool according to the latest reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct PoolActivity {
-    /// Share of the endpoints that had a prefill to do.
+    /// Share of the endpoints with prefill work queued or running.
     pub(super) busy: f64,
-    /// Share of the waiting time that a short prompt would skip; `None` when nothing waits.
+    /// Share of the waiting time that a short prompt would skip; `None` if there is no backlog.
     pub(super) overtaking: Option<f64>,
 }
 
@@ -29,11 +29,11 @@
     weight: f64,
 }
 
-/// Takes room from long prompts while short ones wait.
+/// Reduces the share of long prompts while short prompts wait too long.
 ///
-/// A pool that is busy all over looks the same at any overload, so the room that short prompts
-/// need cannot be told from it. Their wait tells: the share shrinks while they wait too long and
-/// grows back more slowly.
+/// A fully busy pool looks the same at any degree of overload, so its utilisation does not show
+/// how much capacity short prompts need. Their waiting time does. The share shrinks while they
+/// wait too long and recovers at a lower rate.
 #[derive(Debug)]
 struct ShareThrottle {
     factor: f64,
@@ -72,7 +72,7 @@
         self.weight = self.weight * decay + 1.0;
     }
 
-    /// Zero until something was recorded.
+    /// Returns the mean, or zero if there are no values yet.
     fn mean(&self) -> f64 {
         if self.weight > 0.0 {
             self.sum / self.weight
@@ -83,7 +83,7 @@
 }
 
 impl MixTracker {
-    /// Counts a request that was placed, and the state of the pool then.
+    /// Records a placed request with its predicted prefill time, and the activity of the pool.
     pub(super) fn record(
         &mut self,
         now: Timestamp,
@@ -105,13 +105,13 @@
         }
     }
 
-    /// Share of a pool that long prompts may use, at most `limit`; `limit` itself until enough has
-    /// been seen.
+    /// Returns the share of a pool that long prompts may use, at most `limit`. Returns `limit`
+    /// until at least [`MIX_MIN_SECONDS`] of prefill time have been recorded.
     ///
-    /// Short prompts keep enough of the pool to be busy to [`SHORT_TARGET_UTILISATION`]. Where long ones could
-    /// not live with the rest, they get up to what they need, as long as the short ones' part is
-    /// busy to no more than [`SHORT_MAX_UTILISATION`]. Where short prompts overtake long ones at the
-    /// engines, they need that much less room of their own.
+    /// Short prompts keep enough endpoints for a utilisation of [`SHORT_TARGET_UTILISATION`]. If
+    /// the rest is too little for the long prompts, they get up to what they need, as long as the
+    /// utilisation of the endpoints for short prompts stays below [`SHORT_MAX_UTILISATION`]. Short
+    /// prompts that overtake long ones on the engines need fewer endpoints of their own.
     pub(super) fn long_share(&self, limit: f64) -> f64 {
         if self.all_seconds < MIX_MIN_SECONDS {
             return limit;
@@ -125,29 +125,31 @@
         (at_target.max(at_limit) * self.throttle.factor).clamp(0.0, limit)
     }
 
-    /// Takes in how long a short prompt is about to wait.
+    /// Records the predicted waiting time of a short prompt.
     pub(super) fn record_short_wait(&mut self, now: Timestamp, seconds: f64) {
         self.throttle.record(now, seconds);
     }
 }
 
-/// Time in which the weight of what was seen falls to 1/e.
+/// Time in which the weight of an observation falls to 1/e.
 const MIX_DECAY_SECONDS: f64 = 120.0;
-/// Prefill time that has to be seen before the mix is trusted.
+/// Prefill time that must be recorded before the mix is used.
 const MIX_MIN_SECONDS: f64 = 5.0;
-/// How busy the short prompts' part of a pool should be.
+/// Target utilisation of the endpoints kept for short prompts.
 const SHORT_TARGET_UTILISATION: f64 = 0.5;
-/// How busy it may become to make room for long prompts.
+/// Highest utilisation of these endpoints that is accepted in favour of long prompts.
 const SHORT_MAX_UTILISATION: f64 = 0.8;
-/// Share of the waiting time from which on short prompts count as overtaking all long ones; the
-/// rest of it are short prompts that wait for each other.
+/// Share of the waiting time above which short prompts count as overtaking all long ones. The
+/// remaining time is short prompts waiting for each other.
 const FULL_OVERTAKING: f64 = 0.8;
-/// How busy the long prompts' part may be.
+/// Highest utilisation of the endpoints that long prompts use.
 const LONG_MAX_UTILISATION: f64 = 0.9;
-/// Time over which the wait of short prompts is averaged.
+/// Time constant of the mean wait of short prompts.
 const WAIT_DECAY_SECONDS: f64 = 5.0;
-/// Mean wait of short prompts above which long ones lose room.
+/// Mean wait of short prompts above which the share of long prompts shrinks.
 const SHORT_MAX_WAIT_SECONDS: f64 = 0.5;
+/// Decrease of the share factor per second while short prompts wait too long.
 const THROTTLE_PER_SECOND: f64 = 0.02;
+/// Increase of the share factor per second otherwise.
 const RECOVERY_PER_SECOND: f64 = 0.005;
 const MIN_THROTTLE_FACTOR: f64 = 0.1;
--- a/lovagedock/src/placement/mod.rs
+++ b/lovagedock/src/placement/mod.rs
@@ -1,8 +1,8 @@
-//! Which endpoint a request goes to, or why it is refused.
+//! Placement of requests on endpoints.
 //!
 //! A gateway keeps one [`PlacementPolicy`] and one [`PoolState`] for each pool. The policy reads
-//! the state as a [`PoolView`] and decides; the gateway carries the choice out and records it in
-//! the state. `docs/POLICY.md` tells operators how the default policy decides.
+//! the state as a [`PoolView`] and returns a [`PlacementChoice`]. The gateway applies the choice
+//! and records it in the state. `docs/POLICY.md` describes the default policy for operators.
 
 mod baseline;
 mod layout;
--- a/lovagedock/src/placement/predict.rs
+++ b/lovagedock/src/placement/predict.rs
@@ -7,13 +7,14 @@
 
 use super::types::{EndpointReport, EndpointView};
 
-/// Time that a prompt waits for its prefill to begin, behind what the endpoint was last known to
-/// have and what this gateway sent since.
+/// Predicts how long a prompt waits for its prefill to start. Counts the work in the endpoint's
+/// latest report and the work that this gateway has sent since.
 pub fn predict_queue(now: Timestamp, view: &EndpointView, class: LengthClass) -> Duration {
     Duration::from_secs_f64(queue_seconds(now, view, class))
 }
 
-/// First-token time of a prompt on an endpoint, with `cached` tokens of it in the engine's cache.
+/// Predicts the time to the first token of a prompt of which `cached` tokens are in the engine's
+/// cache.
 pub fn predict_first_token(
     now: Timestamp,
     view: &EndpointView,
@@ -27,9 +28,9 @@
 /// Whether a prompt counts as long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LengthClass {
-    /// It may overtake long ones where the sidecar and the engine let it.
+    /// The prompt may overtake long ones if the sidecar and the engine support it.
     Short,
-    /// It waits behind all that is there.
+    /// The prompt waits behind all queued and running prompts.
     Long,
 }
 
@@ -66,11 +67,11 @@
     running + group_seconds(&cost, report.queued_tokens, report.queued)
 }
 
-/// Prefill time of `count` prompts of equal length that have `tokens` together.
+/// Prefill time in seconds of `count` prompts of equal length with `tokens` tokens in total.
 fn group_seconds(cost: &CostParameters, tokens: TokenCount, count: u32) -> f64 {
     let count = u64::from(count.max(1));
     cost.prefill_seconds(tokens / count, 0) * count as f64
 }
 
-/// Assumed time of one call to a plain service: it only orders equal replicas by their load.
+/// Assumed duration of one call to a plain service. It only serves to order equal replicas by load.
 const PLAIN_CALL_SECONDS: f64 = 0.002;
--- a/lovagedock/src/placement/span.rs
+++ b/lovagedock/src/placement/span.rs
@@ -2,23 +2,24 @@
 
 use super::types::{EndpointView, PlacementRequest, PoolView, SpanMember};
 
-/// Memory that a request holds until its end.
+/// KV memory that the request occupies until it ends, in tokens.
 pub(super) fn memory_need(request: &PlacementRequest<'_>) -> TokenCount {
     request.prompt_tokens.saturating_add(request.answer_tokens)
 }
 
+/// Size of the endpoint's KV memory in tokens; 0 if it is unknown or the service is plain.
 pub(super) fn total_memory(view: &EndpointView) -> TokenCount {
     view.report
         .as_ref()
         .map_or(0, |report| report.memory_tokens)
 }
 
-/// Whether the request may go to the endpoint at all.
+/// Whether the endpoint accepts work and is not excluded for the request.
 pub(super) fn eligible(request: &PlacementRequest<'_>, view: &EndpointView) -> bool {
     view.accepts_work() && !request.excluded.contains(&view.id)
 }
 
-/// Whether the endpoint has enough memory for the request when it is otherwise empty.
+/// Whether the request fits into the memory of the endpoint when the endpoint is idle.
 ///
 /// Plain services and engines that have not reported yet have no known limit.
 pub(super) fn fits(request: &PlacementRequest<'_>, view: &EndpointView) -> bool {
@@ -26,11 +27,12 @@
     memory == 0 || memory_need(request) <= memory
 }
 
-/// Takes the fewest endpoints, in the given order, whose memory for spans together is enough, and
-/// shares the request evenly among them; `None` if the memory of all is too little.
+/// Selects endpoints in the given order until their memory for spans is enough for the request,
+/// and splits the request evenly among them. Returns `None` if all of them together have too
+/// little memory.
 ///
-/// Endpoints whose memory is free now go first. When these are too few, the others are asked too,
-/// and the span backs off until they have room.
+/// Only memory that is free now is counted at first. If that is not enough, all memory for spans
+/// is counted, and the span backs off until the endpoints have free memory.
 pub(super) fn select_span(
     request: &PlacementRequest<'_>,
     pool: &PoolView<'_>,
@@ -41,7 +43,7 @@
         .or_else(|| select_enough(request, pool, order, span_memory))
 }
 
-/// Memory of an endpoint that spans may hold; the sidecar refuses a reservation beyond it.
+/// Memory of the endpoint that spans may use. The sidecar refuses reservations beyond it.
 fn span_memory(view: &EndpointView) -> TokenCount {
     total_memory(view) * TokenCount::from(SPAN_SHARE_PERCENT) / 100
 }
@@ -75,7 +77,7 @@
     None
 }
 
-/// Gives each endpoint an equal part, or all of its memory where that is less.
+/// Gives each endpoint an equal part, or all of its available memory if that is less.
 fn share_evenly(
     need: TokenCount,
     selected: &[(usize, TokenCount)],
--- a/lovagedock/src/placement/state.rs
+++ b/lovagedock/src/placement/state.rs
@@ -4,26 +4,26 @@
 
 use super::types::{EndpointReport, EndpointView, PoolView, SentWork};
 
-/// The endpoints of one pool as a gateway knows them, kept in the order of their names.
+/// A gateway's view of the endpoints of one pool, sorted by id.
 #[derive(Clone, Debug, Default)]
 pub struct PoolState {
     endpoints: Vec<EndpointView>,
 }
 
 impl PoolState {
-    /// A pool of no endpoints.
+    /// Creates an empty pool.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// What a policy reads.
+    /// Returns the view that is passed to a policy.
     pub fn view(&self) -> PoolView<'_> {
         PoolView {
             endpoints: &self.endpoints,
         }
     }
 
-    /// Adds an endpoint that is not usable yet, or moves a known one to another failure domain.
+    /// Adds an endpoint that is not usable yet, or updates the failure domain of a known one.
     pub fn insert(&mut self, id: EndpointId, domain: DomainId) {
         match self.position(&id) {
             Ok(index) => self.endpoints[index].domain = domain,
@@ -31,21 +31,21 @@
         }
     }
 
-    /// Forgets an endpoint.
+    /// Removes an endpoint.
     pub fn remove(&mut self, id: &EndpointId) {
         if let Ok(index) = self.position(id) {
             self.endpoints.remove(index);
         }
     }
 
-    /// Sets whether there is a live session to an endpoint that is not leaving.
+    /// Sets whether a session to the endpoint is open and the endpoint is not draining.
     pub fn set_usable(&mut self, id: &EndpointId, usable: bool) {
         let Some(endpoint) = self.endpoint_mut(id) else {
             return;
         };
         endpoint.usable = usable;
         if !usable {
-            // The report of a lost session says nothing about the next life of the sidecar.
+            // A report from a lost session does not apply to the next incarnation of the sidecar.
             endpoint.report = None;
             endpoint.sent_since = SentWork::default();
         }
@@ -58,10 +58,10 @@
         }
     }
 
-    /// Takes in a report.
+    /// Stores a report.
     ///
-    /// Submits and heartbeats share a session, so the report contains what was sent before the
-    /// heartbeat; `unreported` is what was sent after it and before its answer came.
+    /// Submits and heartbeats share a session, so the report covers all work sent before the
+    /// heartbeat. `unreported` is the work sent between the heartbeat and the report.
     pub fn record_report(
         &mut self,
         now: Timestamp,
@@ -76,14 +76,14 @@
         }
     }
 
-    /// Counts work that was sent to an endpoint.
+    /// Adds work that was sent to an endpoint.
     pub fn record_sent(&mut self, id: &EndpointId, work: SentWork) {
         if let Some(endpoint) = self.endpoint_mut(id) {
             endpoint.sent_since.add(&work);
         }
     }
 
-    /// One endpoint.
+    /// Returns an endpoint by id.
     pub fn endpoint(&self, id: &EndpointId) -> Option<&EndpointView> {
         let index = self.position(id).ok()?;
         self.endpoints.get(index)
--- a/lovagedock/src/placement/types.rs
+++ b/lovagedock/src/placement/types.rs
@@ -11,9 +11,9 @@
 
 /// Chooses an endpoint for each request of one pool.
 ///
-/// An instance may remember what it placed, so each pool needs its own.
+/// Policies may be stateful, so each pool needs its own instance.
 pub trait PlacementPolicy: Send {
-    /// Places one request, or refuses it as not run.
+    /// Places one request, or refuses it. A refused request has not run.
     fn place(
         &mut self,
         now: Timestamp,
@@ -23,57 +23,57 @@
     ) -> PlacementChoice;
 }
 
-/// What a policy knows of a request.
+/// The properties of a request that a policy may use.
 #[derive(Clone, Debug)]
 pub struct PlacementRequest<'a> {
-    /// The caller's request.
+    /// Id of the request.
     pub id: RequestId,
-    /// Organisation that pays for it.
+    /// Organisation that the request is billed to.
     pub organisation: OrganisationId,
-    /// Importance.
+    /// Priority tier.
     pub tier: PriorityTier,
-    /// Estimated length of the prompt.
+    /// Estimated prompt length.
     pub prompt_tokens: TokenCount,
-    /// Expected length of the answer; the caller's bound when nothing better is known.
+    /// Expected length of the answer. The caller's limit is used when there is no better estimate.
     pub answer_tokens: TokenCount,
     /// Time left until the deadline.
     pub remaining: Duration,
-    /// Hash of each prefix of the prompt, see [`prefix_hashes`](super::prefix_hashes).
+    /// Hashes of the prompt's prefixes, as [`prefix_hashes`](super::prefix_hashes) returns them.
     pub prefix_hashes: &'a [u64],
     /// Failure domain of the gateway.
     pub own_domain: DomainId,
-    /// Endpoints that must not get it, such as those that refused it before.
+    /// Endpoints to skip, such as those that already refused the request.
     pub excluded: &'a [EndpointId],
 }
 
-/// All endpoints of a pool that this gateway knows, in a stable order.
+/// All endpoints of a pool known to this gateway, in a stable order.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolView<'a> {
     /// The endpoints.
     pub endpoints: &'a [EndpointView],
 }
 
-/// What a gateway knows of one endpoint.
+/// A gateway's view of one endpoint.
 #[derive(Clone, Debug)]
 pub struct EndpointView {
-    /// Name.
+    /// Id of the endpoint.
     pub id: EndpointId,
-    /// Failure domain that it is in.
+    /// Failure domain of the endpoint.
     pub domain: DomainId,
-    /// Whether there is a live session and the endpoint is not leaving.
+    /// Whether a session to the endpoint is open and the endpoint is not draining.
     pub usable: bool,
-    /// Whether it is ejected after failures, by an outlier detector.
+    /// Whether an outlier detector has ejected the endpoint after failures.
     pub ejected: bool,
-    /// The last report, if any.
+    /// The latest report, if any has been received.
     pub report: Option<Arc<EndpointReport>>,
-    /// When the last report arrived.
+    /// Time at which the latest report was received.
     pub reported_at: Timestamp,
-    /// What this gateway sent since.
+    /// Work that this gateway has sent since the latest report.
     pub sent_since: SentWork,
 }
 
 impl EndpointView {
-    /// An endpoint that has not reported yet.
+    /// Creates an endpoint that has not reported yet.
     pub fn new(id: EndpointId, domain: DomainId) -> Self {
         Self {
             id,
@@ -86,17 +86,17 @@
         }
     }
 
-    /// Time since the last report.
+    /// Returns the time since the latest report.
     pub fn report_age(&self, now: Timestamp) -> Duration {
         now.saturating_sub(self.reported_at)
     }
 
-    /// Whether new work may go to it.
+    /// Whether the endpoint may receive new work.
     pub fn accepts_work(&self) -> bool {
         self.usable && !self.ejected
     }
 
-    /// Requests that wait or run there, as far as this gateway knows.
+    /// Returns the number of requests known to be queued or running on the endpoint.
     pub fn outstanding(&self) -> u64 {
         let reported = match &self.report {
             Some(report) => u64::from(report.queued) + u64::from(report.running),
@@ -106,23 +106,23 @@
     }
 }
 
-/// Work that a gateway sent to an endpoint and that its last report cannot contain.
+/// Work that a gateway sent to an endpoint too late for the endpoint's latest report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SentWork {
-    /// Requests.
+    /// Number of requests.
     pub requests: u32,
-    /// Those of them that count as long.
+    /// Number of these requests whose prompt counts as long.
     pub long_requests: u32,
-    /// Prompt and answer tokens together.
+    /// Sum of prompt and answer tokens.
     pub tokens: TokenCount,
     /// Predicted prefill time.
     pub prefill: Duration,
-    /// The part of it that long requests take.
+    /// Part of the predicted prefill time that belongs to long requests.
     pub long_prefill: Duration,
 }
 
 impl SentWork {
-    /// Adds `other` to it.
+    /// Adds `other` to this total.
     pub fn add(&mut self, other: &Self) {
         self.requests = self.requests.saturating_add(other.requests);
         self.long_requests = self.long_requests.saturating_add(other.long_requests);
@@ -132,70 +132,71 @@
     }
 }
 
-/// What a sidecar tells of itself and its engine with each heartbeat.
+/// Status of a sidecar and its engine, sent with each heartbeat.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EndpointReport {
-    /// KV memory in tokens; 0 for a plain service.
+    /// Size of the KV memory in tokens; 0 for a plain service.
     pub memory_tokens: TokenCount,
-    /// KV memory that nobody holds, in tokens.
+    /// Unallocated KV memory in tokens.
     pub free_tokens: TokenCount,
-    /// Requests that wait.
+    /// Number of queued requests.
     pub queued: u32,
-    /// Prompt tokens that wait.
+    /// Prompt tokens of all queued requests.
     pub queued_tokens: TokenCount,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Those of them that count as long.
+    /// Number of running requests whose prompt counts as long.
     pub running_long: u32,
-    /// Prompt tokens of running requests that are not prefilled yet.
+    /// Prompt tokens of running requests that remain to be prefilled.
     pub prefill_tokens_left: TokenCount,
-    /// Predicted waits, if the sidecar tells them; otherwise they are estimated from the tokens.
+    /// Predicted waiting times. If the sidecar does not report them, they are estimated from the
+    /// token counts.
     pub backlog: Option<EndpointBacklog>,
-    /// Learned cost of work.
+    /// Learned cost parameters of the engine.
     pub cost: CostParameters,
-    /// Hashes of prompt prefixes that the engine lately held; for preference only.
+    /// Hashes of prompt prefixes that the engine recently had in its cache. They are only a hint.
     pub cached_prefixes: Vec<u64>,
 }
 
-/// How long a prompt that arrives now is predicted to wait for its prefill to begin.
+/// Predicted time from the arrival of a prompt to the start of its prefill.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EndpointBacklog {
-    /// Behind all that waits or runs, as a long prompt does.
+    /// Wait of a long prompt, which queues behind all queued and running prompts.
     pub all: Duration,
-    /// As a short prompt does, which may overtake or interrupt long ones.
+    /// Wait of a short prompt, which may overtake or interrupt long ones.
     pub short: Duration,
 }
 
-/// Where a request goes.
+/// The result of placing a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlacementChoice {
-    /// To one endpoint.
+    /// The request goes to one endpoint.
     One {
         /// The endpoint.
         endpoint: EndpointId,
         /// Predicted time to the first token.
         predicted_first_token: Duration,
-        /// The part of it that the request's own prefill takes.
+        /// The part of this time that the prefill of the request itself takes.
         predicted_prefill: Duration,
-        /// Why this one.
+        /// Reason for the choice.
         reason: PlacementReason,
     },
-    /// To several engines, since its memory does not fit one.
+    /// The request goes to several engines because it does not fit into the memory of one.
     Span {
-        /// The engines, first the one that decodes.
+        /// The engines. The first one decodes the answer.
         members: Vec<SpanMember>,
         /// Predicted time to the first token.
         predicted_first_token: Duration,
-        /// Why these.
+        /// Reason for the choice.
         reason: PlacementReason,
     },
-    /// Nowhere: the request has not run.
+    /// The request is refused and has not run.
     Refuse {
-        /// What the caller is told.
+        /// Result code for the caller.
         code: ResultCode,
-        /// When it is worth another try.
+        /// Time after which a retry may succeed.
         retry_after: Duration,
-        /// Why.
+        /// Reason for the refusal.
         reason: PlacementReason,
     },
 }
@@ -205,33 +206,33 @@
 pub struct SpanMember {
     /// The engine.
     pub endpoint: EndpointId,
-    /// Memory to reserve there.
+    /// Memory to reserve on this engine.
     pub tokens: TokenCount,
 }
 
-/// Why a request was placed as it was.
+/// The reason for a placement or a refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum PlacementReason {
-    /// The soonest first token, or as good as.
+    /// The predicted first-token time is the shortest, or close to the shortest.
     SoonestFirstToken,
-    /// Its prefix is cached there.
+    /// The endpoint has a prefix of the prompt in its cache.
     CachedPrefix,
-    /// The best of the endpoints that long prompts may use.
+    /// The endpoint is the best one of the share that long prompts may use.
     LongShare,
-    /// The order of a baseline policy.
+    /// A baseline policy chose the endpoint by its own order.
     BaselineOrder,
-    /// It needs more memory than one engine has.
+    /// The request needs more memory than one engine has.
     ExceedsOneEngine,
-    /// No endpoint takes work.
+    /// No endpoint accepts work.
     NoEndpoint,
-    /// All engines together have too little memory.
+    /// The request needs more memory than all engines of the pool have together.
     ExceedsPool,
-    /// No endpoint is predicted to finish it in time.
+    /// No endpoint is predicted to finish the request before its deadline.
     OutOfTime,
 }
 
 impl PlacementReason {
-    /// The words in logs and `explain`.
+    /// Returns the text used in logs and in `explain`.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::SoonestFirstToken => "soonest first token",
--- a/lovagedock/src/retry.rs
+++ b/lovagedock/src/retry.rs
@@ -1,17 +1,18 @@
-//! How often and how soon a request may be tried again.
+//! Retry budgets and backoff.
 
 use std::time::Duration;
 
 use crate::ids::Timestamp;
 
-/// What a [`RetryBudget`] grants.
+/// Number of retries that a [`RetryBudget`] allows.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryAllowance {
-    /// Retries for each success, such as 0.1 for one retry in ten successes.
+    /// Number of retries per success, for example 0.1 for one retry per ten successes.
     pub share: f64,
-    /// Retries a second that are granted without any success, so that a quiet service can retry.
+    /// Retries per second that are allowed without any success, so that a service with little
+    /// traffic can retry.
     pub floor_per_second: f64,
-    /// Most retries that can be saved up; this is what makes only recent successes count.
+    /// Maximum number of unused retries. Because of it only recent successes count.
     pub capacity: f64,
 }
 
@@ -25,10 +26,11 @@
     }
 }
 
-/// Bounds the retries of one service by a share of its recent successes.
+/// Limits the retries of one service to a share of its recent successes.
 ///
-/// Without it, an overloaded or half-lost fleet gets each request several times, which keeps it
-/// overloaded after its cause is gone. With it, retries add at most `share` to the load.
+/// Without a budget, an overloaded or partly failed fleet receives each request several times,
+/// which keeps it overloaded after the cause is gone. With a budget, retries add at most `share` to
+/// the load.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     allowance: RetryAllowance,
@@ -37,7 +39,7 @@
 }
 
 impl RetryBudget {
-    /// A budget that starts full.
+    /// Creates a full budget.
     pub fn new(now: Timestamp, allowance: RetryAllowance) -> Self {
         Self {
             allowance,
@@ -46,20 +48,20 @@
         }
     }
 
-    /// Changes what is granted; retries that were saved up stay, up to the new capacity.
+    /// Changes the allowance. Unused retries are kept up to the new capacity.
     pub fn set_allowance(&mut self, now: Timestamp, allowance: RetryAllowance) {
         self.fill(now);
         self.allowance = allowance;
         self.tokens = self.tokens.min(allowance.capacity);
     }
 
-    /// Counts a request that completed.
+    /// Records a successful request.
     pub fn record_success(&mut self, now: Timestamp) {
         self.fill(now);
         self.add(self.allowance.share);
     }
 
-    /// Takes one retry, or tells that none is left.
+    /// Consumes one retry. Returns `false` if none is left.
     pub fn try_consume(&mut self, now: Timestamp) -> bool {
         self.fill(now);
         if self.tokens < 1.0 {
@@ -69,7 +71,7 @@
         true
     }
 
-    /// Retries that are left now.
+    /// Returns the number of retries left.
     pub fn available(&self) -> f64 {
         self.tokens
     }
@@ -85,12 +87,12 @@
     }
 }
 
-/// Waiting time before each retry: doubles from `base` up to `limit`, with jitter.
+/// Exponential backoff with jitter. The delay doubles from `base` up to `limit`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackoffCurve {
-    /// Longest wait before the first retry.
+    /// Maximum delay before the first retry.
     pub base: Duration,
-    /// Longest wait before any retry.
+    /// Maximum delay before any retry.
     pub limit: Duration,
 }
 
@@ -104,10 +106,11 @@
 }
 
 impl BackoffCurve {
-    /// Wait before retry number `retry` (from 1): between half and all of the doubled base.
+    /// Returns the delay before retry number `retry` (from 1), between half and all of the doubled
+    /// base.
     ///
-    /// `jitter` is a random number in `0.0..1.0`; it keeps requests that failed together from
-    /// coming back together.
+    /// `jitter` is a random number in `0.0..1.0`. It spreads the retries of requests that failed at
+    /// the same time.
     pub fn delay(&self, retry: u32, jitter: f64) -> Duration {
         let doublings = retry.saturating_sub(1).min(31);
         let full = self.base.saturating_mul(1 << doublings).min(self.limit);
