--- a/lovagedock/src/subset.rs
+++ b/lovagedock/src/subset.rs
@@ -1,4 +1,4 @@
-//! Which gateways keep a session to which endpoints.
+//! Assigns to each endpoint the gateways that keep a session to it.
 
 use std::{cmp::Reverse, sync::Arc};
 
@@ -6,16 +6,17 @@
 
 use crate::ids::DomainId;
 
-/// How many gateways each endpoint gets.
+/// Settings for the number of gateways per endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SubsetSettings {
-    /// Fleets of at most this many endpoints are seen whole by every gateway.
+    /// In fleets of at most this many endpoints, every gateway connects to every endpoint.
     pub full_view_endpoints: usize,
-    /// Gateways of each endpoint in its own failure domain.
+    /// Number of gateways per endpoint in its own failure domain.
     pub own_domain_gateways: usize,
-    /// Gateways of each endpoint in other failure domains, each in another one where possible.
+    /// Number of gateways per endpoint in other failure domains, each in a different one if
+    /// possible.
     pub other_domain_gateways: usize,
-    /// How far the load of a gateway may be above the mean, in percent.
+    /// Maximum excess of a gateway's load over the mean, in percent.
     pub slack_percent: usize,
 }
 
@@ -30,29 +31,30 @@
     }
 }
 
-/// A gateway or an endpoint, and where it is.
+/// A gateway or an endpoint with its location.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SubsetMember {
     /// Unique name.
     pub id: Arc<str>,
     /// Failure domain.
     pub domain: DomainId,
-    /// Region of the failure domain.
+    /// Region that contains the failure domain.
     pub region: Arc<str>,
 }
 
 /// Plans the subsets of a fleet.
 ///
-/// Every process that knows the same members works out the same plan. Each endpoint ranks the
-/// gateways by rendezvous hashing and takes the best ones that are not full; the bound on a
-/// gateway's load keeps subsets equal, and the hashing keeps most of a plan when members change.
+/// All processes with the same list of members compute the same plan. The gateways are ranked for
+/// each endpoint by rendezvous hashing, and the endpoint gets the best ones that are not full. The
+/// limit on a gateway's load balances the subsets. The hashing keeps most of the plan unchanged
+/// when members are added or removed.
 #[derive(Clone, Debug, Default)]
 pub struct SubsetPlanner {
     settings: SubsetSettings,
 }
 
-/// The gateways of each endpoint and the endpoints of each gateway, by their positions in the
-/// lists that were planned for.
+/// The gateways of each endpoint and the endpoints of each gateway, as indices into the lists
+/// passed to [`SubsetPlanner::plan`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SubsetPlan {
     gateways_of: Vec<Vec<usize>>,
@@ -60,24 +62,24 @@
 }
 
 impl SubsetPlan {
-    /// Gateways of the endpoint at a position.
+    /// Returns the gateways of the endpoint at an index.
     pub fn gateways_of(&self, endpoint: usize) -> &[usize] {
         &self.gateways_of[endpoint]
     }
 
-    /// Endpoints of the gateway at a position, in ascending order.
+    /// Returns the endpoints of the gateway at an index, in ascending order.
     pub fn endpoints_of(&self, gateway: usize) -> &[usize] {
         &self.endpoints_of[gateway]
     }
 }
 
 impl SubsetPlanner {
-    /// A planner with the given settings.
+    /// Creates a planner with the given settings.
     pub fn new(settings: SubsetSettings) -> Self {
         Self { settings }
     }
 
-    /// Plans for all gateways and endpoints.
+    /// Computes the plan for all gateways and endpoints.
     pub fn plan(&self, gateways: &[SubsetMember], endpoints: &[SubsetMember]) -> SubsetPlan {
         let gateways_of = if endpoints.len() <= self.settings.full_view_endpoints {
             vec![(0..gateways.len()).collect(); endpoints.len()]
@@ -176,7 +178,7 @@
 }
 
 impl GatewayDomain {
-    /// Takes the `count` best gateways for an endpoint, those that are not full first.
+    /// Selects the `count` best gateways for an endpoint and prefers those that are not full.
     fn select_gateways(
         &self,
         endpoint: u64,
@@ -246,8 +248,8 @@
     domains
 }
 
-/// Takes one gateway from each other domain in turn, those of the same region first, until
-/// `missing` are found or there are no more.
+/// Selects one gateway from each other failure domain in turn, starting with those of the same
+/// region, until `missing` gateways are selected or no more are available.
 fn select_other_domains(
     domains: &[GatewayDomain],
     endpoint: &SubsetMember,
@@ -283,7 +285,7 @@
     }
 }
 
-/// An order that does not change when other endpoints come or go.
+/// Returns an order that does not change when other endpoints are added or removed.
 fn order_by_hash(endpoints: &[SubsetMember]) -> Vec<usize> {
     let mut order: Vec<usize> = (0..endpoints.len()).collect();
     order.sort_by_cached_key(|index| {
--- a/lovagedock/tests/cost_model.rs
+++ b/lovagedock/tests/cost_model.rs
@@ -1,4 +1,4 @@
-//! The cost model finds an engine's true cost, also when observations lag, stray or change.
+//! The cost model learns an engine's true cost despite delayed, noisy or changing observations.
 
 use std::time::Duration;
 
@@ -36,9 +36,9 @@
     struct Case {
         name: &'static str,
         noise: f64,
-        /// Share of observations that come late by a factor of 2 to 20.
+        /// Share of observations that are too slow by a factor of 2 to 20.
         late: f64,
-        /// Share of observations that a hidden cache hit made ten times too fast.
+        /// Share of observations that are ten times too fast because of an unreported cache hit.
         fast: f64,
         tolerance: f64,
     }
@@ -117,10 +117,10 @@
     assert!((predicted.as_secs_f64() / expected - 1.0).abs() < 0.05);
 }
 
-/// What the caller sees: the first history after a day of summaries is refused as out of time.
-/// Only short prompts were observed, forgetting had let the variance of the squared term grow
-/// without end, and noise had moved it far off. The variance is limited, so it stays near its
-/// prior.
+/// Guards against the first long prompt after many short ones being refused as out of time. With
+/// only short prompts observed, exponential forgetting lets the variance of the squared term grow
+/// without bound, and noise moves the coefficient far off. The variance is limited, so the
+/// coefficient stays near its prior.
 #[test]
 fn short_prompts_alone_do_not_distort_the_prediction_for_long_ones() {
     let mut rng = ChaCha8Rng::seed_from_u64(9);
@@ -187,10 +187,6 @@
     model.observe_decode(64, Duration::from_secs(30));
     let at = |batch| model.decode_interval(batch).map(|d| d.as_millis());
     assert_eq!(at(1), Some(20));
-    assert_eq!(
-        at(8),
-        Some(36),
-        "interpolated on the scale of powers of two"
-    );
-    assert_eq!(at(512), at(64), "nothing larger was seen");
+    assert_eq!(at(8), Some(36), "interpolated on a logarithmic scale");
+    assert_eq!(at(512), at(64), "no larger batch was observed");
 }
--- a/lovagedock/tests/endpoint_admission.rs
+++ b/lovagedock/tests/endpoint_admission.rs
@@ -1,4 +1,4 @@
-//! Fairness and starvation at a sidecar, played out against an engine with known run times.
+//! Fairness and starvation in the queue of a sidecar, simulated with an engine of known run times.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,7 +14,7 @@
 const MEMORY: u64 = 100_000;
 const STEP: Duration = Duration::from_millis(100);
 
-/// Plays arrivals against an engine on which each request takes a fixed time.
+/// A sidecar in front of a simulated engine on which each request takes a fixed time.
 struct EngineSimulation {
     core: EndpointCore,
     now: Timestamp,
@@ -105,9 +105,8 @@
     }
 }
 
-// Short prompts arrive so fast that they would take each block that comes free. A prompt that
-// needs nine tenths of the memory starts soon all the same, and it does not without the
-// reservation.
+// Short prompts arrive fast enough to use all memory that becomes free. A prompt that needs nine
+// tenths of the memory still starts soon with the reservation, and does not start without it.
 #[test]
 fn stream_of_short_prompts_does_not_starve_a_long_one() {
     struct Case {
@@ -145,14 +144,14 @@
         }
         let started = simulation.started.get(&long.unwrap());
         assert_eq!(started.is_some(), case.starts, "reserve: {}", case.reserve);
-        // It came at 2 s, may be passed for 2 s, and what passed runs for 1 s.
+        // It arrives at 2 s and may be bypassed for 2 s, and each bypassing request runs for 1 s.
         let bound = Duration::from_secs(5);
         assert!(started.is_none_or(|at| *at <= bound), "{started:?}");
     }
 }
 
-// An interactive stream keeps the only slot busy for two minutes. The batch request starts within
-// its ageing time and a few starts; with ageing switched off it does not start at all.
+// Interactive requests keep the only slot busy for two minutes. The batch request starts a few
+// starts after its ageing time. With ageing disabled it does not start at all.
 #[test]
 fn stream_of_a_higher_tier_does_not_starve_a_batch_request() {
     struct Case {
@@ -187,8 +186,9 @@
     }
 }
 
-// One organisation sends nine requests for each one of another; both always wait. The engine's
-// time is shared by weight and predicted cost, not by who sends more.
+// One organisation sends nine requests for each request of another, and both always have queued
+// requests. The engine's time is shared by weight and predicted cost, not by the number of
+// requests.
 #[test]
 fn large_organisation_does_not_delay_a_small_one() {
     let limits = EndpointLimits::default()
--- a/lovagedock/tests/endpoint_properties.rs
+++ b/lovagedock/tests/endpoint_properties.rs
@@ -1,4 +1,4 @@
-//! What must hold at a sidecar, over random schedules of gateways, engine and faults.
+//! Invariants of a sidecar over random schedules of gateway requests, engine events and faults.
 
 #[path = "support/endpoint_simulation.rs"]
 mod endpoint_simulation;
@@ -32,9 +32,10 @@
 proptest! {
     #![proptest_config(config())]
 
-    // Gateways submit, repeat, revoke and vanish; the engine confirms, answers, refuses, dies and
-    // loses cancellations; the sidecar restarts and drains. No request starts twice or after "not
-    // run", each gets one end by its deadline, the ledger adds up, and no memory stays ownerless.
+    // Gateways submit, repeat and revoke requests and disconnect. The engine confirms, answers,
+    // refuses, ends and loses cancellations. The sidecar restarts and drains. No request starts
+    // twice or after it was reported as not run, each request gets one end by its deadline, the
+    // ledger is consistent, and no memory stays without an owner.
     #[test]
     fn invariants_hold_over_random_schedules(steps in schedules(LENGTH)) {
         let simulation = EndpointSimulation::new(EndpointSafeguards::default()).run(&steps);
@@ -94,8 +95,9 @@
     ]
 }
 
-// The same schedules with one safeguard off each time: the violation that it prevents is seen. So
-// the checks can fail, and the schedules reach the failure that each safeguard is for.
+// Runs the same schedules with one safeguard off at a time. The violation that the safeguard
+// prevents must occur, which shows that the checks can fail and that the schedules reach the
+// failure.
 #[test]
 fn without_a_safeguard_its_violation_occurs() {
     for case in safeguard_cases() {
@@ -115,7 +117,7 @@
     seen
 }
 
-// A world in which nothing starts would hold every property.
+// A simulation in which no request starts would satisfy all invariants.
 #[test]
 fn schedules_start_requests() {
     let mut runner = TestRunner::new(config());
--- a/lovagedock/tests/endpoint_scenarios.rs
+++ b/lovagedock/tests/endpoint_scenarios.rs
@@ -1,7 +1,8 @@
-//! Scripted scenarios of a sidecar: who does what, what fails, what the gateway sees.
+//! Scripted scenarios of a sidecar with gateway requests, engine events and faults.
 //!
-//! Each file in `scenarios/endpoint` is a story. `world` starts a sidecar, `run` plays lines of
-//! `TIME WHO DOES WHAT` and prints what the sidecar does, with the time at which it does it.
+//! The scripts are in `scenarios/endpoint`. The directive `world` starts a sidecar. The directive
+//! `run` applies one event per line, each with its time, and prints the resulting actions of the
+//! sidecar with their times.
 
 use std::{collections::HashMap, time::Duration};
 
--- a/lovagedock/tests/limit_properties.rs
+++ b/lovagedock/tests/limit_properties.rs
@@ -1,4 +1,4 @@
-//! All gateways together keep an organisation's limits within the stated error.
+//! All gateways together keep an organisation's limits within the documented burst.
 
 mod limit_support;
 
@@ -12,17 +12,17 @@
 const GATEWAYS: usize = 4;
 const PHASE_STEPS: u64 = 60;
 
-/// Three seconds in which demand and links stay as they are.
+/// Three seconds of constant demand and constant state of the links.
 #[derive(Clone, Debug)]
 struct Phase {
-    /// Requests in each step at each gateway.
+    /// Requests per step at each gateway.
     arrivals: Vec<u64>,
-    /// Links that lose messages, one way.
+    /// Links that lose messages in one direction.
     cuts: Vec<(usize, usize)>,
     restart: Option<usize>,
 }
 
-/// Time and burst that were used up: what leaks at the limit's rate and never exceeds the burst.
+/// A leaky bucket that drains at the rate of the limit. Its highest level is the burst used.
 struct LeakyMeter {
     level: f64,
     leak: f64,
@@ -97,9 +97,9 @@
     prop::collection::vec(phase, 1..10)
 }
 
-// An organisation's callers come through all gateways, now here, now there, far above its limits;
-// links between gateways fail one way or both, and gateways restart. The shares never add up to
-// more than one, so the limits hold within the burst that is stated.
+// An organisation sends requests through varying gateways far above its limits. Links between
+// gateways fail in one or both directions, and gateways restart. The shares never add up to more
+// than one, so the limits hold within the documented burst.
 #[test]
 fn limits_hold_over_all_gateways_within_the_stated_burst() {
     let config = ProptestConfig {
@@ -120,7 +120,7 @@
             let starts = (GATEWAYS + restarts) as f64;
             let rate = f64::from(LIMITS.requests_per_second);
             let token_rate = LIMITS.tokens_per_minute as f64 / 60.0;
-            // A gateway that starts begins with a full bucket of its share.
+            // A restarted gateway starts with a full bucket for its share.
             prop_assert!(
                 excess.share_sum <= 1.0 + 1e-9,
                 "shares add up to {}",
@@ -151,11 +151,11 @@
     arrivals: [u64; GATEWAYS],
     cut_off: Option<usize>,
     stage: ShareStage,
-    /// Requests a second that are admitted in the end.
+    /// Minimum number of requests admitted per second.
     at_least: f64,
 }
 
-// Ten seconds of demand, then ten seconds that are counted: how much of the limit is used.
+// Measures how much of the limit is used within ten seconds, after ten seconds of the same demand.
 #[test]
 fn shares_follow_demand_and_survive_a_lost_peer() {
     let cases = [
@@ -174,14 +174,14 @@
             at_least: 90.0,
         },
         ShareCase {
-            name: "a peer out of reach: equal shares, its own part unused",
+            name: "an unreachable peer: equal shares, the share of the peer is unused",
             arrivals: [10, 10, 10, 0],
             cut_off: Some(3),
             stage: ShareStage::Equal,
             at_least: 70.0,
         },
         ShareCase {
-            name: "a peer out of reach, all demand at one gateway: only its equal share",
+            name: "an unreachable peer, all demand at one gateway: only its equal share",
             arrivals: [10, 0, 0, 0],
             cut_off: Some(3),
             stage: ShareStage::Equal,
--- a/lovagedock/tests/limit_support/mod.rs
+++ b/lovagedock/tests/limit_support/mod.rs
@@ -1,4 +1,4 @@
-//! Several gateways' limiters, the messages between them, and callers, in virtual time.
+//! Simulation of several gateways' limiters, their messages and callers in virtual time.
 
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
     pub(crate) limiter: UsageLimiter,
     incarnation: Incarnation,
     known_incarnations: Vec<Incarnation>,
-    /// When each request in flight ends.
+    /// End time of each request in flight.
     ends: Vec<u64>,
     pub(crate) admitted: u64,
     pub(crate) refused: u64,
@@ -38,7 +38,7 @@
 pub(crate) struct GatewayGroup {
     pub(crate) now: u64,
     pub(crate) gateways: Vec<Gateway>,
-    /// `cut[from][to]`: messages are lost.
+    /// Whether messages are lost, as `cut_links[from][to]`.
     pub(crate) cut_links: Vec<Vec<bool>>,
     messages: Vec<Message>,
     delays: Vec<u64>,
@@ -77,13 +77,13 @@
         }
     }
 
-    /// The gateway dies with its requests and starts again, knowing nothing.
+    /// Restarts a gateway. Its requests and its state are lost.
     pub(crate) fn restart(&mut self, index: usize) {
         let incarnation = self.gateways[index].incarnation + 1;
         self.gateways[index] = self.start_gateway(index, self.gateways.len(), incarnation);
     }
 
-    /// One step: messages, ends of requests, new requests, and now and then an exchange.
+    /// Runs one step: delivers messages, ends requests, adds new requests and runs due exchanges.
     pub(crate) fn step(&mut self, arrivals: &[u64], hold_ms: u64) {
         self.now += STEP_MS;
         self.admitted_in_step = 0;
@@ -94,7 +94,7 @@
             for _ in 0..*arrivals {
                 self.arrive(index, hold_ms);
             }
-            // Gateways do not exchange at the same moment.
+            // Gateways run their exchanges at different times.
             if (self.now / STEP_MS + 3 * index as u64).is_multiple_of(10) {
                 let actions = self.gateways[index].limiter.handle(now, LimitEvent::Tick);
                 self.send(index, actions);
@@ -173,7 +173,7 @@
                 from,
                 from_incarnation: self.gateways[from].incarnation,
                 to,
-                // A reply reaches only the life that asked.
+                // A reply reaches only the incarnation that sent the request.
                 to_incarnation: match is_reply {
                     true => self.gateways[from].known_incarnations[to],
                     false => self.gateways[to].incarnation,
--- a/lovagedock/tests/loaded_memory.rs
+++ b/lovagedock/tests/loaded_memory.rs
@@ -1,4 +1,4 @@
-//! What a sidecar believes that its engine has loaded.
+//! A sidecar's view of the model and adapters that its engine has loaded.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 struct MemoryCase {
     name: &'static str,
     steps: Vec<Step>,
-    /// Model, adapters, and `?` when a load of a model is unsettled.
+    /// Model, adapters, and `?` if the outcome of a model load is unknown.
     expected: &'static str,
 }
 
@@ -41,40 +41,44 @@
     let with = |steps: Vec<Step>| loaded().into_iter().chain(steps).collect();
     vec![
         case("before a report", "nothing", vec![Confirm(1, model("1"))]),
-        case("a name only", "reader=", vec![Report(0, MODEL, &[])]),
+        case(
+            "only the name is reported",
+            "reader=",
+            vec![Report(0, MODEL, &[])],
+        ),
         case("confirmed", "reader=1", with(vec![])),
         case(
-            "a report that lags behind the order",
+            "a report older than the order",
             "reader=1 tracing=2",
             with(vec![Confirm(2, adapter("2")), Report(11, "other", &[])]),
         ),
         case(
-            "a report that contradicts it for good",
+            "a report that contradicts the order after the grace period",
             "other=",
             with(vec![Confirm(2, adapter("2")), Report(13, "other", &[])]),
         ),
         case(
-            "an adapter that is gone",
+            "a missing adapter",
             "reader=1",
             with(vec![Confirm(2, adapter("2")), Report(13, MODEL, &[])]),
         ),
         case(
-            "an order whose end is not known",
+            "an order with unknown outcome",
             "reader= ?",
             with(vec![Begin(model("2"))]),
         ),
         case(
-            "an order that did not begin",
+            "an order that was not started",
             "reader=1",
             with(vec![Begin(model("2")), Withdraw]),
         ),
         case(
-            "a new model without the adapters of the former",
+            "a new model drops the adapters of the previous one",
             "reader=2",
             with(vec![Confirm(2, adapter("2")), Confirm(3, model("2"))]),
         ),
         case(
-            "an engine that went down while it loaded",
+            "an engine that ended during a load",
             "reader= ?",
             with(vec![Begin(model("2")), EngineDown, Report(9, MODEL, &[])]),
         ),
--- a/lovagedock/tests/outlier.rs
+++ b/lovagedock/tests/outlier.rs
@@ -1,4 +1,4 @@
-//! Endpoints that fail are ejected, within a limit, and let back by one probe.
+//! Failing endpoints are ejected up to a limit and readmitted after a successful probe.
 
 use std::time::Duration;
 
@@ -61,9 +61,9 @@
     assert!(actions[0].ejected);
 }
 
-/// What the caller sees: every request that goes to one endpoint waits out its heartbeats. The
-/// host's connections are dead, yet each new session opens well, so no single request fails fast.
-/// One silent session is enough to eject.
+/// Guards against every request to an endpoint waiting for the heartbeat timeout. The connections
+/// of the host are dead but each new session opens, so no single request fails quickly. One session
+/// that stops responding is therefore enough to eject.
 #[test]
 fn one_silent_session_ejects() {
     let mut detector = detector(10);
@@ -71,8 +71,8 @@
     assert_eq!(cause(&actions), Some(OutlierCause::SilentSession));
 }
 
-/// What the caller sees: a burst of failures everywhere, for instance from a bad prompt or a lost
-/// switch. Ejecting all endpoints would leave no place at all, so only a share is ejected.
+/// A burst of failures may affect all endpoints, for example because of a bad prompt or a failed
+/// network switch. Ejecting all of them would leave no endpoint, so only a share is ejected.
 #[test]
 fn at_most_a_share_is_ejected() {
     struct Case {
@@ -125,15 +125,15 @@
         assert_eq!(cause(&allowed), Some(OutlierCause::ProbeAllowed));
         let sent = detector.handle(at(now), OutlierEvent::ProbeSent(id(0)));
         assert_eq!(cause(&sent), Some(OutlierCause::ProbeSent));
-        assert!(sent[0].ejected, "nothing may follow the probe");
+        assert!(sent[0].ejected, "no request may follow the probe");
         assert_eq!(detector.handle(at(now), OutlierEvent::ProbeSent(id(0))), []);
         let failed = detector.handle(at(now), OutlierEvent::Failed(id(0)));
         assert_eq!(cause(&failed), Some(OutlierCause::ProbeFailed));
     }
 }
 
-/// What the caller sees: nothing; the probe was cancelled or its outcome was lost. Without a time
-/// limit the endpoint would stay out for good.
+/// A probe may be cancelled or its outcome lost. Without a timeout the endpoint would stay ejected
+/// for good.
 #[test]
 fn probe_without_an_outcome_counts_as_failed() {
     let mut detector = detector(10);
@@ -145,9 +145,9 @@
     assert_eq!(cause(&actions), Some(OutlierCause::ProbeFailed));
 }
 
-/// What the caller sees: an endpoint that works for one request and fails the next, over and over.
-/// Were it judged anew after each probe, each turn would cost a row of failures. It is on
-/// probation instead: one failure ejects it again, for twice as long.
+/// An endpoint alternates between a successful and a failed request. If its failures were counted
+/// from zero after each probe, several requests would fail in each cycle. During probation a single
+/// failure ejects it again, for twice as long.
 #[test]
 fn flapping_endpoint_is_ejected_after_one_failure() {
     let mut detector = detector(10);
@@ -175,7 +175,7 @@
     assert_eq!(
         cause(&allowed),
         Some(OutlierCause::ProbeAllowed),
-        "calm resets the interval"
+        "a period without failures resets the duration"
     );
 }
 
@@ -207,7 +207,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// No event ejects beyond the limit, and whatever is ejected comes back up for a probe.
+    /// No event ejects endpoints beyond the limit, and every ejected endpoint is eventually probed.
     #[test]
     fn ejections_stay_within_the_limit_and_end(events in prop::collection::vec(any_event(), 1..200)) {
         let mut detector = detector(8);
--- a/lovagedock/tests/placement.rs
+++ b/lovagedock/tests/placement.rs
@@ -1,4 +1,4 @@
-//! What the default policy does with one request, and what all policies have in common.
+//! Placement of single requests by the default policy, and properties common to all policies.
 
 use std::{sync::Arc, time::Duration};
 
@@ -41,7 +41,8 @@
     }
 }
 
-/// Endpoints in the domains a, b, c in turn, each with the report that `report` gives.
+/// Returns a pool whose endpoints are in the failure domains a, b and c in turn. `report` gives the
+/// report of each endpoint.
 fn pool(count: usize, report: impl Fn(usize) -> EndpointReport) -> PoolState {
     let mut pool = PoolState::new();
     for index in 0..count {
@@ -123,7 +124,7 @@
             expected: "e00",
         },
         Case {
-            name: "another failure domain when the own one is busy",
+            name: "other failure domain because the own one is busy",
             pool: pool(2, |index| {
                 if index == 0 {
                     waiting(1, 1)
@@ -135,7 +136,7 @@
             expected: "e01",
         },
         Case {
-            name: "short prompts go where they overtake",
+            name: "short prompt overtakes long ones",
             pool: pool(2, |index| {
                 if index == 0 {
                     waiting(9, 9)
@@ -147,7 +148,7 @@
             expected: "e01",
         },
         Case {
-            name: "long prompts wait for all",
+            name: "long prompt waits for all others",
             pool: pool(2, |index| {
                 if index == 0 {
                     waiting(9, 9)
@@ -159,7 +160,7 @@
             expected: "e00",
         },
         Case {
-            name: "memory that others hold",
+            name: "memory held by other requests",
             pool: pool(2, |index| EndpointReport {
                 free_tokens: if index == 0 { 500 } else { MEMORY },
                 ..idle_report()
@@ -168,7 +169,7 @@
             expected: "e01",
         },
         Case {
-            name: "own work since the report",
+            name: "own work sent since the report",
             pool: sent,
             prompt: 1_000,
             expected: "e01",
@@ -180,7 +181,7 @@
             expected: "e01",
         },
         Case {
-            name: "leaving or without a session",
+            name: "draining or without a session",
             pool: leaving,
             prompt: 1_000,
             expected: "e01",
@@ -230,13 +231,13 @@
     assert_eq!(
         chosen(&place(&with_cache(5), &request)),
         "e00",
-        "no hot spot"
+        "the cache does not create a hot spot"
     );
 }
 
-/// What the callers see: a burst of short prompts is slow on one engine while others idle. All
-/// gateways have the same old report and choose the same best engine. They choose at random among
-/// engines that are nearly as good.
+/// Guards against a burst of short prompts queueing on one engine while others are idle. This
+/// happens if gateways with the same stale reports all choose the same best engine. They choose
+/// randomly among engines with nearly the same score instead.
 #[test]
 fn gateways_with_the_same_reports_spread_their_requests() {
     let pool = pool(30, |_| idle_report());
@@ -299,7 +300,7 @@
     }
     let cases = [
         Case {
-            name: "shortest queue ends too late",
+            name: "even the shortest queue ends too late",
             pool: pool(3, |index| waiting(610 + index as u64, 610 + index as u64)),
             prompt: 1_000,
             code: ResultCode::NoCapacity,
@@ -307,7 +308,7 @@
             retry_after: 12,
         },
         Case {
-            name: "span whose last member is free too late",
+            name: "last member of the span is free too late",
             pool: pool(6, |_| waiting(700, 0)),
             prompt: 900_000,
             code: ResultCode::NoCapacity,
@@ -323,7 +324,7 @@
             retry_after: 1,
         },
         Case {
-            name: "more than the pool",
+            name: "exceeds the memory of the pool",
             pool: pool(2, |_| idle_report()),
             prompt: 900_000,
             code: ResultCode::PromptTooLong,
@@ -364,9 +365,10 @@
     }
 }
 
-/// A long answer arrives at an idle pool. An engine whose decoding is known to be too slow must
-/// not get it refused while another can finish in time, and an engine that has run nothing must
-/// not be judged by an assumed speed: it would never be tried, and so never be known.
+/// A long answer is placed on an idle pool. It must not be refused because of one engine that is
+/// known to decode too slowly while another one can finish in time. An engine that has not run
+/// anything must not be rejected because of an assumed speed: it would never be tried, and its real
+/// speed would never be learned.
 #[test]
 fn long_answer_is_placed_where_it_can_finish_in_time() {
     struct Case {
@@ -381,12 +383,12 @@
             endpoints: &["e01"],
         },
         Case {
-            name: "nothing is known of one",
+            name: "the speed of one is unknown",
             decode_ns: [20_000_000.0, 0.0],
             endpoints: &["e01"],
         },
         Case {
-            name: "nothing is known of either",
+            name: "the speed of both is unknown",
             decode_ns: [0.0, 0.0],
             endpoints: &["e00", "e01"],
         },
--- a/lovagedock/tests/policy_comparison.rs
+++ b/lovagedock/tests/policy_comparison.rs
@@ -1,4 +1,4 @@
-//! The default policy keeps what the tables of `docs/POLICY.md` say, on fixed seeds.
+//! The default policy meets the figures in the tables of `docs/POLICY.md` for fixed seeds.
 
 #[path = "../examples/compare/engine.rs"]
 mod engine;
--- a/lovagedock/tests/retry_budget.rs
+++ b/lovagedock/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! Retries are a share of recent successes, spread in time.
+//! Retries are limited to a share of recent successes and spread over time.
 
 use std::time::Duration;
 
@@ -10,9 +10,9 @@
     capacity: 20.0,
 };
 
-// Every request fails its first attempt, as when a failure domain is lost under load. Without a
-// budget the load would double; with it, retries add at most the share, the saved-up retries and
-// the floor.
+// Every request fails its first attempt, as after the loss of a failure domain under load. Without
+// a budget the load would double. With a budget, retries add at most the share, the unused retries
+// and the floor.
 #[test]
 fn retries_do_not_amplify_an_outage() {
     struct OutageCase {
@@ -54,12 +54,12 @@
         );
         assert!(
             retries >= 20,
-            "the saved-up retries are granted, got {retries}"
+            "the unused retries are granted, got {retries}"
         );
     }
 }
 
-// An hour of successes does not save up more than the capacity for the outage that follows.
+// An hour of successes adds no more than the capacity for the following outage.
 #[test]
 fn only_recent_successes_count() {
     let mut budget = RetryBudget::new(Duration::ZERO, ALLOWANCE);
--- a/lovagedock/tests/subset.rs
+++ b/lovagedock/tests/subset.rs
@@ -1,4 +1,5 @@
-//! Subsets are the same everywhere, equal in size, near, and survive the loss of a domain.
+//! Subsets are the same on all processes, balanced, prefer the own failure domain, and stay
+//! complete after the loss of a failure domain.
 
 use std::collections::BTreeSet;
 
@@ -62,8 +63,8 @@
     }
 }
 
-/// What the caller sees: requests go on when a failure domain is lost, also where the endpoints of
-/// a domain had no gateway of their own.
+/// Requests continue after the loss of a failure domain, even if the failure domain of an endpoint
+/// has no gateway.
 #[test]
 fn endpoints_of_a_domain_without_gateways_are_served_from_several_others() {
     let gateways: Vec<_> = members("g", 24, 4)
@@ -114,7 +115,7 @@
                 .map(|g| &gateways[*g].domain)
                 .filter(|domain| **domain != endpoint.domain)
                 .collect();
-            prop_assert_eq!(elsewhere.len(), 2.min(domains - 1), "others spread over domains");
+            prop_assert_eq!(elsewhere.len(), 2.min(domains - 1), "other gateways spread over failure domains");
             picks += chosen.len();
         }
         let mean = picks as f64 / gateways.len() as f64;
--- a/lovagedock/tests/support/endpoint_simulation.rs
+++ b/lovagedock/tests/support/endpoint_simulation.rs
@@ -1,4 +1,4 @@
-//! A sidecar, its engine and the gateways before it, with faults; it checks what must hold.
+//! Simulation of a sidecar, its engine and its gateways with faults. It checks the invariants.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -17,10 +17,10 @@
 const POLL: Duration = Duration::from_secs(1);
 const FIRST_POLL: Duration = Duration::from_millis(500);
 const SETTLE: Duration = Duration::from_secs(90);
-/// Grace, one poll to notice, one repetition of the cancellation.
+/// Grace period, one poll to detect the orphan, and one repetition of the cancellation.
 const ORPHAN_BOUND: Duration = Duration::from_millis(7_100);
 
-/// What must never be seen.
+/// A violation of an invariant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Violation {
     StartedTwice,
@@ -45,7 +45,7 @@
     ended: bool,
 }
 
-/// The world of one schedule.
+/// The simulation of one schedule.
 pub(crate) struct EndpointSimulation {
     core: EndpointCore,
     safeguards: EndpointSafeguards,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Plays a schedule, then lets everything settle.
+    /// Runs a schedule, then waits until all work has ended.
     pub(crate) fn run(mut self, steps: &[Step]) -> Self {
         for step in steps {
             self.apply_step(step);
@@ -258,24 +258,24 @@
         self.next_poll = self.now + FIRST_POLL;
     }
 
-    /// The sidecar loses all that it knew; the engine goes on.
+    /// Restarts the sidecar, which loses its state. The engine continues.
     fn restart(&mut self) {
         self.incarnation += 2;
         self.core = new_core(self.incarnation, self.safeguards);
         self.process_started = self.now;
         self.wake = None;
         self.next_poll = self.now + FIRST_POLL;
-        // A process reads each account itself, so none is older than its start.
+        // A process polls the allocations itself, so no list is older than its start.
         self.last_allocations = self.allocations();
         self.open.clear();
         self.not_run.clear();
         self.ran.clear();
-        // The bound counts from the sidecar's last start, since it remembers nothing from before.
+        // The bound applies from the last start of the sidecar, since its earlier state is lost.
         self.unowned_since.clear();
         self.draining = false;
     }
 
-    /// A part of a span is prefilled into reserved memory.
+    /// Prefills a part of a span into reserved memory.
     fn segment(&mut self, key: AttemptKey) {
         if self.core.holds_reservation(key) {
             self.engine.entry(key.request).or_insert(EngineRun {
@@ -410,7 +410,8 @@
         let Some(run) = self.engine.remove(&request) else {
             return;
         };
-        // Half of the engines confirm a cancellation, the others only by their account.
+        // Half of the cancellations are confirmed. The others show only in the reported
+        // allocations.
         if request.is_multiple_of(2) {
             let result = EngineResult::Cancelled;
             let key = run.key;
@@ -450,7 +451,7 @@
         for (request, run) in &self.engine {
             let open = self.open.get(request).is_some_and(|open| !open.ended);
             let started = run.key.incarnation == self.incarnation && open;
-            // A newer attempt takes its request's reservation over, with what it holds.
+            // A newer attempt takes over the reservation of its request and the memory in it.
             if started || self.core.ledger().is_reserved(*request) {
                 self.unowned_since.remove(request);
                 continue;
--- a/lovagedock/tests/support/endpoint_steps.rs
+++ b/lovagedock/tests/support/endpoint_steps.rs
@@ -1,9 +1,9 @@
-//! Random schedules for the world of a sidecar.
+//! Random schedules for the simulation of a sidecar.
 
 use lovagedock::RequestId;
 use proptest::prelude::*;
 
-/// One step of a schedule; `run` picks one of the runs on the engine.
+/// One step of a schedule. Steps of the engine select a run by index.
 #[derive(Clone, Debug)]
 pub(crate) enum Step {
     Wait(u64),
@@ -47,7 +47,7 @@
     pub(crate) other_incarnation: bool,
 }
 
-/// Random schedules of up to `length` steps.
+/// Generates random schedules of up to `length` steps.
 pub(crate) fn schedules(length: usize) -> impl Strategy<Value = Vec<Step>> {
     proptest::collection::vec(step(), 1..length)
 }
