--- a/lovagedock/examples/compare/engine.rs
+++ b/lovagedock/examples/compare/engine.rs
@@ -35,18 +35,22 @@
     /// Virtual time after which the job is no longer started.
     pub(crate) deadline: f64,
     /// Remaining seconds of prefill of a started job.
-    pub(crate) left: Option<f64>,
+    pub(crate) remaining_seconds: Option<f64>,
 }
 
 impl EngineJob {
     /// Whether the sidecar drops the queued job. Parts of a span are kept because the other parts
     /// hold memory.
     fn expired(&self, now: f64) -> bool {
-        self.left.is_none() && self.share == 1.0 && now > self.deadline
+        self.remaining_seconds.is_none() && self.share == 1.0 && now > self.deadline
     }
 
     fn missing_memory(&self) -> TokenCount {
-        if self.left.is_some() { 0 } else { self.memory }
+        if self.remaining_seconds.is_some() {
+            0
+        } else {
+            self.memory
+        }
     }
 }
 
@@ -107,7 +111,7 @@
             return;
         }
         if let Some((mut job, end)) = self.current.take() {
-            job.left = Some(end - now);
+            job.remaining_seconds = Some(end - now);
             let at = self
                 .queue
                 .iter()
@@ -127,13 +131,16 @@
         // An interrupted job continues if the first job must wait for the memory that it holds.
         let at = match head_fits {
             true => 0,
-            false => self.queue.iter().position(|job| job.left.is_some())?,
+            false => self
+                .queue
+                .iter()
+                .position(|job| job.remaining_seconds.is_some())?,
         };
         let job = self.queue.remove(at)?;
         self.used += job.missing_memory();
         let slowdown = 1.0 + DECODE_SLOWDOWN * f64::from(self.decoding);
-        let seconds = match job.left {
-            Some(left) => left,
+        let seconds = match job.remaining_seconds {
+            Some(remaining_seconds) => remaining_seconds,
             None => self.prefill_seconds(&job) * slowdown,
         };
         self.touch_cache(job.shared);
@@ -143,8 +150,8 @@
     }
 
     pub(crate) fn prefill_seconds(&self, job: &EngineJob) -> f64 {
-        if let Some(left) = job.left {
-            return left;
+        if let Some(remaining_seconds) = job.remaining_seconds {
+            return remaining_seconds;
         }
         let cached = match job.shared {
             Some(shared) if self.cache.contains(&shared) => shared.1 * PREFIX_PIECE_TOKENS,
@@ -167,18 +174,18 @@
     }
 
     fn backlog(&self, now: f64) -> EndpointBacklog {
-        let left = self.current.as_ref().map_or(0.0, |(_, end)| end - now);
+        let remaining_seconds = self.current.as_ref().map_or(0.0, |(_, end)| end - now);
         let waiting = |keep: &dyn Fn(&EngineJob) -> bool| -> f64 {
             let jobs = self.queue.iter().filter(|job| keep(job));
             jobs.map(|job| self.prefill_seconds(job)).sum()
         };
-        let all = left + waiting(&|_| true);
+        let all = remaining_seconds + waiting(&|_| true);
         let is_short = |job: &EngineJob| job.prompt < LONG_TOKENS;
         let short = match self.order {
             EngineOrder::Fifo => all,
             EngineOrder::ShortFirst => {
                 let running = self.current.as_ref().is_some_and(|(job, _)| is_short(job));
-                waiting(&is_short) + if running { left } else { 0.0 }
+                waiting(&is_short) + if running { remaining_seconds } else { 0.0 }
             }
         };
         EndpointBacklog {
@@ -189,7 +196,7 @@
 
     pub(crate) fn report(&self, now: f64, with_backlog: bool) -> Arc<EndpointReport> {
         let queued_tokens = self.queue.iter().map(|job| job.prompt).sum();
-        let left = self.current.as_ref().map_or(0.0, |(_, end)| end - now);
+        let remaining_seconds = self.current.as_ref().map_or(0.0, |(_, end)| end - now);
         let long = self
             .current
             .iter()
@@ -197,7 +204,7 @@
             .count() as u32;
         let left_tokens = self.current.as_ref().map_or(0, |(job, _)| {
             let all = self.cost.prefill(job.prompt, 0).as_secs_f64() * job.share;
-            (job.prompt as f64 * (left / all).clamp(0.0, 1.0)) as u64
+            (job.prompt as f64 * (remaining_seconds / all).clamp(0.0, 1.0)) as u64
         });
         Arc::new(EndpointReport {
             memory_tokens: ENGINE_MEMORY,
--- a/lovagedock/examples/compare/fleet.rs
+++ b/lovagedock/examples/compare/fleet.rs
@@ -266,7 +266,7 @@
                 shared: arrival.shared,
                 share,
                 deadline: arrival.at + arrival.deadline.as_secs_f64(),
-                left: None,
+                remaining_seconds: None,
             };
             let prefill = Duration::from_secs_f64(self.engines[engine].prefill_seconds(&job));
             let long = arrival.prompt >= self.setup.spec.long_tokens;
--- a/lovagedock/examples/compare/main.rs
+++ b/lovagedock/examples/compare/main.rs
@@ -91,22 +91,25 @@
 fn print_row(policy: &str, runs: &[PairedRun]) {
     print!("| {policy} ");
     for bucket in LengthBucket::ALL {
-        print!("| {:.2} ", spread(runs, |pair| pair.mixed.p95(bucket)).1);
+        print!(
+            "| {:.2} ",
+            min_median_max(runs, |pair| pair.mixed.p95(bucket)).1
+        );
     }
     for bucket in [LengthBucket::K1, LengthBucket::K4] {
-        let (low, mid, high) = spread(runs, |pair| pair.slowdown(bucket));
+        let (low, mid, high) = min_median_max(runs, |pair| pair.slowdown(bucket));
         print!("| {mid:.2} ({low:.2}-{high:.2}) ");
     }
     let refused: Vec<u64> = (0..6)
         .map(|bucket| runs.iter().map(|pair| pair.mixed.refused[bucket]).sum())
         .collect();
     let late: u64 = runs.iter().map(|pair| pair.mixed.late).sum();
-    let good = spread(runs, |pair| pair.mixed.good_tokens as f64 / 1e6).1;
+    let good = min_median_max(runs, |pair| pair.mixed.good_tokens as f64 / 1e6).1;
     println!("| {refused:?} | {late} | {good:.1} |");
 }
 
 /// Returns the minimum, median and maximum over the runs.
-fn spread(runs: &[PairedRun], value: impl Fn(&PairedRun) -> f64) -> (f64, f64, f64) {
+fn min_median_max(runs: &[PairedRun], value: impl Fn(&PairedRun) -> f64) -> (f64, f64, f64) {
     let mut values: Vec<f64> = runs.iter().map(value).collect();
     values.sort_by(f64::total_cmp);
     (
--- a/lovagedock/src/endpoint/finish.rs
+++ b/lovagedock/src/endpoint/finish.rs
@@ -104,7 +104,7 @@
     pub(super) fn retry_after(&self) -> Duration {
         const MIN: Duration = Duration::from_secs(1);
         const MAX: Duration = Duration::from_secs(60);
-        let ahead = self.queue.all();
+        let ahead = self.queue.queued_work();
         let slots = self.concurrency().max(1) as u32;
         ahead.prefill.max(ahead.total / slots).clamp(MIN, MAX)
     }
--- a/lovagedock/src/endpoint/queue.rs
+++ b/lovagedock/src/endpoint/queue.rs
@@ -186,7 +186,7 @@
     }
 
     /// Returns all queued work.
-    pub(crate) fn all(&self) -> WorkAhead {
+    pub(crate) fn queued_work(&self) -> WorkAhead {
         let mut all = WorkAhead::default();
         for tier in &self.tiers {
             all.prefill += tier.ahead.prefill;
--- a/lovagedock/src/limits/demand.rs
+++ b/lovagedock/src/limits/demand.rs
@@ -27,10 +27,10 @@
     }
 
     /// Returns the larger of the new demand and three quarters of the previous one.
-    fn smoothed(self, former: Self) -> Self {
+    fn smoothed(self, previous: Self) -> Self {
         Self {
-            requests: self.requests.max(former.requests * 3 / 4),
-            tokens: self.tokens.max(former.tokens * 3 / 4),
+            requests: self.requests.max(previous.requests * 3 / 4),
+            tokens: self.tokens.max(previous.tokens * 3 / 4),
             in_flight: self.in_flight,
         }
     }
@@ -48,10 +48,10 @@
 impl OwnDemand {
     /// Ends an exchange. The demand since the previous exchange becomes the value of this report.
     pub(super) fn close_exchange(&mut self, sequence: u64) {
-        let former = self.latest();
-        let value = self.current.smoothed(former);
+        let previous = self.latest();
+        let value = self.current.smoothed(previous);
         self.current = DemandVector::default();
-        if value != former {
+        if value != previous {
             self.reported.push_back((sequence, value));
         }
     }
--- a/lovagedock/src/limits/peers.rs
+++ b/lovagedock/src/limits/peers.rs
@@ -238,7 +238,7 @@
         let reachable = |state: &PeerState| {
             state
                 .received_at
-                .is_some_and(|received| now < received + lease)
+                .is_some_and(|received_at| now < received_at + lease)
         };
         !self.peers.is_empty() && self.peers.values().all(reachable)
     }
--- a/lovagedock/tests/limit_properties.rs
+++ b/lovagedock/tests/limit_properties.rs
@@ -23,13 +23,13 @@
 }
 
 /// A leaky bucket that drains at the rate of the limit. Its highest level is the burst used.
-struct LeakyMeter {
+struct LeakyBucket {
     level: f64,
     leak: f64,
     highest: f64,
 }
 
-impl LeakyMeter {
+impl LeakyBucket {
     fn new(per_second: f64) -> Self {
         Self {
             level: 0.0,
@@ -54,8 +54,8 @@
 
 fn run_phases(phases: &[Phase], delays: &[u64], hold_ms: u64) -> Excess {
     let mut group = GatewayGroup::new(GATEWAYS, delays.to_vec());
-    let mut requests = LeakyMeter::new(f64::from(LIMITS.requests_per_second));
-    let mut tokens = LeakyMeter::new(LIMITS.tokens_per_minute as f64 / 60.0);
+    let mut requests = LeakyBucket::new(f64::from(LIMITS.requests_per_second));
+    let mut tokens = LeakyBucket::new(LIMITS.tokens_per_minute as f64 / 60.0);
     let mut excess = Excess::default();
     for phase in phases {
         group.cut_links = vec![vec![false; GATEWAYS]; GATEWAYS];
--- a/lovagedock/tests/loaded_memory.rs
+++ b/lovagedock/tests/loaded_memory.rs
@@ -48,12 +48,12 @@
         ),
         case("confirmed", "reader=1", with(vec![])),
         case(
-            "a report older than the order",
+            "a report within the permitted lag after the order",
             "reader=1 tracing=2",
             with(vec![Confirm(2, adapter("2")), Report(11, "other", &[])]),
         ),
         case(
-            "a report that contradicts the order after the grace period",
+            "a report that contradicts the order after the permitted lag",
             "other=",
             with(vec![Confirm(2, adapter("2")), Report(13, "other", &[])]),
         ),
--- a/lovagedock/tests/support/endpoint_simulation.rs
+++ b/lovagedock/tests/support/endpoint_simulation.rs
@@ -111,7 +111,7 @@
     }
 
     fn apply_step(&mut self, step: &Step) {
-        let own = |key: &StepKey| AttemptKey {
+        let attempt_key = |key: &StepKey| AttemptKey {
             request: key.request,
             attempt: key.attempt,
             incarnation: self.incarnation,
@@ -119,14 +119,14 @@
         match step {
             Step::Wait(ms) => self.advance(self.now + Duration::from_millis(*ms)),
             Step::Submit(order) => self.submit(order),
-            Step::Revoke(key) => self.handle_event(EndpointEvent::Revoke(own(key))),
-            Step::Cancel(key) => self.handle_event(EndpointEvent::Cancel(own(key))),
+            Step::Revoke(key) => self.handle_event(EndpointEvent::Revoke(attempt_key(key))),
+            Step::Cancel(key) => self.handle_event(EndpointEvent::Cancel(attempt_key(key))),
             Step::Resume(key, offset) => {
-                let key = own(key);
+                let key = attempt_key(key);
                 let offset = *offset;
                 self.handle_event(EndpointEvent::Resume { key, offset });
             }
-            Step::SinkLost(key) => self.handle_event(EndpointEvent::SinkLost(own(key))),
+            Step::SinkLost(key) => self.handle_event(EndpointEvent::SinkLost(attempt_key(key))),
             Step::Started(run) => self.engine_started(*run),
             Step::Bytes(run, length) => self.engine_bytes(*run, *length),
             Step::Finish(run) => self.engine_ends(*run, |run| {
@@ -158,15 +158,15 @@
             Step::EngineReconnects => self.reconnect_engine(),
             Step::Restart => self.restart(),
             Step::Reserve(key, tokens, hold) => {
-                let (key, tokens, hold) = (own(key), *tokens, Duration::from_millis(*hold));
+                let (key, tokens, hold) = (attempt_key(key), *tokens, Duration::from_millis(*hold));
                 self.handle_event(EndpointEvent::Reserve { key, tokens, hold });
             }
             Step::Renew(key, hold) => {
-                let (key, hold) = (own(key), Duration::from_millis(*hold));
+                let (key, hold) = (attempt_key(key), Duration::from_millis(*hold));
                 self.handle_event(EndpointEvent::Renew { key, hold });
             }
-            Step::Release(key) => self.handle_event(EndpointEvent::Release(own(key))),
-            Step::Segment(key) => self.segment(own(key)),
+            Step::Release(key) => self.handle_event(EndpointEvent::Release(attempt_key(key))),
+            Step::Segment(key) => self.segment(attempt_key(key)),
             Step::Drain(leaving) => {
                 self.draining = *leaving;
                 self.handle_event(EndpointEvent::Drain(*leaving));
