--- a/lovagedock/src/cost/decode.rs
+++ b/lovagedock/src/cost/decode.rs
@@ -29,8 +29,8 @@
     /// Returns the interval at a batch size, interpolated between the nearest observed sizes.
     pub(super) fn seconds(&self, batch: u32) -> Option<f64> {
         let at = slot_of(batch);
-        let below = (0..=at).rev().find(|slot| self.seen(*slot));
-        let above = (at..DECODE_SLOTS).find(|slot| self.seen(*slot));
+        let below = (0..=at).rev().find(|slot| self.is_observed(*slot));
+        let above = (at..DECODE_SLOTS).find(|slot| self.is_observed(*slot));
         match (below, above) {
             (Some(low), Some(high)) if low < high => Some(self.interpolate(low, high, at)),
             (Some(slot), _) | (None, Some(slot)) => Some(self.slots[slot].seconds),
@@ -38,7 +38,7 @@
         }
     }
 
-    fn seen(&self, slot: usize) -> bool {
+    fn is_observed(&self, slot: usize) -> bool {
         self.slots[slot].observations > 0
     }
 
--- a/lovagedock/src/endpoint/answers.rs
+++ b/lovagedock/src/endpoint/answers.rs
@@ -17,13 +17,13 @@
     pub(crate) key: AttemptKey,
     /// The end of the answer.
     pub(crate) end: AnswerEnd,
-    until: Timestamp,
+    expires_at: Timestamp,
 }
 
 /// Retains ended answers, limited by time, count and number of bytes.
 #[derive(Debug)]
 pub(crate) struct AnswerTable {
-    hold: Duration,
+    retention: Duration,
     count: usize,
     bytes: u64,
     held_bytes: u64,
@@ -33,9 +33,9 @@
 
 impl AnswerTable {
     /// Creates an empty table with these bounds.
-    pub(crate) fn new(hold: Duration, count: usize, bytes: u64) -> Self {
+    pub(crate) fn new(retention: Duration, count: usize, bytes: u64) -> Self {
         Self {
-            hold,
+            retention,
             count,
             bytes,
             held_bytes: 0,
@@ -45,8 +45,8 @@
     }
 
     /// Replaces the bounds. Answers beyond them are removed by the next expiry.
-    pub(crate) fn set_bounds(&mut self, hold: Duration, count: usize, bytes: u64) {
-        self.hold = hold;
+    pub(crate) fn set_bounds(&mut self, retention: Duration, count: usize, bytes: u64) {
+        self.retention = retention;
         self.count = count;
         self.bytes = bytes;
     }
@@ -54,8 +54,12 @@
     /// Adds an answer. Each request ends only once.
     pub(crate) fn insert(&mut self, now: Timestamp, key: AttemptKey, end: AnswerEnd) {
         self.held_bytes += end.length;
-        let until = now + self.hold;
-        let answer = EndedAnswer { key, end, until };
+        let expires_at = now + self.retention;
+        let answer = EndedAnswer {
+            key,
+            end,
+            expires_at,
+        };
         self.answers.insert(key.request, answer);
         self.order.push_back(key.request);
     }
@@ -90,7 +94,7 @@
     /// Returns the time at which the oldest answer expires.
     pub(crate) fn next_due(&self) -> Option<Timestamp> {
         let oldest = self.order.front()?;
-        self.answers.get(oldest).map(|answer| answer.until)
+        self.answers.get(oldest).map(|answer| answer.expires_at)
     }
 
     /// Returns the number of retained answers.
--- a/lovagedock/src/endpoint/engine.rs
+++ b/lovagedock/src/endpoint/engine.rs
@@ -82,8 +82,8 @@
     /// Frees the memory of a request that had already ended when the engine reported its end. The
     /// end of an attempt that does not hold the memory has no effect.
     fn release_after_late_end(&mut self, key: AttemptKey) {
-        let here = self.table.contains_key(&key.request) || self.ledger.is_reserved(key.request);
-        if !here && key.incarnation == self.incarnation {
+        let known = self.table.contains_key(&key.request) || self.ledger.is_reserved(key.request);
+        if !known && key.incarnation == self.incarnation {
             self.free_memory(key.request);
         }
     }
@@ -97,12 +97,12 @@
                 .with_detail("the engine no longer reports memory of the request");
             self.finish(now, request, end, false);
         }
-        self.refuse_orphaned_requests(now);
+        self.end_orphaned_requests(now);
     }
 
     /// Ends queued requests that still run on the engine since before this sidecar's start.
-    fn refuse_orphaned_requests(&mut self, now: Timestamp) {
-        if !self.safeguards.one_run {
+    fn end_orphaned_requests(&mut self, now: Timestamp) {
+        if !self.safeguards.single_run {
             return;
         }
         let orphans: Vec<_> = self.ledger.orphans().collect();
@@ -127,7 +127,7 @@
         }
     }
 
-    pub(super) fn bring_engine_up(&mut self, now: Timestamp) {
+    pub(super) fn record_engine_up(&mut self, now: Timestamp) {
         if !self.engine_up {
             self.engine_up = true;
             self.allocations_due = now + self.limits.allocations_wait;
@@ -153,11 +153,14 @@
         limits: EndpointLimits,
         shares: Vec<OrganisationShare>,
     ) {
-        let bounds = (limits.tombstone_hold, limits.tombstone_count);
+        let bounds = (limits.tombstone_retention, limits.tombstone_count);
         self.revoked.set_bounds(bounds.0, bounds.1);
         self.refused.set_bounds(bounds.0, bounds.1);
-        self.answers
-            .set_bounds(limits.answer_hold, limits.answer_count, limits.answer_bytes);
+        self.answers.set_bounds(
+            limits.answer_retention,
+            limits.answer_count,
+            limits.answer_bytes,
+        );
         if limits.memory_tokens != self.limits.memory_tokens {
             self.ledger.set_memory(limits.memory_tokens);
         }
--- a/lovagedock/src/endpoint/fair_queue.rs
+++ b/lovagedock/src/endpoint/fair_queue.rs
@@ -24,26 +24,26 @@
 
 impl FairTags {
     /// Returns the start tag that a new request of the organisation would get.
-    pub(crate) fn next(&self, organisation: &str) -> VirtualTime {
+    pub(crate) fn next_tag(&self, organisation: &str) -> VirtualTime {
         let finish = self.finish.get(organisation).copied().unwrap_or(0);
         finish.max(self.now)
     }
 
     /// Assigns a start tag to a new request.
-    pub(crate) fn push(
+    pub(crate) fn assign_tag(
         &mut self,
         organisation: &OrganisationId,
         cost: Duration,
         weight: u32,
     ) -> VirtualTime {
-        let tag = self.next(organisation);
+        let tag = self.next_tag(organisation);
         let cost = cost.max(MIN_COST).as_nanos() / u128::from(weight.max(1));
         self.finish.insert(organisation.clone(), tag + cost);
         tag
     }
 
     /// Advances the virtual time when a request with this start tag starts.
-    pub(crate) fn start(&mut self, tag: VirtualTime) {
+    pub(crate) fn record_start(&mut self, tag: VirtualTime) {
         self.now = self.now.max(tag);
     }
 
@@ -53,7 +53,7 @@
     }
 
     /// Removes organisations whose finish tag has passed when the tier's queue is empty.
-    pub(crate) fn clear(&mut self) {
+    pub(crate) fn prune(&mut self) {
         let now = self.now;
         self.finish.retain(|_, finish| *finish > now);
     }
--- a/lovagedock/src/endpoint/head_reservation.rs
+++ b/lovagedock/src/endpoint/head_reservation.rs
@@ -58,7 +58,7 @@
     }
 
     /// Ends the reservation if the request is the head.
-    pub(crate) fn clear_if(&mut self, request: RequestId) {
+    pub(crate) fn clear_if_head(&mut self, request: RequestId) {
         if self.is_head(request) {
             *self = Self::default();
         }
--- a/lovagedock/src/endpoint/ledger.rs
+++ b/lovagedock/src/endpoint/ledger.rs
@@ -14,7 +14,7 @@
         /// The attempt that holds the reservation.
         attempt: AttemptNumber,
         /// Time at which the reservation expires without renewal.
-        until: Timestamp,
+        expires_at: Timestamp,
     },
     /// The request has ended and the engine has been instructed to free the memory.
     Closing {
@@ -33,7 +33,7 @@
     /// State of the lease.
     pub state: LeaseState,
     /// Whether the engine has reported an allocation of the request.
-    pub(super) seen: bool,
+    pub(super) reported_by_engine: bool,
     /// Time since which the engine no longer reports an allocation that it reported before.
     pub(super) missing_since: Option<Timestamp>,
 }
@@ -152,7 +152,7 @@
         let lease = MemoryLease {
             tokens,
             state,
-            seen: false,
+            reported_by_engine: false,
             missing_since: None,
         };
         self.leases.insert(request, lease);
@@ -207,7 +207,7 @@
     /// Returns the requests whose reservations have expired.
     pub fn expired_reservations(&self, now: Timestamp) -> Vec<RequestId> {
         let expired = |lease: &MemoryLease| match lease.state {
-            LeaseState::Reserved { until, .. } => until <= now,
+            LeaseState::Reserved { expires_at, .. } => expires_at <= now,
             _ => false,
         };
         let leases = self.leases.iter().filter(|(_, lease)| expired(lease));
@@ -219,7 +219,7 @@
     pub fn next_due(&self) -> Option<Timestamp> {
         let leases = self.leases.values().filter_map(|lease| match lease.state {
             LeaseState::Running => None,
-            LeaseState::Reserved { until, .. } => Some(until),
+            LeaseState::Reserved { expires_at, .. } => Some(expires_at),
             LeaseState::Closing { retry_at, .. } => Some(retry_at),
         });
         let orphans = self.orphans.values().map(|orphan| orphan.cancel_at);
--- a/lovagedock/src/endpoint/limits.rs
+++ b/lovagedock/src/endpoint/limits.rs
@@ -27,13 +27,13 @@
     /// Time for which a running request without a sink is kept for a resume.
     pub resume_grace: Duration,
     /// Time for which an ended answer is kept for a resume.
-    pub answer_hold: Duration,
+    pub answer_retention: Duration,
     /// Maximum number of retained answers.
     pub answer_count: usize,
     /// Maximum number of bytes of retained answers.
     pub answer_bytes: u64,
     /// Lifetime of a tombstone.
-    pub tombstone_hold: Duration,
+    pub tombstone_retention: Duration,
     /// Maximum number of tombstones of each kind, revoked and refused.
     pub tombstone_count: usize,
     /// Time after which memory without a lease is cancelled.
@@ -61,10 +61,10 @@
             aged_interval: 4,
             bypass: Duration::from_secs(2),
             resume_grace: Duration::from_secs(5),
-            answer_hold: Duration::from_secs(30),
+            answer_retention: Duration::from_secs(30),
             answer_count: 4_096,
             answer_bytes: 8 << 20,
-            tombstone_hold: Duration::from_secs(600),
+            tombstone_retention: Duration::from_secs(600),
             tombstone_count: 50_000,
             orphan_grace: Duration::from_secs(5),
             allocations_wait: Duration::from_secs(1),
@@ -115,7 +115,7 @@
     /// Record tombstones for attempts that must not run.
     pub tombstones: bool,
     /// Attach or refuse another attempt of a known request instead of running it again.
-    pub one_run: bool,
+    pub single_run: bool,
     /// Cancel memory that the engine holds without a lease.
     pub orphan_collection: bool,
     /// End requests at their deadline.
@@ -130,7 +130,7 @@
     fn default() -> Self {
         Self {
             tombstones: true,
-            one_run: true,
+            single_run: true,
             orphan_collection: true,
             deadlines: true,
             drain_queue: true,
--- a/lovagedock/src/endpoint/queue.rs
+++ b/lovagedock/src/endpoint/queue.rs
@@ -62,7 +62,7 @@
         self.next_sequence += 1;
         let tier = &mut self.tiers[work.tier as usize];
         let cost = work.cost.total();
-        let tag = tier.tags.push(&work.organisation, cost, work.weight);
+        let tag = tier.tags.assign_tag(&work.organisation, cost, work.weight);
         tier.ahead.add(work.cost);
         tier.by_tag.insert(TagEntry {
             tag,
@@ -92,7 +92,7 @@
         let tag = self.slots.get(&request)?.tag;
         let was_head = self.head.is_head(request);
         let work = self.remove(request)?;
-        self.tiers[work.tier as usize].tags.start(tag);
+        self.tiers[work.tier as usize].tags.record_start(tag);
         self.starts_since_aged = if aged { 0 } else { self.starts_since_aged + 1 };
         if !was_head {
             self.head.record_bypass(request, work.need);
@@ -112,11 +112,11 @@
         tier.ahead.prefill -= slot.work.cost.prefill;
         tier.ahead.total -= slot.work.cost.total();
         if tier.by_tag.is_empty() {
-            tier.tags.clear();
+            tier.tags.prune();
         }
         self.by_age.remove(&slot.sequence);
         self.tokens -= slot.work.need;
-        self.head.clear_if(request);
+        self.head.clear_if_head(request);
         Some(slot.work)
     }
 
@@ -158,7 +158,7 @@
         let last = self.tiers[lowest].by_tag.last()?;
         let goes_before = match lowest.cmp(&(tier as usize)) {
             std::cmp::Ordering::Less => true,
-            std::cmp::Ordering::Equal => self.tiers[lowest].tags.next(organisation) < last.tag,
+            std::cmp::Ordering::Equal => self.tiers[lowest].tags.next_tag(organisation) < last.tag,
             std::cmp::Ordering::Greater => false,
         };
         goes_before.then_some(last.request)
@@ -173,7 +173,7 @@
             ahead.total += higher.ahead.total;
         }
         let own = &self.tiers[rank];
-        let tag = own.tags.next(organisation);
+        let tag = own.tags.next_tag(organisation);
         if own.by_tag.last().is_none_or(|last| last.tag <= tag) {
             ahead.prefill += own.ahead.prefill;
             ahead.total += own.ahead.total;
--- a/lovagedock/src/endpoint/reconcile.rs
+++ b/lovagedock/src/endpoint/reconcile.rs
@@ -101,7 +101,7 @@
             let Some(lease) = self.leases.get_mut(&allocation.request) else {
                 continue;
             };
-            lease.seen = true;
+            lease.reported_by_engine = true;
             lease.missing_since = None;
             let growth = allocation.tokens.saturating_sub(lease.tokens).min(free);
             lease.tokens += growth;
@@ -127,7 +127,10 @@
     ) -> Vec<RequestId> {
         let mut lost = Vec::new();
         for (request, lease) in &mut self.leases {
-            if lease.state != LeaseState::Running || !lease.seen || held.contains(request) {
+            if lease.state != LeaseState::Running
+                || !lease.reported_by_engine
+                || held.contains(request)
+            {
                 continue;
             }
             let since = *lease.missing_since.get_or_insert(now);
--- a/lovagedock/src/endpoint/reserve.rs
+++ b/lovagedock/src/endpoint/reserve.rs
@@ -39,7 +39,7 @@
     ) {
         let state = LeaseState::Reserved {
             attempt: key.attempt,
-            until: now + hold.min(self.limits.reservation_hold),
+            expires_at: now + hold.min(self.limits.reservation_hold),
         };
         self.ledger.grant(key.request, tokens, state);
         let free_tokens = self.ledger.free();
--- a/lovagedock/src/endpoint/submit.rs
+++ b/lovagedock/src/endpoint/submit.rs
@@ -22,7 +22,7 @@
         if key.incarnation != self.incarnation {
             return self.refuse(key, AnswerEnd::new(ResultCode::StaleIncarnation));
         }
-        if self.safeguards.one_run && self.resolve_duplicate(key) {
+        if self.safeguards.single_run && self.resolve_duplicate(key) {
             return;
         }
         if let Some(end) = self.tombstone_refusal(key) {
@@ -119,7 +119,7 @@
         if order.remaining.is_zero() {
             return Some(AnswerEnd::new(ResultCode::ExpiredWaiting));
         }
-        if self.safeguards.one_run && self.ledger.is_orphan(order.key.request) {
+        if self.safeguards.single_run && self.ledger.is_orphan(order.key.request) {
             // The engine still holds a run from before this sidecar's start.
             let end = AnswerEnd::new(ResultCode::EndpointLost);
             return Some(
--- a/lovagedock/src/endpoint/tombstones.rs
+++ b/lovagedock/src/endpoint/tombstones.rs
@@ -39,7 +39,7 @@
 /// seconds after they stop responding.
 #[derive(Debug)]
 pub(crate) struct TombstoneTable {
-    hold: Duration,
+    retention: Duration,
     count: usize,
     tombstones: BTreeMap<RequestId, StoredTombstone>,
     order: VecDeque<ExpiryMark>,
@@ -49,20 +49,20 @@
 #[derive(Debug)]
 struct StoredTombstone {
     tombstone: Tombstone,
-    until: Timestamp,
+    expires_at: Timestamp,
 }
 
 #[derive(Debug)]
 struct ExpiryMark {
-    until: Timestamp,
+    expires_at: Timestamp,
     request: RequestId,
 }
 
 impl TombstoneTable {
     /// Creates an empty table with these bounds.
-    pub(crate) fn new(hold: Duration, count: usize) -> Self {
+    pub(crate) fn new(retention: Duration, count: usize) -> Self {
         Self {
-            hold,
+            retention,
             count,
             tombstones: BTreeMap::new(),
             order: VecDeque::new(),
@@ -71,26 +71,29 @@
     }
 
     /// Replaces the bounds.
-    pub(crate) fn set_bounds(&mut self, hold: Duration, count: usize) {
-        self.hold = hold;
+    pub(crate) fn set_bounds(&mut self, retention: Duration, count: usize) {
+        self.retention = retention;
         self.count = count;
         self.trim();
     }
 
     /// Adds a tombstone. An existing tombstone of the request is extended and never narrowed.
     pub(crate) fn insert(&mut self, now: Timestamp, request: RequestId, tombstone: Tombstone) {
-        let until = now + self.hold;
-        let stored = self
-            .tombstones
-            .entry(request)
-            .or_insert(StoredTombstone { tombstone, until });
+        let expires_at = now + self.retention;
+        let stored = self.tombstones.entry(request).or_insert(StoredTombstone {
+            tombstone,
+            expires_at,
+        });
         if stored.tombstone.ran == RanState::No {
             stored.tombstone.code = tombstone.code;
             stored.tombstone.ran = tombstone.ran;
         }
         stored.tombstone.attempt = stored.tombstone.attempt.max(tombstone.attempt);
-        stored.until = until;
-        self.order.push_back(ExpiryMark { until, request });
+        stored.expires_at = expires_at;
+        self.order.push_back(ExpiryMark {
+            expires_at,
+            request,
+        });
         self.trim();
     }
 
@@ -103,7 +106,11 @@
 
     /// Removes expired tombstones.
     pub(crate) fn expire(&mut self, now: Timestamp) {
-        while self.order.front().is_some_and(|mark| mark.until <= now) {
+        while self
+            .order
+            .front()
+            .is_some_and(|mark| mark.expires_at <= now)
+        {
             self.drop_oldest();
         }
     }
@@ -135,8 +142,8 @@
         let current = self
             .tombstones
             .get(&mark.request)
-            .map(|stored| stored.until);
-        if current != Some(mark.until) {
+            .map(|stored| stored.expires_at);
+        if current != Some(mark.expires_at) {
             return false;
         }
         self.tombstones.remove(&mark.request);
--- a/lovagedock/src/outlier.rs
+++ b/lovagedock/src/outlier.rs
@@ -198,7 +198,7 @@
 
     fn failed(&mut self, now: Timestamp, id: EndpointId, silent: bool) -> Vec<OutlierAction> {
         let threshold = self.settings.consecutive_failures;
-        let has_room = self.ejected_count() < self.ejection_limit();
+        let below_limit = self.ejected_count() < self.ejection_limit();
         let Some(record) = self.endpoints.get_mut(&id) else {
             return Vec::new();
         };
@@ -207,7 +207,7 @@
         let cause = match record.state {
             OutlierState::Probing { .. } => OutlierCause::ProbeFailed,
             OutlierState::Ejected { .. } | OutlierState::AwaitingProbe => return Vec::new(),
-            _ if !has_room => return Vec::new(),
+            _ if !below_limit => return Vec::new(),
             OutlierState::Probation => OutlierCause::FailedOnProbation,
             OutlierState::Admitted if silent => OutlierCause::SilentSession,
             OutlierState::Admitted if record.failures >= threshold => {
--- a/lovagedock/tests/endpoint_properties.rs
+++ b/lovagedock/tests/endpoint_properties.rs
@@ -63,7 +63,7 @@
         SafeguardCase {
             name: "one run",
             safeguards: EndpointSafeguards {
-                one_run: false,
+                single_run: false,
                 ..on
             },
             expected: Violation::StartedTwice,
--- a/lovagedock/tests/endpoint_scenarios.rs
+++ b/lovagedock/tests/endpoint_scenarios.rs
@@ -141,8 +141,8 @@
             hold: line.time("hold", "10s"),
         },
         "release" => EndpointEvent::Release(line.key(1)),
-        "leave" => EndpointEvent::Drain(true),
-        "stay" => EndpointEvent::Drain(false),
+        "drain" => EndpointEvent::Drain(true),
+        "undrain" => EndpointEvent::Drain(false),
         "engine" => parse_engine(line),
         other => panic!("unknown line: {other}"),
     }
@@ -215,13 +215,18 @@
     WorkOrder {
         key: line.key(1),
         service: "service".into(),
-        organisation: line.options.get("by").copied().unwrap_or("org").into(),
+        organisation: line
+            .options
+            .get("organisation")
+            .copied()
+            .unwrap_or("org")
+            .into(),
         tier,
         weight: line.number("weight", 1) as u32,
         remaining: line.time("within", "30s"),
         prompt_tokens: line.number("prompt", 100),
         answer_tokens: line.number("answer", 0),
-        non_idempotent: line.words.contains(&"once"),
+        non_idempotent: line.words.contains(&"non-idempotent"),
         predicted: Duration::ZERO,
         span: if spans { vec!["a".into()] } else { Vec::new() },
     }
