--- a/lovagedock/src/endpoint/ledger.rs
+++ b/lovagedock/src/endpoint/ledger.rs
@@ -163,7 +163,8 @@
     /// Starts to close the lease of a request that has ended. The lease is kept until the engine
     /// has freed the memory.
     ///
-    /// Returns whether there was a lease, that is, whether the engine has to be told.
+    /// Returns whether there was a lease, that is, whether a cancellation must be sent to the
+    /// engine.
     pub fn close(&mut self, now: Timestamp, request: RequestId, retry: Duration) -> bool {
         let Some(lease) = self.leases.get_mut(&request) else {
             return false;
--- a/lovagedock/src/placement/mix.rs
+++ b/lovagedock/src/placement/mix.rs
@@ -110,8 +110,8 @@
     ///
     /// Short prompts keep enough endpoints for a utilisation of [`SHORT_TARGET_UTILISATION`]. If
     /// the rest is too little for the long prompts, they get up to what they need, as long as the
-    /// utilisation of the endpoints for short prompts stays below [`SHORT_MAX_UTILISATION`]. Short
-    /// prompts that overtake long ones on the engines need fewer endpoints of their own.
+    /// utilisation of the endpoints for short prompts does not exceed [`SHORT_MAX_UTILISATION`].
+    /// Short prompts that overtake long ones on the engines need fewer endpoints of their own.
     pub(super) fn long_share(&self, limit: f64) -> f64 {
         if self.all_seconds < MIX_MIN_SECONDS {
             return limit;
