--- a/lovagedock/benches/admission.rs
+++ b/lovagedock/benches/admission.rs
@@ -1,4 +1,4 @@
-//! Cost of one admission and of one start at a sidecar, by the number of requests that wait.
+//! Cost of one admission and of one start at a sidecar by the number of queued requests.
 
 use std::{hint::black_box, time::Duration};
 
@@ -42,14 +42,14 @@
     }
 }
 
-/// A sidecar with a full engine and so many requests that wait.
+/// Creates a sidecar with a full engine and this many queued requests.
 fn full_core(queued: u128) -> EndpointCore {
     let limits = EndpointLimits::default()
         .with_memory_tokens(1_000_000)
         .with_concurrency(RUNNING as usize)
         .with_queue_length(queued as usize + 10);
     let mut core = EndpointCore::new(1, limits);
-    core.handle(NOW, EndpointEvent::EngineAccount(Vec::new()));
+    core.handle(NOW, EndpointEvent::EngineAllocations(Vec::new()));
     core.handle(
         NOW,
         EndpointEvent::EngineReport(EngineReport {
--- a/lovagedock/examples/compare/fleet.rs
+++ b/lovagedock/examples/compare/fleet.rs
@@ -1,4 +1,4 @@
-//! Several gateways with old reports in front of single-queue engines, in virtual time.
+//! Simulation of gateways with delayed reports and single-queue engines in virtual time.
 
 use std::{
     cmp::Ordering,
@@ -15,7 +15,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::{
-    engine::{ENGINE_MEMORY, Engine, EngineOrder, Job},
+    engine::{ENGINE_MEMORY, Engine, EngineJob, EngineOrder},
     traffic::{Arrival, arrivals},
 };
 
@@ -24,7 +24,7 @@
 const DOMAINS: usize = 3;
 const SPEED_SPREAD: f64 = 0.15;
 
-/// One run.
+/// Settings of one run.
 #[derive(Clone, Debug)]
 pub(crate) struct FleetSetup {
     pub(crate) spec: PlacementSpec,
@@ -38,16 +38,16 @@
     pub(crate) with_backlog: bool,
 }
 
-/// What became of the requests of a run.
+/// Outcomes of the requests of a run.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FleetResult {
-    /// First-token seconds by bucket.
+    /// First-token times in seconds by bucket.
     pub(crate) first_token: [Vec<f64>; 6],
     pub(crate) in_time: u64,
-    /// First token late or, dropped from a queue, never.
+    /// Requests whose first token was late or that were dropped from a queue.
     pub(crate) late: u64,
     pub(crate) refused: [u64; 6],
-    /// Prompt tokens of the requests whose first token came in time.
+    /// Prompt tokens of the requests whose first token was in time.
     pub(crate) good_tokens: TokenCount,
     pub(crate) cross_domain: u64,
 }
@@ -72,20 +72,20 @@
     Report(Vec<Arc<EndpointReport>>, f64),
 }
 
-struct Timed(f64, u64, Event);
+struct TimedEvent(f64, u64, Event);
 
-impl PartialEq for Timed {
+impl PartialEq for TimedEvent {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
-impl Eq for Timed {}
-impl PartialOrd for Timed {
+impl Eq for TimedEvent {}
+impl PartialOrd for TimedEvent {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Timed {
+impl Ord for TimedEvent {
     fn cmp(&self, other: &Self) -> Ordering {
         other.0.total_cmp(&self.0).then(other.1.cmp(&self.1))
     }
@@ -103,9 +103,9 @@
     engines: Vec<Engine>,
     gateways: Vec<Gateway>,
     arrivals: Vec<Arrival>,
-    /// Engines of each request and the parts of it that are not prefilled.
+    /// Engines of each request, and the number of its parts that remain to be prefilled.
     placed: Vec<(Vec<(usize, TokenCount)>, usize)>,
-    events: BinaryHeap<Timed>,
+    events: BinaryHeap<TimedEvent>,
     sequence: u64,
     rng: ChaCha8Rng,
     result: FleetResult,
@@ -164,7 +164,7 @@
         for index in 0..self.arrivals.len() {
             self.push(self.arrivals[index].at, Event::Arrive(index));
         }
-        while let Some(Timed(now, _, event)) = self.events.pop() {
+        while let Some(TimedEvent(now, _, event)) = self.events.pop() {
             match event {
                 Event::Arrive(request) => self.arrive(now, request),
                 Event::Prefilled { engine, start } => self.prefilled(now, engine, start),
@@ -179,7 +179,7 @@
 
     fn push(&mut self, at: f64, event: Event) {
         self.sequence += 1;
-        self.events.push(Timed(at, self.sequence, event));
+        self.events.push(TimedEvent(at, self.sequence, event));
     }
 
     fn snapshot(&mut self, now: f64) {
@@ -203,7 +203,7 @@
                 for (_, _, work) in gateway.sent.iter().filter(|(_, to, _)| to == id) {
                     unreported.add(work);
                 }
-                // The report is as old as its lag when it arrives.
+                // A report was generated one lag before it arrives.
                 let at = Duration::from_secs_f64(now - REPORT_LAG_SECONDS);
                 gateway
                     .pool
@@ -259,14 +259,14 @@
             if engine % DOMAINS != arrival.gateway % DOMAINS {
                 self.result.cross_domain += 1;
             }
-            let job = Job {
+            let job = EngineJob {
                 request: index,
                 prompt: arrival.prompt,
                 memory: (*memory).min(ENGINE_MEMORY),
                 shared: arrival.shared,
                 share,
                 deadline: arrival.at + arrival.deadline.as_secs_f64(),
-                left: None,
+                remaining_seconds: None,
             };
             let prefill = Duration::from_secs_f64(self.engines[engine].prefill_seconds(&job));
             let long = arrival.prompt >= self.setup.spec.long_tokens;
--- a/lovagedock/src/endpoint/answers.rs
+++ b/lovagedock/src/endpoint/answers.rs
@@ -1,4 +1,4 @@
-//! Ended answers that a gateway may still resume.
+//! Completed answers that a gateway may still resume.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -10,20 +10,20 @@
     outcome::{AnswerEnd, AttemptKey},
 };
 
-/// An answer that has ended and is still kept by the daemon.
+/// An answer that has ended and that the daemon still retains.
 #[derive(Clone, Debug)]
 pub(crate) struct EndedAnswer {
-    /// The newest attempt that took it.
+    /// The newest attempt that received the answer.
     pub(crate) key: AttemptKey,
-    /// How it ended.
+    /// The end of the answer.
     pub(crate) end: AnswerEnd,
-    until: Timestamp,
+    expires_at: Timestamp,
 }
 
-/// Keeps ended answers for a bounded time, count and number of bytes.
+/// Retains ended answers, limited by time, count and number of bytes.
 #[derive(Debug)]
 pub(crate) struct AnswerTable {
-    hold: Duration,
+    retention: Duration,
     count: usize,
     bytes: u64,
     held_bytes: u64,
@@ -32,10 +32,10 @@
 }
 
 impl AnswerTable {
-    /// An empty table with its bounds.
-    pub(crate) fn new(hold: Duration, count: usize, bytes: u64) -> Self {
+    /// Creates an empty table with these bounds.
+    pub(crate) fn new(retention: Duration, count: usize, bytes: u64) -> Self {
         Self {
-            hold,
+            retention,
             count,
             bytes,
             held_bytes: 0,
@@ -44,61 +44,65 @@
         }
     }
 
-    /// Replaces the bounds; what is over them goes with the next expiry.
-    pub(crate) fn set_bounds(&mut self, hold: Duration, count: usize, bytes: u64) {
-        self.hold = hold;
+    /// Replaces the bounds. Answers beyond them are removed by the next expiry.
+    pub(crate) fn set_bounds(&mut self, retention: Duration, count: usize, bytes: u64) {
+        self.retention = retention;
         self.count = count;
         self.bytes = bytes;
     }
 
-    /// Keeps an answer; a request ends only once.
+    /// Adds an answer. Each request ends only once.
     pub(crate) fn insert(&mut self, now: Timestamp, key: AttemptKey, end: AnswerEnd) {
         self.held_bytes += end.length;
-        let until = now + self.hold;
-        let answer = EndedAnswer { key, end, until };
+        let expires_at = now + self.retention;
+        let answer = EndedAnswer {
+            key,
+            end,
+            expires_at,
+        };
         self.answers.insert(key.request, answer);
         self.order.push_back(key.request);
     }
 
-    /// The answer of a request.
+    /// Returns the answer of a request.
     pub(crate) fn get(&self, request: RequestId) -> Option<&EndedAnswer> {
         self.answers.get(&request)
     }
 
-    /// Lets a newer attempt take the answer.
+    /// Makes a newer attempt the receiver of the answer.
     pub(crate) fn attach(&mut self, key: AttemptKey) {
         if let Some(answer) = self.answers.get_mut(&key.request) {
             answer.key = key;
         }
     }
 
-    /// Takes out what is past its time or over the bounds, oldest first.
+    /// Removes and returns the answers that are expired or beyond the bounds, oldest first.
     pub(crate) fn expire(&mut self, now: Timestamp) -> Vec<EndedAnswer> {
-        let mut gone = Vec::new();
-        while self.oldest_is_over(now) {
+        let mut expired = Vec::new();
+        while self.oldest_is_due(now) {
             let Some(request) = self.order.pop_front() else {
                 break;
             };
             if let Some(answer) = self.answers.remove(&request) {
                 self.held_bytes -= answer.end.length;
-                gone.push(answer);
+                expired.push(answer);
             }
         }
-        gone
+        expired
     }
 
-    /// When the oldest answer is past its time.
+    /// Returns the time at which the oldest answer expires.
     pub(crate) fn next_due(&self) -> Option<Timestamp> {
         let oldest = self.order.front()?;
-        self.answers.get(oldest).map(|answer| answer.until)
+        self.answers.get(oldest).map(|answer| answer.expires_at)
     }
 
-    /// Number of answers kept.
+    /// Returns the number of retained answers.
     pub(crate) fn len(&self) -> usize {
         self.answers.len()
     }
 
-    fn oldest_is_over(&self, now: Timestamp) -> bool {
+    fn oldest_is_due(&self, now: Timestamp) -> bool {
         let over_bounds = self.answers.len() > self.count || self.held_bytes > self.bytes;
         over_bounds || self.next_due().is_some_and(|due| due <= now)
     }
--- a/lovagedock/src/endpoint/core.rs
+++ b/lovagedock/src/endpoint/core.rs
@@ -1,4 +1,4 @@
-//! The state of a sidecar's decisions and the round of each event.
+//! The state of the sidecar core and the handling of events.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,17 +13,17 @@
         queue::AdmissionQueue,
         speed::EngineSpeed,
         tombstones::TombstoneTable,
-        work::EngineRoom,
+        work::EngineCapacity,
     },
     ids::{Incarnation, OrganisationId, RequestId, Timestamp, TokenCount},
     outcome::{AttemptKey, RevokeVerdict},
 };
 
-/// Everything that a sidecar decides about the work of its endpoint.
+/// The state machine of a sidecar. It makes all decisions about the work of the endpoint.
 ///
-/// The daemon feeds it each wire call, each piece of engine traffic and, at the time that
-/// [`EndpointAction::WakeAt`] names, a tick; it carries the actions out in their order. Payloads
-/// and answer bytes stay with the daemon, keyed by request id.
+/// The daemon passes in an event for each wire call, for each message from the engine, and a tick
+/// at the time given by [`EndpointAction::WakeAt`]. It executes the returned actions in order.
+/// Payloads and answer bytes stay with the daemon, keyed by request id.
 ///
 /// ```
 /// use std::time::Duration;
@@ -40,7 +40,7 @@
     pub(super) safeguards: EndpointSafeguards,
     pub(super) shares: BTreeMap<OrganisationId, OrganisationShare>,
     pub(super) table: BTreeMap<RequestId, RequestEntry>,
-    /// Requests that were started and have not ended.
+    /// Requests that have started and not ended.
     pub(super) started: BTreeSet<RequestId>,
     pub(super) queue: AdmissionQueue,
     pub(super) ledger: MemoryLedger,
@@ -51,15 +51,15 @@
     pub(super) batch_size: usize,
     pub(super) engine_up: bool,
     pub(super) draining: bool,
-    pub(super) account_due: Timestamp,
+    pub(super) allocations_due: Timestamp,
     pub(super) actions: Vec<EndpointAction>,
     pub(super) due: BTreeSet<DueRequest>,
-    drained_told: bool,
+    drained_reported: bool,
     pub(super) wake: Option<Timestamp>,
     pub(super) now: Timestamp,
 }
 
-/// When something is to be decided about a request.
+/// The time of the next decision about a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct DueRequest {
     pub(super) at: Timestamp,
@@ -67,7 +67,7 @@
 }
 
 impl EndpointCore {
-    /// The decisions of a sidecar that has just started.
+    /// Creates the core of a sidecar that has just started.
     pub fn new(incarnation: Incarnation, limits: EndpointLimits) -> Self {
         Self {
             incarnation,
@@ -77,38 +77,42 @@
             started: BTreeSet::new(),
             queue: AdmissionQueue::default(),
             ledger: MemoryLedger::new(limits.memory_tokens),
-            answers: AnswerTable::new(limits.answer_hold, limits.answer_count, limits.answer_bytes),
-            revoked: TombstoneTable::new(limits.tombstone_hold, limits.tombstone_count),
-            refused: TombstoneTable::new(limits.tombstone_hold, limits.tombstone_count),
+            answers: AnswerTable::new(
+                limits.answer_retention,
+                limits.answer_count,
+                limits.answer_bytes,
+            ),
+            revoked: TombstoneTable::new(limits.tombstone_retention, limits.tombstone_count),
+            refused: TombstoneTable::new(limits.tombstone_retention, limits.tombstone_count),
             speed: EngineSpeed::new(),
             batch_size: 0,
             engine_up: true,
             draining: false,
-            account_due: limits.account_wait,
+            allocations_due: limits.allocations_wait,
             actions: Vec::new(),
             due: BTreeSet::new(),
-            drained_told: false,
+            drained_reported: false,
             wake: None,
             now: Timestamp::ZERO,
             limits,
         }
     }
 
-    /// Switches safeguards, for tests that show what happens without one.
+    /// Sets the safeguards, for tests that show the effect of switching one off.
     pub fn with_safeguards(mut self, safeguards: EndpointSafeguards) -> Self {
         self.safeguards = safeguards;
         self
     }
 
-    /// Decides on an event; `now` never goes back.
+    /// Handles an event and returns the resulting actions. `now` must not decrease.
     pub fn handle(&mut self, now: Timestamp, event: EndpointEvent) -> Vec<EndpointAction> {
         self.now = now.max(self.now);
         let now = self.now;
         self.expire(now);
         self.dispatch(now, event);
         self.start_next(now);
-        self.tell_drained();
-        self.ask_wake();
+        self.report_drained();
+        self.schedule_wake();
         std::mem::take(&mut self.actions)
     }
 
@@ -118,14 +122,16 @@
             EndpointEvent::Revoke(key) => self.revoke(now, key),
             EndpointEvent::Cancel(key) => self.cancel(now, key),
             EndpointEvent::Resume { key, offset } => self.resume(key, offset),
-            EndpointEvent::SinkLost(key) => self.lose_sink(now, key),
+            EndpointEvent::SinkLost(key) => self.record_sink_loss(now, key),
             EndpointEvent::EngineStarted(key) => self.engine_started(key),
             EndpointEvent::EngineBytes { key, length } => self.engine_bytes(now, key, length),
             EndpointEvent::EngineEnded { key, result } => self.engine_ended(now, key, result),
-            EndpointEvent::EngineAccount(account) => self.engine_account(now, &account),
+            EndpointEvent::EngineAllocations(allocations) => {
+                self.engine_allocations(now, &allocations)
+            }
             EndpointEvent::EngineReport(report) => self.engine_report(now, report),
             EndpointEvent::EngineDown => self.engine_down(now),
-            EndpointEvent::EngineUp => self.bring_engine_up(now),
+            EndpointEvent::EngineUp => self.record_engine_up(now),
             EndpointEvent::Reserve { key, tokens, hold } => self.reserve(now, key, tokens, hold),
             EndpointEvent::Renew { key, hold } => self.renew(now, key, hold),
             EndpointEvent::Release(key) => self.release(now, key),
@@ -139,13 +145,13 @@
         while self.may_start(now) && self.started.len() < self.concurrency() {
             let running = || self.started.iter().filter_map(|id| self.table.get(id));
             let free_at = |need| predict_free(now, need, running(), &self.ledger);
-            let room = EngineRoom {
+            let capacity = EngineCapacity {
                 memory: self.ledger.memory(),
                 free: self.ledger.free(),
                 free_at: &free_at,
             };
             let reserve = self.safeguards.head_reservation;
-            let Some(work) = self.queue.pop(now, room, &self.limits, reserve) else {
+            let Some(work) = self.queue.pop(now, capacity, &self.limits, reserve) else {
                 return;
             };
             let Some(entry) = self.table.get_mut(&work.request) else {
@@ -158,29 +164,29 @@
             entry.started_at = now;
             self.started.insert(work.request);
             self.actions.push(EndpointAction::Start(entry.key));
-            self.arm(work.request);
+            self.schedule_due(work.request);
         }
     }
 
     fn may_start(&self, now: Timestamp) -> bool {
         let leaving = self.draining && self.safeguards.drain_queue;
-        self.engine_up && !leaving && self.knows_engine(now)
+        self.engine_up && !leaving && self.knows_engine_state(now)
     }
 
-    /// Whether the engine has told what it holds, or had its time to tell.
+    /// Whether the engine has reported its allocations, or the time to wait for them is over.
     ///
-    /// After a restart of this sidecar its former work may still run on the engine. A start
-    /// before the first account could run a request twice, or overfill the memory.
-    pub(super) fn knows_engine(&self, now: Timestamp) -> bool {
-        self.ledger.memory() == 0 || self.ledger.is_accounted() || self.account_due <= now
+    /// After a restart of this sidecar, earlier work may still run on the engine. A start before
+    /// the first report could run a request twice or exceed the memory.
+    pub(super) fn knows_engine_state(&self, now: Timestamp) -> bool {
+        self.ledger.memory() == 0 || self.ledger.knows_allocations() || self.allocations_due <= now
     }
 
-    /// Requests that were started and have not ended.
+    /// Returns the requests that have started and not ended.
     pub(super) fn running(&self) -> impl Iterator<Item = &RequestEntry> {
         self.started.iter().filter_map(|id| self.table.get(id))
     }
 
-    /// Requests that run at once at most.
+    /// Returns the maximum number of running requests.
     pub(super) fn concurrency(&self) -> usize {
         if self.batch_size > 0 {
             return self.batch_size;
@@ -190,31 +196,31 @@
 
     fn drain(&mut self, now: Timestamp, leaving: bool) {
         self.draining = leaving;
-        self.drained_told = false;
+        self.drained_reported = false;
         if !leaving || !self.safeguards.drain_queue {
             return;
         }
-        // Nothing that waits may start after the endpoint has announced that it leaves; given
-        // back as not run, it is placed elsewhere at once.
+        // Queued requests must not start once the endpoint has announced that it drains. They are
+        // returned as not run, so that they are placed on other endpoints immediately.
         self.finish_queued(now, ResultCode::Draining);
     }
 
-    fn tell_drained(&mut self) {
+    fn report_drained(&mut self) {
         let empty = self.table.is_empty() && self.ledger.reserved() == 0;
-        if !self.draining || self.drained_told || !empty {
+        if !self.draining || self.drained_reported || !empty {
             return;
         }
-        self.drained_told = true;
+        self.drained_reported = true;
         self.actions.push(EndpointAction::Drained);
     }
 
-    /// The verdict on an attempt, as an action.
-    pub(super) fn tell_verdict(&mut self, key: AttemptKey, verdict: RevokeVerdict) {
+    /// Adds an action with the verdict on an attempt.
+    pub(super) fn push_verdict(&mut self, key: AttemptKey, verdict: RevokeVerdict) {
         self.actions.push(EndpointAction::Verdict { key, verdict });
     }
 }
 
-/// When so much memory is free if each running request ends as predicted.
+/// Predicts when this much memory is free, assuming that each running request ends as predicted.
 fn predict_free<'a>(
     now: Timestamp,
     need: TokenCount,
--- a/lovagedock/src/endpoint/queue.rs
+++ b/lovagedock/src/endpoint/queue.rs
@@ -1,19 +1,19 @@
-//! Requests that wait for the engine, and which goes next.
+//! The queue of requests waiting for the engine, and the choice of the next one to start.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::{
     config::PriorityTier,
     endpoint::{
-        fair::{FairTags, VirtualTime},
-        head::HeadReservation,
+        fair_queue::{FairTags, VirtualTime},
+        head_reservation::HeadReservation,
         limits::EndpointLimits,
-        work::{EngineRoom, QueuedWork, WorkAhead},
+        work::{EngineCapacity, QueuedWork, WorkAhead},
     },
     ids::{RequestId, Timestamp, TokenCount},
 };
 
-/// Candidates looked at behind one that waits for memory.
+/// Maximum number of queued requests examined for one start.
 const SCAN_DEPTH: usize = 64;
 const TIER_COUNT: usize = 3;
 
@@ -27,20 +27,21 @@
 
 #[derive(Debug, Default)]
 struct TierQueue {
-    by_tag: BTreeSet<TagPlace>,
+    by_tag: BTreeSet<TagEntry>,
     ahead: WorkAhead,
     tags: FairTags,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct TagPlace {
+struct TagEntry {
     tag: VirtualTime,
     sequence: u64,
     request: RequestId,
 }
 
-/// Orders what waits: tiers first, within a tier start-time fair by organisation, with a bounded
-/// share of starts for what has waited longest and a reservation for what waits for memory.
+/// The queue of a sidecar. Higher tiers go first. Within a tier, organisations are served by
+/// start-time fair queueing. A bounded share of starts goes to the oldest request, and memory is
+/// reserved for the first request that does not fit.
 #[derive(Debug, Default)]
 pub(crate) struct AdmissionQueue {
     slots: BTreeMap<RequestId, QueueSlot>,
@@ -53,7 +54,7 @@
 }
 
 impl AdmissionQueue {
-    /// Puts a request at the end of its organisation's line.
+    /// Appends a request to the queue of its organisation.
     pub(crate) fn push(&mut self, now: Timestamp, work: QueuedWork) {
         let request = work.request;
         self.remove(request);
@@ -61,9 +62,9 @@
         self.next_sequence += 1;
         let tier = &mut self.tiers[work.tier as usize];
         let cost = work.cost.total();
-        let tag = tier.tags.push(&work.organisation, cost, work.weight);
+        let tag = tier.tags.assign_tag(&work.organisation, cost, work.weight);
         tier.ahead.add(work.cost);
-        tier.by_tag.insert(TagPlace {
+        tier.by_tag.insert(TagEntry {
             tag,
             sequence,
             request,
@@ -79,31 +80,31 @@
         self.slots.insert(request, slot);
     }
 
-    /// Takes out the request that is to start now, if any fits.
+    /// Removes and returns the request to start now, if any fits.
     pub(crate) fn pop(
         &mut self,
         now: Timestamp,
-        room: EngineRoom<'_>,
+        capacity: EngineCapacity<'_>,
         limits: &EndpointLimits,
         reserve: bool,
     ) -> Option<QueuedWork> {
-        let (request, aged) = self.choose(now, room, limits, reserve)?;
+        let (request, aged) = self.choose(now, capacity, limits, reserve)?;
         let tag = self.slots.get(&request)?.tag;
-        let was_head = self.head.is(request);
+        let was_head = self.head.is_head(request);
         let work = self.remove(request)?;
-        self.tiers[work.tier as usize].tags.start(tag);
+        self.tiers[work.tier as usize].tags.record_start(tag);
         self.starts_since_aged = if aged { 0 } else { self.starts_since_aged + 1 };
         if !was_head {
-            self.head.note_start(request, work.need);
+            self.head.record_bypass(request, work.need);
         }
         Some(work)
     }
 
-    /// Takes a request out.
+    /// Removes a request.
     pub(crate) fn remove(&mut self, request: RequestId) -> Option<QueuedWork> {
         let slot = self.slots.remove(&request)?;
         let tier = &mut self.tiers[slot.work.tier as usize];
-        tier.by_tag.remove(&TagPlace {
+        tier.by_tag.remove(&TagEntry {
             tag: slot.tag,
             sequence: slot.sequence,
             request,
@@ -111,55 +112,59 @@
         tier.ahead.prefill -= slot.work.cost.prefill;
         tier.ahead.total -= slot.work.cost.total();
         if tier.by_tag.is_empty() {
-            tier.tags.clear();
+            tier.tags.prune();
         }
         self.by_age.remove(&slot.sequence);
         self.tokens -= slot.work.need;
-        self.head.clear_if(request);
+        self.head.clear_if_head(request);
         Some(slot.work)
     }
 
-    /// Nothing waits and nothing runs.
-    pub(crate) fn note_idle(&mut self) {
+    /// Resets the fair-queueing tags when no request is queued or running.
+    pub(crate) fn reset_tags(&mut self) {
         for tier in &mut self.tiers {
             tier.tags.reset();
         }
     }
 
-    /// A started request has left the engine.
-    pub(crate) fn note_end(&mut self, request: RequestId) {
-        self.head.note_end(request);
+    /// Records that a started request has left the engine.
+    pub(crate) fn record_end(&mut self, request: RequestId) {
+        self.head.record_end(request);
     }
 
-    /// Whether memory may be given to something outside of the queue beside the waiting head.
-    pub(crate) fn leaves_room(&self, need: TokenCount, memory: TokenCount) -> bool {
-        self.head.leaves_room(need, memory)
+    /// Whether the head still fits if this memory is granted outside the queue.
+    pub(crate) fn leaves_memory_for_head(&self, need: TokenCount, memory: TokenCount) -> bool {
+        self.head.leaves_memory_for_head(need, memory)
     }
 
-    /// Memory that is left beside the waiting head.
-    pub(crate) fn room(&self, memory: TokenCount) -> TokenCount {
-        self.head.room(memory)
+    /// Returns the memory that is available in addition to the memory kept for the head.
+    pub(crate) fn available_beside_head(&self, memory: TokenCount) -> TokenCount {
+        self.head.available_beside_head(memory)
     }
 
-    /// Memory was given to something outside of the queue.
-    pub(crate) fn note_taken(&mut self, request: RequestId, need: TokenCount) {
-        self.head.note_start(request, need);
+    /// Records that memory was granted outside the queue.
+    pub(crate) fn record_external_grant(&mut self, request: RequestId, need: TokenCount) {
+        self.head.record_bypass(request, need);
     }
 
-    /// The request to shed for a new one: the last in the order of the lowest tier, if the new
-    /// one would go before it.
-    pub(crate) fn victim(&self, tier: PriorityTier, organisation: &str) -> Option<RequestId> {
+    /// Returns the request to shed in favour of a new one: the last request of the lowest non-empty
+    /// tier, if the new request would start before it.
+    pub(crate) fn shed_candidate(
+        &self,
+        tier: PriorityTier,
+        organisation: &str,
+    ) -> Option<RequestId> {
         let lowest = self.tiers.iter().position(|tier| !tier.by_tag.is_empty())?;
         let last = self.tiers[lowest].by_tag.last()?;
         let goes_before = match lowest.cmp(&(tier as usize)) {
             std::cmp::Ordering::Less => true,
-            std::cmp::Ordering::Equal => self.tiers[lowest].tags.next(organisation) < last.tag,
+            std::cmp::Ordering::Equal => self.tiers[lowest].tags.next_tag(organisation) < last.tag,
             std::cmp::Ordering::Greater => false,
         };
         goes_before.then_some(last.request)
     }
 
-    /// Work that goes before a new request.
+    /// Returns the work that would start before a new request.
     pub(crate) fn ahead_of(&self, tier: PriorityTier, organisation: &str) -> WorkAhead {
         let rank = tier as usize;
         let mut ahead = WorkAhead::default();
@@ -168,20 +173,20 @@
             ahead.total += higher.ahead.total;
         }
         let own = &self.tiers[rank];
-        let tag = own.tags.next(organisation);
+        let tag = own.tags.next_tag(organisation);
         if own.by_tag.last().is_none_or(|last| last.tag <= tag) {
             ahead.prefill += own.ahead.prefill;
             ahead.total += own.ahead.total;
             return ahead;
         }
-        for place in own.by_tag.iter().take_while(|place| place.tag <= tag) {
-            ahead.add(self.slots[&place.request].work.cost);
+        for entry in own.by_tag.iter().take_while(|entry| entry.tag <= tag) {
+            ahead.add(self.slots[&entry.request].work.cost);
         }
         ahead
     }
 
-    /// All work that waits.
-    pub(crate) fn all(&self) -> WorkAhead {
+    /// Returns all queued work.
+    pub(crate) fn queued_work(&self) -> WorkAhead {
         let mut all = WorkAhead::default();
         for tier in &self.tiers {
             all.prefill += tier.ahead.prefill;
@@ -190,24 +195,24 @@
         all
     }
 
-    /// Requests that need more memory than there is.
+    /// Returns the requests that need more than this much memory.
     pub(crate) fn too_large(&self, memory: TokenCount) -> Vec<RequestId> {
         let slots = self.slots.values();
         let slots = slots.filter(|slot| slot.work.need > memory);
         slots.map(|slot| slot.work.request).collect()
     }
 
-    /// Number of requests that wait.
+    /// Returns the number of queued requests.
     pub(crate) fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// Memory that all of them need.
+    /// Returns the memory that all queued requests need, in tokens.
     pub(crate) fn tokens(&self) -> TokenCount {
         self.tokens
     }
 
-    /// The request that memory is being kept free for.
+    /// Returns the request that memory is kept free for.
     pub(crate) fn waiting_head(&self) -> Option<RequestId> {
         self.head.request()
     }
@@ -215,12 +220,12 @@
     fn choose(
         &mut self,
         now: Timestamp,
-        room: EngineRoom<'_>,
+        capacity: EngineCapacity<'_>,
         limits: &EndpointLimits,
         reserve: bool,
     ) -> Option<(RequestId, bool)> {
         if let Some(head) = self.head.request()
-            && self.need(head) <= room.free
+            && self.need(head) <= capacity.free
         {
             return Some((head, false));
         }
@@ -230,30 +235,31 @@
             };
             let need = slot.work.need;
             let ends_at = now + slot.work.cost.total();
-            let fits = need <= room.free;
-            if fits && (!reserve || self.head.lets_pass(now, need, ends_at, room.memory)) {
+            let fits = need <= capacity.free;
+            if fits && (!reserve || self.head.allows_bypass(now, need, ends_at, capacity.memory)) {
                 return Some((request, aged));
             }
             if !fits && reserve && self.head.request().is_none() {
-                let free_at = (room.free_at)(need);
+                let free_at = (capacity.free_at)(need);
                 self.head.set(request, need, now + limits.bypass, free_at);
             }
         }
         None
     }
 
-    /// The order in which requests are tried.
+    /// Returns the requests in the order in which they are tried.
     fn candidates(&self, now: Timestamp, limits: &EndpointLimits) -> Vec<(RequestId, bool)> {
         let aged = self.aged(now, limits);
         let by_tier = self.tiers.iter().rev().flat_map(|tier| tier.by_tag.iter());
-        let by_tier = by_tier.map(|place| (place.request, false));
+        let by_tier = by_tier.map(|entry| (entry.request, false));
         let aged = aged.map(|request| (request, true));
         aged.into_iter().chain(by_tier).take(SCAN_DEPTH).collect()
     }
 
-    /// What has waited longest goes first in one of a few starts. Strict tiers alone would let a
-    /// steady stream of short interactive requests starve a long batch prompt until its
-    /// deadline; the bounded share keeps the tiers from turning into one line under overload.
+    /// Returns the oldest request if it is due to start before higher tiers. With strict tiers
+    /// alone, a steady stream of short interactive requests would starve a long batch prompt until
+    /// its deadline. Only one of `aged_interval` starts goes to the oldest request, so that the
+    /// tiers do not collapse into a single queue under overload.
     fn aged(&self, now: Timestamp, limits: &EndpointLimits) -> Option<RequestId> {
         if limits.aged_interval == 0 || self.starts_since_aged + 1 < limits.aged_interval {
             return None;
--- a/lovagedock/src/endpoint/reserve.rs
+++ b/lovagedock/src/endpoint/reserve.rs
@@ -1,4 +1,4 @@
-//! Memory that spans reserve ahead of their request.
+//! Memory reservations for spans, made before the request is submitted.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
     ) {
         if let Some(reservation) = self.reservation(key.request) {
             let enough = reservation.tokens >= tokens;
-            if !enough || key.attempt < reservation.attempt || !self.is_own_life(key) {
+            if !enough || key.attempt < reservation.attempt || !self.is_own_incarnation(key) {
                 return self.refuse_reservation(key);
             }
             return self.hold_reservation(now, key, tokens, hold);
@@ -26,7 +26,7 @@
         if !self.may_reserve(now, key, tokens) {
             return self.refuse_reservation(key);
         }
-        self.queue.note_taken(key.request, tokens);
+        self.queue.record_external_grant(key.request, tokens);
         self.hold_reservation(now, key, tokens, hold);
     }
 
@@ -39,7 +39,7 @@
     ) {
         let state = LeaseState::Reserved {
             attempt: key.attempt,
-            until: now + hold.min(self.limits.reservation_hold),
+            expires_at: now + hold.min(self.limits.reservation_hold),
         };
         self.ledger.grant(key.request, tokens, state);
         let free_tokens = self.ledger.free();
@@ -47,27 +47,30 @@
             .push(EndpointAction::GrantReservation { key, free_tokens });
     }
 
-    /// Spans get free memory at once or not at all: one that waited here while it holds memory
-    /// elsewhere could wait for another span that waits for it.
+    /// Whether a reservation may be granted. It is granted immediately or refused and never waits.
+    /// A span that waited here while holding memory on other engines could deadlock with another
+    /// span.
     fn may_reserve(&self, now: Timestamp, key: AttemptKey, tokens: TokenCount) -> bool {
         let known = self.table.contains_key(&key.request)
             || self.ledger.lease(key.request).is_some()
             || self.ledger.is_orphan(key.request)
-            || self.buried(key).is_some();
-        let serving = self.engine_up && !self.draining && self.knows_engine(now);
+            || self.tombstone_refusal(key).is_some();
+        let serving = self.engine_up && !self.draining && self.knows_engine_state(now);
         let fits = tokens <= self.ledger.free();
         let percent = TokenCount::from(self.limits.span_share_percent);
         let share = self.ledger.memory() * percent / 100;
         let in_share = self.span_tokens().saturating_add(tokens) <= share;
-        self.is_own_life(key)
+        self.is_own_incarnation(key)
             && serving
             && !known
             && in_share
             && fits
-            && self.queue.leaves_room(tokens, self.ledger.memory())
+            && self
+                .queue
+                .leaves_memory_for_head(tokens, self.ledger.memory())
     }
 
-    /// Memory that spans hold, reserved or running.
+    /// Memory held by spans, both reserved and running.
     fn span_tokens(&self) -> TokenCount {
         let running = self
             .table
@@ -90,21 +93,21 @@
         }
     }
 
-    /// Whether an attempt holds a reservation here, so that a part of a span may be prefilled.
+    /// Whether an attempt holds a reservation, so that a part of its span may be prefilled.
     pub fn holds_reservation(&self, key: AttemptKey) -> bool {
         let reservation = self.reservation(key.request);
         let own = reservation.is_some_and(|reservation| reservation.attempt == key.attempt);
-        own && self.is_own_life(key)
+        own && self.is_own_incarnation(key)
     }
 
-    pub(super) fn lapse_reservations(&mut self, now: Timestamp) {
-        for request in self.ledger.lapsed(now) {
+    pub(super) fn expire_reservations(&mut self, now: Timestamp) {
+        for request in self.ledger.expired_reservations(now) {
             self.close_memory(now, request);
         }
     }
 
-    /// Frees the reservation of an attempt or an older one; memory of a request that runs is not
-    /// touched.
+    /// Frees a reservation of this attempt or an older one. Memory of a running request is not
+    /// affected.
     pub(super) fn close_reservation(&mut self, now: Timestamp, key: AttemptKey) {
         let reservation = self.reservation(key.request);
         if reservation.is_some_and(|reservation| reservation.attempt <= key.attempt) {
@@ -123,7 +126,7 @@
         }
     }
 
-    fn is_own_life(&self, key: AttemptKey) -> bool {
+    fn is_own_incarnation(&self, key: AttemptKey) -> bool {
         key.incarnation == self.incarnation
     }
 
--- a/lovagedock/src/endpoint/tombstones.rs
+++ b/lovagedock/src/endpoint/tombstones.rs
@@ -1,4 +1,4 @@
-//! Attempts that must not run, kept for a bounded time and count.
+//! Tombstones for attempts that must not run, limited by time and count.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -10,107 +10,118 @@
     ids::{AttemptNumber, RequestId, Timestamp},
 };
 
-/// Why attempts of a request up to a number must not run.
+/// Prevents attempts of a request up to a number from running.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Tombstone {
-    /// The newest attempt that it covers.
+    /// The newest attempt covered by the tombstone.
     pub(crate) attempt: AttemptNumber,
-    /// What the gateway was told.
+    /// Result code reported to the gateway.
     pub(crate) code: ResultCode,
-    /// Whether the request ran here.
+    /// Whether the request ran on this endpoint.
     pub(crate) ran: RanState,
 }
 
 impl Tombstone {
-    /// Whether a submit of this attempt is to be refused.
+    /// Whether a submit of this attempt must be refused.
     ///
-    /// What ran here is not started a second time under any attempt; what did not run may come
-    /// back as a newer one.
+    /// A request that ran on this endpoint is not started again by any attempt. A request that did
+    /// not run may be submitted again as a newer attempt.
     pub(crate) fn covers(&self, attempt: AttemptNumber) -> bool {
         attempt <= self.attempt || self.ran != RanState::No
     }
 }
 
-/// Remembers attempts that must not run.
+/// Table of tombstones by request.
 ///
-/// Without it, a submit that a silent connection delivers late would start a request whose
-/// gateway was told "not run" and has sent it elsewhere. A tombstone outlives every session on
-/// which the submit may still be under way, since sessions end seconds after they fall silent.
+/// Without tombstones, a submit that an unresponsive connection delivers late would start a request
+/// that was reported to its gateway as "not run" and has been sent to another endpoint. A tombstone
+/// outlives every session on which the submit may still be in transit, since sessions are closed
+/// seconds after they stop responding.
 #[derive(Debug)]
 pub(crate) struct TombstoneTable {
-    hold: Duration,
+    retention: Duration,
     count: usize,
-    stones: BTreeMap<RequestId, KeptTombstone>,
+    tombstones: BTreeMap<RequestId, StoredTombstone>,
     order: VecDeque<ExpiryMark>,
     forgotten_early: u64,
 }
 
 #[derive(Debug)]
-struct KeptTombstone {
-    stone: Tombstone,
-    until: Timestamp,
+struct StoredTombstone {
+    tombstone: Tombstone,
+    expires_at: Timestamp,
 }
 
 #[derive(Debug)]
 struct ExpiryMark {
-    until: Timestamp,
+    expires_at: Timestamp,
     request: RequestId,
 }
 
 impl TombstoneTable {
-    /// An empty table with its bounds.
-    pub(crate) fn new(hold: Duration, count: usize) -> Self {
+    /// Creates an empty table with these bounds.
+    pub(crate) fn new(retention: Duration, count: usize) -> Self {
         Self {
-            hold,
+            retention,
             count,
-            stones: BTreeMap::new(),
+            tombstones: BTreeMap::new(),
             order: VecDeque::new(),
             forgotten_early: 0,
         }
     }
 
     /// Replaces the bounds.
-    pub(crate) fn set_bounds(&mut self, hold: Duration, count: usize) {
-        self.hold = hold;
+    pub(crate) fn set_bounds(&mut self, retention: Duration, count: usize) {
+        self.retention = retention;
         self.count = count;
         self.trim();
     }
 
-    /// Remembers a request; an older tombstone of it is widened, never narrowed.
-    pub(crate) fn insert(&mut self, now: Timestamp, request: RequestId, stone: Tombstone) {
-        let until = now + self.hold;
-        let kept = self
-            .stones
-            .entry(request)
-            .or_insert(KeptTombstone { stone, until });
-        if kept.stone.ran == RanState::No {
-            kept.stone.code = stone.code;
-            kept.stone.ran = stone.ran;
+    /// Adds a tombstone. An existing tombstone of the request is extended and never narrowed.
+    pub(crate) fn insert(&mut self, now: Timestamp, request: RequestId, tombstone: Tombstone) {
+        let expires_at = now + self.retention;
+        let stored = self.tombstones.entry(request).or_insert(StoredTombstone {
+            tombstone,
+            expires_at,
+        });
+        if stored.tombstone.ran == RanState::No {
+            stored.tombstone.code = tombstone.code;
+            stored.tombstone.ran = tombstone.ran;
         }
-        kept.stone.attempt = kept.stone.attempt.max(stone.attempt);
-        kept.until = until;
-        self.order.push_back(ExpiryMark { until, request });
+        stored.tombstone.attempt = stored.tombstone.attempt.max(tombstone.attempt);
+        stored.expires_at = expires_at;
+        self.order.push_back(ExpiryMark {
+            expires_at,
+            request,
+        });
         self.trim();
     }
 
-    /// The tombstone of a request.
+    /// Returns the tombstone of a request.
     pub(crate) fn get(&self, request: RequestId) -> Option<&Tombstone> {
-        self.stones.get(&request).map(|kept| &kept.stone)
+        self.tombstones
+            .get(&request)
+            .map(|stored| &stored.tombstone)
     }
 
-    /// Forgets what is past its time.
+    /// Removes expired tombstones.
     pub(crate) fn expire(&mut self, now: Timestamp) {
-        while self.order.front().is_some_and(|mark| mark.until <= now) {
+        while self
+            .order
+            .front()
+            .is_some_and(|mark| mark.expires_at <= now)
+        {
             self.drop_oldest();
         }
     }
 
-    /// Number of requests remembered.
+    /// Returns the number of tombstones.
     pub(crate) fn len(&self) -> usize {
-        self.stones.len()
+        self.tombstones.len()
     }
 
-    /// Tombstones that the count pushed out before their time.
+    /// Returns the number of tombstones removed before their expiry because of the limit on their
+    /// count.
     pub(crate) fn forgotten_early(&self) -> u64 {
         self.forgotten_early
     }
@@ -123,16 +134,19 @@
         }
     }
 
-    /// Drops the oldest mark and, unless a newer mark renewed it, its tombstone.
+    /// Removes the oldest expiry mark. Also removes its tombstone unless a newer mark renewed it.
     fn drop_oldest(&mut self) -> bool {
         let Some(mark) = self.order.pop_front() else {
             return false;
         };
-        let current = self.stones.get(&mark.request).map(|kept| kept.until);
-        if current != Some(mark.until) {
+        let current = self
+            .tombstones
+            .get(&mark.request)
+            .map(|stored| stored.expires_at);
+        if current != Some(mark.expires_at) {
             return false;
         }
-        self.stones.remove(&mark.request);
+        self.tombstones.remove(&mark.request);
         true
     }
 }
--- a/lovagedock/src/placement/baseline.rs
+++ b/lovagedock/src/placement/baseline.rs
@@ -1,4 +1,4 @@
-//! Plain policies that others are measured against.
+//! Simple load-balancing policies that serve as baselines for comparisons.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 
 use super::{
     predict::{LengthClass, cost_of, predict_first_token},
-    span::{eligible, fits, take_span},
+    span::{eligible, fits, select_span},
     types::{
         EndpointView, PlacementChoice, PlacementPolicy, PlacementReason, PlacementRequest, PoolView,
     },
@@ -61,7 +61,7 @@
         candidates[nth]
     }
 
-    /// All candidates in the policy's order of preference, for a span.
+    /// Sorts the candidates of a span by the policy's order of preference.
     fn sort(&mut self, candidates: &mut [usize], rng: &mut dyn Rng, pool: &PoolView<'_>) {
         match self.order {
             BaselineOrder::Random | BaselineOrder::TwoChoices => candidates.shuffle(rng),
@@ -90,7 +90,7 @@
         }
         self.sort(&mut candidates, rng, pool);
         let first = candidates[0];
-        match take_span(request, pool, candidates.into_iter()) {
+        match select_span(request, pool, candidates.into_iter()) {
             Some(members) => PlacementChoice::Span {
                 members,
                 predicted_first_token: predict_first_token(
--- a/lovagedock/src/placement/span.rs
+++ b/lovagedock/src/placement/span.rs
@@ -2,95 +2,97 @@
 
 use super::types::{EndpointView, PlacementRequest, PoolView, SpanMember};
 
-/// Memory that a request holds until its end.
+/// KV memory that the request occupies until it ends, in tokens.
 pub(super) fn memory_need(request: &PlacementRequest<'_>) -> TokenCount {
     request.prompt_tokens.saturating_add(request.answer_tokens)
 }
 
-pub(super) fn memory_of(view: &EndpointView) -> TokenCount {
+/// Size of the endpoint's KV memory in tokens; 0 if it is unknown or the service is plain.
+pub(super) fn total_memory(view: &EndpointView) -> TokenCount {
     view.report
         .as_ref()
         .map_or(0, |report| report.memory_tokens)
 }
 
-/// Whether the request may go to the endpoint at all.
+/// Whether the endpoint accepts work and is not excluded for the request.
 pub(super) fn eligible(request: &PlacementRequest<'_>, view: &EndpointView) -> bool {
-    view.takes_work() && !request.excluded.contains(&view.id)
+    view.accepts_work() && !request.excluded.contains(&view.id)
 }
 
-/// Whether the endpoint has enough memory for the request when it is otherwise empty.
+/// Whether the request fits into the memory of the endpoint when the endpoint is idle.
 ///
 /// Plain services and engines that have not reported yet have no known limit.
 pub(super) fn fits(request: &PlacementRequest<'_>, view: &EndpointView) -> bool {
-    let memory = memory_of(view);
+    let memory = total_memory(view);
     memory == 0 || memory_need(request) <= memory
 }
 
-/// Takes the fewest endpoints, in the given order, whose memory for spans together is enough, and
-/// shares the request evenly among them; `None` if the memory of all is too little.
+/// Selects endpoints in the given order until their memory for spans is enough for the request,
+/// and splits the request evenly among them. Returns `None` if all of them together have too
+/// little memory.
 ///
-/// Endpoints whose memory is free now go first. When these are too few, the others are asked too,
-/// and the span backs off until they have room.
-pub(super) fn take_span(
+/// Only memory that is free now is counted at first. If that is not enough, all memory for spans
+/// is counted, and the span backs off until the endpoints have free memory.
+pub(super) fn select_span(
     request: &PlacementRequest<'_>,
     pool: &PoolView<'_>,
     order: impl Iterator<Item = usize> + Clone,
 ) -> Option<Vec<SpanMember>> {
-    let free = |view: &EndpointView| span_memory(view).min(free_of(view));
-    take_enough(request, pool, order.clone(), free)
-        .or_else(|| take_enough(request, pool, order, span_memory))
+    let free = |view: &EndpointView| span_memory(view).min(free_memory(view));
+    select_enough(request, pool, order.clone(), free)
+        .or_else(|| select_enough(request, pool, order, span_memory))
 }
 
-/// Memory of an endpoint that spans may hold; the sidecar refuses a reservation beyond it.
+/// Memory of the endpoint that spans may use. The sidecar refuses reservations beyond it.
 fn span_memory(view: &EndpointView) -> TokenCount {
-    memory_of(view) * TokenCount::from(SPAN_SHARE_PERCENT) / 100
+    total_memory(view) * TokenCount::from(SPAN_SHARE_PERCENT) / 100
 }
 
-fn free_of(view: &EndpointView) -> TokenCount {
+fn free_memory(view: &EndpointView) -> TokenCount {
     let report = view.report.as_ref();
     let free = report.map_or(0, |report| report.free_tokens);
     free.saturating_sub(view.sent_since.tokens)
 }
 
-fn take_enough(
+fn select_enough(
     request: &PlacementRequest<'_>,
     pool: &PoolView<'_>,
     order: impl Iterator<Item = usize>,
     memory_for: impl Fn(&EndpointView) -> TokenCount,
 ) -> Option<Vec<SpanMember>> {
     let need = memory_need(request);
-    let mut taken: Vec<(usize, TokenCount)> = Vec::new();
+    let mut selected: Vec<(usize, TokenCount)> = Vec::new();
     let mut memory = 0;
     for index in order {
         let available = memory_for(&pool.endpoints[index]);
         if available == 0 {
             continue;
         }
-        taken.push((index, available));
+        selected.push((index, available));
         memory += available;
         if memory >= need {
-            return Some(share_evenly(need, &taken, pool));
+            return Some(share_evenly(need, &selected, pool));
         }
     }
     None
 }
 
-/// Gives each endpoint an equal part, or all of its memory where that is less.
+/// Gives each endpoint an equal part, or all of its available memory if that is less.
 fn share_evenly(
     need: TokenCount,
-    taken: &[(usize, TokenCount)],
+    selected: &[(usize, TokenCount)],
     pool: &PoolView<'_>,
 ) -> Vec<SpanMember> {
-    let mut smallest_first: Vec<usize> = (0..taken.len()).collect();
-    smallest_first.sort_by_key(|place| taken[*place].1);
-    let mut parts = vec![0; taken.len()];
-    let mut left = need;
-    for (done, place) in smallest_first.into_iter().enumerate() {
-        let others = (taken.len() - done) as TokenCount;
-        parts[place] = left.div_ceil(others).min(taken[place].1);
-        left -= parts[place];
+    let mut smallest_first: Vec<usize> = (0..selected.len()).collect();
+    smallest_first.sort_by_key(|position| selected[*position].1);
+    let mut parts = vec![0; selected.len()];
+    let mut remaining = need;
+    for (assigned, position) in smallest_first.into_iter().enumerate() {
+        let others = (selected.len() - assigned) as TokenCount;
+        parts[position] = remaining.div_ceil(others).min(selected[position].1);
+        remaining -= parts[position];
     }
-    let members = taken.iter().zip(parts);
+    let members = selected.iter().zip(parts);
     members
         .map(|((index, _), tokens)| SpanMember {
             endpoint: pool.endpoints[*index].id.clone(),
--- a/lovagedock/tests/cost_model.rs
+++ b/lovagedock/tests/cost_model.rs
@@ -1,4 +1,4 @@
-//! The cost model finds an engine's true cost, also when observations lag, stray or change.
+//! The cost model learns an engine's true cost despite delayed, noisy or changing observations.
 
 use std::time::Duration;
 
@@ -36,9 +36,9 @@
     struct Case {
         name: &'static str,
         noise: f64,
-        /// Share of observations that come late by a factor of 2 to 20.
+        /// Share of observations that are too slow by a factor of 2 to 20.
         late: f64,
-        /// Share of observations that a hidden cache hit made ten times too fast.
+        /// Share of observations that are ten times too fast because of an unreported cache hit.
         fast: f64,
         tolerance: f64,
     }
@@ -68,14 +68,14 @@
     for case in cases {
         let mut rng = ChaCha8Rng::seed_from_u64(5);
         let mut model = CostModel::new();
-        for turn in 0..600 {
+        for round in 0..600 {
             let mut factor = 1.0 + case.noise * (2.0 * rng.random::<f64>() - 1.0);
             if rng.random_bool(case.late) {
                 factor *= 2.0 + 18.0 * rng.random::<f64>();
             } else if rng.random_bool(case.fast) {
                 factor *= 0.1;
             }
-            let prompt = LENGTHS[turn % LENGTHS.len()];
+            let prompt = LENGTHS[round % LENGTHS.len()];
             model.observe_prefill(&observation(prompt, 0, factor));
         }
         for prompt in LENGTHS {
@@ -86,13 +86,13 @@
 }
 
 #[test]
-fn follows_an_engine_that_changes_its_speed() {
+fn adapts_to_a_change_of_engine_speed() {
     let mut model = CostModel::new();
-    for turn in 0..300 {
-        model.observe_prefill(&observation(LENGTHS[turn % 5], 0, 1.0));
+    for round in 0..300 {
+        model.observe_prefill(&observation(LENGTHS[round % 5], 0, 1.0));
     }
-    for turn in 0..300 {
-        model.observe_prefill(&observation(LENGTHS[turn % 5], 0, 2.5));
+    for round in 0..300 {
+        model.observe_prefill(&observation(LENGTHS[round % 5], 0, 2.5));
     }
     let slower = CostParameters {
         prefill_ns_per_token: TRUE_COST.prefill_ns_per_token * 2.5,
@@ -108,8 +108,8 @@
 #[test]
 fn cached_tokens_are_not_charged_twice() {
     let mut model = CostModel::new();
-    for turn in 0..300 {
-        let prompt = LENGTHS[turn % 5];
+    for round in 0..300 {
+        let prompt = LENGTHS[round % 5];
         model.observe_prefill(&observation(prompt, prompt / 2, 1.0));
     }
     let predicted = model.predict_first_token(0, 256_000, 128_000);
@@ -117,12 +117,12 @@
     assert!((predicted.as_secs_f64() / expected - 1.0).abs() < 0.05);
 }
 
-/// What the caller sees: the first history after a day of summaries is refused as out of time.
-/// Only short prompts were observed, forgetting had let the variance of the squared term grow
-/// without end, and noise had moved it far off. The variance is limited, so it stays near its
-/// prior.
+/// Guards against the first long prompt after many short ones being refused as out of time. With
+/// only short prompts observed, exponential forgetting lets the variance of the squared term grow
+/// without bound, and noise moves the coefficient far off. The variance is limited, so the
+/// coefficient stays near its prior.
 #[test]
-fn short_prompts_alone_do_not_spoil_the_prediction_for_long_ones() {
+fn short_prompts_alone_do_not_distort_the_prediction_for_long_ones() {
     let mut rng = ChaCha8Rng::seed_from_u64(9);
     let mut model = CostModel::new();
     for _ in 0..20_000 {
@@ -151,20 +151,19 @@
 }
 
 #[test]
-fn queue_tokens_cost_what_the_mix_costs() {
+fn queue_tokens_cost_the_mean_of_the_mix() {
     let mut model = CostModel::new();
-    for turn in 0..600 {
-        model.observe_prefill(&observation(LENGTHS[turn % 2], 0, 1.0));
+    for round in 0..600 {
+        model.observe_prefill(&observation(LENGTHS[round % 2], 0, 1.0));
     }
-    let waits =
-        model.predict_first_token(50_000, 1_000, 0) - model.predict_first_token(0, 1_000, 0);
+    let wait = model.predict_first_token(50_000, 1_000, 0) - model.predict_first_token(0, 1_000, 0);
     let rate = TRUE_COST.prefill(4_000, 0).as_secs_f64() / 4_000.0;
     let expected = 50_000.0 * rate;
-    assert!((waits.as_secs_f64() / expected - 1.0).abs() < 0.1);
+    assert!((wait.as_secs_f64() / expected - 1.0).abs() < 0.1);
 }
 
 #[test]
-fn nothing_observed_reads_as_unknown() {
+fn model_without_observations_has_unknown_parameters() {
     let mut model = CostModel::new();
     assert_eq!(model.parameters(), CostParameters::default());
     assert_eq!(model.decode_interval(8), None);
@@ -188,10 +187,6 @@
     model.observe_decode(64, Duration::from_secs(30));
     let at = |batch| model.decode_interval(batch).map(|d| d.as_millis());
     assert_eq!(at(1), Some(20));
-    assert_eq!(
-        at(8),
-        Some(36),
-        "interpolated on the scale of powers of two"
-    );
-    assert_eq!(at(512), at(64), "nothing larger was seen");
+    assert_eq!(at(8), Some(36), "interpolated on a logarithmic scale");
+    assert_eq!(at(512), at(64), "no larger batch was observed");
 }
