--- a/lovagedock/examples/compare/engine.rs
+++ b/lovagedock/examples/compare/engine.rs
@@ -1,4 +1,4 @@
-//! An engine with one prefill at a time, a memory that decodes hold, and a prefix cache.
+//! Simulated engine that runs one prefill at a time, with KV memory and a prefix cache.
 
 use std::{collections::VecDeque, sync::Arc, time::Duration};
 
@@ -6,15 +6,15 @@
     CostParameters, EndpointBacklog, EndpointReport, PREFIX_PIECE_TOKENS, TokenCount,
 };
 
-use crate::traffic::{TRUE_COST, shared_hash};
+use crate::traffic::{TRUE_COST, conversation_hash};
 
 pub(crate) const ENGINE_MEMORY: TokenCount = 450_000;
 const LONG_TOKENS: TokenCount = 32_000;
 const CACHE_TOKENS: TokenCount = 150_000;
-/// Each running answer slows prefill by this share.
-const DECODE_DRAG: f64 = 0.01;
+/// Slowdown of prefill per decoding request.
+const DECODE_SLOWDOWN: f64 = 0.01;
 
-/// How an engine orders its work.
+/// Scheduling order of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EngineOrder {
     /// First come, first served.
@@ -23,38 +23,44 @@
     ShortFirst,
 }
 
-/// A request, or one part of a span, at one engine.
+/// A request or one part of a span on one engine.
 #[derive(Clone, Debug)]
-pub(crate) struct Job {
+pub(crate) struct EngineJob {
     pub(crate) request: usize,
     pub(crate) prompt: TokenCount,
     pub(crate) memory: TokenCount,
     pub(crate) shared: Option<(u64, u64)>,
-    /// Share of the prompt's prefill that this engine does.
+    /// Share of the prompt's prefill that runs on this engine.
     pub(crate) share: f64,
-    /// Virtual time after which it is not started any more.
+    /// Virtual time after which the job is no longer started.
     pub(crate) deadline: f64,
-    /// Seconds of prefill left, once it was started.
-    pub(crate) left: Option<f64>,
+    /// Remaining seconds of prefill of a started job.
+    pub(crate) remaining_seconds: Option<f64>,
 }
 
-impl Job {
-    /// Whether the sidecar drops it unstarted; parts of a span stay, since others hold memory.
+impl EngineJob {
+    /// Whether the sidecar drops the queued job. Parts of a span are kept because the other parts
+    /// hold memory.
     fn expired(&self, now: f64) -> bool {
-        self.left.is_none() && self.share == 1.0 && now > self.deadline
+        self.remaining_seconds.is_none() && self.share == 1.0 && now > self.deadline
     }
 
     fn missing_memory(&self) -> TokenCount {
-        if self.left.is_some() { 0 } else { self.memory }
+        if self.remaining_seconds.is_some() {
+            0
+        } else {
+            self.memory
+        }
     }
 }
 
 pub(crate) struct Engine {
     pub(crate) order: EngineOrder,
     pub(crate) cost: CostParameters,
-    pub(crate) queue: VecDeque<Job>,
-    pub(crate) current: Option<(Job, f64)>,
-    /// Counts starts, so that the end of an interrupted prefill is not mistaken for a later one's.
+    pub(crate) queue: VecDeque<EngineJob>,
+    pub(crate) current: Option<(EngineJob, f64)>,
+    /// Number of starts. It distinguishes the end of an interrupted prefill from that of a later
+    /// one.
     pub(crate) starts: u64,
     pub(crate) used: TokenCount,
     pub(crate) decoding: u32,
@@ -79,7 +85,7 @@
         }
     }
 
-    pub(crate) fn enqueue(&mut self, now: f64, job: Job) {
+    pub(crate) fn enqueue(&mut self, now: f64, job: EngineJob) {
         if self.order == EngineOrder::Fifo || job.prompt >= LONG_TOKENS {
             self.queue.push_back(job);
             return;
@@ -105,7 +111,7 @@
             return;
         }
         if let Some((mut job, end)) = self.current.take() {
-            job.left = Some(end - now);
+            job.remaining_seconds = Some(end - now);
             let at = self
                 .queue
                 .iter()
@@ -114,7 +120,7 @@
         }
     }
 
-    /// Starts the next prefill if it can; returns when it ends and its number.
+    /// Starts the next prefill if possible. Returns its end time and its start number.
     pub(crate) fn start(&mut self, now: f64) -> Option<(f64, u64)> {
         if self.current.is_some() {
             return None;
@@ -122,17 +128,20 @@
         self.queue.retain(|job| !job.expired(now));
         let free = ENGINE_MEMORY - self.used;
         let head_fits = self.queue.front()?.missing_memory() <= free;
-        // What was interrupted goes on when the head has to wait for the memory that it holds.
+        // An interrupted job continues if the first job must wait for the memory that it holds.
         let at = match head_fits {
             true => 0,
-            false => self.queue.iter().position(|job| job.left.is_some())?,
+            false => self
+                .queue
+                .iter()
+                .position(|job| job.remaining_seconds.is_some())?,
         };
         let job = self.queue.remove(at)?;
         self.used += job.missing_memory();
-        let drag = 1.0 + DECODE_DRAG * f64::from(self.decoding);
-        let seconds = match job.left {
-            Some(left) => left,
-            None => self.prefill_seconds(&job) * drag,
+        let slowdown = 1.0 + DECODE_SLOWDOWN * f64::from(self.decoding);
+        let seconds = match job.remaining_seconds {
+            Some(remaining_seconds) => remaining_seconds,
+            None => self.prefill_seconds(&job) * slowdown,
         };
         self.touch_cache(job.shared);
         self.starts += 1;
@@ -140,9 +149,9 @@
         Some((now + seconds, self.starts))
     }
 
-    pub(crate) fn prefill_seconds(&self, job: &Job) -> f64 {
-        if let Some(left) = job.left {
-            return left;
+    pub(crate) fn prefill_seconds(&self, job: &EngineJob) -> f64 {
+        if let Some(remaining_seconds) = job.remaining_seconds {
+            return remaining_seconds;
         }
         let cached = match job.shared {
             Some(shared) if self.cache.contains(&shared) => shared.1 * PREFIX_PIECE_TOKENS,
@@ -165,18 +174,18 @@
     }
 
     fn backlog(&self, now: f64) -> EndpointBacklog {
-        let left = self.current.as_ref().map_or(0.0, |(_, end)| end - now);
-        let waiting = |keep: &dyn Fn(&Job) -> bool| -> f64 {
+        let remaining_seconds = self.current.as_ref().map_or(0.0, |(_, end)| end - now);
+        let waiting = |keep: &dyn Fn(&EngineJob) -> bool| -> f64 {
             let jobs = self.queue.iter().filter(|job| keep(job));
             jobs.map(|job| self.prefill_seconds(job)).sum()
         };
-        let all = left + waiting(&|_| true);
-        let is_short = |job: &Job| job.prompt < LONG_TOKENS;
+        let all = remaining_seconds + waiting(&|_| true);
+        let is_short = |job: &EngineJob| job.prompt < LONG_TOKENS;
         let short = match self.order {
             EngineOrder::Fifo => all,
             EngineOrder::ShortFirst => {
                 let running = self.current.as_ref().is_some_and(|(job, _)| is_short(job));
-                waiting(&is_short) + if running { left } else { 0.0 }
+                waiting(&is_short) + if running { remaining_seconds } else { 0.0 }
             }
         };
         EndpointBacklog {
@@ -187,7 +196,7 @@
 
     pub(crate) fn report(&self, now: f64, with_backlog: bool) -> Arc<EndpointReport> {
         let queued_tokens = self.queue.iter().map(|job| job.prompt).sum();
-        let left = self.current.as_ref().map_or(0.0, |(_, end)| end - now);
+        let remaining_seconds = self.current.as_ref().map_or(0.0, |(_, end)| end - now);
         let long = self
             .current
             .iter()
@@ -195,7 +204,7 @@
             .count() as u32;
         let left_tokens = self.current.as_ref().map_or(0, |(job, _)| {
             let all = self.cost.prefill(job.prompt, 0).as_secs_f64() * job.share;
-            (job.prompt as f64 * (left / all).clamp(0.0, 1.0)) as u64
+            (job.prompt as f64 * (remaining_seconds / all).clamp(0.0, 1.0)) as u64
         });
         Arc::new(EndpointReport {
             memory_tokens: ENGINE_MEMORY,
@@ -210,7 +219,7 @@
             cached_prefixes: self
                 .cache
                 .iter()
-                .map(|(c, pieces)| shared_hash(*c, *pieces))
+                .map(|(c, pieces)| conversation_hash(*c, *pieces))
                 .collect(),
         })
     }
--- a/lovagedock/examples/compare/main.rs
+++ b/lovagedock/examples/compare/main.rs
@@ -1,8 +1,9 @@
-//! Compares the registered placement policies over seeds.
+//! Compares the registered placement policies over several seeds.
 //!
-//! `cargo run --release -p lovagedock --example compare -- [LOAD] [SEEDS] [fifo|short-first] [SHARE] [POLICY|all] [GATEWAYS]`
-//! prints one row for each policy: the p95 first token of each bucket in seconds of virtual time
-//! (median over the seeds), the short slowdown with its range, and what was refused or late.
+//! `cargo run --release -p lovagedock --example compare -- [LOAD] [SEEDS] [fifo|short-first]
+//! [SHARE] [POLICY|all] [GATEWAYS]` prints one row per policy: the p95 first-token time of each
+//! bucket in seconds of virtual time (median over the seeds), the slowdown of short prompts with
+//! its range, and the numbers of refused and late requests.
 
 mod engine;
 mod fleet;
@@ -21,7 +22,7 @@
     let order = match args.next().as_deref() {
         None | Some("fifo") => EngineOrder::Fifo,
         Some("short-first") => EngineOrder::ShortFirst,
-        Some(other) => panic!("no engine order is named {other}"),
+        Some(other) => panic!("unknown engine order: {other}"),
     };
     let default = PlacementSpec::default();
     let share = args
@@ -40,7 +41,7 @@
     };
     let gateways = args.next().map_or(3, |a| a.parse().expect("GATEWAYS"));
     for policy in policy_names().into_iter().filter(wanted) {
-        let runs: Vec<Pair> = (1..=seeds)
+        let runs: Vec<PairedRun> = (1..=seeds)
             .map(|seed| {
                 let setup = FleetSetup {
                     spec: PlacementSpec {
@@ -57,20 +58,20 @@
                     with_long: true,
                     with_backlog,
                 };
-                Pair::new(&setup)
+                PairedRun::new(&setup)
             })
             .collect();
         print_row(policy, &runs);
     }
 }
 
-/// The same short requests with and without the long ones.
-struct Pair {
+/// Results of the same short requests with and without the long ones.
+struct PairedRun {
     mixed: FleetResult,
     short: FleetResult,
 }
 
-impl Pair {
+impl PairedRun {
     fn new(setup: &FleetSetup) -> Self {
         let short = FleetSetup {
             with_long: false,
@@ -87,25 +88,28 @@
     }
 }
 
-fn print_row(policy: &str, runs: &[Pair]) {
+fn print_row(policy: &str, runs: &[PairedRun]) {
     print!("| {policy} ");
     for bucket in LengthBucket::ALL {
-        print!("| {:.2} ", spread(runs, |pair| pair.mixed.p95(bucket)).1);
+        print!(
+            "| {:.2} ",
+            min_median_max(runs, |pair| pair.mixed.p95(bucket)).1
+        );
     }
     for bucket in [LengthBucket::K1, LengthBucket::K4] {
-        let (low, mid, high) = spread(runs, |pair| pair.slowdown(bucket));
+        let (low, mid, high) = min_median_max(runs, |pair| pair.slowdown(bucket));
         print!("| {mid:.2} ({low:.2}-{high:.2}) ");
     }
     let refused: Vec<u64> = (0..6)
         .map(|bucket| runs.iter().map(|pair| pair.mixed.refused[bucket]).sum())
         .collect();
     let late: u64 = runs.iter().map(|pair| pair.mixed.late).sum();
-    let good = spread(runs, |pair| pair.mixed.good_tokens as f64 / 1e6).1;
+    let good = min_median_max(runs, |pair| pair.mixed.good_tokens as f64 / 1e6).1;
     println!("| {refused:?} | {late} | {good:.1} |");
 }
 
-/// Least, median and greatest value over the runs.
-fn spread(runs: &[Pair], value: impl Fn(&Pair) -> f64) -> (f64, f64, f64) {
+/// Returns the minimum, median and maximum over the runs.
+fn min_median_max(runs: &[PairedRun], value: impl Fn(&PairedRun) -> f64) -> (f64, f64, f64) {
     let mut values: Vec<f64> = runs.iter().map(value).collect();
     values.sort_by(f64::total_cmp);
     (
--- a/lovagedock/examples/direct_cost.rs
+++ b/lovagedock/examples/direct_cost.rs
@@ -7,14 +7,14 @@
 use std::time::{Duration, Instant};
 
 use lovagedock::{
-    DirectEndpoint, DirectPlacer, DirectRequest, EndpointLife, EndpointState, EngineProfile,
+    DirectEndpoint, DirectPlacer, DirectRequest, EndpointProcess, EndpointState, EngineProfile,
     PeerLoad, PlacerCandidate, WorkLedger, WriterGroup, prelude::*,
 };
 
 const ROUNDS: usize = 4_000;
 const SLOTS: u32 = 12;
 
-/// Gateways and endpoints: the smallest fleet, the grown one, the large one, and the next.
+/// Gateways and endpoints: the smallest fleet, two larger ones, and the next size.
 const SIZES: [(usize, usize); 4] = [(4, 16), (24, 72), (68, 172), (300, 1_000)];
 
 const PROFILE: EngineProfile = EngineProfile {
@@ -34,16 +34,16 @@
         let endpoints: Vec<DirectEndpoint> = (0..count).map(endpoint).collect();
         let mut ledger = WorkLedger::new();
         fill(&mut ledger, &endpoints, gateways - 1);
-        let hear = micros(|round| {
+        let apply = micros(|round| {
             let load = peer_load(round);
-            let endpoint = endpoints[round % count].life.clone();
-            ledger.hear(
+            let endpoint = endpoints[round % count].process.clone();
+            ledger.apply_peer_loads(
                 Timestamp::ZERO,
                 &peer(round % (gateways - 1)),
                 [(endpoint, load)],
             );
         });
-        println!("{gateways},{count},hear of one endpoint,{hear:.2}");
+        println!("{gateways},{count},hear of one endpoint,{apply:.2}");
         for (name, prompt) in [
             ("look, short prompt", 5_000),
             ("look, long prompt", 300_000),
@@ -56,8 +56,8 @@
                 returned: false,
                 suspect: false,
             };
-            let look = micros(|_| look(&ledger, &endpoints, &request));
-            println!("{gateways},{count},{name},{look:.2}");
+            let evaluation = micros(|_| evaluate(&ledger, &endpoints, &request));
+            println!("{gateways},{count},{name},{evaluation:.2}");
         }
     }
 }
@@ -74,7 +74,7 @@
 
 fn endpoint(number: usize) -> DirectEndpoint {
     DirectEndpoint {
-        life: EndpointLife::new(format!("i-{number:010}"), 1),
+        process: EndpointProcess::new(format!("i-{number:010}"), 1),
         service: "model".into(),
         address: ([10, 0, (number >> 8) as u8, number as u8], 8_000).into(),
         domain: "a".into(),
@@ -87,47 +87,47 @@
     PeerLoad {
         occupied: 1 + u32::from(round.is_multiple_of(3)),
         short: 1,
-        unread: 0,
+        pending_prefills: 0,
         context: 5_000,
-        reading_total: Duration::from_millis(round as u64),
+        prefill_total: Duration::from_millis(round as u64),
         suspects: 0,
-        pace: 1.0,
+        slowdown: 1.0,
         writers: [WriterGroup::new(Duration::from_millis(200), 1.5)]
             .into_iter()
             .collect(),
     }
 }
 
-/// Peers that have something on one endpoint in a burst, however many there are.
-const SHARERS: usize = 8;
+/// Number of peers that have work on one endpoint in a burst, independent of the number of peers.
+const BUSY_PEERS: usize = 8;
 
-/// Every peer has used each endpoint once; some have something there now.
+/// Fills the ledger: every peer has used each endpoint once, and some have work there now.
 fn fill(ledger: &mut WorkLedger, endpoints: &[DirectEndpoint], peers: usize) {
     for number in 0..peers {
         let loads = endpoints.iter().enumerate().map(|(index, endpoint)| {
-            let load = match (index + number) % peers < SHARERS.min(peers) {
+            let load = match (index + number) % peers < BUSY_PEERS.min(peers) {
                 true => peer_load(1),
                 false => PeerLoad::default(),
             };
-            (endpoint.life.clone(), load)
+            (endpoint.process.clone(), load)
         });
-        ledger.hear(Timestamp::ZERO, &peer(number), loads);
+        ledger.apply_peer_loads(Timestamp::ZERO, &peer(number), loads);
     }
 }
 
-/// What a gateway does to find a place.
-fn look(ledger: &WorkLedger, endpoints: &[DirectEndpoint], request: &DirectRequest) {
+/// Evaluates a placement like a gateway does.
+fn evaluate(ledger: &WorkLedger, endpoints: &[DirectEndpoint], request: &DirectRequest) {
     let now = Duration::from_secs(100);
     let short: u32 = endpoints
         .iter()
-        .map(|endpoint| ledger.short_count(&endpoint.life))
+        .map(|endpoint| ledger.short_count(&endpoint.process))
         .sum();
     let candidates: Vec<PlacerCandidate<'_>> = endpoints
         .iter()
         .enumerate()
         .map(|(position, endpoint)| PlacerCandidate {
             endpoint,
-            load: ledger.load(now, &endpoint.life),
+            load: ledger.load(now, &endpoint.process),
             rank: position as f64 / endpoints.len() as f64,
             short_lane: position < short as usize / 20,
             may_help: true,
--- a/lovagedock/src/direct/rate_limit.rs
+++ b/lovagedock/src/direct/rate_limit.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-use super::{decimal::parse_decimal, life::EndpointLife};
+use super::{decimal::parse_decimal, process::EndpointProcess};
 use crate::ids::{GatewayId, Timestamp};
 
 /// Requests per second.
@@ -17,7 +17,8 @@
 /// Upper bound of an advertised rate. Larger values are malformed.
 const MAX_RATE: RequestRate = 1e6;
 
-/// Lower bound applied to advertised rates. Only an answer to a request shows that a limit has ended.
+/// Lower bound applied to advertised rates. Only the response to a request shows that a limit has
+/// ended.
 const MIN_RATE: RequestRate = 0.1;
 
 /// Minimum time after its latest request for which a gateway takes a share of an endpoint's limit.
@@ -41,12 +42,12 @@
 const REMOVED_RETENTION: Duration = Duration::from_secs(60);
 
 /// Maximum number of entries per message. At about 35 bytes each, they fit into one packet with the loads.
-const MAX_NEWS_PER_MESSAGE: usize = 16;
+const MAX_UPDATES_PER_MESSAGE: usize = 16;
 
-/// Rate limit in the head of an endpoint's answer.
+/// Rate limit in the headers of an endpoint's response.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum AdvertisedLimit {
-    /// The answer names no limit.
+    /// The response contains no limit.
     #[default]
     Unlimited,
     /// Maximum rate across all gateways.
@@ -95,12 +96,12 @@
 
 /// State of one endpoint's limit, as sent to peers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct RateNews {
+pub struct RateUpdate {
     /// The endpoint process that advertised the limit.
-    pub endpoint: EndpointLife,
+    pub endpoint: EndpointProcess,
     /// The limit, or `None` if it has been removed.
     pub rate: Option<RequestRate>,
-    /// Time since the endpoint's answer was received.
+    /// Time since the endpoint's response was received.
     pub age: Duration,
     /// Whether the reporting gateway has requests for the endpoint and is a sender or a standby.
     pub is_claimed: bool,
@@ -110,8 +111,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GatewayCount {
     /// Gateways whose messages are being received.
-    pub heard: usize,
-    /// Gateways that may be serving requests, heard or not.
+    pub reachable: usize,
+    /// Gateways that may be serving requests, whether or not their messages arrive.
     pub known: usize,
 }
 
@@ -125,8 +126,8 @@
 pub struct RateLimits {
     gateway: GatewayId,
     count: GatewayCount,
-    limits: BTreeMap<EndpointLife, RateLimitRecord>,
-    malformed: HashSet<EndpointLife>,
+    limits: BTreeMap<EndpointProcess, RateLimitRecord>,
+    malformed: HashSet<EndpointProcess>,
 }
 
 #[derive(Clone, Debug)]
@@ -164,20 +165,23 @@
     pub fn new(gateway: GatewayId) -> Self {
         Self {
             gateway,
-            count: GatewayCount { heard: 1, known: 1 },
+            count: GatewayCount {
+                reachable: 1,
+                known: 1,
+            },
             limits: BTreeMap::new(),
             malformed: HashSet::new(),
         }
     }
 
-    /// Records the limit in an answer to a request that was sent at `sent_at`, and returns the
+    /// Records the limit in the response to a request that was sent at `sent_at`, and returns the
     /// resulting event, if any.
     ///
-    /// An answer without a limit does not remove one that was received after the request was sent.
+    /// A response without a limit does not remove one that was received after the request was sent.
     pub fn record(
         &mut self,
         now: Timestamp,
-        endpoint: &EndpointLife,
+        endpoint: &EndpointProcess,
         sent_at: Timestamp,
         advertised: AdvertisedLimit,
     ) -> Option<RateLimitEvent> {
@@ -204,38 +208,38 @@
         event
     }
 
-    /// Applies news from a peer and returns the resulting event, if any.
-    pub fn hear(
+    /// Applies an update from a peer and returns the resulting event, if any.
+    pub fn apply_update(
         &mut self,
         now: Timestamp,
         peer: &GatewayId,
-        news: RateNews,
+        update: RateUpdate,
     ) -> Option<RateLimitEvent> {
-        let is_valid = news
+        let is_valid = update
             .rate
             .is_none_or(|rate| (0.0..=MAX_RATE).contains(&rate));
-        if !is_valid || news.age > REMOVED_RETENTION {
+        if !is_valid || update.age > REMOVED_RETENTION {
             return None;
         }
-        let received_at = now.saturating_sub(news.age);
-        let known = self.limits.get(&news.endpoint);
+        let received_at = now.saturating_sub(update.age);
+        let known = self.limits.get(&update.endpoint);
         let is_newer = known.is_none_or(|known| known.received_at < received_at);
         let change = match is_newer {
-            true => self.set(now, &news.endpoint, received_at, news.rate),
+            true => self.set(now, &update.endpoint, received_at, update.rate),
             false => None,
         };
-        if let Some(record) = self.limits.get_mut(&news.endpoint) {
-            match news.is_claimed {
+        if let Some(record) = self.limits.get_mut(&update.endpoint) {
+            match update.is_claimed {
                 true => record.claims.insert(peer.clone(), now),
                 false => record.claims.remove(peer),
             };
         }
-        self.update_share(now, &news.endpoint);
+        self.update_share(now, &update.endpoint);
         change
     }
 
     /// Records that this gateway has a request for an endpoint. Returns whether peers must be notified.
-    pub fn note_demand(&mut self, now: Timestamp, endpoint: &EndpointLife) -> bool {
+    pub fn record_demand(&mut self, now: Timestamp, endpoint: &EndpointProcess) -> bool {
         let Some(record) = self.limits.get_mut(endpoint) else {
             return false;
         };
@@ -252,7 +256,7 @@
         &mut self,
         now: Timestamp,
         count: GatewayCount,
-        is_listed: impl Fn(&EndpointLife) -> bool,
+        is_listed: impl Fn(&EndpointProcess) -> bool,
     ) {
         self.count = count;
         self.malformed.retain(&is_listed);
@@ -264,14 +268,14 @@
     }
 
     fn update_shares(&mut self, now: Timestamp) {
-        let endpoints: Vec<EndpointLife> = self.limits.keys().cloned().collect();
+        let endpoints: Vec<EndpointProcess> = self.limits.keys().cloned().collect();
         for endpoint in &endpoints {
             self.update_share(now, endpoint);
         }
     }
 
     /// Removes all state of an endpoint process.
-    pub fn forget(&mut self, endpoint: &EndpointLife) {
+    pub fn forget(&mut self, endpoint: &EndpointProcess) {
         self.limits.remove(endpoint);
         self.malformed.remove(endpoint);
     }
@@ -285,18 +289,18 @@
     }
 
     /// Returns the limit that an endpoint has advertised.
-    pub fn rate(&self, endpoint: &EndpointLife) -> Option<RequestRate> {
+    pub fn rate(&self, endpoint: &EndpointProcess) -> Option<RequestRate> {
         self.limits.get(endpoint)?.rate
     }
 
     /// Returns the endpoints that have a limit, with their rates.
-    pub fn limited(&self) -> impl Iterator<Item = (&EndpointLife, RequestRate)> {
+    pub fn limited(&self) -> impl Iterator<Item = (&EndpointProcess, RequestRate)> {
         let limits = self.limits.iter();
         limits.filter_map(|(endpoint, record)| Some((endpoint, record.rate?)))
     }
 
     /// Returns whether a request may be sent to an endpoint now, without consuming a token.
-    pub fn verdict(&self, now: Timestamp, endpoint: &EndpointLife) -> RateVerdict {
+    pub fn verdict(&self, now: Timestamp, endpoint: &EndpointProcess) -> RateVerdict {
         let Some(record) = self.limits.get(endpoint) else {
             return RateVerdict::Unlimited;
         };
@@ -313,7 +317,7 @@
     }
 
     /// Like [`Self::verdict`], but consumes a token if the request is admitted.
-    pub fn admit(&mut self, now: Timestamp, endpoint: &EndpointLife) -> RateVerdict {
+    pub fn admit(&mut self, now: Timestamp, endpoint: &EndpointProcess) -> RateVerdict {
         let verdict = self.verdict(now, endpoint);
         if verdict == RateVerdict::Admitted
             && let Some(record) = self.limits.get_mut(endpoint)
@@ -323,25 +327,25 @@
         verdict
     }
 
-    /// Returns the news that is due to be sent to peers, and marks it as sent.
-    pub fn take_news(&mut self, now: Timestamp) -> Vec<RateNews> {
+    /// Returns the updates that are due to be sent to peers, and marks them as sent.
+    pub fn take_updates(&mut self, now: Timestamp) -> Vec<RateUpdate> {
         let gateway = &self.gateway;
         let due = self.limits.iter_mut().filter_map(|(endpoint, record)| {
             let is_claimed = record.is_claimed(now, endpoint, gateway);
-            record.take_due(now, is_claimed).then(|| RateNews {
+            record.take_due(now, is_claimed).then(|| RateUpdate {
                 endpoint: endpoint.clone(),
                 rate: record.rate,
                 age: now.saturating_sub(record.received_at),
                 is_claimed,
             })
         });
-        due.take(MAX_NEWS_PER_MESSAGE).collect()
+        due.take(MAX_UPDATES_PER_MESSAGE).collect()
     }
 
     fn set(
         &mut self,
         now: Timestamp,
-        endpoint: &EndpointLife,
+        endpoint: &EndpointProcess,
         received_at: Timestamp,
         rate: Option<RequestRate>,
     ) -> Option<RateLimitEvent> {
@@ -357,7 +361,7 @@
     }
 
     /// Recomputes this gateway's share of an endpoint's limit.
-    fn update_share(&mut self, now: Timestamp, endpoint: &EndpointLife) {
+    fn update_share(&mut self, now: Timestamp, endpoint: &EndpointProcess) {
         let (gateway, count) = (&self.gateway, self.count);
         let Some(record) = self.limits.get_mut(endpoint) else {
             return;
@@ -400,7 +404,7 @@
     /// proportion to its size.
     fn share(
         &self,
-        endpoint: &EndpointLife,
+        endpoint: &EndpointProcess,
         gateway: &GatewayId,
         rate: RequestRate,
         count: GatewayCount,
@@ -410,12 +414,12 @@
         if self.rank(endpoint, gateway) >= senders {
             return 0.0;
         }
-        let part = count.heard as f64 / count.known.max(count.heard).max(1) as f64;
+        let part = count.reachable as f64 / count.known.max(count.reachable).max(1) as f64;
         rate * part / senders as f64
     }
 
     /// Returns the number of peers with a claim whose hash is lower than that of `gateway`.
-    fn rank(&self, endpoint: &EndpointLife, gateway: &GatewayId) -> usize {
+    fn rank(&self, endpoint: &EndpointProcess, gateway: &GatewayId) -> usize {
         let seed = xxh3_64(endpoint.id.as_bytes());
         let key = |name: &GatewayId| (xxh3_64_with_seed(name.as_bytes(), seed), name.clone());
         let own = key(gateway);
@@ -424,7 +428,7 @@
     }
 
     /// Whether `gateway` has requests for the endpoint and is a sender or a standby.
-    fn is_claimed(&self, now: Timestamp, endpoint: &EndpointLife, gateway: &GatewayId) -> bool {
+    fn is_claimed(&self, now: Timestamp, endpoint: &EndpointProcess, gateway: &GatewayId) -> bool {
         let senders = self.rate.map_or(0, max_senders);
         senders > 0
             && self.has_demand(now)
--- a/lovagedock/src/direct/record.rs
+++ b/lovagedock/src/direct/record.rs
@@ -1,48 +1,50 @@
-//! What is known of one endpoint's work.
+//! Record of the work on one endpoint.
 
 use std::{collections::HashMap, time::Duration};
 
 use super::load::{PeerLoad, PlacedWork, WriterTable};
 use crate::ids::{GatewayId, Timestamp, TokenCount};
 
-/// Time after which what a peer placed on one endpoint no longer counts, though the peer is heard. A peer
-/// tells what it has at least every 1.25 s, so that two messages in a row have to be lost before work that
-/// is there is dropped, until the next one. If the message that nothing is there any more is lost, its
-/// slots would stay taken for good without this.
-const UNTOLD_TIME: Duration = Duration::from_millis(3_500);
+/// Time without confirmation after which a peer's load on one endpoint no longer counts, although
+/// other messages of the peer arrive. A peer sends its loads at least every 1.25 s, so existing
+/// work is dropped only after the loss of two consecutive messages, and only until the next one.
+/// Without this timeout, the loss of the message that the peer's work has ended would keep its
+/// slots occupied forever.
+const UNCONFIRMED_TIMEOUT: Duration = Duration::from_millis(3_500);
 
-/// Work on one endpoint, of this gateway and of each peer.
+/// Work on one endpoint, placed by this gateway and by each peer.
 #[derive(Clone, Debug, Default)]
 pub(super) struct EndpointRecord {
     pub(super) own: PeerLoad,
-    /// When the engine has read everything that is known to be placed there.
+    /// When the engine will have prefilled everything that is known to be placed there.
     pub(super) free_at: Timestamp,
-    /// Peers that have something there.
-    pub(super) peers: HashMap<GatewayId, HeardLoad>,
-    /// What this gateway and all peers have placed, kept up with every change. Placement looks at
-    /// all endpoints for each request and each event is compared with the load of its engine:
-    /// beside 23 peers and 70 endpoints a look takes 19 us instead of 25 (`examples/direct_cost`).
+    /// Loads of the peers that have work there.
+    pub(super) peers: HashMap<GatewayId, ReceivedLoad>,
+    /// Load that this gateway and all peers have placed, updated on every change. Placement
+    /// evaluates all endpoints for each request, and each event is compared with the load of its
+    /// engine. With 23 peers and 70 endpoints, an evaluation takes 19 us instead of 25
+    /// (`examples/direct_cost`).
     pub(super) total: LoadTotal,
-    pub(super) held: Vec<HeldSlots>,
-    /// Whether this gateway has something there that peers know of, or have to be told of.
+    pub(super) reserved: Vec<ReservedSlots>,
+    /// Whether this gateway has work there, or has to report to peers that its work has ended.
     pub(super) is_used: bool,
-    /// Since when the endpoint is not listed.
-    pub(super) gone_at: Option<Timestamp>,
+    /// Since when the endpoint has been unlisted.
+    pub(super) unlisted_at: Option<Timestamp>,
 }
 
-/// What a peer told of an endpoint, and when it did last.
+/// Latest load that a peer reported for an endpoint.
 #[derive(Clone, Debug)]
-pub(super) struct HeardLoad {
+pub(super) struct ReceivedLoad {
     pub(super) load: PeerLoad,
-    pub(super) at: Timestamp,
+    pub(super) received_at: Timestamp,
 }
 
-/// What all gateways have placed on an endpoint.
+/// Load that all gateways have placed on an endpoint.
 #[derive(Clone, Debug, Default)]
 pub(super) struct LoadTotal {
     pub(super) occupied: u32,
     pub(super) short: u32,
-    pub(super) unread: u32,
+    pub(super) pending_prefills: u32,
     pub(super) suspects: u32,
     pub(super) context: TokenCount,
     pub(super) writers: WriterTable,
@@ -52,7 +54,7 @@
     pub(super) fn add(&mut self, load: &PeerLoad) {
         self.occupied += load.occupied;
         self.short += load.short;
-        self.unread += load.unread;
+        self.pending_prefills += load.pending_prefills;
         self.suspects += load.suspects;
         self.context += load.context;
         load.writers
@@ -63,7 +65,7 @@
     pub(super) fn subtract(&mut self, load: &PeerLoad) {
         self.occupied = self.occupied.saturating_sub(load.occupied);
         self.short = self.short.saturating_sub(load.short);
-        self.unread = self.unread.saturating_sub(load.unread);
+        self.pending_prefills = self.pending_prefills.saturating_sub(load.pending_prefills);
         self.suspects = self.suspects.saturating_sub(load.suspects);
         self.context = self.context.saturating_sub(load.context);
         load.writers
@@ -72,49 +74,52 @@
     }
 }
 
-/// Slots that a peer freed a moment ago and that are left to it for a while.
+/// Slots that a peer freed and that stay reserved for it for a short time.
 #[derive(Clone, Debug)]
-pub(super) struct HeldSlots {
+pub(super) struct ReservedSlots {
     pub(super) peer: GatewayId,
     pub(super) slots: u32,
     pub(super) until: Timestamp,
 }
 
 impl EndpointRecord {
-    /// Replaces what a peer has placed.
+    /// Replaces the load of a peer.
     pub(super) fn set_peer(&mut self, now: Timestamp, peer: &GatewayId, load: PeerLoad) {
         self.forget_peer(peer);
         if load.is_idle() {
             return;
         }
         self.total.add(&load);
-        let heard = HeardLoad { load, at: now };
-        self.peers.insert(peer.clone(), heard);
+        let received = ReceivedLoad {
+            load,
+            received_at: now,
+        };
+        self.peers.insert(peer.clone(), received);
     }
 
-    /// Forgets what a peer has placed.
+    /// Removes the load of a peer.
     pub(super) fn forget_peer(&mut self, peer: &GatewayId) {
         if let Some(known) = self.peers.remove(peer) {
             self.total.subtract(&known.load);
         }
     }
 
-    /// Forgets what peers have not told again.
-    pub(super) fn forget_untold(&mut self, now: Timestamp) {
+    /// Removes the loads that peers have not confirmed within the timeout.
+    pub(super) fn forget_unconfirmed(&mut self, now: Timestamp) {
         let total = &mut self.total;
-        self.peers.retain(|_, heard| {
-            let is_told = now.saturating_sub(heard.at) <= UNTOLD_TIME;
-            if !is_told {
-                total.subtract(&heard.load);
+        self.peers.retain(|_, received| {
+            let is_confirmed = now.saturating_sub(received.received_at) <= UNCONFIRMED_TIMEOUT;
+            if !is_confirmed {
+                total.subtract(&received.load);
             }
-            is_told
+            is_confirmed
         });
     }
 
-    /// Records that a long prompt or part of this gateway has been read.
-    pub(super) fn finish_read(&mut self) {
-        self.own.unread = self.own.unread.saturating_sub(1);
-        self.total.unread = self.total.unread.saturating_sub(1);
+    /// Records that a long prompt or part of one that this gateway placed has been prefilled.
+    pub(super) fn finish_prefill(&mut self) {
+        self.own.pending_prefills = self.own.pending_prefills.saturating_sub(1);
+        self.total.pending_prefills = self.total.pending_prefills.saturating_sub(1);
     }
 
     pub(super) fn add_own(&mut self, work: &PlacedWork) {
@@ -123,18 +128,18 @@
         self.is_used = true;
         self.own.occupied += load.occupied;
         self.own.short += load.short;
-        self.own.unread += load.unread;
+        self.own.pending_prefills += load.pending_prefills;
         self.own.suspects += load.suspects;
         self.own.context += load.context;
-        self.own.reading_total += load.reading_total;
+        self.own.prefill_total += load.prefill_total;
         let writers = load.writers.groups();
         writers.for_each(|group| self.own.writers.add(*group));
     }
 
-    /// Counts out work whose prompt has been read.
+    /// Subtracts work whose prompt has been prefilled.
     pub(super) fn remove_own(&mut self, work: &PlacedWork) {
         let load = PeerLoad {
-            unread: 0,
+            pending_prefills: 0,
             ..work.as_load()
         };
         self.total.subtract(&load);
--- a/lovagedock/src/endpoint/engine.rs
+++ b/lovagedock/src/endpoint/engine.rs
@@ -1,4 +1,4 @@
-//! What the engine says: starts, bytes, ends, its account of memory, its death.
+//! Events from the engine: starts, bytes, ends, reported allocations and loss of the engine.
 
 use crate::{
     codes::{RanState, ResultCode},
@@ -6,7 +6,7 @@
         core::EndpointCore,
         entry::{RequestEntry, RequestPhase},
         limits::{EndpointLimits, OrganisationShare},
-        messages::{EndpointAction, EngineAnswer, EngineHolding, EngineReport, EngineResult},
+        messages::{EndpointAction, EngineAllocation, EngineAnswer, EngineReport, EngineResult},
         speed::RunSample,
     },
     ids::{RequestId, Timestamp},
@@ -25,7 +25,7 @@
             return;
         };
         entry.phase = RequestPhase::Running;
-        entry.first_bytes.get_or_insert(now);
+        entry.first_bytes_at.get_or_insert(now);
         let offset = entry.delivered;
         entry.delivered += length;
         let key = entry.key;
@@ -38,13 +38,13 @@
 
     pub(super) fn engine_ended(&mut self, now: Timestamp, key: AttemptKey, result: EngineResult) {
         let Some(entry) = self.started_entry(key) else {
-            return self.late_end(key);
+            return self.release_after_late_end(key);
         };
         let delivered = entry.delivered;
         let started = entry.phase == RequestPhase::Running;
         let end = match result {
             EngineResult::Finished(answer) => {
-                self.learn(now, key.request, &answer);
+                self.learn_speed(now, key.request, &answer);
                 finished_end(&answer, delivered)
             }
             EngineResult::Refused { detail } if !started => {
@@ -61,46 +61,48 @@
                 AnswerEnd::new(ResultCode::EngineFailed).with_detail(detail)
             }
             EngineResult::Lost { detail } => {
-                let end = lost_answer(entry).with_detail(detail);
-                // The engine may live and still hold the memory: it is freed when the engine's
-                // account says so. Freed at once, new work would be let into taken blocks.
+                let end = connection_lost_end(entry).with_detail(detail);
+                // The engine may still be running and hold the memory, so the memory is freed only
+                // when the engine no longer reports it. If it were freed immediately, new requests
+                // would be admitted into memory that is still in use.
                 return self.finish(now, key.request, end, false);
             }
             EngineResult::Ended { detail } => {
-                let end = lost_answer(entry).with_detail(detail).with_engine_ended();
+                let end = connection_lost_end(entry)
+                    .with_detail(detail)
+                    .with_engine_ended();
                 return self.finish(now, key.request, end, false);
             }
-            EngineResult::Cancelled => {
-                AnswerEnd::new(ResultCode::EngineFailed).with_detail("cancelled on the engine")
-            }
+            EngineResult::Cancelled => AnswerEnd::new(ResultCode::EngineFailed)
+                .with_detail("the engine cancelled the request"),
         };
         self.finish(now, key.request, end, true);
     }
 
-    /// The engine's word on a request that has got its end here before: its memory is free. An
-    /// end of another attempt than the one that holds the memory says nothing.
-    fn late_end(&mut self, key: AttemptKey) {
-        let here = self.table.contains_key(&key.request) || self.ledger.is_reserved(key.request);
-        if !here && key.incarnation == self.incarnation {
+    /// Frees the memory of a request that had already ended when the engine reported its end. The
+    /// end of an attempt that does not hold the memory has no effect.
+    fn release_after_late_end(&mut self, key: AttemptKey) {
+        let known = self.table.contains_key(&key.request) || self.ledger.is_reserved(key.request);
+        if !known && key.incarnation == self.incarnation {
             self.free_memory(key.request);
         }
     }
 
-    pub(super) fn engine_account(&mut self, now: Timestamp, account: &[EngineHolding]) {
+    pub(super) fn engine_allocations(&mut self, now: Timestamp, allocations: &[EngineAllocation]) {
         let grace = self.limits.orphan_grace;
-        let lost = self.ledger.reconcile(now, account, grace);
+        let lost = self.ledger.reconcile(now, allocations, grace);
         for request in lost {
-            // The engine forgot it; waiting for its deadline would hold the caller for nothing.
+            // The engine has lost the request, so the caller need not wait until the deadline.
             let end = AnswerEnd::new(ResultCode::EngineFailed)
-                .with_detail("the engine does not hold the request any more");
+                .with_detail("the engine no longer reports memory of the request");
             self.finish(now, request, end, false);
         }
-        self.refuse_old_runs(now);
+        self.end_orphaned_requests(now);
     }
 
-    /// What waits here may be running on the engine since before this sidecar's start.
-    fn refuse_old_runs(&mut self, now: Timestamp) {
-        if !self.safeguards.one_run {
+    /// Ends queued requests that still run on the engine since before this sidecar's start.
+    fn end_orphaned_requests(&mut self, now: Timestamp) {
+        if !self.safeguards.single_run {
             return;
         }
         let orphans: Vec<_> = self.ledger.orphans().collect();
@@ -111,7 +113,7 @@
         let waiting: Vec<_> = orphans.into_iter().filter(waits).collect();
         for request in waiting {
             let end = AnswerEnd::new(ResultCode::EndpointLost)
-                .with_detail("an earlier run is being cancelled");
+                .with_detail("an earlier run of the request is being cancelled on the engine");
             self.finish(now, request, end, false);
         }
     }
@@ -125,19 +127,19 @@
         }
     }
 
-    pub(super) fn bring_engine_up(&mut self, now: Timestamp) {
+    pub(super) fn record_engine_up(&mut self, now: Timestamp) {
         if !self.engine_up {
             self.engine_up = true;
-            self.account_due = now + self.limits.account_wait;
+            self.allocations_due = now + self.limits.allocations_wait;
         }
     }
 
     pub(super) fn engine_down(&mut self, now: Timestamp) {
         self.engine_up = false;
-        self.ledger.disown(now);
+        self.ledger.orphan_all(now);
         let running = self.running();
         let running: Vec<_> = running
-            .map(|entry| (entry.key.request, lost_end(entry)))
+            .map(|entry| (entry.key.request, engine_lost_end(entry)))
             .collect();
         for (request, end) in running {
             self.finish(now, request, end, true);
@@ -151,11 +153,14 @@
         limits: EndpointLimits,
         shares: Vec<OrganisationShare>,
     ) {
-        let bounds = (limits.tombstone_hold, limits.tombstone_count);
+        let bounds = (limits.tombstone_retention, limits.tombstone_count);
         self.revoked.set_bounds(bounds.0, bounds.1);
         self.refused.set_bounds(bounds.0, bounds.1);
-        self.answers
-            .set_bounds(limits.answer_hold, limits.answer_count, limits.answer_bytes);
+        self.answers.set_bounds(
+            limits.answer_retention,
+            limits.answer_count,
+            limits.answer_bytes,
+        );
         if limits.memory_tokens != self.limits.memory_tokens {
             self.ledger.set_memory(limits.memory_tokens);
         }
@@ -167,11 +172,12 @@
         self.refuse_too_large(now);
     }
 
-    /// What waits for more memory than the engine turned out to have never starts.
+    /// Ends queued requests that need more memory than the engine has, since they would never
+    /// start.
     fn refuse_too_large(&mut self, now: Timestamp) {
         for request in self.queue.too_large(self.ledger.memory()) {
             let end = AnswerEnd::new(ResultCode::NoCapacity)
-                .with_detail("it does not fit the memory of this engine any more");
+                .with_detail("the request no longer fits into the memory of this engine");
             self.finish(now, request, end, false);
         }
     }
@@ -190,33 +196,34 @@
 
     pub(super) fn free_memory(&mut self, request: RequestId) {
         self.ledger.release(request);
-        self.queue.note_end(request);
+        self.queue.record_end(request);
     }
 
-    /// Tells the engine to free what a request holds; the lease stays until it has.
+    /// Tells the engine to free the memory of a request. The lease is kept until the memory is
+    /// free.
     pub(super) fn close_memory(&mut self, now: Timestamp, request: RequestId) {
-        self.queue.note_end(request);
+        self.queue.record_end(request);
         let retry = self.limits.cancel_retry;
         if self.ledger.close(now, request, retry) {
             self.actions.push(EndpointAction::CancelOnEngine(request));
         }
     }
 
-    /// The entry that the engine means. Bytes and ends of another attempt, or of a request that
-    /// has got its end, never reach a caller.
+    /// Returns the entry of a started attempt. Bytes and ends of other attempts, or of requests
+    /// that have already ended, never reach a caller.
     fn started_entry(&mut self, key: AttemptKey) -> Option<&mut RequestEntry> {
         let entry = self.table.get_mut(&key.request)?;
         (entry.started == Some(key)).then_some(entry)
     }
 
-    fn learn(&mut self, now: Timestamp, request: RequestId, answer: &EngineAnswer) {
+    fn learn_speed(&mut self, now: Timestamp, request: RequestId, answer: &EngineAnswer) {
         let Some(entry) = self.table.get(&request) else {
             return;
         };
-        let Some(first) = entry.first_bytes else {
+        let Some(first) = entry.first_bytes_at else {
             return;
         };
-        // The engine counts the whole prompt of a span and prefilled a part of it.
+        // For a span, the engine counts the whole prompt but has prefilled only a part of it.
         if !entry.order.span.is_empty() {
             return;
         }
@@ -227,17 +234,20 @@
             batch,
             prefill: first - entry.started_at,
             decode: now - first,
-            answered: answer.answer_tokens,
-            asked: entry.order.answer_tokens,
+            answer_tokens: answer.answer_tokens,
+            answer_limit: entry.order.answer_tokens,
         });
     }
 }
 
-/// A whole answer, unless bytes are missing: then its digest would vouch for what the caller
-/// never got.
+/// Returns the end of a finished answer. If bytes are missing, the answer counts as damaged: its
+/// digest would otherwise confirm bytes that the caller has not received.
 fn finished_end(answer: &EngineAnswer, delivered: u64) -> AnswerEnd {
     if answer.length != delivered {
-        let detail = format!("{} bytes of {} came", delivered, answer.length);
+        let detail = format!(
+            "answer truncated: got {} of {} bytes",
+            delivered, answer.length
+        );
         return AnswerEnd::new(ResultCode::AnswerDamaged).with_detail(detail);
     }
     AnswerEnd {
@@ -249,22 +259,22 @@
     }
 }
 
-/// The end of a request whose engine stopped talking: only bytes prove that it ran. Told "ran" or
-/// "not run" without them, a caller would act on a guess.
-fn lost_answer(entry: &RequestEntry) -> AnswerEnd {
-    match entry.first_bytes {
+/// Returns the end of a request whose connection to the engine was lost. Only received bytes prove
+/// that the request ran. Without them it is unknown whether it ran, and reporting either would make
+/// the caller act on a guess.
+fn connection_lost_end(entry: &RequestEntry) -> AnswerEnd {
+    match entry.first_bytes_at {
         Some(_) => AnswerEnd::new(ResultCode::EngineFailed),
         None => AnswerEnd::new(ResultCode::EndpointLost),
     }
 }
 
-fn lost_end(entry: &RequestEntry) -> AnswerEnd {
+fn engine_lost_end(entry: &RequestEntry) -> AnswerEnd {
     match entry.phase {
-        RequestPhase::Running => {
-            AnswerEnd::new(ResultCode::EngineFailed).with_detail("the engine died")
-        }
+        RequestPhase::Running => AnswerEnd::new(ResultCode::EngineFailed)
+            .with_detail("the engine ended or became unreachable"),
         RequestPhase::Queued | RequestPhase::Starting => AnswerEnd::new(ResultCode::EndpointLost)
             .with_ran(RanState::Unknown)
-            .with_detail("the engine died before it confirmed the start"),
+            .with_detail("the engine ended or became unreachable before it confirmed the start"),
     }
 }
--- a/lovagedock/src/endpoint/mod.rs
+++ b/lovagedock/src/endpoint/mod.rs
@@ -1,21 +1,22 @@
-//! What a sidecar decides: admission, memory, and what became of each request.
+//! Decisions of a sidecar: admission, memory accounting, and the outcome of each request.
 //!
-//! A sidecar is the one door to its endpoint, so it alone can tell whether a request has run,
-//! account for the engine's memory and order what waits. [`EndpointCore`] composes the parts.
+//! All requests to an endpoint go through its sidecar. The sidecar is therefore the only process
+//! that can tell whether a request has run, account for the engine's memory, and order the queue.
+//! [`EndpointCore`] combines the parts.
 
 mod answers;
+mod attempt_control;
 mod core;
 mod engine;
 mod entry;
 mod expiry;
-mod fair;
+mod fair_queue;
 mod finish;
-mod head;
+mod head_reservation;
 mod ledger;
 mod limits;
 mod messages;
 mod queue;
-mod recall;
 mod reconcile;
 mod reserve;
 mod snapshot;
@@ -28,7 +29,7 @@
 pub use ledger::{LeaseState, MemoryLease, MemoryLedger};
 pub use limits::{EndpointLimits, EndpointSafeguards, OrganisationShare};
 pub use messages::{
-    EndpointAction, EndpointEvent, EngineAnswer, EngineHolding, EngineReport, EngineResult,
+    EndpointAction, EndpointEvent, EngineAllocation, EngineAnswer, EngineReport, EngineResult,
     WorkOrder,
 };
 pub use snapshot::{EndpointLoad, EndpointSnapshot, RequestSnapshot};
--- a/lovagedock/src/lib.rs
+++ b/lovagedock/src/lib.rs
@@ -63,20 +63,20 @@
 pub use direct::{
     AdvertisedLimit, AttemptEnd, BackoffEvent, CallerBounds, CombinedLoad, DirectChoice,
     DirectEndpoint, DirectMachine, DirectPlacer, DirectRequest, DirectStep, EndEvidence,
-    EndpointBackoffs, EndpointLife, EndpointListing, EndpointState, EndpointTable, EngineProfile,
-    EntryNews, EventSplitter, GatewayCount, HelperPart, LeavingNews, LineDecision, LineKind,
-    LineSettings, ListingVersion, LoadNews, MISSED_GAP, MessageNews, PaceTracker, PeerContact,
-    PeerHearing, PeerLoad, PeerSight, PlacedWork, PlacerCandidate, ProcessEnd, ProcessTag,
-    RateLimitEvent, RateLimits, RateNews, RateVerdict, RefusalLog, RequestFingerprint,
-    RequestOutlook, RequestRate, RetryAfter, RetryShare, RetryShareSettings, RouteMatch, RouteMode,
-    RouteRule, RouteTarget, ServiceProfile, StopPlan, StoppageWatch, StorePosition, StreamEvent,
-    SuspectLedger, SuspectNews, SuspectReport, SuspectTelling, TrafficConfig, WaitingLine,
-    WatchDuty, WatchRole, WorkKey, WorkLedger, WriterGroup, WriterTable, format_fingerprint,
-    keep_suspects_apart, short_lane_size,
+    EndpointBackoffs, EndpointListing, EndpointProcess, EndpointState, EndpointTable,
+    EngineProfile, EntryChange, EventSplitter, GatewayCount, HelperPart, LeavingQueue,
+    ListingVersion, LoadUpdates, MessageOrder, PauseDetector, PeerContact, PeerLiveness, PeerLoad,
+    PeerSequences, PlacedWork, PlacerCandidate, ProcessEnd, ProcessTag, QueueDecision, QueueKind,
+    QueueSettings, RELAXED_GAP, RateLimitEvent, RateLimits, RateUpdate, RateVerdict, RefusalLog,
+    RequestFingerprint, RequestOutlook, RequestRate, RetryAfter, RetryShare, RetryShareSettings,
+    RouteMatch, RouteMode, RouteRule, RouteTarget, ServiceProfile, SlowdownTracker, StopPlan,
+    StorePosition, StreamEvent, SuspectLedger, SuspectQueue, SuspectReport, SuspectUpdate,
+    TrafficConfig, WaitingQueue, WatchRole, WatcherSelection, WorkKey, WorkLedger, WriterGroup,
+    WriterTable, format_fingerprint, isolate_suspects, short_lane_size,
 };
 pub use endpoint::{
     EndpointAction, EndpointCore, EndpointEvent, EndpointLimits, EndpointLoad, EndpointSafeguards,
-    EndpointSnapshot, EngineAnswer, EngineHolding, EngineReport, EngineResult, LeaseState,
+    EndpointSnapshot, EngineAllocation, EngineAnswer, EngineReport, EngineResult, LeaseState,
     MemoryLease, MemoryLedger, OrganisationShare, RequestSnapshot, WorkOrder,
 };
 pub use fence::{FenceAction, FenceEvent, FenceGate, FencedOrder};
--- a/lovagedock/src/limits/limiter.rs
+++ b/lovagedock/src/limits/limiter.rs
@@ -1,4 +1,4 @@
-//! Admits requests within an organisation's limits.
+//! Admission of requests within the limits of their organisation.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -6,55 +6,55 @@
     demand::DemandVector,
     message::{LimitAction, LimitEvent, UsageAck, UsageEntry, UsageReport},
     peers::{LimitTiming, PeerTable, ShareStage},
-    usage::{LimitShares, OrganisationUse},
+    usage::{LimitShares, OrganisationUsage},
 };
 use crate::{
     config::OrganisationLimits,
     ids::{GatewayId, OrganisationId, Timestamp, TokenCount},
 };
 
-/// Which limit a request would pass.
+/// The limit that a request would exceed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LimitKind {
-    /// Requests a second.
+    /// Requests per second.
     Requests,
-    /// Tokens a minute.
+    /// Tokens per minute.
     Tokens,
     /// Requests in flight.
     Concurrency,
 }
 
-/// Whether a request is within its organisation's limits.
+/// The decision whether a request is within its organisation's limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitDecision {
-    /// It is, and it is counted.
+    /// The request is within the limits and has been counted.
     Admitted,
-    /// It is not.
+    /// The request exceeds a limit.
     Refused {
-        /// The limit that it would pass.
+        /// The limit that the request would exceed.
         limit: LimitKind,
-        /// When another try makes sense.
+        /// Time after which a retry may succeed.
         retry_after: Duration,
     },
 }
 
-/// Keeps the limits of organisations over all gateways together.
+/// Enforces the limits of organisations over all gateways together.
 ///
 /// Each gateway has a share of each limit. Shares follow the demand that gateways report to each
-/// other, and never add up to more than one. Over any time `w` all gateways together admit at most
-/// `limit * (w + 1 s)` requests and one more for each gateway, and tokens of `limit * (w + 10 s)`
-/// and one more request for each gateway. Concurrency may be passed by what was admitted before a
-/// share moved; see the design record.
+/// other, and their sum never exceeds one. Within any period `w`, all gateways together admit at
+/// most `limit * (w + 1 s)` requests plus one request per gateway, and at most
+/// `limit * (w + 10 s)` tokens plus one request per gateway. The concurrency limit may be exceeded
+/// by the requests that were admitted before a share moved; see the design record.
 #[derive(Debug)]
 pub struct UsageLimiter {
     timing: LimitTiming,
     peers: PeerTable,
     sequence: u64,
-    organisations: HashMap<OrganisationId, OrganisationUse>,
+    organisations: HashMap<OrganisationId, OrganisationUsage>,
 }
 
 impl UsageLimiter {
-    /// A limiter of one gateway among these peers.
+    /// Creates the limiter of a gateway with these peers.
     pub fn new(now: Timestamp, peers: Vec<GatewayId>, timing: LimitTiming) -> Self {
         Self {
             timing,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Sets an organisation's limits, as the configuration has them.
+    /// Sets an organisation's limits from the configuration.
     pub fn set_limits(
         &mut self,
         now: Timestamp,
@@ -72,10 +72,10 @@
         limits: OrganisationLimits,
     ) {
         let entry = self.organisations.entry(organisation.clone());
-        entry.or_insert_with(|| OrganisationUse::new(now)).limits = limits;
+        entry.or_insert_with(|| OrganisationUsage::new(now)).limits = limits;
     }
 
-    /// Decides about a request of this many tokens, and counts it when it is admitted.
+    /// Decides whether to admit a request with this many tokens, and counts it if it is admitted.
     pub fn admit(
         &mut self,
         now: Timestamp,
@@ -87,18 +87,18 @@
         let Some(usage) = self.organisations.get_mut(organisation) else {
             return LimitDecision::Admitted;
         };
-        usage.apply(now, &shares);
+        usage.apply_shares(now, &shares);
         usage.admit(&shares, tokens)
     }
 
-    /// Counts a request that ended, with the tokens that its admission did not know of.
-    pub fn finish(&mut self, organisation: &OrganisationId, more_tokens: TokenCount) {
+    /// Records the end of a request, with the tokens that were not known at its admission.
+    pub fn finish(&mut self, organisation: &OrganisationId, extra_tokens: TokenCount) {
         if let Some(usage) = self.organisations.get_mut(organisation) {
-            usage.finish(more_tokens);
+            usage.finish(extra_tokens);
         }
     }
 
-    /// Answers an event with actions.
+    /// Handles an event and returns the resulting actions.
     pub fn handle(&mut self, now: Timestamp, event: LimitEvent) -> Vec<LimitAction> {
         self.peers.advance(now);
         let actions = match event {
@@ -116,16 +116,16 @@
             LimitEvent::Tick => self.exchange(now),
         };
         self.peers.advance(now);
-        self.apply_all(now);
+        self.apply_all_shares(now);
         actions
     }
 
-    /// How shares are computed now.
+    /// Returns the stage by which shares are currently computed.
     pub fn stage(&self) -> ShareStage {
         self.peers.stage()
     }
 
-    /// Share of a limit that this gateway has now, `0.0..=1.0`.
+    /// Returns this gateway's current share of a limit, `0.0..=1.0`.
     pub fn share(&mut self, now: Timestamp, organisation: &OrganisationId, kind: LimitKind) -> f64 {
         self.peers.advance(now);
         let shares = self.shares(organisation);
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Requests of an organisation that are in flight at this gateway.
+    /// Returns the number of an organisation's requests in flight at this gateway.
     pub fn in_flight(&self, organisation: &OrganisationId) -> u32 {
         self.organisations
             .get(organisation)
@@ -149,12 +149,12 @@
         peer: GatewayId,
         report: &UsageReport,
     ) -> Vec<LimitAction> {
-        if !self.peers.receive(now, &peer, report) || !self.peers.speaks() {
+        if !self.peers.receive(now, &peer, report) || !self.peers.may_send() {
             return Vec::new();
         }
-        // Shares shrink before the confirmation lets the peer's grow.
+        // This gateway's shares must shrink before the confirmation allows the peer's to grow.
         self.peers.advance(now);
-        self.apply_all(now);
+        self.apply_all_shares(now);
         let ack = UsageAck {
             sequence: report.sequence,
             stage: self.peers.stage(),
@@ -165,14 +165,14 @@
     fn exchange(&mut self, now: Timestamp) -> Vec<LimitAction> {
         self.sequence += 1;
         for usage in self.organisations.values_mut() {
-            usage.close(self.sequence);
+            usage.close_exchange(self.sequence);
         }
-        // A demand that shrank counts here before a peer hears of it.
-        self.apply_all(now);
-        if !self.peers.speaks() {
+        // A lower demand takes effect on this gateway before it is reported to a peer.
+        self.apply_all_shares(now);
+        if !self.peers.may_send() {
             return Vec::new();
         }
-        self.peers.note_sent(now, self.sequence);
+        self.peers.record_sent(now, self.sequence);
         let peers: Vec<GatewayId> = self.peers.names().cloned().collect();
         let report = |peer: GatewayId| LimitAction::Report {
             report: self.report_to(&peer),
@@ -202,7 +202,7 @@
         }
     }
 
-    fn apply_all(&mut self, now: Timestamp) {
+    fn apply_all_shares(&mut self, now: Timestamp) {
         let busy = self
             .organisations
             .iter()
@@ -211,7 +211,7 @@
         for organisation in busy {
             let shares = self.shares(&organisation);
             if let Some(usage) = self.organisations.get_mut(&organisation) {
-                usage.apply(now, &shares);
+                usage.apply_shares(now, &shares);
             }
         }
     }
@@ -221,18 +221,18 @@
         let peers = self.peers.demands(organisation);
         let usage = self.organisations.get_mut(organisation);
         let own = usage.map_or(DemandVector::default(), |usage| {
-            usage.demand.counted(confirmed)
+            usage.demand.confirmed_demand(confirmed)
         });
         let share = |field: fn(&DemandVector) -> u64| {
             let others = peers
                 .as_ref()
                 .map(|peers| peers.iter().map(field).sum::<u64>());
-            self.staged_share(field(&own), others)
+            self.share_in_stage(field(&own), others)
         };
         LimitShares {
             requests: share(|demand| demand.requests),
             tokens: share(|demand| demand.tokens),
-            concurrency: share(DemandVector::places),
+            concurrency: share(DemandVector::concurrency_demand),
             peers_in_flight: peers
                 .iter()
                 .flatten()
@@ -241,18 +241,18 @@
         }
     }
 
-    fn staged_share(&self, own: u64, others: Option<u64>) -> f64 {
+    fn share_in_stage(&self, own: u64, others: Option<u64>) -> f64 {
         let by_demand = match others {
             Some(others) if own > 0 => own as f64 / (own + others) as f64,
             _ => 0.0,
         };
         let equal = 1.0 / self.peers.gateways() as f64;
-        let moving = match self.peers.stage() {
+        let variable = match self.peers.stage() {
             ShareStage::ByDemand => by_demand,
-            ShareStage::Lesser | ShareStage::Silent => by_demand.min(equal),
+            ShareStage::Minimum | ShareStage::Silent => by_demand.min(equal),
             ShareStage::Equal => equal,
         };
         let floor = f64::from(self.timing.floor_percent) / 100.0;
-        floor * equal + (1.0 - floor) * moving
+        floor * equal + (1.0 - floor) * variable
     }
 }
--- a/lovagedock/src/placement/mix.rs
+++ b/lovagedock/src/placement/mix.rs
@@ -1,9 +1,9 @@
-//! How much of a pool long prompts need.
+//! Estimates the share of a pool that long prompts need.
 
 use crate::ids::Timestamp;
 
-/// Decaying sums of predicted prefill time by whether the prompt was long, and of how busy the
-/// pool was.
+/// Exponentially decaying sums of the predicted prefill time, in total and for long prompts, and
+/// decaying means of the pool's activity.
 #[derive(Debug, Default)]
 pub(super) struct MixTracker {
     updated_at: Timestamp,
@@ -11,15 +11,15 @@
     all_seconds: f64,
     busy: DecayingMean,
     overtaking: DecayingMean,
-    squeeze: ShareSqueeze,
+    throttle: ShareThrottle,
 }
 
-/// What the last reports say of a pool.
+/// Activity of a pool according to the latest reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(super) struct PoolPulse {
-    /// Share of the endpoints that had a prefill to do.
+pub(super) struct PoolActivity {
+    /// Share of the endpoints with prefill work queued or running.
     pub(super) busy: f64,
-    /// Share of the waiting time that a short prompt would skip; `None` when nothing waits.
+    /// Share of the waiting time that a short prompt would skip; `None` if there is no backlog.
     pub(super) overtaking: Option<f64>,
 }
 
@@ -29,19 +29,19 @@
     weight: f64,
 }
 
-/// Takes room from long prompts while short ones wait.
+/// Reduces the share of long prompts while short prompts wait too long.
 ///
-/// A pool that is busy all over looks the same at any overload, so the room that short prompts
-/// need cannot be told from it. Their wait tells: the share shrinks while they wait too long and
-/// grows back more slowly.
+/// A fully busy pool looks the same at any degree of overload, so its utilisation does not show
+/// how much capacity short prompts need. Their waiting time does. The share shrinks while they
+/// wait too long and recovers at a lower rate.
 #[derive(Debug)]
-struct ShareSqueeze {
+struct ShareThrottle {
     factor: f64,
     mean_wait: f64,
     updated_at: Timestamp,
 }
 
-impl Default for ShareSqueeze {
+impl Default for ShareThrottle {
     fn default() -> Self {
         Self {
             factor: 1.0,
@@ -51,28 +51,28 @@
     }
 }
 
-impl ShareSqueeze {
+impl ShareThrottle {
     fn record(&mut self, now: Timestamp, wait: f64) {
         let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
         self.updated_at = now;
-        let gain = 1.0 - (-elapsed / WAIT_MEMORY_SECONDS).exp();
+        let gain = 1.0 - (-elapsed / WAIT_DECAY_SECONDS).exp();
         self.mean_wait += gain * (wait - self.mean_wait);
-        let rate = if self.mean_wait > SHORT_WAIT_SECONDS {
-            -SQUEEZE_PER_SECOND
+        let rate = if self.mean_wait > SHORT_MAX_WAIT_SECONDS {
+            -THROTTLE_PER_SECOND
         } else {
-            RELEASE_PER_SECOND
+            RECOVERY_PER_SECOND
         };
-        self.factor = (self.factor + rate * elapsed).clamp(MIN_SQUEEZE, 1.0);
+        self.factor = (self.factor + rate * elapsed).clamp(MIN_THROTTLE_FACTOR, 1.0);
     }
 }
 
 impl DecayingMean {
-    fn record(&mut self, keep: f64, value: f64) {
-        self.sum = self.sum * keep + value;
-        self.weight = self.weight * keep + 1.0;
+    fn record(&mut self, decay: f64, value: f64) {
+        self.sum = self.sum * decay + value;
+        self.weight = self.weight * decay + 1.0;
     }
 
-    /// Zero until something was recorded.
+    /// Returns the mean, or zero if there are no values yet.
     fn mean(&self) -> f64 {
         if self.weight > 0.0 {
             self.sum / self.weight
@@ -83,65 +83,73 @@
 }
 
 impl MixTracker {
-    /// Counts a request that was placed, and the state of the pool then.
-    pub(super) fn record(&mut self, now: Timestamp, seconds: f64, long: bool, pulse: PoolPulse) {
+    /// Records a placed request with its predicted prefill time, and the activity of the pool.
+    pub(super) fn record(
+        &mut self,
+        now: Timestamp,
+        seconds: f64,
+        long: bool,
+        activity: PoolActivity,
+    ) {
         let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
-        let keep = (-elapsed / MIX_MEMORY_SECONDS).exp();
+        let decay = (-elapsed / MIX_DECAY_SECONDS).exp();
         self.updated_at = now;
-        self.long_seconds *= keep;
-        self.all_seconds = self.all_seconds * keep + seconds;
+        self.long_seconds *= decay;
+        self.all_seconds = self.all_seconds * decay + seconds;
         if long {
             self.long_seconds += seconds;
         }
-        self.busy.record(keep, pulse.busy);
-        if let Some(overtaking) = pulse.overtaking {
-            self.overtaking.record(keep, overtaking);
+        self.busy.record(decay, activity.busy);
+        if let Some(overtaking) = activity.overtaking {
+            self.overtaking.record(decay, overtaking);
         }
     }
 
-    /// Share of a pool that long prompts may use, at most `limit`; `limit` itself until enough has
-    /// been seen.
+    /// Returns the share of a pool that long prompts may use, at most `limit`. Returns `limit`
+    /// until at least [`MIX_MIN_SECONDS`] of prefill time have been recorded.
     ///
-    /// Short prompts keep enough of the pool to be busy to [`SHORT_BUSY`]. Where long ones could
-    /// not live with the rest, they get up to what they need, as long as the short ones' part is
-    /// busy to no more than [`SHORT_BUSY_LIMIT`]. Where short prompts overtake long ones at the
-    /// engines, they need that much less room of their own.
+    /// Short prompts keep enough endpoints for a utilisation of [`SHORT_TARGET_UTILISATION`]. If
+    /// the rest is too little for the long prompts, they get up to what they need, as long as the
+    /// utilisation of the endpoints for short prompts does not exceed [`SHORT_MAX_UTILISATION`].
+    /// Short prompts that overtake long ones on the engines need fewer endpoints of their own.
     pub(super) fn long_share(&self, limit: f64) -> f64 {
-        if self.all_seconds < MIX_ENOUGH_SECONDS {
+        if self.all_seconds < MIX_MIN_SECONDS {
             return limit;
         }
         let busy = self.busy.mean();
         let long = busy * self.long_seconds / self.all_seconds;
         let overtaking = (self.overtaking.mean() / FULL_OVERTAKING).min(1.0);
         let short = (busy - long) * (1.0 - overtaking);
-        let comfortable = 1.0 - short / SHORT_BUSY;
-        let needed = (long / LONG_BUSY).min(1.0 - short / SHORT_BUSY_LIMIT);
-        (comfortable.max(needed) * self.squeeze.factor).clamp(0.0, limit)
+        let at_target = 1.0 - short / SHORT_TARGET_UTILISATION;
+        let at_limit = (long / LONG_MAX_UTILISATION).min(1.0 - short / SHORT_MAX_UTILISATION);
+        (at_target.max(at_limit) * self.throttle.factor).clamp(0.0, limit)
     }
 
-    /// Takes in how long a short prompt is about to wait.
+    /// Records the predicted waiting time of a short prompt.
     pub(super) fn record_short_wait(&mut self, now: Timestamp, seconds: f64) {
-        self.squeeze.record(now, seconds);
+        self.throttle.record(now, seconds);
     }
 }
 
-/// Time in which the weight of what was seen falls to 1/e.
-const MIX_MEMORY_SECONDS: f64 = 120.0;
-/// Prefill time that has to be seen before the mix is trusted.
-const MIX_ENOUGH_SECONDS: f64 = 5.0;
-/// How busy the short prompts' part of a pool should be.
-const SHORT_BUSY: f64 = 0.5;
-/// How busy it may become to make room for long prompts.
-const SHORT_BUSY_LIMIT: f64 = 0.8;
-/// Share of the waiting time from which on short prompts count as overtaking all long ones; the
-/// rest of it are short prompts that wait for each other.
+/// Time in which the weight of an observation falls to 1/e.
+const MIX_DECAY_SECONDS: f64 = 120.0;
+/// Prefill time that must be recorded before the mix is used.
+const MIX_MIN_SECONDS: f64 = 5.0;
+/// Target utilisation of the endpoints kept for short prompts.
+const SHORT_TARGET_UTILISATION: f64 = 0.5;
+/// Highest utilisation of these endpoints that is accepted in favour of long prompts.
+const SHORT_MAX_UTILISATION: f64 = 0.8;
+/// Share of the waiting time above which short prompts count as overtaking all long ones. The
+/// remaining time is short prompts waiting for each other.
 const FULL_OVERTAKING: f64 = 0.8;
-/// How busy the long prompts' part may be.
-const LONG_BUSY: f64 = 0.9;
-/// Time over which the wait of short prompts is averaged.
-const WAIT_MEMORY_SECONDS: f64 = 5.0;
-/// Mean wait of short prompts above which long ones lose room.
-const SHORT_WAIT_SECONDS: f64 = 0.5;
-const SQUEEZE_PER_SECOND: f64 = 0.02;
-const RELEASE_PER_SECOND: f64 = 0.005;
-const MIN_SQUEEZE: f64 = 0.1;
+/// Highest utilisation of the endpoints that long prompts use.
+const LONG_MAX_UTILISATION: f64 = 0.9;
+/// Time constant of the mean wait of short prompts.
+const WAIT_DECAY_SECONDS: f64 = 5.0;
+/// Mean wait of short prompts above which the share of long prompts shrinks.
+const SHORT_MAX_WAIT_SECONDS: f64 = 0.5;
+/// Decrease of the share factor per second while short prompts wait too long.
+const THROTTLE_PER_SECOND: f64 = 0.02;
+/// Increase of the share factor per second otherwise.
+const RECOVERY_PER_SECOND: f64 = 0.005;
+const MIN_THROTTLE_FACTOR: f64 = 0.1;
--- a/lovagedock/tests/direct_listing.rs
+++ b/lovagedock/tests/direct_listing.rs
@@ -1,8 +1,8 @@
-//! What gateways believe of endpoints while the platform's store loses and regains what it lists.
+//! Model test of the endpoint listing while the platform's store loses and regains its entries.
 //!
-//! A model of a store, engines and gateways: random writes, outages, copies from which the store comes
-//! back, answers that arrive late and news of peers in any order. Whatever happened, once all is quiet
-//! all gateways believe what the store lists.
+//! The model contains a store, engines and gateways, with random writes, outages, restores from
+//! older copies, delayed responses, and updates of peers in any order. After all faults have ended,
+//! all gateways must know exactly the endpoints that the store lists.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,7 +10,7 @@
 };
 
 use lovagedock::{
-    DirectEndpoint, EndpointLife, EndpointListing, EndpointState, EndpointTable, ListingVersion,
+    DirectEndpoint, EndpointListing, EndpointProcess, EndpointState, EndpointTable, ListingVersion,
     StorePosition, prelude::*,
 };
 use proptest::{
@@ -22,36 +22,36 @@
 const ENGINES: u8 = 4;
 const GATEWAYS: usize = 3;
 
-/// Time in which engines write their entries again, and after which gateways count on that.
-const WRITTEN_AGAIN: Duration = Duration::from_secs(2);
-const SETTLED: Duration = Duration::from_millis(2300);
+/// Time in which engines write their entries again, and time after which gateways rely on that.
+const REWRITE_TIME: Duration = Duration::from_secs(2);
+const SETTLE_TIME: Duration = Duration::from_millis(2300);
 
-/// Time for which an entry of the copy is doubted whose process was gone.
-const DOUBTED: Duration = Duration::from_secs(5);
+/// Time for which an entry of a restored copy is deferred if its process was gone.
+const DEFERRAL_TIME: Duration = Duration::from_secs(5);
 
 #[derive(Clone, Debug)]
 enum ModelStep {
-    /// An engine writes its entry, or a new process of it does.
+    /// An engine writes its entry, or a new process of the engine does.
     Write { engine: u8, restarts: bool },
     /// An engine leaves.
     Leave { engine: u8 },
-    /// The store's state is kept, to come back from.
+    /// A copy of the store's state is made.
     Copy,
-    /// The store comes back from the last copy, and engines write again what they had.
+    /// The store is restored from the last copy, and engines write their entries again.
     Restore,
-    /// A gateway reads the store; the answer may stay on its way.
+    /// A gateway reads the store; the response may be delayed.
     Read { gateway: usize, late: bool },
-    /// An answer that was on its way arrives.
+    /// A delayed response arrives.
     Arrive,
-    /// A gateway fetches what a peer knows; the answer may stay on its way.
+    /// A gateway fetches a peer's state; the response may be delayed.
     Pull {
         gateway: usize,
         peer: usize,
         late: bool,
     },
-    /// A gateway starts anew.
+    /// A gateway restarts without state.
     Restart { gateway: usize },
-    /// The store could not be reached by a gateway.
+    /// A gateway cannot reach the store.
     Outage { gateway: usize },
     /// Time passes.
     Wait { ms: u64 },
@@ -70,11 +70,11 @@
     version: ListingVersion,
     endpoints: Vec<DirectEndpoint>,
     missing: Vec<EndpointId>,
-    doubtful: Vec<DirectEndpoint>,
+    deferred: Vec<DirectEndpoint>,
 }
 
 #[derive(Clone, Debug)]
-enum LateAnswer {
+enum DelayedResponse {
     Store { gateway: usize, store: ModelStore },
     Peer { gateway: usize, state: PeerState },
 }
@@ -83,7 +83,7 @@
 struct ModelGateway {
     listing: EndpointListing,
     table: EndpointTable,
-    failing: bool,
+    had_outage: bool,
 }
 
 impl ModelGateway {
@@ -91,14 +91,14 @@
         let listed: Vec<DirectEndpoint> = store.entries.values().cloned().collect();
         let is_restored = store.position.era > self.listing.version().position.era;
         let missing = self.table.unlisted(&listed);
-        let after_outage = std::mem::take(&mut self.failing);
+        let after_outage = std::mem::take(&mut self.had_outage);
         let gone = self
             .listing
-            .take_reading(now, store.position, after_outage, missing);
+            .apply_read(now, store.position, after_outage, missing);
         let Some(gone) = gone else {
             return;
         };
-        self.table.drop_unlisted_doubts(&listed);
+        self.table.drop_unlisted_deferred(&listed);
         self.drop_all(&gone);
         for endpoint in listed {
             match is_restored {
@@ -108,27 +108,27 @@
         }
     }
 
-    fn hear(&mut self, now: Timestamp, state: PeerState) {
-        let listed = [state.endpoints.clone(), state.doubtful.clone()].concat();
+    fn apply_peer(&mut self, now: Timestamp, state: PeerState) {
+        let listed = [state.endpoints.clone(), state.deferred.clone()].concat();
         let unlisted = self.table.unlisted(&listed);
         let missing = unlisted.into_iter().chain(state.missing).collect();
-        let Some(gone) = self.listing.take_peer(state.version, missing) else {
+        let Some(gone) = self.listing.apply_peer_listing(state.version, missing) else {
             return;
         };
-        self.table.drop_unlisted_doubts(&listed);
+        self.table.drop_unlisted_deferred(&listed);
         self.drop_all(&gone);
         for endpoint in state.endpoints {
-            if !gone.contains(&endpoint.life.id) {
+            if !gone.contains(&endpoint.process.id) {
                 self.table.insert(now, endpoint);
             }
         }
-        for endpoint in state.doubtful {
+        for endpoint in state.deferred {
             self.table.insert_restored(now, endpoint);
         }
     }
 
     fn tick(&mut self, now: Timestamp) {
-        self.table.settle(now);
+        self.table.apply_deferred(now);
         let gone = self.listing.settle(now);
         self.drop_all(&gone);
     }
@@ -144,14 +144,14 @@
             version: self.listing.version(),
             endpoints: self.table.all().cloned().collect(),
             missing: self.listing.missing().cloned().collect(),
-            doubtful: self.table.doubtful().cloned().collect(),
+            deferred: self.table.deferred().cloned().collect(),
         }
     }
 
-    fn lives(&self) -> BTreeSet<EndpointLife> {
+    fn processes(&self) -> BTreeSet<EndpointProcess> {
         self.table
             .all()
-            .map(|endpoint| endpoint.life.clone())
+            .map(|endpoint| endpoint.process.clone())
             .collect()
     }
 }
@@ -161,12 +161,12 @@
     now: Timestamp,
     store: ModelStore,
     copy: Option<ModelStore>,
-    /// What engines have written, whatever became of the store.
+    /// Entries that engines have written, independent of the store's state.
     engines: Entries,
-    /// Engines that have to write again, and from when on.
+    /// Engines that have to write again, with the time at which they do.
     rewrites: Vec<(Timestamp, EndpointId)>,
     gateways: Vec<ModelGateway>,
-    late: Vec<LateAnswer>,
+    late: Vec<DelayedResponse>,
     starts: u64,
 }
 
@@ -182,7 +182,7 @@
         self.store.position.revision += 1;
         self.store
             .entries
-            .insert(endpoint.life.id.clone(), endpoint);
+            .insert(endpoint.process.id.clone(), endpoint);
     }
 
     fn leave(&mut self, id: &EndpointId) {
@@ -199,11 +199,11 @@
         self.store = copy.clone();
         self.store.position.era = era;
         let known = self.engines.keys().chain(copy.entries.keys());
-        let due = self.now + WRITTEN_AGAIN / 2;
+        let due = self.now + REWRITE_TIME / 2;
         self.rewrites = known.map(|id| (due, id.clone())).collect();
     }
 
-    /// Engines that are there write, entries of the others lapse.
+    /// Running engines write their entries, and entries of other engines lapse.
     fn rewrite(&mut self) {
         let (due, left) = std::mem::take(&mut self.rewrites)
             .into_iter()
@@ -230,18 +230,20 @@
             .for_each(|gateway| gateway.tick(now));
     }
 
-    fn arrive(&mut self, answer: LateAnswer) {
+    fn arrive(&mut self, response: DelayedResponse) {
         let now = self.now;
-        match answer {
-            LateAnswer::Store { gateway, store } => self.gateways[gateway].read(now, &store),
-            LateAnswer::Peer { gateway, state } => self.gateways[gateway].hear(now, state),
+        match response {
+            DelayedResponse::Store { gateway, store } => self.gateways[gateway].read(now, &store),
+            DelayedResponse::Peer { gateway, state } => {
+                self.gateways[gateway].apply_peer(now, state)
+            }
         }
     }
 
-    fn send(&mut self, answer: LateAnswer, late: bool) {
+    fn send(&mut self, response: DelayedResponse, late: bool) {
         match late {
-            true => self.late.push(answer),
-            false => self.arrive(answer),
+            true => self.late.push(response),
+            false => self.arrive(response),
         }
     }
 
@@ -251,8 +253,8 @@
                 let id: EndpointId = format!("i-{engine}").into();
                 self.starts += u64::from(restarts);
                 let started = match self.engines.get(&id) {
-                    Some(known) if !restarts => known.life.started,
-                    // A name that was gone comes back with another process.
+                    Some(known) if !restarts => known.process.started,
+                    // An engine that was gone returns with another process.
                     _ => {
                         self.starts += 1;
                         self.starts
@@ -260,7 +262,7 @@
                 };
                 let endpoint = endpoint(id, started);
                 self.engines
-                    .insert(endpoint.life.id.clone(), endpoint.clone());
+                    .insert(endpoint.process.id.clone(), endpoint.clone());
                 self.write(endpoint);
             }
             ModelStep::Leave { engine } => {
@@ -272,12 +274,12 @@
             ModelStep::Restore => self.restore(),
             ModelStep::Read { gateway, late } => {
                 let store = self.store.clone();
-                self.send(LateAnswer::Store { gateway, store }, late);
+                self.send(DelayedResponse::Store { gateway, store }, late);
             }
             ModelStep::Arrive if self.late.is_empty() => {}
             ModelStep::Arrive => {
-                let answer = self.late.remove(0);
-                self.arrive(answer);
+                let response = self.late.remove(0);
+                self.arrive(response);
             }
             ModelStep::Pull {
                 gateway,
@@ -285,32 +287,32 @@
                 late,
             } => {
                 let state = self.gateways[peer].state();
-                self.send(LateAnswer::Peer { gateway, state }, late);
+                self.send(DelayedResponse::Peer { gateway, state }, late);
             }
             ModelStep::Restart { gateway } => self.gateways[gateway] = ModelGateway::default(),
             ModelStep::Outage { gateway } => {
-                self.gateways[gateway].failing = true;
-                self.gateways[gateway].listing.suspend();
+                self.gateways[gateway].had_outage = true;
+                self.gateways[gateway].listing.suspend_settling();
             }
             ModelStep::Wait { ms } => self.wait(Duration::from_millis(ms)),
         }
     }
 
-    /// Nothing fails any more: one gateway watches the store, the others hear of it.
+    /// Ends all faults: one gateway watches the store, and the others receive its state.
     fn settle(&mut self) {
-        while let Some(answer) = self.late.pop() {
-            self.arrive(answer);
+        while let Some(response) = self.late.pop() {
+            self.arrive(response);
         }
-        self.wait(WRITTEN_AGAIN);
+        self.wait(REWRITE_TIME);
         for _ in 0..2 {
             let store = self.store.clone();
             let now = self.now;
             self.gateways[0].read(now, &store);
             self.exchange();
-            self.wait(SETTLED);
+            self.wait(SETTLE_TIME);
             self.exchange();
         }
-        self.wait(DOUBTED);
+        self.wait(DEFERRAL_TIME);
         self.exchange();
     }
 
@@ -319,7 +321,7 @@
             let state = self.gateways[peer].state();
             let now = self.now;
             for gateway in (0..GATEWAYS).filter(|gateway| *gateway != peer) {
-                self.gateways[gateway].hear(now, state.clone());
+                self.gateways[gateway].apply_peer(now, state.clone());
             }
         }
     }
@@ -327,7 +329,7 @@
 
 fn endpoint(id: EndpointId, started: StartStamp) -> DirectEndpoint {
     DirectEndpoint {
-        life: EndpointLife::new(id, started),
+        process: EndpointProcess::new(id, started),
         service: "service".into(),
         address: ([10, 0, 0, 1], 80).into(),
         domain: "a".into(),
@@ -356,9 +358,10 @@
     vec(step, 1..60)
 }
 
-/// After any order of events, gateways agree with the store and with each other.
+/// Guards against gateways that differ from the store or from each other after any sequence of
+/// events.
 #[test]
-fn gateways_come_to_believe_what_the_store_lists() {
+fn gateways_converge_to_the_store() {
     let config = Config {
         cases: 4_000,
         failure_persistence: None,
@@ -372,14 +375,14 @@
             model.step(step);
         }
         model.settle();
-        let listed: BTreeSet<EndpointLife> = model
+        let listed: BTreeSet<EndpointProcess> = model
             .store
             .entries
             .values()
-            .map(|endpoint| endpoint.life.clone())
+            .map(|endpoint| endpoint.process.clone())
             .collect();
         for (index, gateway) in model.gateways.iter().enumerate() {
-            prop_assert_eq!(&gateway.lives(), &listed, "gateway {}", index);
+            prop_assert_eq!(&gateway.processes(), &listed, "gateway {}", index);
             prop_assert!(gateway.listing.version().settled);
         }
         Ok(())
@@ -387,11 +390,12 @@
     result.unwrap_or_else(|error| panic!("{error}"));
 }
 
-/// A reading that was on its way when the store came back changes nothing, whoever brings it.
+/// Guards against a delayed read from before a restore that is applied after it, by the gateway
+/// itself or through a peer.
 #[test]
-fn an_older_era_never_wins() {
+fn reads_of_an_older_era_are_ignored() {
     let position = |era, revision| StorePosition::new(era, revision);
-    let told = |era, revision| ListingVersion {
+    let version = |era, revision| ListingVersion {
         position: position(era, revision),
         settled: true,
     };
@@ -399,33 +403,42 @@
     let now = Duration::from_secs(1);
     assert!(
         listing
-            .take_reading(now, position(2, 10), false, Vec::new())
+            .apply_read(now, position(2, 10), false, Vec::new())
             .is_some()
     );
     assert!(
         listing
-            .take_reading(now, position(1, 900), false, Vec::new())
+            .apply_read(now, position(1, 900), false, Vec::new())
+            .is_none()
+    );
+    assert!(
+        listing
+            .apply_peer_listing(version(1, 900), Vec::new())
             .is_none()
     );
-    assert!(listing.take_peer(told(1, 900), Vec::new()).is_none());
     assert!(!listing.advance(position(1, 900)));
     assert!(listing.advance(position(2, 11)));
-    assert!(listing.take_peer(told(3, 1), Vec::new()).is_some());
+    assert!(
+        listing
+            .apply_peer_listing(version(3, 1), Vec::new())
+            .is_some()
+    );
     assert!(!listing.advance(position(2, 900)));
 }
 
 struct MissingCase {
     name: &'static str,
-    /// Time since the store was read again, in milliseconds.
+    /// Time since the store was first read again, in milliseconds.
     after_ms: u64,
-    /// Whether the store was lost again meanwhile.
+    /// Whether the store was lost again in the meantime.
     lost_again: bool,
     gone: bool,
 }
 
-/// An endpoint whose entry the copy lacks is used until it had its time to write again.
+/// Guards against an endpoint without an entry in the restored copy that is dropped before it could
+/// write its entry again.
 #[test]
-fn what_is_missing_after_a_return_has_its_time() {
+fn missing_endpoints_are_kept_until_the_listing_settles() {
     let cases = [
         MissingCase {
             name: "at once",
@@ -434,19 +447,19 @@
             gone: false,
         },
         MissingCase {
-            name: "within the time of endpoints",
+            name: "before the listing settles",
             after_ms: 2_000,
             lost_again: false,
             gone: false,
         },
         MissingCase {
-            name: "afterwards",
+            name: "after the listing settles",
             after_ms: 2_300,
             lost_again: false,
             gone: true,
         },
         MissingCase {
-            name: "afterwards, without a store to write to",
+            name: "after that time, while the store is unreachable",
             after_ms: 9_000,
             lost_again: true,
             gone: false,
@@ -455,14 +468,14 @@
     for case in cases {
         let mut listing = EndpointListing::new();
         let start = Duration::from_secs(100);
-        listing.take_reading(start, StorePosition::new(1, 50), false, Vec::new());
-        let settled = start + SETTLED;
+        listing.apply_read(start, StorePosition::new(1, 50), false, Vec::new());
+        let settled = start + SETTLE_TIME;
         listing.settle(settled);
         let missing: Vec<EndpointId> = vec!["i-0".into()];
-        let gone = listing.take_reading(settled, StorePosition::new(2, 40), false, missing);
+        let gone = listing.apply_read(settled, StorePosition::new(2, 40), false, missing);
         assert_eq!(gone, Some(Vec::new()), "{}", case.name);
         if case.lost_again {
-            listing.suspend();
+            listing.suspend_settling();
         }
         let gone = listing.settle(settled + Duration::from_millis(case.after_ms));
         assert_eq!(!gone.is_empty(), case.gone, "{}", case.name);
--- a/lovagedock/tests/direct_suspects.rs
+++ b/lovagedock/tests/direct_suspects.rs
@@ -1,13 +1,13 @@
-//! Requests that end the engines that run them, on the deciders alone.
+//! Tests of the detection of requests that end the engines that run them.
 
 mod direct_suspect_wave;
 
 use std::time::Duration;
 
-use direct_suspect_wave::{WaveOutcome, WavePlan, play_wave};
+use direct_suspect_wave::{WaveOutcome, WavePlan, simulate_wave};
 use lovagedock::{
-    EndEvidence, EndpointLife, ProcessEnd, RequestFingerprint, SuspectLedger, SuspectNews,
-    SuspectTelling, Timestamp,
+    EndEvidence, EndpointProcess, ProcessEnd, RequestFingerprint, SuspectLedger, SuspectQueue,
+    SuspectUpdate, Timestamp,
 };
 use rand::{RngExt, SeedableRng, seq::SliceRandom};
 use rand_chacha::ChaCha8Rng;
@@ -15,28 +15,28 @@
 /// The request that ends engines.
 const CRASHING: RequestFingerprint = 7;
 
-/// One that shares engines with it.
-const INNOCENT: RequestFingerprint = 8;
+/// A request that shares engines with it.
+const UNRELATED: RequestFingerprint = 8;
 
 fn seconds(seconds: u64) -> Timestamp {
     Duration::from_secs(seconds)
 }
 
 fn end(process: u64, evidence: EndEvidence) -> ProcessEnd {
-    let life = EndpointLife::new(format!("i-{process}").as_str(), 1);
-    ProcessEnd::new(&life, evidence)
+    let process = EndpointProcess::new(format!("i-{process}").as_str(), 1);
+    ProcessEnd::new(&process, evidence)
 }
 
-/// What happens to one request.
+/// Event of a request.
 #[derive(Clone, Copy, Debug)]
 enum SuspectStep {
-    /// A process of this number ended under it, at once.
+    /// The process with this number certainly ended, soon after it had started to run the request.
     Ended(u64),
-    /// A process ended under it that may only be out of reach, or after it had streamed.
+    /// The process with this number may only be unreachable, or had streamed before it ended.
     MaybeEnded(u64),
-    /// It was served.
+    /// The request was served.
     Served,
-    /// So many seconds pass.
+    /// This number of seconds passes.
     Wait(u64),
 }
 
@@ -60,7 +60,7 @@
             quarantined: false,
         },
         SuspectCase {
-            name: "one process, told three times",
+            name: "one process, reported three times",
             steps: &[Ended(1), Ended(1), Ended(1)],
             quarantined: false,
         },
@@ -70,12 +70,12 @@
             quarantined: false,
         },
         SuspectCase {
-            name: "what was not sure becomes sure",
+            name: "weak evidence becomes strong",
             steps: &[MaybeEnded(1), Ended(2), Ended(3), Ended(1)],
             quarantined: true,
         },
         SuspectCase {
-            name: "six that are not sure",
+            name: "six ends with weak evidence",
             steps: &[
                 MaybeEnded(1),
                 MaybeEnded(2),
@@ -92,7 +92,7 @@
             quarantined: false,
         },
         SuspectCase {
-            name: "asked for by many, and a failure domain is lost",
+            name: "a frequent request, and a failure domain is lost",
             steps: &[Served, Wait(20), Ended(1), Ended(2), Ended(3), Ended(4)],
             quarantined: false,
         },
@@ -102,32 +102,32 @@
             quarantined: true,
         },
         SuspectCase {
-            name: "served after all",
+            name: "served after the ends",
             steps: &[Ended(1), Ended(2), Ended(3), Served],
             quarantined: false,
         },
         SuspectCase {
-            name: "brought again minutes later",
+            name: "submitted again minutes later",
             steps: &[Ended(1), Wait(300), Ended(2), Wait(300), Ended(3)],
             quarantined: true,
         },
         SuspectCase {
-            name: "forgotten meanwhile",
+            name: "evidence expires in between",
             steps: &[Ended(1), Ended(2), Wait(700), Ended(3)],
             quarantined: false,
         },
         SuspectCase {
-            name: "its time is over",
+            name: "the quarantine has ended",
             steps: &[Ended(1), Ended(2), Ended(3), Wait(601)],
             quarantined: false,
         },
         SuspectCase {
-            name: "it ends another one then",
+            name: "another end after the quarantine",
             steps: &[Ended(1), Ended(2), Ended(3), Wait(601), Ended(4)],
             quarantined: true,
         },
         SuspectCase {
-            name: "for twice as long",
+            name: "the second quarantine is twice as long",
             steps: &[
                 Ended(1),
                 Ended(2),
@@ -142,7 +142,7 @@
 };
 
 #[test]
-fn a_request_is_judged_by_the_processes_that_ended_under_it() {
+fn quarantine_follows_from_ended_processes() {
     for case in CASES {
         let mut ledger = SuspectLedger::new();
         let mut now = seconds(5);
@@ -166,44 +166,46 @@
     }
 }
 
-/// Who shared two processes with the request is not held to account for them once it is found.
+/// Guards against ends that count against a request that shared two processes with one that is in
+/// quarantine by now.
 #[test]
-fn a_quarantine_accounts_for_its_processes() {
+fn a_quarantine_clears_other_requests_of_its_processes() {
     let mut ledger = SuspectLedger::new();
     let now = seconds(1);
     for process in 1..3 {
-        ledger.record_end(now, INNOCENT, end(process, EndEvidence::Strong));
+        ledger.record_end(now, UNRELATED, end(process, EndEvidence::Strong));
         ledger.record_end(now, CRASHING, end(process, EndEvidence::Strong));
     }
     assert!(ledger.record_end(now, CRASHING, end(3, EndEvidence::Strong)));
-    assert_eq!(ledger.ends(INNOCENT), 0);
-    // Its own gateway tells of the third a moment later.
-    assert!(!ledger.record_end(now, INNOCENT, end(3, EndEvidence::Strong)));
-    assert!(!ledger.is_suspect(INNOCENT));
+    assert_eq!(ledger.ends(UNRELATED), 0);
+    // The gateway of the unrelated request reports the third end a moment later.
+    assert!(!ledger.record_end(now, UNRELATED, end(3, EndEvidence::Strong)));
+    assert!(!ledger.is_suspect(UNRELATED));
 }
 
-/// What is remembered stays bounded, and who has most against it stays longest.
+/// Guards against unbounded memory. The requests with the most evidence are kept longest.
 #[test]
 fn memory_is_bounded() {
     let mut ledger = SuspectLedger::new();
     for process in 1..4 {
         ledger.record_end(seconds(1), CRASHING, end(process, EndEvidence::Strong));
     }
-    ledger.record_end(seconds(1), INNOCENT, end(4, EndEvidence::Strong));
-    ledger.record_end(seconds(1), INNOCENT, end(5, EndEvidence::Strong));
+    ledger.record_end(seconds(1), UNRELATED, end(4, EndEvidence::Strong));
+    ledger.record_end(seconds(1), UNRELATED, end(5, EndEvidence::Strong));
     for fingerprint in 100..20_100 {
         let process = end(fingerprint, EndEvidence::Strong);
         ledger.record_end(seconds(2), fingerprint, process);
         assert!(ledger.len() <= 2048);
     }
     assert!(ledger.quarantined_for(seconds(2), CRASHING).is_some());
-    assert_eq!(ledger.ends(INNOCENT), 2);
+    assert_eq!(ledger.ends(UNRELATED), 2);
     assert!(ledger.reports(seconds(2), true).len() <= 256);
     ledger.forget_old(seconds(4000));
     assert!(ledger.is_empty());
 }
 
-/// What a gateway kept is known to the next process of its name, and is kept again.
+/// Guards against evidence that is lost with a gateway's process. The next process of its name
+/// restores it and reports it again.
 #[test]
 fn reports_outlive_the_gateway() {
     let now = seconds(10);
@@ -211,57 +213,57 @@
     for process in 1..4 {
         ledger.record_end(now, CRASHING, end(process, EndEvidence::Strong));
     }
-    ledger.record_end(now, INNOCENT, end(9, EndEvidence::Strong));
+    ledger.record_end(now, UNRELATED, end(9, EndEvidence::Strong));
     let reports = ledger.reports(now, false);
-    assert_eq!(reports.len(), 1, "one end alone is not kept");
+    assert_eq!(reports.len(), 1, "a single end is not reported");
     assert_eq!(ledger.reports(now, true).len(), 2);
     for is_own in [true, false] {
         let mut next = SuspectLedger::new();
         assert_eq!(next.restore(seconds(1), reports.clone(), is_own), 1);
         assert!(next.quarantined_for(seconds(2), CRASHING).is_some());
         let kept = next.reports(seconds(2), false).len();
-        assert_eq!(kept, usize::from(is_own), "each keeps its own");
+        assert_eq!(kept, usize::from(is_own), "each gateway reports its own");
     }
 }
 
-/// Gateways agree on a request whatever becomes of some messages.
+/// Guards against gateways that disagree on a request after message loss.
 ///
-/// Processes end under it at random gateways. Each message to each peer is lost with a chance of two in
-/// five, doubled or late; so the three tellings of a piece of news overtake each other. A caller's
-/// request that was served at one gateway is sound at all of them.
+/// Processes end under the request at random gateways. Each message to each peer is lost with a
+/// probability of two in five, duplicated or delayed, so the three sends of an update overtake each
+/// other. A request that was served at one gateway must not be suspected by any of them.
 #[test]
-fn gateways_agree_in_spite_of_losses() {
+fn gateways_agree_despite_message_loss() {
     const GATEWAYS: usize = 5;
     for seed in 0..200 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut ledgers = vec![SuspectLedger::new(); GATEWAYS];
-        let mut tellings = vec![SuspectTelling::new(); GATEWAYS];
-        let mut messages: Vec<(Timestamp, usize, SuspectNews)> = Vec::new();
-        ledgers[0].record_served(Duration::ZERO, INNOCENT);
+        let mut queues = vec![SuspectQueue::new(); GATEWAYS];
+        let mut messages: Vec<(Timestamp, usize, SuspectUpdate)> = Vec::new();
+        ledgers[0].record_served(Duration::ZERO, UNRELATED);
         for round in 0..1200_u64 {
             let now = Duration::from_millis(round * 10);
             if round < 40 && round % 10 == 0 {
                 let gateway = random.random_range(0..GATEWAYS);
                 let ended = end(round, EndEvidence::Strong);
                 ledgers[gateway].record_end(now, CRASHING, ended);
-                ledgers[1].record_end(now, INNOCENT, ended);
+                ledgers[1].record_end(now, UNRELATED, ended);
             }
             for sender in 0..GATEWAYS {
-                for news in tellings[sender].take(now, &mut ledgers[sender]) {
+                for update in queues[sender].take_due(now, &mut ledgers[sender]) {
                     for receiver in (0..GATEWAYS).filter(|receiver| *receiver != sender) {
                         for _ in 0..random.random_range(1..3) {
                             if random.random_bool(0.6) {
-                                let late = Duration::from_millis(random.random_range(1..900));
-                                messages.push((now + late, receiver, news));
+                                let delay = Duration::from_millis(random.random_range(1..900));
+                                messages.push((now + delay, receiver, update));
                             }
                         }
                     }
                 }
             }
             messages.shuffle(&mut random);
-            messages.retain(|(at, receiver, news)| {
+            messages.retain(|(at, receiver, update)| {
                 if *at <= now {
-                    ledgers[*receiver].hear(now, *news);
+                    ledgers[*receiver].apply_update(now, *update);
                 }
                 *at > now
             });
@@ -270,63 +272,70 @@
         for (gateway, ledger) in ledgers.iter().enumerate() {
             let left = ledger.quarantined_for(now, CRASHING);
             assert!(left.is_some(), "seed {seed}, gateway {gateway}");
-            let innocent = ledger.quarantined_for(now, INNOCENT);
-            assert!(innocent.is_none(), "seed {seed}, gateway {gateway}");
+            let unrelated = ledger.quarantined_for(now, UNRELATED);
+            assert!(unrelated.is_none(), "seed {seed}, gateway {gateway}");
         }
     }
 }
 
-/// Messages stay small, also when a failure domain with a thousand requests is lost.
+/// Guards against large messages after the loss of a failure domain with a thousand requests.
 #[test]
 fn messages_are_bounded() {
     let mut ledger = SuspectLedger::new();
-    let mut telling = SuspectTelling::new();
+    let mut queue = SuspectQueue::new();
     for fingerprint in 0..5_000 {
         let ended = end(fingerprint % 57, EndEvidence::Strong);
         ledger.record_end(seconds(1), fingerprint, ended);
     }
-    let mut told = 0;
+    let mut sent = 0;
     for round in 0..1_000 {
         let now = seconds(1) + Duration::from_millis(10 * round);
-        let news = telling.take(now, &mut ledger).len();
-        assert!(news <= 24, "{news} in one message");
-        told += news;
+        let updates = queue.take_due(now, &mut ledger).len();
+        assert!(updates <= 24, "{updates} in one message");
+        sent += updates;
     }
-    assert!(told <= 3 * 5_000, "{told} in all");
-    assert!(telling.take(seconds(60), &mut ledger).is_empty());
+    assert!(sent <= 3 * 5_000, "{sent} in all");
+    assert!(queue.take_due(seconds(60), &mut ledger).is_empty());
 }
 
-/// A request that many ask and that every gateway has served is cleared in few words.
+/// Guards against repeated updates about a frequent request that every gateway has served.
 #[test]
-fn a_clearance_is_told_once_while_it_waits() {
+fn a_queued_clearance_is_not_queued_twice() {
     let mut ledger = SuspectLedger::new();
-    let mut telling = SuspectTelling::new();
-    ledger.record_served(seconds(1), INNOCENT);
-    let mut told = 0;
+    let mut queue = SuspectQueue::new();
+    ledger.record_served(seconds(1), UNRELATED);
+    let mut sent = 0;
     for process in 0..50 {
         let ended = end(process, EndEvidence::Strong);
-        ledger.hear(seconds(2), SuspectNews::Ended(INNOCENT, ended));
-        told += telling.take(seconds(2), &mut ledger).len();
+        ledger.apply_update(seconds(2), SuspectUpdate::Ended(UNRELATED, ended));
+        sent += queue.take_due(seconds(2), &mut ledger).len();
     }
-    assert_eq!(told, 1);
-    assert_eq!(telling.take(seconds(3), &mut ledger).len(), 1);
+    assert_eq!(sent, 1);
+    assert_eq!(queue.take_due(seconds(3), &mut ledger).len(), 1);
 }
 
-/// Callers who share engines with a request that ends them are served, and few engines end.
+/// Guards against the quarantine of requests that only share engines with one that ends them, and
+/// against many ended engines.
 ///
-/// On 21 engines 9 requests run at each; one that ends its engine after 0.15 s is brought 40 times. All
-/// who were on an engine that ended are sent on in the same moment. With requests under suspicion kept
-/// apart nobody else is put into quarantine; without, those who meet it three times are, since
-/// nothing tells them from it.
+/// On 21 engines, 9 requests run at each. One request that ends its engine after 0.15 s is
+/// submitted 40 times. All requests that were on an ended engine are placed again at the same
+/// moment. If suspect requests are isolated, no other request is quarantined. Otherwise, those that
+/// share an engine with the crashing request three times are, since they cannot be told from it.
 #[test]
-fn those_who_shared_engines_are_not_in_quarantine() {
-    let mut apart = WaveOutcome::default();
+fn requests_on_shared_engines_are_not_quarantined() {
+    let mut isolated = WaveOutcome::default();
     let mut together = WaveOutcome::default();
     for seed in 0..100 {
-        apart.add(play_wave(&WavePlan { seed, apart: true }));
-        together.add(play_wave(&WavePlan { seed, apart: false }));
+        isolated.add(simulate_wave(&WavePlan {
+            seed,
+            isolated: true,
+        }));
+        together.add(simulate_wave(&WavePlan {
+            seed,
+            isolated: false,
+        }));
     }
-    assert_eq!(apart.innocents_in_quarantine, 0, "{apart:?} {together:?}");
-    assert!(apart.most_ends <= 6, "{apart:?}");
-    assert!(together.innocents_in_quarantine > 0, "{together:?}");
+    assert_eq!(isolated.others_quarantined, 0, "{isolated:?} {together:?}");
+    assert!(isolated.max_ends <= 6, "{isolated:?}");
+    assert!(together.others_quarantined > 0, "{together:?}");
 }
--- a/lovagedock/tests/direct_waiting.rs
+++ b/lovagedock/tests/direct_waiting.rs
@@ -1,72 +1,73 @@
-//! Who waits, who is refused, and who is recognised when he comes back.
+//! Tests of waiting, refusing and recognising returning requests.
 
 use std::time::Duration;
 
-use lovagedock::{LineDecision, LineKind, LineSettings, RefusalLog, WaitingLine};
+use lovagedock::{QueueDecision, QueueKind, QueueSettings, RefusalLog, WaitingQueue};
 
-fn line() -> WaitingLine {
-    WaitingLine::new(LineSettings::default())
+fn waiting_queue() -> WaitingQueue {
+    WaitingQueue::new(QueueSettings::default())
 }
 
-/// A caller whose request waits is told within a part of its objective.
+/// Guards against a request that waits for longer than its share of the objective.
 #[test]
 fn a_request_waits_for_a_part_of_its_objective() {
-    let mut line = line();
-    let decision = line.arrive(ms(100), ms(400), ms(10_000), 0.0);
-    assert_eq!(decision, LineDecision::Wait { until: ms(220) });
+    let mut queue = waiting_queue();
+    let decision = queue.decide(ms(100), ms(400), ms(10_000), 0.0);
+    assert_eq!(decision, QueueDecision::Wait { until: ms(220) });
 }
 
-/// More callers than the line serves in time are refused at once, not when their time is over.
+/// Guards against requests that are refused only after their time is over, instead of at once.
 ///
-/// 30 requests a second start and ten wait. The eleventh would wait for 330 ms of its 300.
+/// 30 requests start per second and ten wait. The eleventh would wait for 330 ms of its 300 ms.
 #[test]
 fn a_request_that_would_be_late_is_refused_at_once() {
-    let mut line = line();
+    let mut queue = waiting_queue();
     for start in 0..60 {
-        line.record_start(ms(start * 33));
+        queue.record_start(ms(start * 33));
     }
     for _ in 0..10 {
-        line.join(ms(2_300));
+        queue.enqueue(ms(2_300));
     }
-    let decision = line.arrive(ms(2_000), ms(2_300), ms(9_900), 0.0);
+    let decision = queue.decide(ms(2_000), ms(2_300), ms(9_900), 0.0);
     assert!(
-        matches!(decision, LineDecision::Refuse { .. }),
+        matches!(decision, QueueDecision::Refuse { .. }),
         "{decision:?}"
     );
 }
 
-/// Callers refused in the same moment are told unlike times, none longer than they would follow.
+/// Guards against requests refused at the same moment that get the same retry delay, or a longer
+/// one than callers follow.
 #[test]
-fn advice_is_spread_and_bounded() {
-    let line = line();
-    let soonest = line.retry_after(Duration::ZERO, ms(9_000), 0.0);
-    let latest = line.retry_after(Duration::ZERO, ms(9_000), 1.0);
+fn retry_delays_are_spread_and_bounded() {
+    let queue = waiting_queue();
+    let soonest = queue.retry_after(Duration::ZERO, ms(9_000), 0.0);
+    let latest = queue.retry_after(Duration::ZERO, ms(9_000), 1.0);
     assert_eq!((soonest, latest), (ms(700), ms(2_700)));
-    let short = line.retry_after(Duration::ZERO, ms(900), 0.5);
+    let short = queue.retry_after(Duration::ZERO, ms(900), 0.5);
     assert_eq!(short, ms(270));
 }
 
-/// The request that is late first goes first, whoever came first.
+/// Guards against an order of the queue other than by objective, whatever the order of arrival.
 #[test]
-fn the_next_to_be_late_goes_first() {
-    let mut line = line();
-    let later = line.join(ms(500));
-    let sooner = line.join(ms(300));
-    assert!(line.is_first(&sooner) && !line.is_first(&later));
-    line.leave(&sooner);
-    assert!(line.is_first(&later));
-    line.leave(&later);
-    assert!(line.is_empty());
+fn the_request_with_the_earliest_objective_goes_first() {
+    let mut queue = waiting_queue();
+    let later = queue.enqueue(ms(500));
+    let sooner = queue.enqueue(ms(300));
+    assert!(queue.is_first(&sooner) && !queue.is_first(&later));
+    queue.remove(&sooner);
+    assert!(queue.is_first(&later));
+    queue.remove(&later);
+    assert!(queue.is_empty());
 }
 
-/// A line in which nothing started yet does not refuse the second long prompt.
+/// Guards against a queue without any started request that refuses the second long prompt.
 #[test]
 fn long_prompts_may_wait_before_any_has_started() {
-    let mut line = WaitingLine::new(LineKind::Long.settings());
-    line.join(ms(3_000));
-    let decision = line.arrive(ms(0), ms(3_000), ms(15_000), 0.0);
+    let mut queue = WaitingQueue::new(QueueKind::Long.settings());
+    queue.enqueue(ms(3_000));
+    let decision = queue.decide(ms(0), ms(3_000), ms(15_000), 0.0);
     assert!(
-        matches!(decision, LineDecision::Wait { .. }),
+        matches!(decision, QueueDecision::Wait { .. }),
         "{decision:?}"
     );
 }
@@ -77,13 +78,14 @@
     held_ms: u64,
 }
 
-/// A caller who cannot be served hears so early enough to do something else.
+/// Guards against a refusal that comes too late for the caller to do something else.
 ///
-/// Long prompts find every engine at work. A fresh one may wait for two fifths of its objective. One
-/// that was refused before is late already; held for all of its time, it would be refused in most cases
-/// all the same, seconds later. Short ones that come back wait for a slot, which takes a moment.
+/// Long prompts find all engines busy. A new one may wait for two fifths of its objective. A
+/// returning one is late already; if it waited for all of its time, it would be refused in most
+/// cases anyway, seconds later. Returning short requests wait for a free slot, which takes a
+/// moment.
 #[test]
-fn nobody_is_held_longer_than_it_helps() {
+fn each_queue_bounds_its_waiting_time() {
     let cases = [
         HoldCase {
             is_long: false,
@@ -107,34 +109,35 @@
         },
     ];
     for case in cases {
-        let kind = LineKind::new(case.is_long, case.is_return);
+        let kind = QueueKind::new(case.is_long, case.is_return);
         assert_eq!(
             (kind.is_long(), kind.is_return()),
             (case.is_long, case.is_return)
         );
-        let mut line = WaitingLine::new(kind.settings());
-        let decision = line.arrive(ms(0), ms(4_000), ms(15_000), 0.0);
+        let mut queue = WaitingQueue::new(kind.settings());
+        let decision = queue.decide(ms(0), ms(4_000), ms(15_000), 0.0);
         let until = ms(case.held_ms);
-        assert_eq!(decision, LineDecision::Wait { until }, "{kind:?}");
+        assert_eq!(decision, QueueDecision::Wait { until }, "{kind:?}");
     }
 }
 
-/// A caller that comes back is known at any gateway for as long as it may come back.
+/// Guards against a returning request that a gateway does not recognise within the time in which
+/// callers retry.
 #[test]
-fn refusals_are_remembered_and_forgotten() {
+fn refusals_expire() {
     let mut own = RefusalLog::new();
     let mut peer = RefusalLog::new();
     own.record(ms(0), 7);
-    for fingerprint in own.take_untold() {
-        peer.hear(ms(10), fingerprint);
+    for fingerprint in own.take_unsent() {
+        peer.record_remote(ms(10), fingerprint);
     }
-    assert!(own.take_untold().is_empty());
+    assert!(own.take_unsent().is_empty());
     assert!(own.is_return(ms(3_000), 7) && peer.is_return(ms(3_000), 7));
     assert!(!peer.is_return(ms(3_000), 8));
     assert!(!peer.is_return(ms(9_000), 7));
 }
 
-/// A log of refusals stays small however many come.
+/// Guards against a log of refusals that grows without bound.
 #[test]
 fn refusals_are_bounded() {
     let mut log = RefusalLog::new();
--- a/lovagedock/tests/outlier.rs
+++ b/lovagedock/tests/outlier.rs
@@ -1,4 +1,4 @@
-//! Endpoints that fail are ejected, within a limit, and let back by one probe.
+//! Failing endpoints are ejected up to a limit and readmitted after a successful probe.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
     max_ejection: Duration::from_secs(60),
     max_ejected_percent: 30,
     probe_timeout: Duration::from_secs(10),
-    calm: Duration::from_secs(100),
+    reset_after: Duration::from_secs(100),
 };
 
 fn id(index: usize) -> EndpointId {
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn only_failures_in_a_row_eject() {
+fn only_consecutive_failures_eject() {
     let mut detector = detector(10);
     for _ in 0..10 {
         for event in [
@@ -61,9 +61,9 @@
     assert!(actions[0].ejected);
 }
 
-/// What the caller sees: every request that goes to one endpoint waits out its heartbeats. The
-/// host's connections are dead, yet each new session opens well, so no single request fails fast.
-/// One silent session is enough to eject.
+/// Guards against every request to an endpoint waiting for the heartbeat timeout. The connections
+/// of the host are dead but each new session opens, so no single request fails quickly. One session
+/// that stops responding is therefore enough to eject.
 #[test]
 fn one_silent_session_ejects() {
     let mut detector = detector(10);
@@ -71,8 +71,8 @@
     assert_eq!(cause(&actions), Some(OutlierCause::SilentSession));
 }
 
-/// What the caller sees: a burst of failures everywhere, for instance from a bad prompt or a lost
-/// switch. Ejecting all endpoints would leave no place at all, so only a share is ejected.
+/// A burst of failures may affect all endpoints, for example because of a bad prompt or a failed
+/// network switch. Ejecting all of them would leave no endpoint, so only a share is ejected.
 #[test]
 fn at_most_a_share_is_ejected() {
     struct Case {
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn one_probe_decides_and_the_interval_grows() {
+fn one_probe_decides_and_ejections_grow_longer() {
     let mut detector = detector(10);
     eject(&mut detector, at(0), 0);
     let mut now = 0;
@@ -125,17 +125,17 @@
         assert_eq!(cause(&allowed), Some(OutlierCause::ProbeAllowed));
         let sent = detector.handle(at(now), OutlierEvent::ProbeSent(id(0)));
         assert_eq!(cause(&sent), Some(OutlierCause::ProbeSent));
-        assert!(sent[0].ejected, "nothing may follow the probe");
+        assert!(sent[0].ejected, "no request may follow the probe");
         assert_eq!(detector.handle(at(now), OutlierEvent::ProbeSent(id(0))), []);
         let failed = detector.handle(at(now), OutlierEvent::Failed(id(0)));
         assert_eq!(cause(&failed), Some(OutlierCause::ProbeFailed));
     }
 }
 
-/// What the caller sees: nothing; the probe was cancelled or its outcome was lost. Without a time
-/// limit the endpoint would stay out for good.
+/// A probe may be cancelled or its outcome lost. Without a timeout the endpoint would stay ejected
+/// for good.
 #[test]
-fn a_probe_without_an_outcome_counts_as_failed() {
+fn probe_without_an_outcome_counts_as_failed() {
     let mut detector = detector(10);
     eject(&mut detector, at(0), 0);
     detector.handle(at(5), OutlierEvent::Tick);
@@ -145,19 +145,19 @@
     assert_eq!(cause(&actions), Some(OutlierCause::ProbeFailed));
 }
 
-/// What the caller sees: an endpoint that works for one request and fails the next, over and over.
-/// Were it judged anew after each probe, each turn would cost a row of failures. It is on
-/// probation instead: one failure ejects it again, for twice as long.
+/// An endpoint alternates between a successful and a failed request. If its failures were counted
+/// from zero after each probe, several requests would fail in each cycle. During probation a single
+/// failure ejects it again, for twice as long.
 #[test]
-fn a_flapping_endpoint_costs_one_failure_a_turn() {
+fn flapping_endpoint_is_ejected_after_one_failure() {
     let mut detector = detector(10);
     eject(&mut detector, at(0), 0);
     let mut now = 5;
     for expected in [10, 20, 40] {
         detector.handle(at(now), OutlierEvent::Tick);
         detector.handle(at(now), OutlierEvent::ProbeSent(id(0)));
-        let back = detector.handle(at(now), OutlierEvent::Succeeded(id(0)));
-        assert_eq!(cause(&back), Some(OutlierCause::Readmitted));
+        let readmitted = detector.handle(at(now), OutlierEvent::Succeeded(id(0)));
+        assert_eq!(cause(&readmitted), Some(OutlierCause::Readmitted));
         let again = detector.handle(at(now), OutlierEvent::Failed(id(0)));
         assert_eq!(cause(&again), Some(OutlierCause::FailedOnProbation));
         assert_eq!(
@@ -175,12 +175,12 @@
     assert_eq!(
         cause(&allowed),
         Some(OutlierCause::ProbeAllowed),
-        "calm resets the interval"
+        "a period without failures resets the duration"
     );
 }
 
 #[test]
-fn an_old_answer_does_not_readmit() {
+fn answer_from_before_the_ejection_does_not_readmit() {
     let mut detector = detector(10);
     eject(&mut detector, at(0), 0);
     assert_eq!(detector.handle(at(1), OutlierEvent::Succeeded(id(0))), []);
@@ -207,7 +207,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// No event ejects beyond the limit, and whatever is ejected comes back up for a probe.
+    /// No event ejects endpoints beyond the limit, and every ejected endpoint is eventually probed.
     #[test]
     fn ejections_stay_within_the_limit_and_end(events in prop::collection::vec(any_event(), 1..200)) {
         let mut detector = detector(8);
--- a/lovagedock/tests/subset.rs
+++ b/lovagedock/tests/subset.rs
@@ -1,4 +1,5 @@
-//! Subsets are the same everywhere, equal in size, near, and survive the loss of a domain.
+//! Subsets are the same on all processes, balanced, prefer the own failure domain, and stay
+//! complete after the loss of a failure domain.
 
 use std::collections::BTreeSet;
 
@@ -37,7 +38,7 @@
 }
 
 #[test]
-fn small_fleets_are_seen_whole() {
+fn small_fleets_are_fully_connected() {
     let gateways = members("g", 6, 3);
     let endpoints = members("e", 28, 3);
     let plan = SubsetPlanner::default().plan(&gateways, &endpoints);
@@ -52,18 +53,18 @@
     let endpoints = members("e", 200, 4);
     let planner = SubsetPlanner::new(SETTINGS);
     let plan = planner.plan(&gateways, &endpoints);
-    let turned: Vec<_> = gateways.iter().rev().cloned().collect();
-    let other = planner.plan(&turned, &endpoints);
+    let reversed: Vec<_> = gateways.iter().rev().cloned().collect();
+    let other = planner.plan(&reversed, &endpoints);
     for endpoint in 0..endpoints.len() {
         assert_eq!(
             gateway_names(&plan, &gateways, endpoint),
-            gateway_names(&other, &turned, endpoint)
+            gateway_names(&other, &reversed, endpoint)
         );
     }
 }
 
-/// What the caller sees: requests go on when a failure domain is lost, also where the endpoints of
-/// a domain had no gateway of their own.
+/// Requests continue after the loss of a failure domain, even if the failure domain of an endpoint
+/// has no gateway.
 #[test]
 fn endpoints_of_a_domain_without_gateways_are_served_from_several_others() {
     let gateways: Vec<_> = members("g", 24, 4)
@@ -92,7 +93,7 @@
     })]
 
     #[test]
-    fn plans_are_complete_near_equal_and_steady(
+    fn plans_are_complete_balanced_and_stable(
         domains in 2..7_usize,
         gateways_per_domain in 4..12_usize,
         endpoints in 40..400_usize,
@@ -114,7 +115,7 @@
                 .map(|g| &gateways[*g].domain)
                 .filter(|domain| **domain != endpoint.domain)
                 .collect();
-            prop_assert_eq!(elsewhere.len(), 2.min(domains - 1), "others spread over domains");
+            prop_assert_eq!(elsewhere.len(), 2.min(domains - 1), "other gateways spread over failure domains");
             picks += chosen.len();
         }
         let mean = picks as f64 / gateways.len() as f64;
