--- a/lovagedock-gateway/src/direct/board/mod.rs
+++ b/lovagedock-gateway/src/direct/board/mod.rs
@@ -361,7 +361,7 @@
             .lock()
             .service(now, service)
             .retries
-            .try_take(now)
+            .try_consume(now)
     }
 
     /// Records that an endpoint sent something.
--- a/lovagedock/src/direct/choice.rs
+++ b/lovagedock/src/direct/choice.rs
@@ -60,7 +60,7 @@
     /// Endpoints that prefill parts of the prompt.
     pub helpers: Vec<HelperPart>,
     /// Prefill time of each part.
-    pub part_time: Duration,
+    pub part_prefill_time: Duration,
     /// Predicted time to the first event.
     pub first_event: Duration,
     /// Longest time until one of the chosen endpoints has finished the prefills placed on it
--- a/lovagedock/src/direct/events.rs
+++ b/lovagedock/src/direct/events.rs
@@ -48,7 +48,7 @@
     }
 
     fn find_end(&mut self) -> Option<usize> {
-        let start = self.scanned.saturating_sub(LONGEST_SEPARATOR);
+        let start = self.scanned.saturating_sub(MAX_SEPARATOR_LEN);
         for index in start..self.pending.len() {
             let rest = &self.pending[index..];
             if rest.starts_with(b"\n\n") {
@@ -64,7 +64,7 @@
 }
 
 /// Length in bytes of the longest blank line that ends an event.
-const LONGEST_SEPARATOR: usize = 4;
+const MAX_SEPARATOR_LEN: usize = 4;
 
 fn event_id(bytes: &[u8]) -> Option<String> {
     let line = bytes
--- a/lovagedock/src/direct/ledger.rs
+++ b/lovagedock/src/direct/ledger.rs
@@ -233,10 +233,7 @@
             .iter()
             .filter(|reserved| now < reserved.until);
         let reserved: u32 = reserved.map(|reserved| reserved.slots).sum();
-        let slowdowns = record
-            .peers
-            .values()
-            .map(|last_message_at| last_message_at.load.slowdown);
+        let slowdowns = record.peers.values().map(|received| received.load.slowdown);
         let load = CombinedLoad {
             occupied: record.total.occupied + reserved,
             context: record.total.context,
--- a/lovagedock/src/direct/load.rs
+++ b/lovagedock/src/direct/load.rs
@@ -96,9 +96,9 @@
         self.writers.count()
     }
 
-    /// Returns the value of the writers that do not tolerate a gap as long as `pause`.
-    pub fn value_delayed_by(&self, pause: Duration) -> f64 {
-        let delayed = self.writers.groups().filter(|group| group.gap < pause);
+    /// Returns the value of the writers that do not tolerate a gap of this length.
+    pub fn value_delayed_by(&self, gap: Duration) -> f64 {
+        let delayed = self.writers.groups().filter(|group| group.gap < gap);
         delayed.map(|group| f64::from(group.value)).sum()
     }
 }
--- a/lovagedock/src/direct/machine.rs
+++ b/lovagedock/src/direct/machine.rs
@@ -149,14 +149,14 @@
         self.extra_attempts = (self.extra_attempts + 1).min(MAX_EXTRA_ATTEMPTS);
     }
 
-    /// Decides the next step after an attempt at `endpoint` ended. `take_retry` takes a retry from
+    /// Decides the next step after an attempt at `endpoint` ended. `consume_retry` takes a retry from
     /// the service's budget.
     pub fn attempt_ended(
         &mut self,
         now: Timestamp,
         endpoint: &EndpointProcess,
         end: AttemptEnd,
-        take_retry: impl FnOnce() -> bool,
+        consume_retry: impl FnOnce() -> bool,
     ) -> DirectStep {
         self.in_flight = false;
         if end != AttemptEnd::Withheld {
@@ -177,21 +177,21 @@
                 DirectStep::Place { resume: false }
             }
             AttemptEnd::NotRun | AttemptEnd::Misdirected => {
-                if self.may_send_again(now) && take_retry() {
+                if self.may_send_again(now) && consume_retry() {
                     return DirectStep::Place { resume: false };
                 }
                 self.give_up(now, ResultCode::EngineRefused)
             }
             AttemptEnd::Failed => {
                 self.may_have_run = true;
-                if self.mode.may_repeat() && self.may_send_again(now) && take_retry() {
+                if self.mode.may_repeat() && self.may_send_again(now) && consume_retry() {
                     return DirectStep::Place { resume: false };
                 }
                 DirectStep::DeliverFailure
             }
             AttemptEnd::Lost => {
                 self.may_have_run = true;
-                if self.mode.may_repeat() && self.may_send_again(now) && take_retry() {
+                if self.mode.may_repeat() && self.may_send_again(now) && consume_retry() {
                     return DirectStep::Place { resume: false };
                 }
                 self.give_up(now, ResultCode::EndpointLost)
@@ -199,7 +199,7 @@
             AttemptEnd::Broken => {
                 self.may_have_run = true;
                 let resumable = self.mode == RouteMode::Stream { resumable: true };
-                if resumable && self.may_send_again(now) && take_retry() {
+                if resumable && self.may_send_again(now) && consume_retry() {
                     self.resuming = true;
                     return DirectStep::Place { resume: true };
                 }
--- a/lovagedock/src/direct/member.rs
+++ b/lovagedock/src/direct/member.rs
@@ -16,7 +16,7 @@
 
 /// Loss for each free slot of a chosen engine. It is far below the loss of a late request and only
 /// breaks ties: short requests fill few engines and leave the others to long prompts.
-const SPREAD_LOSS: f64 = 0.002;
+const FREE_SLOT_LOSS: f64 = 0.002;
 
 /// Number of free slots that count as the last ones. Other gateways place on the same engine before
 /// they receive this placement; two at once are common in a burst, three are rare.
@@ -30,7 +30,7 @@
 /// lane. It grows by up to a third towards the end of the pool, so that overflow stays next to the
 /// lane.
 const OUTSIDE_LANE_LOSS: f64 = 0.12;
-const OUTSIDE_SPAN_LOSS: f64 = 0.04;
+const OUTSIDE_LANE_RANK_LOSS: f64 = 0.04;
 
 /// Maximum loss added by the random draw. It equals 20 ms of prefill of a short prompt and only
 /// breaks ties, so that gateways that place at the same moment choose different endpoints.
@@ -69,7 +69,7 @@
 /// writer of a helper. Engines prefill helpers' parts before their own prompts, so a lead waits for
 /// parts that arrive after it, and writers wait for each part. These losses concentrate leads on
 /// few engines, and the other engines only prefill.
-const OPEN_LEAD_LOSS: f64 = 0.3;
+const FIRST_WRITER_LOSS: f64 = 0.3;
 const HELPER_WRITER_LOSS: f64 = 0.05;
 
 /// Passes from the end of the prefill to the first event: the rest of the pass in which the request
@@ -93,11 +93,11 @@
     pub(super) delay_loss: f64,
     pub(super) slot_loss: f64,
     /// Tokens of memory that the request may use.
-    pub(super) free: TokenCount,
+    pub(super) free_memory: TokenCount,
     /// Loss as the lead of the team.
-    pub(super) lead_rank: f64,
+    pub(super) lead_loss: f64,
     /// Loss as a helper.
-    pub(super) helper_rank: f64,
+    pub(super) helper_loss: f64,
     pub(super) draw: f64,
 }
 
@@ -107,7 +107,7 @@
         request: &DirectRequest,
         index: usize,
         candidate: &PlacerCandidate<'_>,
-        part_time: Duration,
+        part_prefill_time: Duration,
     ) -> Self {
         let load = &candidate.load;
         let writers = load.writer_count() + 1;
@@ -120,24 +120,24 @@
             true => load.backlog.max(PENDING_PREFILL_BACKLOG),
             false => load.backlog,
         };
-        let ready = (backlog + part_time).mul_f64(slowdown);
+        let ready = (backlog + part_prefill_time).mul_f64(slowdown);
         let delay_loss = LATE_LOSS * load.value_delayed_by(pass + ready);
-        let free = candidate.endpoint.slots.saturating_sub(load.occupied);
-        let last_slot_loss = if free <= LAST_SLOTS {
+        let free_slots = candidate.endpoint.slots.saturating_sub(load.occupied);
+        let last_slot_loss = if free_slots <= LAST_SLOTS {
             LAST_SLOT_LOSS
         } else {
             0.0
         };
         let outside_loss = match candidate.short_lane || long {
             true => 0.0,
-            false => OUTSIDE_LANE_LOSS + OUTSIDE_SPAN_LOSS * candidate.rank,
+            false => OUTSIDE_LANE_LOSS + OUTSIDE_LANE_RANK_LOSS * candidate.rank,
         };
         let free_slot_loss = if candidate.short_lane {
             0.0
         } else {
-            SPREAD_LOSS
+            FREE_SLOT_LOSS
         };
-        let slot_loss = free_slot_loss * f64::from(free)
+        let slot_loss = free_slot_loss * f64::from(free_slots)
             + last_slot_loss
             + outside_loss
             + DRAW_LOSS * candidate.draw;
@@ -149,8 +149,8 @@
         let prefill_loss = ready.as_secs_f64() * prefill_loss_rate;
         let first_event = ready + pass.mul_f64(FIRST_EVENT_PASSES);
         let shared_loss = lateness_loss(request, first_event) + delay_loss + prefill_loss;
-        let opening_loss = match (long, writers) {
-            (true, 1) => OPEN_LEAD_LOSS,
+        let first_writer_loss = match (long, writers) {
+            (true, 1) => FIRST_WRITER_LOSS,
             _ => 0.0,
         };
         Self {
@@ -160,9 +160,9 @@
             pass,
             delay_loss,
             slot_loss,
-            free: usable.saturating_sub(load.context),
-            lead_rank: shared_loss + slot_loss + opening_loss,
-            helper_rank: shared_loss
+            free_memory: usable.saturating_sub(load.context),
+            lead_loss: shared_loss + slot_loss + first_writer_loss,
+            helper_loss: shared_loss
                 + DRAW_LOSS * candidate.draw
                 + HELPER_WRITER_LOSS * f64::from(writers - 1),
             draw: candidate.draw,
@@ -186,23 +186,23 @@
     need: TokenCount,
     draw_count: usize,
 ) -> Option<&TeamMember> {
-    let order = |a: &&TeamMember, b: &&TeamMember| a.lead_rank.total_cmp(&b.lead_rank);
+    let order = |a: &&TeamMember, b: &&TeamMember| a.lead_loss.total_cmp(&b.lead_loss);
     let mut best: Vec<&TeamMember> = members
         .iter()
-        .filter(|member| member.free >= need)
+        .filter(|member| member.free_memory >= need)
         .collect();
     if draw_count < best.len() {
         best.select_nth_unstable_by(draw_count, order);
         best.truncate(draw_count);
     }
-    let bound = best.iter().copied().min_by(order)?.lead_rank + DRAW_TOLERANCE;
-    let within = best.into_iter().filter(|member| member.lead_rank <= bound);
+    let bound = best.iter().copied().min_by(order)?.lead_loss + DRAW_TOLERANCE;
+    let within = best.into_iter().filter(|member| member.lead_loss <= bound);
     within.min_by(|a, b| a.draw.total_cmp(&b.draw))
 }
 
 /// Keeps the `count` members that are best as helpers, best first.
 pub(super) fn retain_best_helpers(members: &mut Vec<TeamMember>, count: usize) {
-    let order = |a: &TeamMember, b: &TeamMember| a.helper_rank.total_cmp(&b.helper_rank);
+    let order = |a: &TeamMember, b: &TeamMember| a.helper_loss.total_cmp(&b.helper_loss);
     if count < members.len() {
         members.select_nth_unstable_by(count, order);
         members.truncate(count);
@@ -213,20 +213,20 @@
 /// Removes and returns the best lead among the members whose memory holds the whole request, or
 /// otherwise the member with the most free memory.
 pub(super) fn remove_lead(members: &mut Vec<TeamMember>, need: TokenCount) -> Option<TeamMember> {
-    let whole = members
+    let fitting = members
         .iter()
         .enumerate()
-        .filter(|(_, member)| member.free >= need);
-    let rank = |(_, member): &(usize, &TeamMember)| member.lead_rank;
-    let whole = whole
-        .min_by(|a, b| rank(a).total_cmp(&rank(b)))
+        .filter(|(_, member)| member.free_memory >= need);
+    let loss = |(_, member): &(usize, &TeamMember)| member.lead_loss;
+    let fitting = fitting
+        .min_by(|a, b| loss(a).total_cmp(&loss(b)))
         .map(|(position, _)| position);
-    let position = whole.or_else(|| {
-        let free = |(_, member): &(usize, &TeamMember)| member.free;
+    let position = fitting.or_else(|| {
+        let free_memory = |(_, member): &(usize, &TeamMember)| member.free_memory;
         members
             .iter()
             .enumerate()
-            .max_by_key(free)
+            .max_by_key(free_memory)
             .map(|(position, _)| position)
     })?;
     Some(members.remove(position))
@@ -246,10 +246,10 @@
         })
         .collect();
     let mut order: Vec<usize> = (0..members.len()).collect();
-    order.sort_by_key(|position| Reverse(members[*position].free));
+    order.sort_by_key(|position| Reverse(members[*position].free_memory));
     let mut left = tokens;
     for position in order {
-        let kept = left.min(members[position].free);
+        let kept = left.min(members[position].free_memory);
         helpers[position].kept = kept;
         left -= kept;
     }
--- a/lovagedock/src/direct/peer_liveness.rs
+++ b/lovagedock/src/direct/peer_liveness.rs
@@ -26,7 +26,7 @@
 struct PeerRecord {
     has_sent: bool,
     /// When its latest message was received, or when it was listed if none was received.
-    at: Timestamp,
+    silent_since: Timestamp,
 }
 
 impl PeerLiveness {
@@ -39,7 +39,7 @@
     pub fn record_listed(&mut self, now: Timestamp, peer: &GatewayId) {
         let record = PeerRecord {
             has_sent: false,
-            at: now,
+            silent_since: now,
         };
         self.peers.entry(peer.clone()).or_insert(record);
     }
@@ -48,7 +48,7 @@
     pub fn record_message(&mut self, now: Timestamp, peer: &GatewayId) {
         let record = PeerRecord {
             has_sent: true,
-            at: now,
+            silent_since: now,
         };
         match self.peers.get_mut(peer) {
             Some(known) => *known = record,
@@ -71,7 +71,7 @@
             known: 1,
         };
         for record in self.peers.values() {
-            let silence = now.saturating_sub(record.at);
+            let silence = now.saturating_sub(record.silent_since);
             let is_reachable = record.has_sent && silence <= SILENCE_TIMEOUT;
             count.reachable += usize::from(is_reachable);
             count.known += usize::from(is_reachable || silence <= GONE_TIMEOUT);
@@ -82,7 +82,7 @@
     /// Returns whether any peer that may be serving is silent.
     pub fn has_silent_peers(&self, now: Timestamp) -> bool {
         self.peers.values().any(|record| {
-            let silence = now.saturating_sub(record.at);
+            let silence = now.saturating_sub(record.silent_since);
             let is_silent = !record.has_sent || silence > SILENCE_TIMEOUT;
             is_silent && silence <= GONE_TIMEOUT
         })
--- a/lovagedock/src/direct/placer.rs
+++ b/lovagedock/src/direct/placer.rs
@@ -22,11 +22,11 @@
         .iter()
         .map(|candidate| candidate.endpoint.slots)
         .sum();
-    let taken: u32 = candidates
+    let occupied: u32 = candidates
         .iter()
         .map(|candidate| candidate.load.occupied)
         .sum();
-    f64::from(slots.saturating_sub(taken)) > f64::from(slots) * RETURNED_RESERVE
+    f64::from(slots.saturating_sub(occupied)) > f64::from(slots) * RETURNED_RESERVE
 }
 
 /// Share of a request's value that counts as lost if its first event is predicted just in time.
@@ -43,12 +43,12 @@
 const MAX_LATE_BACKLOG: Duration = Duration::from_millis(300);
 
 /// Longest prompt that callers send, in tokens. It has the least value for its prefill time.
-const LONGEST_PROMPT: TokenCount = 1_000_000;
+const MAX_PROMPT_TOKENS: TokenCount = 1_000_000;
 
 /// Returns the value per second of prefill of the longest prompt, if it is on time.
 fn min_value_rate(profile: &EngineProfile) -> f64 {
-    let prefill_time = profile.prefill_time(LONGEST_PROMPT).as_secs_f64();
-    DirectRequest::value_of(LONGEST_PROMPT) / prefill_time.max(f64::MIN_POSITIVE)
+    let prefill_time = profile.prefill_time(MAX_PROMPT_TOKENS).as_secs_f64();
+    DirectRequest::value_of(MAX_PROMPT_TOKENS) / prefill_time.max(f64::MIN_POSITIVE)
 }
 
 /// A suspect request is drawn among the best endpoints; their number is that of all endpoints
@@ -161,7 +161,7 @@
         let long = self.is_long(request.prompt);
         let work = |index: usize, context: TokenCount, gap: Option<Duration>| PlacedWork {
             endpoint: candidates[index].endpoint.process.clone(),
-            prefill_time: choice.part_time,
+            prefill_time: choice.part_prefill_time,
             context,
             gap,
             short: !long && gap.is_some(),
@@ -183,14 +183,14 @@
         prefill_time: Duration,
         size: usize,
     ) -> Option<DirectChoice> {
-        let part_time = prefill_time / size as u32;
+        let part_prefill_time = prefill_time / size as u32;
         let long = self.is_long(request.prompt);
         let mut members: Vec<TeamMember> = candidates
             .iter()
             .enumerate()
             .filter(|(_, candidate)| !long || !candidate.short_lane)
             .map(|(index, candidate)| {
-                TeamMember::new(profile, request, index, candidate, part_time)
+                TeamMember::new(profile, request, index, candidate, part_prefill_time)
             })
             .collect();
         if members.len() < size {
@@ -213,22 +213,23 @@
         if members.len() < size - 1 {
             return None;
         }
-        let kept = distribute_memory(&members, request.memory().saturating_sub(lead.free))?;
+        let helper_parts =
+            distribute_memory(&members, request.memory().saturating_sub(lead.free_memory))?;
         let slowest = members.iter().map(|member| member.ready).max();
         let ready = slowest.unwrap_or_default().max(lead.ready);
         let first_event = ready + lead.pass.mul_f64(FIRST_EVENT_PASSES);
-        let others: f64 = members.iter().map(|member| member.delay_loss).sum();
-        let lost_value = lateness_loss(request, first_event) + lead.delay_loss + others;
+        let helper_delay_loss: f64 = members.iter().map(|member| member.delay_loss).sum();
+        let lost_value = lateness_loss(request, first_event) + lead.delay_loss + helper_delay_loss;
         let loss = lost_value
             + lead.slot_loss
             + RISK_LOSS * request.value() * deadline_risk(request, first_event)
             + HELPER_LOSS * members.len() as f64;
         Some(DirectChoice {
             lead: lead.index,
-            helpers: kept,
-            part_time,
+            helpers: helper_parts,
+            part_prefill_time,
             first_event,
-            backlog: ready.saturating_sub(part_time),
+            backlog: ready.saturating_sub(part_prefill_time),
             lost_value,
             loss,
         })
@@ -237,17 +238,17 @@
 
 /// Chooses for a plain service: the endpoint with the largest share of free slots.
 fn place_plain(candidates: &[PlacerCandidate<'_>]) -> Option<DirectChoice> {
-    let fill = |candidate: &PlacerCandidate<'_>| {
+    let occupancy = |candidate: &PlacerCandidate<'_>| {
         f64::from(candidate.load.occupied) / f64::from(candidate.endpoint.slots.max(1))
     };
     let (lead, _) = candidates
         .iter()
         .enumerate()
-        .min_by(|(_, a), (_, b)| fill(a).total_cmp(&fill(b)))?;
+        .min_by(|(_, a), (_, b)| occupancy(a).total_cmp(&occupancy(b)))?;
     Some(DirectChoice {
         lead,
         helpers: Vec::new(),
-        part_time: Duration::ZERO,
+        part_prefill_time: Duration::ZERO,
         first_event: Duration::ZERO,
         backlog: Duration::ZERO,
         lost_value: 0.0,
--- a/lovagedock/src/direct/rate_limit.rs
+++ b/lovagedock/src/direct/rate_limit.rs
@@ -322,7 +322,7 @@
         if verdict == RateVerdict::Admitted
             && let Some(record) = self.limits.get_mut(endpoint)
         {
-            record.bucket.take(now);
+            record.bucket.consume(now);
         }
         verdict
     }
@@ -332,12 +332,14 @@
         let gateway = &self.gateway;
         let due = self.limits.iter_mut().filter_map(|(endpoint, record)| {
             let is_claimed = record.is_claimed(now, endpoint, gateway);
-            record.take_due(now, is_claimed).then(|| RateUpdate {
-                endpoint: endpoint.clone(),
-                rate: record.rate,
-                age: now.saturating_sub(record.received_at),
-                is_claimed,
-            })
+            record
+                .mark_sent_if_due(now, is_claimed)
+                .then(|| RateUpdate {
+                    endpoint: endpoint.clone(),
+                    rate: record.rate,
+                    age: now.saturating_sub(record.received_at),
+                    is_claimed,
+                })
         });
         due.take(MAX_UPDATES_PER_MESSAGE).collect()
     }
@@ -436,7 +438,7 @@
     }
 
     /// Returns whether the state is due to be sent to peers, and if so marks it as sent.
-    fn take_due(&mut self, now: Timestamp, is_claimed: bool) -> bool {
+    fn mark_sent_if_due(&mut self, now: Timestamp, is_claimed: bool) -> bool {
         let last_sent = self.last_sent.unwrap_or(SentLimit {
             rate: None,
             is_claimed: false,
@@ -495,7 +497,7 @@
         Some(now + Duration::from_secs_f64((missing / self.rate).max(0.0)))
     }
 
-    fn take(&mut self, now: Timestamp) {
+    fn consume(&mut self, now: Timestamp) {
         self.tokens = (self.tokens_at(now) - 1.0).max(0.0);
         self.filled_at = now;
     }
--- a/lovagedock/src/direct/retries.rs
+++ b/lovagedock/src/direct/retries.rs
@@ -67,7 +67,7 @@
     }
 
     /// Takes one retry. Returns `false` if none is left.
-    pub fn try_take(&mut self, now: Timestamp) -> bool {
+    pub fn try_consume(&mut self, now: Timestamp) -> bool {
         self.budget.try_consume(now)
     }
 }
--- a/lovagedock/src/direct/stopping.rs
+++ b/lovagedock/src/direct/stopping.rs
@@ -67,9 +67,9 @@
     /// direct a refused one to this gateway again. Later, it is only a request whose deadline is
     /// before the end of the stop.
     pub fn admits(&self, now: Timestamp, outlook: &RequestOutlook) -> bool {
-        let is_late = now >= self.notice_ends_at();
-        let ends_itself = outlook.deadline <= self.ends_at;
-        self.may_send(now, outlook) && (ends_itself || !is_late)
+        let is_after_notice = now >= self.notice_ends_at();
+        let ends_in_time = outlook.deadline <= self.ends_at;
+        self.may_send(now, outlook) && (ends_in_time || !is_after_notice)
     }
 
     /// Returns whether a request may be sent to an endpoint now. It may have waited, or come back
--- a/lovagedock/src/direct/suspects.rs
+++ b/lovagedock/src/direct/suspects.rs
@@ -24,7 +24,7 @@
 /// quarantine lasts twice as long, up to the maximum, so that a request that still ends engines
 /// costs one engine at a time.
 const FIRST_QUARANTINE: Duration = Duration::from_secs(600);
-const LONGEST_QUARANTINE: Duration = Duration::from_secs(4 * 3600);
+const MAX_QUARANTINE: Duration = Duration::from_secs(4 * 3600);
 
 /// Time for which evidence is kept after the latest of it.
 const EVIDENCE_TIME: Duration = Duration::from_secs(600);
@@ -139,7 +139,7 @@
                 if self.quarantined_for(now, fingerprint).is_some() {
                     return false;
                 }
-                self.quarantine(now, fingerprint, time.min(LONGEST_QUARANTINE));
+                self.quarantine(now, fingerprint, time.min(MAX_QUARANTINE));
                 true
             }
         }
@@ -292,7 +292,7 @@
             .suspects
             .iter()
             .filter(|(other, record)| **other != fingerprint && record.quarantined_until > now);
-        others.any(|(_, record)| record.has(process))
+        others.any(|(_, record)| record.has_end_of(process))
     }
 
     /// Puts a request into quarantine if there is enough evidence. Returns whether it did.
@@ -304,7 +304,7 @@
             return false;
         }
         let time = FIRST_QUARANTINE * 2_u32.saturating_pow(record.quarantines);
-        let time = time.min(LONGEST_QUARANTINE);
+        let time = time.min(MAX_QUARANTINE);
         self.quarantine(now, fingerprint, time);
         self.unsent
             .push(SuspectUpdate::Quarantined(fingerprint, time));
@@ -355,7 +355,7 @@
         self.ends.iter().map(|end| end.evidence.weight()).sum()
     }
 
-    fn has(&self, process: ProcessTag) -> bool {
+    fn has_end_of(&self, process: ProcessTag) -> bool {
         self.ends.iter().any(|end| end.process == process)
     }
 }
--- a/lovagedock/tests/direct_backoff.rs
+++ b/lovagedock/tests/direct_backoff.rs
@@ -14,24 +14,24 @@
 struct BackoffCase {
     name: &'static str,
     /// Arrival time and retry delay of each response, in milliseconds.
-    answers: &'static [(u64, u64)],
+    responses: &'static [(u64, u64)],
     end_ms: u64,
 }
 
 const BACKOFF_CASES: &[BackoffCase] = &[
     BackoffCase {
         name: "single delay",
-        answers: &[(100, 3_000)],
+        responses: &[(100, 3_000)],
         end_ms: 3_100,
     },
     BackoffCase {
         name: "a longer delay replaces a shorter one",
-        answers: &[(100, 500), (200, 3_000)],
+        responses: &[(100, 500), (200, 3_000)],
         end_ms: 3_200,
     },
     BackoffCase {
         name: "a shorter delay does not end a longer one",
-        answers: &[(100, 3_000), (200, 500)],
+        responses: &[(100, 3_000), (200, 500)],
         end_ms: 3_100,
     },
 ];
@@ -42,7 +42,7 @@
     let endpoint = EndpointProcess::new("i-0", 1);
     for case in BACKOFF_CASES {
         let mut backoffs = EndpointBackoffs::new();
-        for (at, delay) in case.answers {
+        for (at, delay) in case.responses {
             backoffs.record(ms(*at), &endpoint, RetryAfter::Delay(ms(*delay)));
         }
         let end = backoffs.end(ms(300), &endpoint);
--- a/lovagedock/tests/direct_ledger_totals.rs
+++ b/lovagedock/tests/direct_ledger_totals.rs
@@ -25,50 +25,59 @@
 
 impl NaiveLedger {
     fn occupied(&self, endpoint: usize) -> u32 {
-        let peers = self.on(endpoint).map(|load| load.occupied).sum::<u32>();
-        self.own_on(endpoint).count() as u32 + peers
+        let peers = self
+            .peer_loads_on(endpoint)
+            .map(|load| load.occupied)
+            .sum::<u32>();
+        self.own_work_on(endpoint).count() as u32 + peers
     }
 
     fn short(&self, endpoint: usize) -> u32 {
-        let own = self.own_on(endpoint).filter(|work| work.short).count();
-        own as u32 + self.on(endpoint).map(|load| load.short).sum::<u32>()
+        let own = self.own_work_on(endpoint).filter(|work| work.short).count();
+        own as u32
+            + self
+                .peer_loads_on(endpoint)
+                .map(|load| load.short)
+                .sum::<u32>()
     }
 
     fn pending_prefills(&self, endpoint: usize) -> u32 {
         // This gateway's own prefills become due only after the end of the test.
-        let own = self.own_on(endpoint);
+        let own = self.own_work_on(endpoint);
         let own = own
             .filter(|work| !work.short && !work.prefill_time.is_zero())
             .count();
         own as u32
             + self
-                .on(endpoint)
+                .peer_loads_on(endpoint)
                 .map(|load| load.pending_prefills)
                 .sum::<u32>()
     }
 
     fn context(&self, endpoint: usize) -> TokenCount {
-        let own: TokenCount = self.own_on(endpoint).map(|work| work.context).sum();
+        let own: TokenCount = self.own_work_on(endpoint).map(|work| work.context).sum();
         own + self
-            .on(endpoint)
+            .peer_loads_on(endpoint)
             .map(|load| load.context)
             .sum::<TokenCount>()
     }
 
     fn writers(&self, endpoint: usize) -> u32 {
-        let own = self.own_on(endpoint).filter(|work| work.gap.is_some());
-        let peers = self.on(endpoint).map(|load| load.writers.count());
+        let own = self.own_work_on(endpoint).filter(|work| work.gap.is_some());
+        let peers = self
+            .peer_loads_on(endpoint)
+            .map(|load| load.writers.count());
         own.count() as u32 + peers.sum::<u32>()
     }
 
-    fn on(&self, endpoint: usize) -> impl Iterator<Item = &PeerLoad> {
+    fn peer_loads_on(&self, endpoint: usize) -> impl Iterator<Item = &PeerLoad> {
         let peers = self.peers.iter();
         peers
             .filter(move |((_, of), _)| *of == endpoint)
             .map(|(_, load)| load)
     }
 
-    fn own_on(&self, endpoint: usize) -> impl Iterator<Item = &PlacedWork> {
+    fn own_work_on(&self, endpoint: usize) -> impl Iterator<Item = &PlacedWork> {
         let id = endpoint_process(endpoint);
         self.own.values().filter(move |work| work.endpoint == id)
     }
@@ -157,16 +166,16 @@
             for endpoint in 0..ENDPOINTS {
                 let id = endpoint_process(endpoint);
                 let load = ledger.load(now, &id);
-                let place = format!("seed {seed}, step {step}, endpoint {endpoint}");
-                assert_eq!(load.occupied, naive.occupied(endpoint), "{place}");
+                let label = format!("seed {seed}, step {step}, endpoint {endpoint}");
+                assert_eq!(load.occupied, naive.occupied(endpoint), "{label}");
                 assert_eq!(
                     load.pending_prefills,
                     naive.pending_prefills(endpoint),
-                    "{place}"
+                    "{label}"
                 );
-                assert_eq!(load.context, naive.context(endpoint), "{place}");
-                assert_eq!(load.writer_count(), naive.writers(endpoint), "{place}");
-                assert_eq!(ledger.short_count(&id), naive.short(endpoint), "{place}");
+                assert_eq!(load.context, naive.context(endpoint), "{label}");
+                assert_eq!(load.writer_count(), naive.writers(endpoint), "{label}");
+                assert_eq!(ledger.short_count(&id), naive.short(endpoint), "{label}");
             }
         }
     }
--- a/lovagedock/tests/direct_listing.rs
+++ b/lovagedock/tests/direct_listing.rs
@@ -431,7 +431,7 @@
     /// Time since the store was first read again, in milliseconds.
     after_ms: u64,
     /// Whether the store was lost again in the meantime.
-    lost_again: bool,
+    unreachable_again: bool,
     gone: bool,
 }
 
@@ -443,25 +443,25 @@
         MissingCase {
             name: "at once",
             after_ms: 0,
-            lost_again: false,
+            unreachable_again: false,
             gone: false,
         },
         MissingCase {
             name: "before the listing settles",
             after_ms: 2_000,
-            lost_again: false,
+            unreachable_again: false,
             gone: false,
         },
         MissingCase {
             name: "after the listing settles",
             after_ms: 2_300,
-            lost_again: false,
+            unreachable_again: false,
             gone: true,
         },
         MissingCase {
             name: "after that time, while the store is unreachable",
             after_ms: 9_000,
-            lost_again: true,
+            unreachable_again: true,
             gone: false,
         },
     ];
@@ -474,7 +474,7 @@
         let missing: Vec<EndpointId> = vec!["i-0".into()];
         let gone = listing.apply_read(settled, StorePosition::new(2, 40), false, missing);
         assert_eq!(gone, Some(Vec::new()), "{}", case.name);
-        if case.lost_again {
+        if case.unreachable_again {
             listing.suspend_settling();
         }
         let gone = listing.settle(settled + Duration::from_millis(case.after_ms));
--- a/lovagedock/tests/direct_load_updates.rs
+++ b/lovagedock/tests/direct_load_updates.rs
@@ -151,7 +151,7 @@
 /// more about the endpoint, since it has no work there, but its messages about other endpoints
 /// arrive.
 #[test]
-fn slots_of_a_lost_end_are_released() {
+fn a_lost_end_message_does_not_occupy_a_slot_forever() {
     let mut sender = SendingGateway::default();
     let mut receiver = WorkLedger::new();
     let ended = sender.ledger.place(ms(0), work(0));
@@ -211,17 +211,17 @@
         }
     }
 
-    fn work(&mut self, now: Timestamp) {
+    fn place_random_work(&mut self, now: Timestamp) {
         if self.random.random_bool(0.2) {
             let placed = work(self.random.random_range(0..ENDPOINTS));
             let key = self.sender.ledger.place(now, placed);
             let ends = now + ms(self.random.random_range(10..2_500));
             self.running.push((ends, key));
         }
-        self.end(now);
+        self.finish_due(now);
     }
 
-    fn end(&mut self, now: Timestamp) {
+    fn finish_due(&mut self, now: Timestamp) {
         for (_, key) in self.running.extract_if(.., |(ends, _)| *ends <= now) {
             self.sender.ledger.finish(now, key);
         }
@@ -316,13 +316,13 @@
             let mut pair = LossyPair::new(seed);
             let end = ms(8_000);
             for at in (0..8_000).step_by(8) {
-                pair.work(ms(at));
+                pair.place_random_work(ms(at));
                 pair.send(ms(at), &case);
                 pair.receive(ms(at));
             }
             for at in (8_000..12_000).step_by(8) {
                 if !case.crashes {
-                    pair.end(ms(at));
+                    pair.finish_due(ms(at));
                     pair.send(ms(at), &reliable);
                 }
                 pair.receive(ms(at));
--- a/lovagedock/tests/direct_machine.rs
+++ b/lovagedock/tests/direct_machine.rs
@@ -4,8 +4,8 @@
 
 use lovagedock::{AttemptEnd, DirectMachine, DirectStep, EndpointProcess, RouteMode, prelude::*};
 
-const STREAM: RouteMode = RouteMode::Stream { resumable: true };
-const ONE_WAY_STREAM: RouteMode = RouteMode::Stream { resumable: false };
+const RESUMABLE_STREAM: RouteMode = RouteMode::Stream { resumable: true };
+const NON_RESUMABLE_STREAM: RouteMode = RouteMode::Stream { resumable: false };
 
 struct StepCase {
     name: &'static str,
@@ -111,7 +111,7 @@
     },
     StepCase {
         name: "a broken stream continues on another endpoint",
-        mode: STREAM,
+        mode: RESUMABLE_STREAM,
         attempts: 2,
         ends: &[AttemptEnd::Broken],
         retries: true,
@@ -120,7 +120,7 @@
     },
     StepCase {
         name: "a broken stream that may not continue is cut",
-        mode: ONE_WAY_STREAM,
+        mode: NON_RESUMABLE_STREAM,
         attempts: 2,
         ends: &[AttemptEnd::Broken],
         retries: true,
@@ -129,7 +129,7 @@
     },
     StepCase {
         name: "a complete response ends the request",
-        mode: STREAM,
+        mode: RESUMABLE_STREAM,
         attempts: 2,
         ends: &[AttemptEnd::Broken, AttemptEnd::Complete],
         retries: true,
@@ -173,7 +173,7 @@
 /// Guards against a wrong statement about whether an expired request ran: one that an endpoint had
 /// may have run, and one that waited has not.
 #[test]
-fn an_expired_request_tells_whether_it_may_have_run() {
+fn an_expired_request_reports_whether_it_may_have_run() {
     let mut waited = DirectMachine::new(RouteMode::NonIdempotent, 1, ms(1_000));
     let expired = waited.expired_after(AttemptEnd::Unreachable);
     assert_eq!(expired, DirectStep::Answer(ResultCode::ExpiredWaiting));
@@ -216,7 +216,7 @@
 /// Guards against the statement "not run" to the caller of a request that an engine may continue to
 /// run.
 #[test]
-fn a_stopped_request_tells_whether_it_may_have_run() {
+fn a_stopped_request_reports_whether_it_may_have_run() {
     let cases = [
         StopCase {
             name: "never sent",
@@ -250,7 +250,7 @@
         },
     ];
     for case in cases {
-        let mut machine = DirectMachine::new(STREAM, 3, ms(10_000));
+        let mut machine = DirectMachine::new(RESUMABLE_STREAM, 3, ms(10_000));
         for end in case.ends {
             machine.begin_sending();
             let endpoint = EndpointProcess::new("i-0", 1);
--- a/lovagedock/tests/direct_placement.rs
+++ b/lovagedock/tests/direct_placement.rs
@@ -74,7 +74,7 @@
 /// 100 per second arrive at an idle pool. If all were placed on one engine, each would wait for the
 /// prompts before it. Placement uses the next engine before the wait exceeds an objective.
 #[test]
-fn a_burst_of_short_prompts_opens_engines_in_time() {
+fn a_burst_of_short_prompts_uses_further_engines_in_time() {
     let mut pool = VirtualPool::new(21);
     let mut worst = Duration::ZERO;
     for index in 0..150_u64 {
@@ -234,12 +234,12 @@
         draw: 0.0,
     }];
     let placer = DirectPlacer::new(Some(&PROFILE));
-    let harmless = placer.place(&short(), &candidates).expect("a slot is free");
-    let harsh = placer
+    let short_choice = placer.place(&short(), &candidates).expect("a slot is free");
+    let long_choice = placer
         .place(&long(60_000), &candidates)
         .expect("a slot is free");
-    assert_eq!(harmless.lost_value, 0.0);
-    assert_eq!(harsh.lost_value, 1.5);
+    assert_eq!(short_choice.lost_value, 0.0);
+    assert_eq!(long_choice.lost_value, 1.5);
 }
 
 /// Guards against plain requests that are not placed on the endpoint with the largest share of free
--- a/lovagedock/tests/direct_prefill_overload.rs
+++ b/lovagedock/tests/direct_prefill_overload.rs
@@ -43,7 +43,7 @@
 /// Value of the prompts of a burst.
 #[derive(Debug, Default)]
 struct BurstValue {
-    asked: f64,
+    total: f64,
     /// Value of the prompts whose first event is predicted to be in time.
     on_time: f64,
     late: usize,
@@ -62,7 +62,7 @@
         pool.advance(now);
         if random.random_bool(per_second * EVALUATION_INTERVAL.as_secs_f64()) {
             let request = long(LENGTHS[random.random_range(0..LENGTHS.len())]);
-            value.asked += request.value();
+            value.total += request.value();
             waiting.push(WaitingPrompt {
                 late_at: now + request.objective_left,
                 until: now + request.objective_left.mul_f64(WAIT_SHARE),
@@ -77,12 +77,12 @@
                 return !is_last;
             };
             let is_late = choice.first_event > request.objective_left;
-            let is_taken = match (is_last, rule) {
+            let is_started = match (is_last, rule) {
                 (false, _) => choice.is_acceptable(request, 0.5),
                 (true, LateRule::Worthwhile) => placer.is_worth_starting(request, &choice),
                 (true, LateRule::All) => !is_late || choice.backlog <= ms(300),
             };
-            if !is_taken {
+            if !is_started {
                 return !is_last;
             }
             match is_late {
@@ -107,7 +107,7 @@
     const SEEDS: u64 = 12;
     let sum = |rule: LateRule| -> f64 {
         let runs = (0..SEEDS).map(|seed| simulate(9.0, rule, seed));
-        runs.map(|run| run.on_time / run.asked).sum::<f64>() / SEEDS as f64
+        runs.map(|run| run.on_time / run.total).sum::<f64>() / SEEDS as f64
     };
     let (all, worthwhile) = (sum(LateRule::All), sum(LateRule::Worthwhile));
     assert!(
@@ -172,7 +172,7 @@
         let choice = DirectChoice {
             lead: 0,
             helpers: Vec::new(),
-            part_time: ms(0),
+            part_prefill_time: ms(0),
             first_event: ms(case.first_event),
             backlog: ms(case.backlog),
             lost_value: 0.0,
--- a/lovagedock/tests/direct_prompt_burst.rs
+++ b/lovagedock/tests/direct_prompt_burst.rs
@@ -25,7 +25,7 @@
 const UPDATE_DELAY: Duration = Duration::from_millis(30);
 
 /// Time for which a response occupies its slot.
-const ANSWER_TIME: Duration = Duration::from_millis(1_900);
+const RESPONSE_TIME: Duration = Duration::from_millis(1_900);
 
 /// Time from the end of the prefill to the first event: one and a half passes.
 const FIRST_EVENT: Duration = Duration::from_millis(110);
@@ -120,10 +120,10 @@
         self.late * 1_000 / self.placed
     }
 
-    fn handle(&mut self, now: Timestamp, event: FleetEvent, counts: bool) {
+    fn handle(&mut self, now: Timestamp, event: FleetEvent, is_counted: bool) {
         match event {
             FleetEvent::BurstBegins => self.add_long_prefills(now),
-            FleetEvent::Arrive => self.arrive(now, counts),
+            FleetEvent::Arrive => self.arrive(now, is_counted),
             FleetEvent::Receive(from, loads) => {
                 let name: GatewayId = format!("gateway-{from}").into();
                 for (index, ledger) in self.ledgers.iter_mut().enumerate() {
@@ -172,12 +172,12 @@
         self.schedule(now + UPDATE_DELAY, FleetEvent::Receive(gateway, message));
     }
 
-    fn arrive(&mut self, now: Timestamp, counts: bool) {
+    fn arrive(&mut self, now: Timestamp, is_counted: bool) {
         let gateway = self.random.random_range(0..self.ledgers.len());
         let request = short();
         let Some((engine, key)) = self.place(now, gateway, &request) else {
-            self.late += usize::from(counts);
-            self.placed += usize::from(counts);
+            self.late += usize::from(is_counted);
+            self.placed += usize::from(is_counted);
             return;
         };
         self.send_updates(now, gateway);
@@ -186,12 +186,12 @@
         self.prefill_until[engine] = prefilled_at;
         self.running[engine] += 1;
         let is_late = self.running[engine] > SLOTS || prefilled_at + FIRST_EVENT > now + ms(300);
-        self.late += usize::from(counts && is_late);
-        self.placed += usize::from(counts);
+        self.late += usize::from(is_counted && is_late);
+        self.placed += usize::from(is_counted);
         let first_event = prefilled_at + FIRST_EVENT;
         self.schedule(first_event, FleetEvent::Prefilled(gateway, key));
         self.schedule(
-            first_event + ANSWER_TIME,
+            first_event + RESPONSE_TIME,
             FleetEvent::End(gateway, key, engine),
         );
     }
@@ -208,8 +208,8 @@
             .iter()
             .map(|endpoint| ledger.load_with_short_count(now, &endpoint.process))
             .collect();
-        let shorts = loads.iter().map(|(_, short)| short).sum();
-        let lane = short_lane_size(shorts, SLOTS, self.endpoints.len());
+        let short_count = loads.iter().map(|(_, short)| short).sum();
+        let lane = short_lane_size(short_count, SLOTS, self.endpoints.len());
         let mut candidates = Vec::new();
         for (position, (load, _)) in loads.into_iter().enumerate() {
             if load.occupied < SLOTS {
--- a/lovagedock/tests/direct_rate_limits.rs
+++ b/lovagedock/tests/direct_rate_limits.rs
@@ -17,13 +17,13 @@
 const STEP: Duration = Duration::from_millis(10);
 
 /// Time from a request to its response.
-const ANSWER_TIME: Duration = Duration::from_millis(80);
+const RESPONSE_TIME: Duration = Duration::from_millis(80);
 
 /// Tick interval of a gateway.
 const TICK: Duration = Duration::from_millis(250);
 
 /// Length of the window in which requests are counted.
-const SPAN: Duration = Duration::from_secs(4);
+const COUNT_WINDOW: Duration = Duration::from_secs(4);
 
 /// Time from the start of a run until requests are counted.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
@@ -60,15 +60,15 @@
 struct ModelGateway {
     name: GatewayId,
     limits: RateLimits,
-    runs: bool,
+    is_running: bool,
     /// Tokens in the bucket of [`SharePolicy::EqualParts`].
     tokens: f64,
     /// When the latest message of each peer was received.
     last_received_at: Vec<Option<Timestamp>>,
     /// Pending responses: arrival time, and time at which the request was sent.
-    answers: VecDeque<(Timestamp, Timestamp)>,
+    responses: VecDeque<(Timestamp, Timestamp)>,
     /// When this process of the gateway first received a response.
-    first_answer_at: Option<Timestamp>,
+    first_response_at: Option<Timestamp>,
 }
 
 struct LimitModel {
@@ -82,7 +82,7 @@
     arrivals: Vec<Timestamp>,
     /// Arrivals from gateways that had the limit for at least [`GRACE_TIME`].
     counted: Vec<Timestamp>,
-    news_sent: usize,
+    updates_sent: usize,
     random: ChaCha8Rng,
     now: Timestamp,
 }
@@ -94,11 +94,11 @@
             ModelGateway {
                 limits: RateLimits::new(name.clone()),
                 name,
-                runs: fault != Fault::Joins || index % 2 == 0,
+                is_running: fault != Fault::Joins || index % 2 == 0,
                 tokens: 0.0,
                 last_received_at: vec![Some(Duration::ZERO); gateways],
-                answers: VecDeque::new(),
-                first_answer_at: None,
+                responses: VecDeque::new(),
+                first_response_at: None,
             }
         });
         Self {
@@ -110,7 +110,7 @@
             messages: VecDeque::new(),
             arrivals: Vec::new(),
             counted: Vec::new(),
-            news_sent: 0,
+            updates_sent: 0,
             random: ChaCha8Rng::seed_from_u64(seed),
             now: Duration::ZERO,
         }
@@ -124,7 +124,7 @@
             self.inject_fault();
             self.deliver();
             for index in 0..self.gateways.len() {
-                if self.gateways[index].runs {
+                if self.gateways[index].is_running {
                     self.step(index, demand, limited_until);
                 }
             }
@@ -138,12 +138,12 @@
             Fault::Restarts if step.is_multiple_of(20) => {
                 let gateway = &mut self.gateways[step / 20 % count];
                 gateway.limits = RateLimits::new(gateway.name.clone());
-                gateway.answers.clear();
-                gateway.first_answer_at = None;
+                gateway.responses.clear();
+                gateway.first_response_at = None;
                 gateway.tokens = 0.0;
             }
             Fault::Joins if step.is_multiple_of(20) => {
-                self.gateways[(step / 20 * 2 + 1) % count].runs = true;
+                self.gateways[(step / 20 * 2 + 1) % count].is_running = true;
             }
             _ => {}
         }
@@ -169,8 +169,8 @@
             let sender = self.gateways[from].name.clone();
             let gateway = &mut self.gateways[to];
             gateway.last_received_at[from] = Some(self.now);
-            for updates in updates {
-                gateway.limits.apply_update(self.now, &sender, updates);
+            for update in updates {
+                gateway.limits.apply_update(self.now, &sender, update);
             }
         }
     }
@@ -181,17 +181,17 @@
         let count = self.count(index);
         let is_tick = now.as_millis() % TICK.as_millis() == 0;
         let gateway = &mut self.gateways[index];
-        while let Some((at, sent_at)) = gateway.answers.front().copied() {
+        while let Some((at, sent_at)) = gateway.responses.front().copied() {
             if at > now {
                 break;
             }
-            gateway.answers.pop_front();
+            gateway.responses.pop_front();
             let advertised = match is_limited {
                 true => AdvertisedLimit::Limited(self.rate),
                 false => AdvertisedLimit::Unlimited,
             };
             gateway.limits.record(now, &endpoint, sent_at, advertised);
-            gateway.first_answer_at.get_or_insert(now);
+            gateway.first_response_at.get_or_insert(now);
         }
         if is_tick {
             gateway.limits.tick(now, count, |_| true);
@@ -201,10 +201,10 @@
         if self.random.random_bool(demand * STEP.as_secs_f64()) {
             gateway.limits.record_demand(now, &endpoint);
             if gateway.may_send(self.policy, now, &endpoint) {
-                gateway.answers.push_back((now + ANSWER_TIME, now));
+                gateway.responses.push_back((now + RESPONSE_TIME, now));
                 self.arrivals.push(now);
                 if gateway
-                    .first_answer_at
+                    .first_response_at
                     .is_some_and(|at| now >= at + GRACE_TIME)
                 {
                     self.counted.push(now);
@@ -216,7 +216,7 @@
         if updates.is_empty() && !is_heartbeat {
             return;
         }
-        self.news_sent += updates.len();
+        self.updates_sent += updates.len();
         for to in 0..self.gateways.len() {
             if to == index || !self.is_delivered(index, to) {
                 continue;
@@ -244,19 +244,21 @@
         {
             let is_reachable =
                 last_received_at.is_some_and(|at| self.now.saturating_sub(at) <= SILENCE_TIMEOUT);
-            count.reachable += usize::from(is_reachable && self.gateways[peer].runs);
-            count.known += usize::from(self.gateways[peer].runs);
+            count.reachable += usize::from(is_reachable && self.gateways[peer].is_running);
+            count.known += usize::from(self.gateways[peer].is_running);
         }
         count
     }
 
-    /// Returns the largest number of counted arrivals in any window of length [`SPAN`] that starts with an
+    /// Returns the largest number of counted arrivals in any window of length [`COUNT_WINDOW`] that starts with an
     /// arrival at or after `since`.
     fn max_arrivals(&self, since: Timestamp) -> usize {
         let starts = self.counted.iter().filter(|start| **start >= since);
         let counts = starts.map(|start| {
             let from = self.counted.partition_point(|at| at < start);
-            let to = self.counted.partition_point(|at| *at < *start + SPAN);
+            let to = self
+                .counted
+                .partition_point(|at| *at < *start + COUNT_WINDOW);
             to - from
         });
         counts.max().unwrap_or(0)
@@ -290,7 +292,7 @@
 }
 
 fn max_requests(rate: f64) -> usize {
-    (1.5 * rate * SPAN.as_secs_f64() + 5.0) as usize
+    (1.5 * rate * COUNT_WINDOW.as_secs_f64() + 5.0) as usize
 }
 
 struct ShareCase {
@@ -342,7 +344,7 @@
                 let max = model.max_arrivals(SETTLE_TIME);
                 let used = model.arrivals_between(ms(4_000), until) as f64;
                 let used = used / (until - ms(4_000)).as_secs_f64();
-                lines.push((policy, max, used, model.news_sent));
+                lines.push((policy, max, used, model.updates_sent));
             }
             println!(
                 "{} gateways, rate {}, {:?}, seed {seed}: allowed {}, {lines:?}",
@@ -376,7 +378,7 @@
     }
 }
 
-struct AnswerCase {
+struct ResponseCase {
     name: &'static str,
     sent_ms: u64,
     advertised: AdvertisedLimit,
@@ -385,27 +387,27 @@
 
 /// Guards against outdated or malformed responses that remove a limit.
 #[test]
-fn outdated_answers_do_not_remove_a_limit() {
+fn outdated_responses_do_not_remove_a_limit() {
     let cases = [
-        AnswerCase {
+        ResponseCase {
             name: "no limit, sent before the limit was received",
             sent_ms: 900,
             advertised: AdvertisedLimit::Unlimited,
             rate: Some(2.0),
         },
-        AnswerCase {
+        ResponseCase {
             name: "no limit, sent after the limit was received",
             sent_ms: 1_100,
             advertised: AdvertisedLimit::Unlimited,
             rate: None,
         },
-        AnswerCase {
+        ResponseCase {
             name: "malformed",
             sent_ms: 1_100,
             advertised: AdvertisedLimit::Malformed,
             rate: Some(2.0),
         },
-        AnswerCase {
+        ResponseCase {
             name: "another limit",
             sent_ms: 900,
             advertised: AdvertisedLimit::Limited(0.0),
--- a/lovagedock/tests/direct_state.rs
+++ b/lovagedock/tests/direct_state.rs
@@ -249,17 +249,17 @@
         .map(|_| RetryShare::new(ms(0), settings, gateways))
         .collect();
     let mut retries = vec![0.0_f64; 200];
-    let requests_a_tick = 1.0;
+    let requests_per_tick = 1.0;
     for (tick, retried) in retries.iter_mut().enumerate() {
         let now = ms(tick as u64 * 100);
         for share in &mut shares {
             share.record_request(now);
-            while share.try_take(now) {
+            while share.try_consume(now) {
                 *retried += 1.0;
             }
         }
     }
-    let allowed = 0.2 * requests_a_tick * gateways as f64 * 100.0 + 104.0;
+    let allowed = 0.2 * requests_per_tick * gateways as f64 * 100.0 + 104.0;
     for window in retries.windows(100) {
         let sum: f64 = window.iter().sum();
         assert!(sum <= allowed, "{sum} of {allowed}");
--- a/lovagedock/tests/direct_stopping.rs
+++ b/lovagedock/tests/direct_stopping.rs
@@ -10,9 +10,9 @@
     name: &'static str,
     after_ms: u64,
     /// Time until the request's deadline.
-    allowed_ms: u64,
+    time_left_ms: u64,
     expected_ms: u64,
-    takes: bool,
+    is_admitted: bool,
 }
 
 /// Guards against requests that are refused without need while all gateways stop, and against
@@ -23,60 +23,60 @@
         StopCase {
             name: "at once, with any deadline",
             after_ms: 100,
-            allowed_ms: 15_000,
+            time_left_ms: 15_000,
             expected_ms: 4_000,
-            takes: true,
+            is_admitted: true,
         },
         StopCase {
             name: "a stream at the end of the notice period",
             after_ms: 2_799,
-            allowed_ms: 10_000,
+            time_left_ms: 10_000,
             expected_ms: 4_901,
-            takes: true,
+            is_admitted: true,
         },
         StopCase {
             name: "a stream at the end of the notice period, expected to outlast the stop",
             after_ms: 2_799,
-            allowed_ms: 10_000,
+            time_left_ms: 10_000,
             expected_ms: 4_902,
-            takes: false,
+            is_admitted: false,
         },
         StopCase {
             name: "a stream after the notice period",
             after_ms: 2_800,
-            allowed_ms: 10_000,
+            time_left_ms: 10_000,
             expected_ms: 100,
-            takes: false,
+            is_admitted: false,
         },
         StopCase {
             name: "a plain call with a deadline before the end",
             after_ms: 6_500,
-            allowed_ms: 1_200,
+            time_left_ms: 1_200,
             expected_ms: 0,
-            takes: true,
+            is_admitted: true,
         },
         StopCase {
             name: "a plain call with a deadline after the end",
             after_ms: 6_501,
-            allowed_ms: 1_200,
+            time_left_ms: 1_200,
             expected_ms: 0,
-            takes: false,
+            is_admitted: false,
         },
         StopCase {
             name: "any request after the end",
             after_ms: 8_000,
-            allowed_ms: 1,
+            time_left_ms: 1,
             expected_ms: 1,
-            takes: false,
+            is_admitted: false,
         },
     ];
     let plan = StopPlan::new(ms(0), ms(7_700));
     for case in cases {
         let now = ms(case.after_ms);
-        let deadline = now + ms(case.allowed_ms);
+        let deadline = now + ms(case.time_left_ms);
         let expected = ms(case.expected_ms);
-        let takes = plan.admits(now, &RequestOutlook { deadline, expected });
-        assert_eq!(takes, case.takes, "{}", case.name);
+        let is_admitted = plan.admits(now, &RequestOutlook { deadline, expected });
+        assert_eq!(is_admitted, case.is_admitted, "{}", case.name);
     }
 }
 
@@ -85,7 +85,7 @@
     at_ms: u64,
     deadline_ms: u64,
     expected_ms: u64,
-    sends: bool,
+    is_sent: bool,
 }
 
 /// Guards against a request that was admitted, waits until the stop is nearly over, and is sent
@@ -98,35 +98,35 @@
             at_ms: 7_400,
             deadline_ms: 9_000,
             expected_ms: 0,
-            sends: true,
+            is_sent: true,
         },
         SendCase {
             name: "a plain call with almost no time left",
             at_ms: 7_401,
             deadline_ms: 9_000,
             expected_ms: 0,
-            sends: false,
+            is_sent: false,
         },
         SendCase {
             name: "a request with a deadline before the end",
             at_ms: 7_401,
             deadline_ms: 7_600,
             expected_ms: 0,
-            sends: true,
+            is_sent: true,
         },
         SendCase {
             name: "a stream that still fits",
             at_ms: 4_700,
             deadline_ms: 12_000,
             expected_ms: 3_000,
-            sends: true,
+            is_sent: true,
         },
         SendCase {
             name: "a stream that has waited too long",
             at_ms: 4_701,
             deadline_ms: 12_000,
             expected_ms: 3_000,
-            sends: false,
+            is_sent: false,
         },
     ];
     let plan = StopPlan::new(ms(0), ms(7_700));
@@ -135,8 +135,8 @@
             deadline: ms(case.deadline_ms),
             expected: ms(case.expected_ms),
         };
-        let sends = plan.may_send(ms(case.at_ms), &request);
-        assert_eq!(sends, case.sends, "{}", case.name);
+        let is_sent = plan.may_send(ms(case.at_ms), &request);
+        assert_eq!(is_sent, case.is_sent, "{}", case.name);
     }
 }
 
@@ -146,7 +146,7 @@
     answer: TokenCount,
     limit: Option<TokenCount>,
     after_ms: u64,
-    takes: bool,
+    is_admitted: bool,
 }
 
 /// Guards against streams that are admitted during the notice period and expected to outlast the
@@ -160,7 +160,7 @@
             answer: 800,
             limit: Some(4_002),
             after_ms: 2_700,
-            takes: true,
+            is_admitted: true,
         },
         ExpectedCase {
             name: "long",
@@ -168,7 +168,7 @@
             answer: 3_000,
             limit: Some(4_002),
             after_ms: 2_700,
-            takes: false,
+            is_admitted: false,
         },
         ExpectedCase {
             name: "long, with more time left",
@@ -176,7 +176,7 @@
             answer: 3_000,
             limit: Some(4_002),
             after_ms: 100,
-            takes: true,
+            is_admitted: true,
         },
         ExpectedCase {
             name: "expected to be longer than it may be",
@@ -184,7 +184,7 @@
             answer: 3_000,
             limit: Some(800),
             after_ms: 2_700,
-            takes: true,
+            is_admitted: true,
         },
         ExpectedCase {
             name: "a prompt that several engines prefill in time",
@@ -192,7 +192,7 @@
             answer: 800,
             limit: None,
             after_ms: 1_000,
-            takes: true,
+            is_admitted: true,
         },
         ExpectedCase {
             name: "the same with less time left",
@@ -200,7 +200,7 @@
             answer: 1_800,
             limit: None,
             after_ms: 2_700,
-            takes: false,
+            is_admitted: false,
         },
     ];
     let plan = StopPlan::new(ms(0), ms(7_700));
@@ -214,8 +214,8 @@
             deadline: ms(15_000),
             expected: service.expected_time(ms(3_000), case.prompt, case.answer, case.limit),
         };
-        let takes = plan.admits(ms(case.after_ms), &request);
-        assert_eq!(takes, case.takes, "{}", case.name);
+        let is_admitted = plan.admits(ms(case.after_ms), &request);
+        assert_eq!(is_admitted, case.is_admitted, "{}", case.name);
     }
 }
 
--- a/lovagedock/tests/direct_suspect_wave/mod.rs
+++ b/lovagedock/tests/direct_suspect_series/mod.rs
@@ -16,7 +16,7 @@
 
 /// Duration of a response, of an engine's restart, and from the start of the crashing request to
 /// the end of its engine.
-const ANSWER_TIME: Duration = Duration::from_secs(2);
+const RESPONSE_TIME: Duration = Duration::from_secs(2);
 const RESTART_TIME: Duration = Duration::from_secs(2);
 const CRASH_TIME: Duration = Duration::from_millis(150);
 
@@ -36,7 +36,7 @@
 const CRASHING: RequestFingerprint = 0;
 
 /// Parameters of a series.
-pub(crate) struct WavePlan {
+pub(crate) struct SeriesPlan {
     pub(crate) seed: u64,
     /// Whether suspect requests are isolated from each other.
     pub(crate) isolated: bool,
@@ -44,19 +44,19 @@
 
 /// Result of a series.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct WaveOutcome {
+pub(crate) struct SeriesOutcome {
     pub(crate) others_quarantined: usize,
     pub(crate) max_ends: usize,
 }
 
-impl WaveOutcome {
+impl SeriesOutcome {
     pub(crate) fn add(&mut self, other: Self) {
         self.others_quarantined += other.others_quarantined;
         self.max_ends = self.max_ends.max(other.max_ends);
     }
 }
 
-struct WaveRun {
+struct RunningRequest {
     fingerprint: RequestFingerprint,
     engine: usize,
     began_at: Timestamp,
@@ -64,11 +64,11 @@
     attempts: u32,
 }
 
-struct Wave<'a> {
-    plan: &'a WavePlan,
+struct SeriesSimulation<'a> {
+    plan: &'a SeriesPlan,
     random: ChaCha8Rng,
     ledger: SuspectLedger,
-    runs: Vec<WaveRun>,
+    runs: Vec<RunningRequest>,
     down_until: Vec<Timestamp>,
     ended_processes: u64,
     ends: usize,
@@ -76,8 +76,8 @@
 }
 
 /// Simulates a series.
-pub(crate) fn simulate_wave(plan: &WavePlan) -> WaveOutcome {
-    let mut wave = Wave {
+pub(crate) fn simulate_series(plan: &SeriesPlan) -> SeriesOutcome {
+    let mut simulation = SeriesSimulation {
         plan,
         random: ChaCha8Rng::seed_from_u64(plan.seed),
         ledger: SuspectLedger::new(),
@@ -88,17 +88,17 @@
         next: CRASHING + 1,
     };
     for step in 0..(SUBMISSION_INTERVAL * SUBMISSIONS).as_millis() / STEP.as_millis() {
-        wave.step(STEP * step as u32);
+        simulation.step(STEP * step as u32);
     }
     let now = SUBMISSION_INTERVAL * SUBMISSIONS;
-    let quarantines = wave.ledger.quarantines(now);
-    WaveOutcome {
+    let quarantines = simulation.ledger.quarantines(now);
+    SeriesOutcome {
         others_quarantined: quarantines.filter(|(f, _)| *f != CRASHING).count(),
-        max_ends: wave.ends,
+        max_ends: simulation.ends,
     }
 }
 
-impl Wave<'_> {
+impl SeriesSimulation<'_> {
     fn step(&mut self, now: Timestamp) {
         let ended: Vec<usize> = (0..self.runs.len())
             .filter(|run| self.runs[*run].ends_at <= now)
@@ -163,9 +163,9 @@
         if is_suspect && self.plan.isolated {
             let suspects = self.runs.iter();
             let suspects = suspects.filter(|run| self.ledger.is_suspect(run.fingerprint));
-            let taken: HashSet<usize> = suspects.map(|run| run.engine).collect();
-            if engines.iter().any(|engine| !taken.contains(engine)) {
-                engines.retain(|engine| !taken.contains(engine));
+            let occupied: HashSet<usize> = suspects.map(|run| run.engine).collect();
+            if engines.iter().any(|engine| !occupied.contains(engine)) {
+                engines.retain(|engine| !occupied.contains(engine));
             }
         }
         let mut load = [0; ENGINES];
@@ -183,9 +183,9 @@
         };
         let run_time = match fingerprint {
             CRASHING => CRASH_TIME,
-            _ => ANSWER_TIME.mul_f64(self.random.random_range(0.5..1.5)),
+            _ => RESPONSE_TIME.mul_f64(self.random.random_range(0.5..1.5)),
         };
-        self.runs.push(WaveRun {
+        self.runs.push(RunningRequest {
             fingerprint,
             engine,
             began_at: now,
--- a/lovagedock/tests/direct_suspects.rs
+++ b/lovagedock/tests/direct_suspects.rs
@@ -1,10 +1,10 @@
 //! Tests of the detection of requests that end the engines that run them.
 
-mod direct_suspect_wave;
+mod direct_suspect_series;
 
 use std::time::Duration;
 
-use direct_suspect_wave::{WaveOutcome, WavePlan, simulate_wave};
+use direct_suspect_series::{SeriesOutcome, SeriesPlan, simulate_series};
 use lovagedock::{
     EndEvidence, EndpointProcess, ProcessEnd, RequestFingerprint, SuspectLedger, SuspectQueue,
     SuspectUpdate, Timestamp,
@@ -323,14 +323,14 @@
 /// share an engine with the crashing request three times are, since they cannot be told from it.
 #[test]
 fn requests_on_shared_engines_are_not_quarantined() {
-    let mut isolated = WaveOutcome::default();
-    let mut together = WaveOutcome::default();
+    let mut isolated = SeriesOutcome::default();
+    let mut together = SeriesOutcome::default();
     for seed in 0..100 {
-        isolated.add(simulate_wave(&WavePlan {
+        isolated.add(simulate_series(&SeriesPlan {
             seed,
             isolated: true,
         }));
-        together.add(simulate_wave(&WavePlan {
+        together.add(simulate_series(&SeriesPlan {
             seed,
             isolated: false,
         }));
--- a/lovagedock/tests/direct_waiting.rs
+++ b/lovagedock/tests/direct_waiting.rs
@@ -72,10 +72,10 @@
     );
 }
 
-struct HoldCase {
+struct WaitCase {
     is_long: bool,
     is_return: bool,
-    held_ms: u64,
+    max_wait_ms: u64,
 }
 
 /// Guards against a refusal that comes too late for the caller to do something else.
@@ -87,25 +87,25 @@
 #[test]
 fn each_queue_bounds_its_waiting_time() {
     let cases = [
-        HoldCase {
+        WaitCase {
             is_long: false,
             is_return: false,
-            held_ms: 1_600,
+            max_wait_ms: 1_600,
         },
-        HoldCase {
+        WaitCase {
             is_long: true,
             is_return: false,
-            held_ms: 1_600,
+            max_wait_ms: 1_600,
         },
-        HoldCase {
+        WaitCase {
             is_long: false,
             is_return: true,
-            held_ms: 4_000,
+            max_wait_ms: 4_000,
         },
-        HoldCase {
+        WaitCase {
             is_long: true,
             is_return: true,
-            held_ms: 1_000,
+            max_wait_ms: 1_000,
         },
     ];
     for case in cases {
@@ -116,7 +116,7 @@
         );
         let mut queue = WaitingQueue::new(kind.settings());
         let decision = queue.decide(ms(0), ms(4_000), ms(15_000), 0.0);
-        let until = ms(case.held_ms);
+        let until = ms(case.max_wait_ms);
         assert_eq!(decision, QueueDecision::Wait { until }, "{kind:?}");
     }
 }
