--- a/lovagedock/src/direct/backoff.rs
+++ b/lovagedock/src/direct/backoff.rs
@@ -98,8 +98,8 @@
         ended.map(|(endpoint, _)| endpoint).collect()
     }
 
-    /// Forgets that endpoints sent malformed delays, for endpoints that are no longer listed. Backoff periods
-    /// are kept until they end, since an endpoint may be listed again before.
+    /// Forgets that endpoints sent malformed delays, for endpoints that are no longer listed.
+    /// Backoff periods are kept until they end, since an endpoint may be listed again before that.
     pub fn forget_unlisted_malformed(&mut self, is_listed: impl Fn(&EndpointProcess) -> bool) {
         self.malformed.retain(is_listed);
     }
--- a/lovagedock/src/direct/config.rs
+++ b/lovagedock/src/direct/config.rs
@@ -159,7 +159,7 @@
         self
     }
 
-    /// Sets the limits towards callers.
+    /// Sets the limits that apply to callers.
     pub fn with_bounds(mut self, bounds: CallerBounds) -> Self {
         self.bounds = bounds;
         self
--- a/lovagedock/src/direct/endpoints.rs
+++ b/lovagedock/src/direct/endpoints.rs
@@ -51,7 +51,8 @@
     Outdated,
 }
 
-/// Time for which an entry with an earlier start must remain in the store before it is applied.
+/// Time for which an entry with an earlier start than the known process must remain in the store
+/// before it is applied.
 ///
 /// Such an entry has one of two causes. The store may have carried out the last write of a former
 /// process late; the new process overwrites it within a second or two. Or the host's clock was set
--- a/lovagedock/src/direct/leaving_queue.rs
+++ b/lovagedock/src/direct/leaving_queue.rs
@@ -5,7 +5,7 @@
 use super::process::EndpointProcess;
 use crate::ids::Timestamp;
 
-/// How often each process is sent to peers, since messages may be lost.
+/// Number of times that each process is sent to peers, since messages may be lost.
 const SENDS: u8 = 3;
 
 /// Minimum time between two sends of a process.
--- a/lovagedock/src/direct/ledger_peers.rs
+++ b/lovagedock/src/direct/ledger_peers.rs
@@ -15,8 +15,8 @@
 const PROPAGATION_WINDOW: Duration = Duration::from_millis(60);
 
 impl WorkLedger {
-    /// Applies a peer's loads. Returns whether some of its work ended, in which case waiting
-    /// requests are to be reconsidered.
+    /// Applies a peer's loads. Returns whether some of its work ended, in which case placement of
+    /// waiting requests is to be attempted again.
     pub fn apply_peer_loads(
         &mut self,
         now: Timestamp,
--- a/lovagedock/src/direct/listing.rs
+++ b/lovagedock/src/direct/listing.rs
@@ -1,4 +1,4 @@
-//! State of a gateway's knowledge of the endpoints that the platform's store lists.
+//! Validity of a gateway's list of the endpoints in the platform's store.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -104,7 +104,7 @@
     }
 
     /// Applies a peer's listing, like [`apply_read`](Self::apply_read). `missing` includes the
-    /// endpoints that the peer itself only keeps.
+    /// endpoints that the peer keeps although the store does not list them.
     ///
     /// A listing that the peer has not settled does not settle this one. A gateway that knows the
     /// era keeps its own state; one that does not waits for a read of the store or for a peer that
--- a/lovagedock/src/direct/load.rs
+++ b/lovagedock/src/direct/load.rs
@@ -127,7 +127,7 @@
 /// Writers of an endpoint that tolerate the same gap.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WriterGroup {
-    /// Longest pause between events that their callers expect.
+    /// Longest gap between events that their callers expect.
     pub gap: Duration,
     /// Number of writers.
     pub count: u32,
--- a/lovagedock/src/direct/load_updates.rs
+++ b/lovagedock/src/direct/load_updates.rs
@@ -8,8 +8,8 @@
 /// Interval at which an unchanged load is sent again, to tolerate message loss.
 const RESEND_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Steps per unit of the slowdowns sent to peers. Finer steps would change, and be sent, all the
-/// time.
+/// Number of steps per unit to which slowdowns sent to peers are rounded. With finer steps, they
+/// would change, and be sent, all the time.
 const SLOWDOWN_STEPS: f32 = 2.0;
 
 /// Loads that were last sent to peers, for the endpoints that this gateway uses.
--- a/lovagedock/src/direct/machine.rs
+++ b/lovagedock/src/direct/machine.rs
@@ -110,7 +110,7 @@
         self.excluded.push(endpoint);
     }
 
-    /// Returns how often the request was sent.
+    /// Returns the number of times that the request was sent.
     pub fn sent(&self) -> u32 {
         self.sent
     }
@@ -142,15 +142,15 @@
 
     /// Grants another attempt, because the process that had the request became silent and is gone.
     ///
-    /// Without it, a long prompt that one engine refuses as not run and that is lost with the next
-    /// engine has used up its attempts, although no engine has completed any work on it. The caller
-    /// would get an error while the rest of the fleet could serve the request.
+    /// Without it, a long prompt would have used up its attempts after one engine refused it as not
+    /// run and the next engine was lost with it, although no engine has completed any work on it.
+    /// The caller would get an error while the rest of the fleet could serve the request.
     pub fn grant_extra_attempt(&mut self) {
         self.extra_attempts = (self.extra_attempts + 1).min(MAX_EXTRA_ATTEMPTS);
     }
 
-    /// Decides the next step after an attempt at `endpoint` ended. `consume_retry` takes a retry from
-    /// the service's budget.
+    /// Decides the next step after an attempt at `endpoint` ended. `consume_retry` consumes a retry
+    /// of the service's budget and returns `false` if none is left.
     pub fn attempt_ended(
         &mut self,
         now: Timestamp,
@@ -208,7 +208,7 @@
         }
     }
 
-    /// Returns the result for a request that no endpoint can take now.
+    /// Returns the result for a request that no endpoint can accept now.
     pub fn no_place(&self, now: Timestamp) -> DirectStep {
         self.give_up(now, ResultCode::NoCapacity)
     }
--- a/lovagedock/src/direct/member.rs
+++ b/lovagedock/src/direct/member.rs
@@ -1,4 +1,5 @@
-//! Loss of an endpoint as a member of a team that shares a prompt.
+//! Loss that results from choosing an endpoint as a member of a team that shares the prefill of a
+//! prompt.
 
 use std::{cmp::Reverse, time::Duration};
 
@@ -8,7 +9,7 @@
 };
 use crate::ids::TokenCount;
 
-/// Share of the objective that a prediction may use up. Predictions miss by about a pass.
+/// Share of the objective that a prediction may use up. Predictions are off by about a pass.
 const OBJECTIVE_MARGIN: f64 = 0.85;
 
 /// Share of its value that a request loses when it is late.
@@ -27,8 +28,8 @@
 const LAST_SLOT_LOSS: f64 = 0.05;
 
 /// Loss of a short request outside the short lane. It exceeds the loss for the last slots of the
-/// lane. It grows by up to a third towards the end of the pool, so that overflow stays next to the
-/// lane.
+/// lane. The second constant increases it by up to a third with the endpoint's rank, so that
+/// requests that exceed the lane are placed next to it.
 const OUTSIDE_LANE_LOSS: f64 = 0.12;
 const OUTSIDE_LANE_RANK_LOSS: f64 = 0.04;
 
@@ -92,7 +93,7 @@
     pub(super) pass: Duration,
     pub(super) delay_loss: f64,
     pub(super) slot_loss: f64,
-    /// Tokens of memory that the request may use.
+    /// Tokens of engine memory that the request may use.
     pub(super) free_memory: TokenCount,
     /// Loss as the lead of the team.
     pub(super) lead_loss: f64,
@@ -210,8 +211,8 @@
     members.sort_by(order);
 }
 
-/// Removes and returns the best lead among the members whose memory holds the whole request, or
-/// otherwise the member with the most free memory.
+/// Removes and returns the best lead among the members whose memory holds the whole request, or the
+/// member with the most free memory if there is none.
 pub(super) fn remove_lead(members: &mut Vec<TeamMember>, need: TokenCount) -> Option<TeamMember> {
     let fitting = members
         .iter()
--- a/lovagedock/src/direct/mod.rs
+++ b/lovagedock/src/direct/mod.rs
@@ -5,7 +5,8 @@
 //! chooses endpoints by the [`EngineProfile`]. [`WaitingQueue`] decides which requests may wait,
 //! and [`DirectMachine`] what follows each attempt. [`SuspectLedger`] finds requests that crash the
 //! engines that run them. [`EndpointListing`] decides which endpoint list is valid while the store
-//! loses and regains its history. None of these types reads a clock or performs input or output.
+//! is unreachable or restored from an older copy. None of these types reads a clock or performs
+//! input or output.
 
 mod backoff;
 mod choice;
--- a/lovagedock/src/direct/peer_liveness.rs
+++ b/lovagedock/src/direct/peer_liveness.rs
@@ -63,8 +63,8 @@
         self.peers.remove(peer);
     }
 
-    /// Counts the gateways whose messages arrive and all that may be serving, both including this
-    /// one.
+    /// Counts the gateways whose messages arrive, and all gateways that may be serving. Both counts
+    /// include this one.
     pub fn count(&self, now: Timestamp) -> GatewayCount {
         let mut count = GatewayCount {
             reachable: 1,
--- a/lovagedock/src/direct/rate_limit.rs
+++ b/lovagedock/src/direct/rate_limit.rs
@@ -21,10 +21,12 @@
 /// ended.
 const MIN_RATE: RequestRate = 0.1;
 
-/// Minimum time after its latest request for which a gateway takes a share of an endpoint's limit.
+/// Minimum time for which a gateway keeps its share of an endpoint's limit after its latest request
+/// for that endpoint.
 const MIN_DEMAND_TIME: Duration = Duration::from_secs(5);
 
-/// Time after which a peer's claim expires. Tolerates the loss of two messages.
+/// Time after which a peer's claim to send requests to an endpoint expires unless it is sent again.
+/// Tolerates the loss of two messages.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// Interval at which a limit is sent again.
@@ -429,7 +431,7 @@
         peers.filter(|peer| key(peer) < own).count()
     }
 
-    /// Whether `gateway` has requests for the endpoint and is a sender or a standby.
+    /// Returns whether `gateway` has requests for the endpoint and is a sender or a standby.
     fn is_claimed(&self, now: Timestamp, endpoint: &EndpointProcess, gateway: &GatewayId) -> bool {
         let senders = self.rate.map_or(0, max_senders);
         senders > 0
@@ -488,7 +490,7 @@
         (self.tokens + elapsed * self.rate).min(1.0)
     }
 
-    /// Returns when a token is available, or `None` if the rate is zero.
+    /// Returns the time from which a token is available, or `None` if the rate is zero.
     fn ready_at(&self, now: Timestamp) -> Option<Timestamp> {
         if self.rate == 0.0 {
             return None;
--- a/lovagedock/src/direct/retries.rs
+++ b/lovagedock/src/direct/retries.rs
@@ -66,7 +66,7 @@
         self.budget.record_success(now);
     }
 
-    /// Takes one retry. Returns `false` if none is left.
+    /// Consumes one retry. Returns `false` if none is left.
     pub fn try_consume(&mut self, now: Timestamp) -> bool {
         self.budget.try_consume(now)
     }
--- a/lovagedock/src/direct/short_lane.rs
+++ b/lovagedock/src/direct/short_lane.rs
@@ -5,7 +5,8 @@
 const LANE_FACTOR: f64 = 1.2;
 const LANE_SLACK: f64 = 16.0;
 
-/// Returns the number of endpoints reserved for short prompts while `short` of these run.
+/// Returns the number of endpoints reserved for short prompts while `short` requests with such
+/// prompts run.
 ///
 /// Without the lane, long prompts that arrive faster than the pool can prefill them would spread
 /// over all engines, since each is worth more than the short requests that it delays at that
@@ -18,5 +19,5 @@
     engines.min(endpoints - endpoints.div_ceil(LONG_LANE_DIVISOR).min(endpoints))
 }
 
-/// The long lane keeps at least one of this many engines.
+/// At least one in this many engines remains for long prompts.
 const LONG_LANE_DIVISOR: usize = 16;
--- a/lovagedock/src/direct/slowdown.rs
+++ b/lovagedock/src/direct/slowdown.rs
@@ -5,8 +5,8 @@
 use super::process::EndpointProcess;
 use crate::ids::Timestamp;
 
-/// Number of latest gaps of which the shortest counts. A pass that also prefills prompts takes
-/// longer, but at least one of a few consecutive passes prefills next to nothing.
+/// Number of latest gaps, of which only the shortest is used. A pass that also prefills prompts
+/// takes longer, but at least one of a few consecutive passes prefills next to nothing.
 const GAP_WINDOW: usize = 4;
 
 /// Weight of a new sample. An engine that becomes slow is detected within half a second.
@@ -19,7 +19,7 @@
 /// Lower and upper bound of a sample.
 const SLOWDOWN_RANGE: (f64, f64) = (1.0, 10.0);
 
-/// Slowdown below which an engine counts as fast as declared. Predictions miss by as much.
+/// Slowdown below which an engine counts as fast as declared. Predictions are off by as much.
 const TOLERANCE: f64 = 1.6;
 
 /// Measures the slowdown of engines by the gaps between their events.
--- a/lovagedock/src/direct/stopping.rs
+++ b/lovagedock/src/direct/stopping.rs
@@ -19,9 +19,9 @@
 /// listener stays open while any request is in flight, and requests that cannot be served are
 /// refused at once with a retry delay.
 ///
-/// The duration of a stream has no known upper bound: engines that are full, prefill for others or
-/// are slow decode several times as slowly as declared. So after the notice period, only requests
-/// whose deadline is before the end of the stop are admitted.
+/// The duration of a stream has no known upper bound: decoding takes several times the declared
+/// time on engines that are full, prefill for others or are slow. So after the notice period, only
+/// requests whose deadline is before the end of the stop are admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StopPlan {
     requested_at: Timestamp,
@@ -72,8 +72,8 @@
         self.may_send(now, outlook) && (ends_in_time || !is_after_notice)
     }
 
-    /// Returns whether a request may be sent to an endpoint now. It may have waited, or come back
-    /// from another endpoint.
+    /// Returns whether a request may be sent to an endpoint now. The request may have waited, or
+    /// another endpoint may have refused or lost it.
     ///
     /// It may be sent if its deadline is before the end of the stop, or if it is expected to finish
     /// before that.
--- a/lovagedock/src/direct/suspect_queue.rs
+++ b/lovagedock/src/direct/suspect_queue.rs
@@ -5,7 +5,8 @@
 use super::{suspect_update::SuspectUpdate, suspects::SuspectLedger};
 use crate::ids::Timestamp;
 
-/// How often each update is sent, and the time between two sends. Datagrams may be lost.
+/// Number of times that each update is sent, since datagrams may be lost, and the time between two
+/// sends.
 const SENDS: u8 = 3;
 const RESEND_INTERVAL: Duration = Duration::from_millis(400);
 
@@ -46,8 +47,8 @@
     /// Returns the updates that are due to be sent to peers.
     pub fn take_due(&mut self, now: Timestamp, ledger: &mut SuspectLedger) -> Vec<SuspectUpdate> {
         for update in ledger.take_unsent() {
-            // Each gateway that has served a request reports this each time that a peer suspects
-            // it.
+            // A gateway that has served a request reports this whenever a peer sends evidence
+            // against the request, so the same update may be queued already.
             if !self.is_waiting(update) {
                 self.push(update, now, SENDS);
             }
--- a/lovagedock/src/direct/suspect_update.rs
+++ b/lovagedock/src/direct/suspect_update.rs
@@ -46,7 +46,7 @@
     Quarantined(RequestFingerprint, Duration),
 }
 
-/// Evidence about one request, stored where it outlives gateways.
+/// Evidence against one request, kept in the store so that it outlives gateways.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SuspectReport {
     /// The request.
--- a/lovagedock/src/direct/suspects.rs
+++ b/lovagedock/src/direct/suspects.rs
@@ -26,7 +26,8 @@
 const FIRST_QUARANTINE: Duration = Duration::from_secs(600);
 const MAX_QUARANTINE: Duration = Duration::from_secs(4 * 3600);
 
-/// Time for which evidence is kept after the latest of it.
+/// Time for which the evidence against a request is kept after the latest reported end of a
+/// process, or after the request's quarantine if that ends later.
 const EVIDENCE_TIME: Duration = Duration::from_secs(600);
 
 /// Time for which a request that was served is not suspected.
@@ -39,7 +40,7 @@
 /// Maximum number of remembered served requests; a gateway serves 50 per second.
 const MAX_SERVED: usize = 4096;
 
-/// Maximum number of requests that a gateway reports to the store; a value of the store can hold
+/// Maximum number of requests that a gateway reports to the store; a value in the store can hold
 /// far more.
 const MAX_REPORTS: usize = 256;
 
@@ -63,9 +64,10 @@
 /// Requests that only shared an engine with it are protected in three ways. A request that is
 /// served is not suspected. A request that had streamed for a while gets less weight. Once a
 /// request is in quarantine, the ends attributed to it no longer count against other requests. In
-/// 100 simulated series on 21 engines that place such requests together (`direct_suspects`), 8
-/// other requests are quarantined; 29 without the weight of streaming, and 23 without the
-/// attribution of ends. If suspect requests are isolated by [`isolate_suspects`], none is.
+/// 100 simulated series of ends on 21 engines in which such requests are placed together
+/// (`direct_suspects`), 8 other requests are quarantined; 29 without the weight of streaming, and
+/// 23 without the attribution of ends. If suspect requests are isolated by [`isolate_suspects`],
+/// none is.
 ///
 /// [`isolate_suspects`]: super::isolate_suspects
 #[derive(Clone, Debug)]
--- a/lovagedock/src/direct/waiting_queue.rs
+++ b/lovagedock/src/direct/waiting_queue.rs
@@ -57,8 +57,8 @@
                 min_rate: 20.0,
                 ..defaults
             },
-            // With a longer waiting time, few requests found a place, and the others lost seconds
-            // of their time.
+            // With a longer waiting time, few of these requests were placed, and the others were
+            // refused seconds later.
             Self::ReturnedLong => QueueSettings {
                 objective_share: 0.25,
                 min_rate: 4.0,
@@ -96,19 +96,20 @@
 /// Whether a request may wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueueDecision {
-    /// The request waits, and is refused if it has no place by then.
+    /// The request waits, and is refused if it is not placed by then.
     Wait {
         /// End of the waiting time.
         until: Timestamp,
     },
-    /// The request is refused at once, because it would be late by the time it got a place.
+    /// The request is refused at once, because its first event would be late by the time it is
+    /// placed.
     Refuse {
         /// Recommended delay before a retry.
         retry_after: Duration,
     },
 }
 
-/// Requests of one service that wait at this gateway for a place.
+/// Requests of one service that wait at this gateway to be placed.
 ///
 /// If more short requests arrive per second than engines have slots for, an engine that queues them
 /// serves each of them too late, although it refuses none. So this queue is only as long as
@@ -137,7 +138,8 @@
         }
     }
 
-    /// Decides about a request that finds no place; its first event is late from `late_at` on.
+    /// Decides whether a request that cannot be placed now may wait. Its first event is late from
+    /// `late_at` on.
     pub fn decide(
         &mut self,
         now: Timestamp,
--- a/lovagedock/src/direct/watcher_selection.rs
+++ b/lovagedock/src/direct/watcher_selection.rs
@@ -4,8 +4,8 @@
 
 use crate::ids::{GatewayId, Timestamp};
 
-/// Number of gateways that watch at the same time. One of them may lose the store and another may
-/// stop at the same moment; the third still sends changes.
+/// Number of gateways that watch at the same time. If one of them cannot reach the store and
+/// another stops at the same moment, the third still sends changes.
 const WATCHER_COUNT: usize = 3;
 
 /// Minimum number of watchers that must be reachable, and that must reach the store, for other
@@ -30,8 +30,8 @@
     /// Watches the store and sends changes to the others.
     Watcher,
     /// Watches because too few of the watchers reach the store. While the store is down for all,
-    /// every gateway is in this role. If they called as often as watchers do, they would spend the
-    /// store's request rate on failed calls just as it recovers.
+    /// every gateway is in this role. If they called as often as watchers do, their failed calls
+    /// would use up the store's request rate just as it recovers.
     Fallback,
     /// Receives changes from the watchers.
     Follower,
@@ -41,8 +41,8 @@
 ///
 /// Each call to the store has a cost, and the store's request rate grows more slowly than the
 /// fleet, so not every gateway watches. The watchers are derived from the names of the reachable
-/// gateways. Agreement needs no call and no message, and while gateways disagree, one more of them
-/// watches.
+/// gateways. Gateways need no calls or messages to agree on the watchers, and while they disagree,
+/// one more gateway watches.
 #[derive(Clone, Debug, Default)]
 pub struct WatcherSelection {
     peers: BTreeMap<GatewayId, PeerContact>,
--- a/lovagedock/tests/direct_ledger.rs
+++ b/lovagedock/tests/direct_ledger.rs
@@ -1,4 +1,4 @@
-//! Tests of the load that gateways know of each other's work.
+//! Tests of the loads that gateways count for their own work and for that of their peers.
 
 use std::time::Duration;
 
--- a/lovagedock/tests/direct_ledger_totals.rs
+++ b/lovagedock/tests/direct_ledger_totals.rs
@@ -42,7 +42,7 @@
     }
 
     fn pending_prefills(&self, endpoint: usize) -> u32 {
-        // This gateway's own prefills become due only after the end of the test.
+        // An own prefill is pending until the work is removed from `own`.
         let own = self.own_work_on(endpoint);
         let own = own
             .filter(|work| !work.short && !work.prefill_time.is_zero())
--- a/lovagedock/tests/direct_listing.rs
+++ b/lovagedock/tests/direct_listing.rs
@@ -22,7 +22,8 @@
 const ENGINES: u8 = 4;
 const GATEWAYS: usize = 3;
 
-/// Time in which engines write their entries again, and time after which gateways rely on that.
+/// Time in which engines write their entries again, and time after which gateways drop endpoints
+/// whose entries are missing.
 const REWRITE_TIME: Duration = Duration::from_secs(2);
 const SETTLE_TIME: Duration = Duration::from_millis(2300);
 
@@ -430,7 +431,7 @@
     name: &'static str,
     /// Time since the store was first read again, in milliseconds.
     after_ms: u64,
-    /// Whether the store was lost again in the meantime.
+    /// Whether the store became unreachable again in the meantime.
     unreachable_again: bool,
     gone: bool,
 }
--- a/lovagedock/tests/direct_machine.rs
+++ b/lovagedock/tests/direct_machine.rs
@@ -170,8 +170,8 @@
     assert_eq!(step, DirectStep::Answer(ResultCode::ExpiredUnknown));
 }
 
-/// Guards against a wrong statement about whether an expired request ran: one that an endpoint had
-/// may have run, and one that waited has not.
+/// Guards against a wrong statement about whether an expired request ran: a request that was sent
+/// to an endpoint may have run, and one that only waited has not.
 #[test]
 fn an_expired_request_reports_whether_it_may_have_run() {
     let mut waited = DirectMachine::new(RouteMode::NonIdempotent, 1, ms(1_000));
--- a/lovagedock/tests/direct_placement.rs
+++ b/lovagedock/tests/direct_placement.rs
@@ -72,7 +72,7 @@
 /// Guards against short prompts that queue behind each other in a sudden burst.
 ///
 /// 100 per second arrive at an idle pool. If all were placed on one engine, each would wait for the
-/// prompts before it. Placement uses the next engine before the wait exceeds an objective.
+/// prompts before it. Placement uses the next engine before the waiting time exceeds an objective.
 #[test]
 fn a_burst_of_short_prompts_uses_further_engines_in_time() {
     let mut pool = VirtualPool::new(21);
@@ -160,7 +160,7 @@
     }
 }
 
-/// Guards against a prompt that finds no place although several engines together have enough memory
+/// Guards against a prompt that is not placed although several engines together have enough memory
 /// for it.
 #[test]
 fn a_prompt_larger_than_an_engine_is_spread() {
@@ -185,7 +185,7 @@
     );
 }
 
-/// Guards against a place for a prompt that is larger than the memory of all engines together.
+/// Guards against placing a prompt that is larger than the memory of all engines together.
 #[test]
 fn a_prompt_larger_than_the_pool_has_no_place() {
     let mut pool = VirtualPool::new(2);
--- a/lovagedock/tests/direct_prefill_overload.rs
+++ b/lovagedock/tests/direct_prefill_overload.rs
@@ -19,8 +19,8 @@
 /// Share of its objective that a request waits.
 const WAIT_SHARE: f64 = 0.4;
 
-/// Lengths of prompts in their frequencies: most have some hundred thousand tokens, few have many
-/// more.
+/// Lengths of prompts, drawn with equal probability: most have some hundred thousand tokens, few
+/// have many more.
 const LENGTHS: [TokenCount; 8] = [
     110_000, 130_000, 160_000, 200_000, 240_000, 300_000, 420_000, 650_000,
 ];
@@ -28,7 +28,7 @@
 /// Rule for starting late prompts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LateRule {
-    /// All prompts for which there is a place.
+    /// All prompts that can be placed.
     All,
     /// Prompts that are worth their prefill time.
     Worthwhile,
@@ -99,9 +99,9 @@
 /// Guards against late prompts that make others late while the pool cannot prefill all of them.
 ///
 /// For ten seconds, prompts of 110k to 650k tokens need about twice the prefill time that 16
-/// engines have. Each waits for its share of the objective, and one that then finds no good place
-/// is late. If it is started anyway, a prompt of 420k tokens occupies an engine for ten seconds, in
-/// which three prompts could have been on time.
+/// engines have. Each waits for its share of the objective, and one for which there is no
+/// acceptable choice by then is late. If it is started anyway, a prompt of 420k tokens occupies an
+/// engine for ten seconds, in which three prompts could have been on time.
 #[test]
 fn late_prompts_do_not_make_others_late() {
     const SEEDS: u64 = 12;
--- a/lovagedock/tests/direct_prompt_burst.rs
+++ b/lovagedock/tests/direct_prompt_burst.rs
@@ -1,5 +1,5 @@
-//! Simulation of a fleet of gateways that place a burst of short prompts, each by the updates it
-//! has received.
+//! Simulation of a fleet of gateways that place a burst of short prompts. Each gateway only knows
+//! the updates that it has received.
 
 mod direct_support;
 
@@ -242,10 +242,11 @@
 /// Guards against gateways that place a burst on the same engines because their updates arrive
 /// late.
 ///
-/// A burst of long prompts ends and a burst of short ones begins: six times as many arrive as
-/// before, while most engines still prefill. All gateways have received the same loads and choose
-/// the endpoint that looks best, as do the others in the 30 ms until they receive the placement. On
-/// that engine the prompts are prefilled one after the other, while other engines are idle.
+/// A burst of long prompts ends and a burst of short ones begins: five to seven times as many
+/// arrive as before, while most engines still prefill. All gateways have received the same loads
+/// and choose the endpoint that looks best, as do the others in the 30 ms until they receive the
+/// placement. On that engine the prompts are prefilled one after the other, while other engines are
+/// idle.
 #[test]
 fn a_burst_at_many_gateways_is_served_in_time() {
     let cases = [
--- a/lovagedock/tests/direct_state.rs
+++ b/lovagedock/tests/direct_state.rs
@@ -232,11 +232,11 @@
     }
 }
 
-/// Guards against retries of all gateways that exceed the operator's limit, however they count each
-/// other.
+/// Guards against retries that exceed the operator's limit for all gateways together.
 ///
-/// Eight gateways reach each other. Each gets requests of a failing service and retries as often as
-/// it may, for two windows. In any window, the sum stays within the ratio and the slack.
+/// Eight gateways reach each other. Each gets requests for a failing service and retries as often
+/// as its share allows, for two windows. In any window, the sum stays within the ratio and the
+/// slack.
 #[test]
 fn retries_of_all_gateways_stay_within_the_limit() {
     let settings = RetryShareSettings {
--- a/lovagedock/tests/direct_support/mod.rs
+++ b/lovagedock/tests/direct_support/mod.rs
@@ -1,7 +1,7 @@
 //! Simulation of a pool of engines in virtual time: placements, ends of prefills and ends of
 //! responses.
 
-#![allow(dead_code)] // Each test file uses a part of it.
+#![allow(dead_code)] // Each test file uses only a part of this module.
 
 use std::{cmp::Reverse, collections::BinaryHeap, time::Duration};
 
@@ -26,7 +26,7 @@
     Duration::from_millis(ms)
 }
 
-/// Returns a request for a short summary: first event in 300 ms, gaps of 200 ms.
+/// Returns a request for a short summary: first event due in 300 ms, gaps of up to 200 ms.
 pub(crate) fn short() -> DirectRequest {
     DirectRequest {
         prompt: 5_000,
@@ -38,7 +38,7 @@
     }
 }
 
-/// Returns a request with a long prompt: first event in 3 s, gaps of 800 ms.
+/// Returns a request with a long prompt: first event due in 3 s, gaps of up to 800 ms.
 pub(crate) fn long(prompt: TokenCount) -> DirectRequest {
     DirectRequest {
         prompt,
@@ -122,7 +122,7 @@
             .collect()
     }
 
-    /// Places a request. Returns `None` if there is no place.
+    /// Places a request. Returns `None` if no endpoint can accept it.
     pub(crate) fn place(&mut self, request: &DirectRequest) -> Option<PlacedChoice> {
         let candidates = self.candidates();
         let placer = DirectPlacer::new(Some(&PROFILE));
--- a/lovagedock/tests/direct_suspect_series/mod.rs
+++ b/lovagedock/tests/direct_suspect_series/mod.rs
@@ -20,14 +20,15 @@
 const RESTART_TIME: Duration = Duration::from_secs(2);
 const CRASH_TIME: Duration = Duration::from_millis(150);
 
-/// Time between two submissions by the caller, and their number. Each submission has two attempts.
+/// Time between two submissions by the caller, and length of the simulation in such intervals. Each
+/// submission has up to [`ATTEMPTS`] attempts.
 const SUBMISSION_INTERVAL: Duration = Duration::from_millis(400);
 const SUBMISSIONS: u32 = 40;
 
 /// Time of the first submission; by then all engines are in use.
 const FIRST_SUBMISSION: Duration = Duration::from_secs(4);
 
-/// Attempts at a request: two by its gateway, and two more when its caller retries at once.
+/// Attempts per submission: two by the gateway, and two more when the caller retries at once.
 const ATTEMPTS: u32 = 4;
 
 const STEP: Duration = Duration::from_millis(10);
--- a/lovagedock/tests/direct_suspects.rs
+++ b/lovagedock/tests/direct_suspects.rs
@@ -317,10 +317,11 @@
 /// Guards against the quarantine of requests that only share engines with one that ends them, and
 /// against many ended engines.
 ///
-/// On 21 engines, 9 requests run at each. One request that ends its engine after 0.15 s is
-/// submitted 40 times. All requests that were on an ended engine are placed again at the same
-/// moment. If suspect requests are isolated, no other request is quarantined. Otherwise, those that
-/// share an engine with the crashing request three times are, since they cannot be told from it.
+/// On 21 engines, 126 requests run at a time, about 9 on each engine in use. One request that ends
+/// its engine after 0.15 s is submitted every 0.4 s, 30 times. All requests that were on an ended
+/// engine are placed again at the same moment. If suspect requests are isolated, no other request
+/// is quarantined. Otherwise, those that share an engine with the crashing request three times are,
+/// since they cannot be told from it.
 #[test]
 fn requests_on_shared_engines_are_not_quarantined() {
     let mut isolated = SeriesOutcome::default();
--- a/lovagedock/tests/direct_waiting.rs
+++ b/lovagedock/tests/direct_waiting.rs
@@ -1,4 +1,4 @@
-//! Tests of waiting, refusing and recognising returning requests.
+//! Tests of waiting queues, refusals and the recognition of returning requests.
 
 use std::time::Duration;
 
@@ -16,9 +16,11 @@
     assert_eq!(decision, QueueDecision::Wait { until: ms(220) });
 }
 
-/// Guards against requests that are refused only after their time is over, instead of at once.
+/// Guards against requests that are refused only when their waiting time has passed, instead of at
+/// once.
 ///
-/// 30 requests start per second and ten wait. The eleventh would wait for 330 ms of its 300 ms.
+/// 30 requests start per second and ten wait. The eleventh would wait for 330 ms, and its objective
+/// is 300 ms.
 #[test]
 fn a_request_that_would_be_late_is_refused_at_once() {
     let mut queue = waiting_queue();
@@ -81,7 +83,7 @@
 /// Guards against a refusal that comes too late for the caller to do something else.
 ///
 /// Long prompts find all engines busy. A new one may wait for two fifths of its objective. A
-/// returning one is late already; if it waited for all of its time, it would be refused in most
+/// returning one is late already; if it waited for its whole objective, it would be refused in most
 /// cases anyway, seconds later. Returning short requests wait for a free slot, which takes a
 /// moment.
 #[test]
