--- a/lovagedock/tests/direct_suspect_series/mod.rs
+++ b/lovagedock/tests/direct_suspect_series/mod.rs
@@ -23,7 +23,7 @@
 /// Time between two submissions by the caller, and length of the simulation in such intervals. Each
 /// submission has up to [`ATTEMPTS`] attempts.
 const SUBMISSION_INTERVAL: Duration = Duration::from_millis(400);
-const SUBMISSIONS: u32 = 40;
+const SUBMISSION_INTERVALS: u32 = 40;
 
 /// Time of the first submission; by then all engines are in use.
 const FIRST_SUBMISSION: Duration = Duration::from_secs(4);
@@ -88,10 +88,10 @@
         ends: 0,
         next: CRASHING + 1,
     };
-    for step in 0..(SUBMISSION_INTERVAL * SUBMISSIONS).as_millis() / STEP.as_millis() {
+    for step in 0..(SUBMISSION_INTERVAL * SUBMISSION_INTERVALS).as_millis() / STEP.as_millis() {
         simulation.step(STEP * step as u32);
     }
-    let now = SUBMISSION_INTERVAL * SUBMISSIONS;
+    let now = SUBMISSION_INTERVAL * SUBMISSION_INTERVALS;
     let quarantines = simulation.ledger.quarantines(now);
     SeriesOutcome {
         others_quarantined: quarantines.filter(|(f, _)| *f != CRASHING).count(),
