--- a/lovagedock-gateway/src/call_task.rs
+++ b/lovagedock-gateway/src/call_task.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use bytes::Bytes;
-use lovagedock::{ClaimKey, ClaimRequest, KeyHash, Outcome, prelude::*};
+use lovagedock::{ClaimKey, ClaimRequest, KeyHash, RequestOutcome, prelude::*};
 use slog::{Logger, info, warn};
 
 use crate::{
@@ -186,7 +186,7 @@
         self.caller.send(CallerEvent::Bytes(body)).await;
     }
 
-    async fn drive(&self, keep: bool) -> (Outcome, Option<KeptAnswer>) {
+    async fn drive(&self, keep: bool) -> (RequestOutcome, Option<KeptAnswer>) {
         let shared = self.shared.clone();
         let driver = RequestDriver::new(
             shared,
@@ -266,7 +266,7 @@
 
 impl ClaimFailure {
     /// `None` if the request did not run, so that a repeat may.
-    fn new(key: KeyHash, outcome: &Outcome) -> Option<Self> {
+    fn new(key: KeyHash, outcome: &RequestOutcome) -> Option<Self> {
         let code = match outcome.code {
             // The repeat's caller is there; what it lacks is the answer.
             ResultCode::CallerGone | ResultCode::Complete => ResultCode::AnswerLost,
@@ -285,7 +285,7 @@
         .increment(1);
 }
 
-fn last_word(outcome: &Outcome) -> CallerEvent {
+fn last_word(outcome: &RequestOutcome) -> CallerEvent {
     if outcome.code == ResultCode::Complete {
         return CallerEvent::Complete;
     }
--- a/lovagedock-gateway/src/claims.rs
+++ b/lovagedock-gateway/src/claims.rs
@@ -213,7 +213,7 @@
     fn decide(&mut self, event: ClaimEvent) -> Vec<StoreWork> {
         let mut work = Vec::new();
         let now = self.clock.now();
-        self.wake.take_due(now);
+        self.wake.clear_if_due(now);
         for action in self.machine.handle(now, event) {
             match action {
                 ClaimAction::Read { object } => work.push(StoreWork::Read(object)),
@@ -263,15 +263,15 @@
     match work {
         StoreWork::Read(object) => {
             let outcome = store_calls::read(store, &object, purpose).await;
-            ClaimEvent::StoreRead { object, outcome }
+            ClaimEvent::StoreReadEnded { object, outcome }
         }
         StoreWork::Write(object, condition, bytes, nonce) => {
             let outcome = store_calls::write(store, &object, bytes, condition, purpose).await;
-            ClaimEvent::StoreAnswered { nonce, outcome }
+            ClaimEvent::StoreWriteEnded { nonce, outcome }
         }
         StoreWork::Delete(object, nonce) => {
             let outcome = store_calls::delete(store, &object, purpose).await;
-            ClaimEvent::StoreAnswered { nonce, outcome }
+            ClaimEvent::StoreWriteEnded { nonce, outcome }
         }
     }
 }
--- a/lovagedock-gateway/src/driver/mod.rs
+++ b/lovagedock-gateway/src/driver/mod.rs
@@ -9,8 +9,8 @@
 
 use bytes::Bytes;
 use lovagedock::{
-    Outcome, OutlierEvent, RequestAction, RequestEvent, RequestMachine, RequestSpec, SpanEvent,
-    prelude::*,
+    OutlierEvent, RequestAction, RequestEvent, RequestMachine, RequestOutcome, RequestSpec,
+    SpanEvent, prelude::*,
 };
 use lovagedock_wire::{AnswerHead, SegmentReply};
 use tokio::{sync::mpsc, time::sleep_until};
@@ -124,7 +124,7 @@
     }
 
     /// Runs the request to its final answer.
-    pub(crate) async fn run(mut self) -> (Outcome, Option<KeptAnswer>) {
+    pub(crate) async fn run(mut self) -> (RequestOutcome, Option<KeptAnswer>) {
         let actions = self.machine.start();
         let mut finished = self.carry_out(actions).await;
         let mut told = ToldOnce::default();
@@ -251,7 +251,7 @@
         }
     }
 
-    async fn carry_out(&mut self, actions: Vec<RequestAction>) -> Option<Outcome> {
+    async fn carry_out(&mut self, actions: Vec<RequestAction>) -> Option<RequestOutcome> {
         let mut queue = VecDeque::from(actions);
         while let Some(action) = queue.pop_front() {
             match action {
--- a/lovagedock-gateway/src/driver/place.rs
+++ b/lovagedock-gateway/src/driver/place.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use lovagedock::{
-    CostParameters, PlacedOn, PlacementChoice, PlacementRequest, RequestEvent, SentWork,
+    CostParameters, PlacementChoice, PlacementOutcome, PlacementRequest, RequestEvent, SentWork,
     SpanMember, SpanPart, prelude::*,
 };
 use rand::Rng;
@@ -12,7 +12,7 @@
 use crate::suspects::fingerprint;
 
 impl RequestDriver {
-    pub(super) fn place(&mut self, excluded: &[EndpointId]) -> PlacedOn {
+    pub(super) fn place(&mut self, excluded: &[EndpointId]) -> PlacementOutcome {
         if let Some(left) = self.quarantined_for() {
             self.step("refused: engines end under it");
             return refused(ResultCode::Quarantined, left);
@@ -38,7 +38,7 @@
         fleet.place(now, &self.call.pool, &request, &mut rand::rng())
     }
 
-    fn placed(&mut self, choice: Option<PlacementChoice>) -> PlacedOn {
+    fn placed(&mut self, choice: Option<PlacementChoice>) -> PlacementOutcome {
         match choice {
             None => refused(ResultCode::NotConfigured, Duration::ZERO),
             Some(PlacementChoice::Refuse {
@@ -61,7 +61,7 @@
                 let tokens = self.call.prompt.tokens;
                 self.count_sent(&endpoint, tokens, predicted_prefill);
                 match self.incarnation(&endpoint) {
-                    Some(incarnation) => PlacedOn::One {
+                    Some(incarnation) => PlacementOutcome::One {
                         endpoint,
                         incarnation,
                     },
@@ -76,7 +76,7 @@
                     return refused(ResultCode::EndpointUnreachable, Duration::ZERO);
                 }
                 self.step(format!("placed on {} engines: {reason}", parts.len()));
-                PlacedOn::Span(parts)
+                PlacementOutcome::Span(parts)
             }
         }
     }
@@ -156,6 +156,6 @@
     }
 }
 
-fn refused(code: ResultCode, retry_after: Duration) -> PlacedOn {
-    PlacedOn::Refused { code, retry_after }
+fn refused(code: ResultCode, retry_after: Duration) -> PlacementOutcome {
+    PlacementOutcome::Refused { code, retry_after }
 }
--- a/lovagedock-gateway/src/driver/span.rs
+++ b/lovagedock-gateway/src/driver/span.rs
@@ -128,7 +128,7 @@
             .map(|member| {
                 let endpoint = member.endpoint.clone();
                 match self.incarnation(&endpoint) {
-                    Some(incarnation) => SpanEvent::MemberBack {
+                    Some(incarnation) => SpanEvent::MemberReconnected {
                         endpoint,
                         incarnation,
                     },
@@ -145,7 +145,7 @@
         let mut told = None;
         for action in actions {
             let event = match action {
-                SpanAction::Choose => self.choose_again(),
+                SpanAction::ChooseEngines => self.choose_again(),
                 SpanAction::Reserve {
                     endpoint,
                     incarnation,
@@ -190,7 +190,7 @@
             span.members.clone_from(&parts);
             span.holders.clear();
         }
-        self.span_event(SpanEvent::Chosen(parts))
+        self.span_event(SpanEvent::EnginesChosen(parts))
     }
 
     fn reserve(
@@ -205,7 +205,7 @@
         let notes = self.note_sender.clone();
         // From the submit on the lead's reservation lasts as long as the request.
         if span.decoding && span.is_lead(&endpoint) {
-            let granted = SpanEvent::Reserved {
+            let granted = SpanEvent::ReserveAnswered {
                 endpoint,
                 round,
                 granted: true,
@@ -223,7 +223,7 @@
         self.send(&endpoint, command);
         tokio::spawn(async move {
             let event = match answer.await {
-                Ok(Ok(reply)) => SpanEvent::Reserved {
+                Ok(Ok(reply)) => SpanEvent::ReserveAnswered {
                     endpoint,
                     round,
                     granted: reply.granted,
--- a/lovagedock-gateway/src/orders/pool.rs
+++ b/lovagedock-gateway/src/orders/pool.rs
@@ -255,7 +255,7 @@
     match action {
         LeaseAction::Read { object } => {
             let outcome = store_calls::read(&*store, &object, purpose).await;
-            Some(LeaseEvent::StoreRead(outcome))
+            Some(LeaseEvent::StoreReadEnded(outcome))
         }
         LeaseAction::Write {
             object,
@@ -264,7 +264,7 @@
             nonce,
         } => {
             let outcome = store_calls::write(&*store, &object, bytes, condition, purpose).await;
-            Some(LeaseEvent::StoreAnswered { nonce, outcome })
+            Some(LeaseEvent::StoreWriteEnded { nonce, outcome })
         }
         _ => None,
     }
--- a/lovagedock-gateway/src/relay/mod.rs
+++ b/lovagedock-gateway/src/relay/mod.rs
@@ -97,7 +97,7 @@
 
     /// Takes note of what a peer has.
     pub(crate) fn told(self: &Rc<Self>, from: ProcessId, generation: Generation) {
-        self.take(AdoptionEvent::Told { from, generation });
+        self.take(AdoptionEvent::PeerReported { from, generation });
     }
 
     /// Tells a peer at `above` what it lacks.
--- a/lovagedock-sidecar/src/orders.rs
+++ b/lovagedock-sidecar/src/orders.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use lovagedock::{
-    FenceAction, FenceEvent, FenceGate, FencedOrder, LoadOrder, LoadedMemory, LoadedReport,
+    FenceAction, FenceEvent, FenceGate, FencedOrder, LoadOrder, LoadedArtifacts, LoadedReport,
     prelude::*,
 };
 use lovagedock_wire::{OrderMessage, OrderReply};
@@ -34,7 +34,7 @@
 #[derive(Default)]
 struct DoorState {
     gate: FenceGate,
-    memory: LoadedMemory,
+    memory: LoadedArtifacts,
     waiting: Vec<WaitingOrder>,
 }
 
--- a/lovagedock/examples/claims_capacity.rs
+++ b/lovagedock/examples/claims_capacity.rs
@@ -251,7 +251,7 @@
             ClaimAction::Delete { nonce, .. } => {
                 self.report.writes += usize::from(measures);
                 let outcome = WriteOutcome::Applied(1);
-                let event = ClaimEvent::StoreAnswered { nonce, outcome };
+                let event = ClaimEvent::StoreWriteEnded { nonce, outcome };
                 let time = self.call_time(0);
                 self.push(self.now + time, Step::Event(machine, event));
             }
@@ -267,12 +267,12 @@
                     None => ReadOutcome::Absent,
                     Some((version, bytes)) => ReadOutcome::Found { version, bytes },
                 };
-                ClaimEvent::StoreRead { object, outcome }
+                ClaimEvent::StoreReadEnded { object, outcome }
             }
             ClaimAction::Write { object, nonce, .. } if object.contains("answers") => {
                 // An answer that found no room in its partition.
                 let outcome = WriteOutcome::Applied(1);
-                ClaimEvent::StoreAnswered { nonce, outcome }
+                ClaimEvent::StoreWriteEnded { nonce, outcome }
             }
             ClaimAction::Write {
                 condition,
@@ -293,7 +293,7 @@
                     self.report.conflicts += usize::from(self.now >= WARM_UP);
                     WriteOutcome::Conflict
                 };
-                ClaimEvent::StoreAnswered { nonce, outcome }
+                ClaimEvent::StoreWriteEnded { nonce, outcome }
             }
             other => panic!("{other:?} is no call"),
         };
--- a/lovagedock/src/adoption/plan.rs
+++ b/lovagedock/src/adoption/plan.rs
@@ -69,7 +69,7 @@
         let is_relay = |member: &&&RelayMember| member.kind == RelayKind::Relay;
         let relays: MemberList<'_> = region.iter().filter(is_relay).copied().collect();
         let wanted = limits.watchers_per_region;
-        let ranked = rank_watchers(&relays, wanted + limits.stand_ins_per_region);
+        let ranked = rank_watchers(&relays, wanted + limits.standbys_per_region);
         let watchers: MemberList<'_> = ranked.iter().take(wanted).copied().collect();
         for watcher in &watchers {
             self.role(watcher).watches = true;
@@ -88,13 +88,13 @@
             .flat_map(|watcher| self.role_of(&watcher.process).children)
             .collect();
         for (rank, member) in ranked.iter().enumerate().skip(wanted) {
-            let seniors = ranked[..rank].iter().map(|m| m.process.clone()).collect();
+            let higher_ranked = ranked[..rank].iter().map(|m| m.process.clone()).collect();
             let others = fed.iter().filter(|child| **child != member.process);
             let others = others.cloned().collect();
             let role = self.role(member);
-            role.seniors = seniors;
-            role.wanted_watchers = wanted;
-            role.stand_in_children = others;
+            role.higher_ranked = higher_ranked;
+            role.required_watchers = wanted;
+            role.standby_children = others;
         }
     }
 
--- a/lovagedock/src/adoption/push.rs
+++ b/lovagedock/src/adoption/push.rs
@@ -45,7 +45,7 @@
     /// Those that the plan names, and as a stand-in those of the watchers.
     fn receivers(&self) -> Vec<ProcessId> {
         let stands_in = self.upstream.watching && !self.role.watches;
-        let others = self.role.stand_in_children.iter().filter(|_| stands_in);
+        let others = self.role.standby_children.iter().filter(|_| stands_in);
         self.role.children.iter().chain(others).cloned().collect()
     }
 
--- a/lovagedock/src/adoption/repair.rs
+++ b/lovagedock/src/adoption/repair.rs
@@ -40,7 +40,7 @@
         self.hear(generation);
         self.note_contact(now, &from);
         if generation > self.generation() {
-            let patience = self.jitter(self.limits.offer_patience);
+            let patience = self.jitter(self.limits.offer_delay);
             self.repair.pull_at(from, now + patience);
             return;
         }
@@ -115,7 +115,7 @@
         if self.generation() >= self.heard {
             self.repair
                 .due
-                .retain(|peer, _| self.role.seniors.contains(peer));
+                .retain(|peer, _| self.role.higher_ranked.contains(peer));
         }
     }
 }
--- a/lovagedock/src/adoption/role.rs
+++ b/lovagedock/src/adoption/role.rs
@@ -36,7 +36,7 @@
     /// Relays that one relay feeds at each of its two places in the tree.
     pub fanout: usize,
     /// Relays per region that watch when too few of those before them answer.
-    pub stand_ins_per_region: usize,
+    pub standbys_per_region: usize,
     /// Random peers that a relay knows for its comparisons.
     pub peers: usize,
 }
@@ -46,7 +46,7 @@
         Self {
             watchers_per_region: 2,
             fanout: 4,
-            stand_ins_per_region: 3,
+            standbys_per_region: 3,
             peers: 8,
         }
     }
@@ -64,9 +64,9 @@
     /// Processes that it compares itself with; hosts other than its own.
     pub peers: Vec<ProcessId>,
     /// Watchers and stand-ins that are ranked before it; empty unless it is a stand-in.
-    pub seniors: Vec<ProcessId>,
-    /// How many of the seniors have to answer, or it watches too.
-    pub wanted_watchers: usize,
+    pub higher_ranked: Vec<ProcessId>,
+    /// How many of the higher_ranked have to answer, or it watches too.
+    pub required_watchers: usize,
     /// Processes that it pushes to while it stands in: those that the watchers feed.
-    pub stand_in_children: Vec<ProcessId>,
+    pub standby_children: Vec<ProcessId>,
 }
--- a/lovagedock/src/adoption/senior.rs
+++ b/lovagedock/src/adoption/senior.rs
@@ -19,16 +19,16 @@
 }
 
 impl AdoptionState {
-    /// Forgets seniors of an older plan; new ones get the benefit of the doubt.
+    /// Forgets higher_ranked of an older plan; new ones get the benefit of the doubt.
     pub(super) fn set_seniors(&mut self, now: Timestamp) {
         let old = std::mem::take(&mut self.senior.heard_at);
-        let seniors = self.role.seniors.iter();
-        let heard_at = seniors.map(|senior| {
+        let higher_ranked = self.role.higher_ranked.iter();
+        let heard_at = higher_ranked.map(|senior| {
             let at = old.get(senior).copied().unwrap_or(now);
             (senior.clone(), at)
         });
         self.senior.heard_at = heard_at.collect();
-        self.senior.check_at = (!self.role.seniors.is_empty()).then_some(now);
+        self.senior.check_at = (!self.role.higher_ranked.is_empty()).then_some(now);
     }
 
     pub(super) fn note_contact(&mut self, now: Timestamp, peer: &ProcessId) {
@@ -46,15 +46,15 @@
         if self.senior.check_at.is_some_and(|at| at <= now) {
             self.check_seniors(now);
         }
-        let patience = self.limits.senior_patience;
+        let patience = self.limits.standby_timeout;
         let heard = self.senior.heard_at.values();
         let alive = heard.filter(|at| **at + patience > now).count();
-        let stands_in = !self.role.seniors.is_empty() && alive < self.role.wanted_watchers;
+        let stands_in = !self.role.higher_ranked.is_empty() && alive < self.role.required_watchers;
         self.set_watching(now, self.role.watches || stands_in);
     }
 
     fn check_seniors(&mut self, now: Timestamp) {
-        let interval = self.limits.senior_interval;
+        let interval = self.limits.standby_check_interval;
         let heard = self.senior.heard_at.iter();
         let quiet = heard.filter(|(_, at)| **at + interval / 2 <= now);
         let quiet: Vec<ProcessId> = quiet.map(|(senior, _)| senior.clone()).collect();
--- a/lovagedock/src/adoption/start.rs
+++ b/lovagedock/src/adoption/start.rs
@@ -49,7 +49,7 @@
         // Nobody can have more than the store, if that was read.
         let is_newest = best.is_some() && best == self.wanted_generation();
         if best.is_some() && self.start.decide_at.is_none() {
-            self.start.decide_at = Some(now + self.limits.start_patience);
+            self.start.decide_at = Some(now + self.limits.startup_wait);
         }
         let is_time = self.start.decide_at.is_some_and(|at| at <= now);
         if !self.start.asked.is_empty() && (self.start.open == 0 || is_time || is_newest) {
@@ -60,7 +60,7 @@
     fn ask_peers(&mut self, now: Timestamp, actions: &mut Vec<AdoptionAction>) {
         let mut peers = self.role.peers.clone();
         peers.shuffle(&mut self.rng);
-        peers.truncate(self.limits.start_peers);
+        peers.truncate(self.limits.startup_peers);
         self.start.open = peers.len();
         let pause = self.jitter(self.limits.compare_interval);
         self.start.ask_at = Some(now + pause);
--- a/lovagedock/src/adoption/state.rs
+++ b/lovagedock/src/adoption/state.rs
@@ -129,7 +129,7 @@
     fn take(&mut self, now: Timestamp, event: AdoptionEvent, actions: &mut Vec<AdoptionAction>) {
         match event {
             AdoptionEvent::Role(role) => {
-                let lists = [&role.children, &role.offers, &role.stand_in_children];
+                let lists = [&role.children, &role.offers, &role.standby_children];
                 let has = |peer: &ProcessId| lists.iter().any(|list| list.contains(peer));
                 self.pushes.retain(|peer, _| has(peer));
                 self.role = role;
@@ -143,7 +143,7 @@
                 let source = AdoptionSource::Push(from.clone());
                 self.take_bundle(now, from, &bundle, source, actions);
             }
-            AdoptionEvent::Told { from, generation } => self.on_told(now, from, generation),
+            AdoptionEvent::PeerReported { from, generation } => self.on_told(now, from, generation),
             AdoptionEvent::PushAnswered { to, generation } => {
                 self.on_push_answered(now, to, generation);
             }
--- a/lovagedock/src/adoption/types.rs
+++ b/lovagedock/src/adoption/types.rs
@@ -56,7 +56,7 @@
         bundle: ConfigBundle,
     },
     /// A peer told that it has this generation: by an offer, a heartbeat or a greeting.
-    Told {
+    PeerReported {
         /// The peer.
         from: ProcessId,
         /// Its generation.
@@ -176,15 +176,15 @@
     /// Pushes of one generation to one peer, repeats included.
     pub max_pushes: u32,
     /// How long an offer waits for the push that is expected from another peer.
-    pub offer_patience: Duration,
-    /// Time between a stand-in's comparisons with each of its seniors.
-    pub senior_interval: Duration,
+    pub offer_delay: Duration,
+    /// Time between a stand-in's comparisons with each of its higher_ranked.
+    pub standby_check_interval: Duration,
     /// Silence after which a senior counts as gone.
-    pub senior_patience: Duration,
+    pub standby_timeout: Duration,
     /// Peers that a process without configuration asks at once.
-    pub start_peers: usize,
+    pub startup_peers: usize,
     /// How long such a process waits for the rest of them after the first answer.
-    pub start_patience: Duration,
+    pub startup_wait: Duration,
     /// Chunks that are read from the store at a time.
     pub chunk_reads: usize,
     /// Older generations that changes can be told against.
@@ -201,11 +201,11 @@
             max_backoff: Duration::from_secs(2),
             push_retry: Duration::from_millis(300),
             max_pushes: 4,
-            offer_patience: Duration::from_millis(300),
-            senior_interval: Duration::from_secs(1),
-            senior_patience: Duration::from_millis(2_500),
-            start_peers: 3,
-            start_patience: Duration::from_millis(500),
+            offer_delay: Duration::from_millis(300),
+            standby_check_interval: Duration::from_secs(1),
+            standby_timeout: Duration::from_millis(2_500),
+            startup_peers: 3,
+            startup_wait: Duration::from_millis(500),
             chunk_reads: 8,
             history: 8,
         }
--- a/lovagedock/src/adoption/upstream.rs
+++ b/lovagedock/src/adoption/upstream.rs
@@ -83,7 +83,7 @@
         }
         if self.upstream.next_at.is_none() && !self.upstream.watching {
             // A domain that restarts as a whole spreads its reads, and most need none.
-            let pause = self.jitter(self.limits.start_patience);
+            let pause = self.jitter(self.limits.startup_wait);
             self.upstream.next_at = Some(now + pause);
         }
         let is_soon = self.upstream.soon && self.upstream.failures == 0;
@@ -180,7 +180,7 @@
         let missing = missing.copied().collect();
         let patience = match self.upstream.watching || self.role.peers.is_empty() {
             true => Timestamp::ZERO,
-            false => self.jitter(self.limits.start_patience * 2),
+            false => self.jitter(self.limits.startup_wait * 2),
         };
         let mut fetch = ChunkFetch {
             missing,
--- a/lovagedock/src/claim/partition.rs
+++ b/lovagedock/src/claim/partition.rs
@@ -146,10 +146,10 @@
             } => self.on_record(key, request, answer, deadline, &mut actions),
             ClaimEvent::Abandon { key, request } => self.abandon(key, request),
             ClaimEvent::Withdraw { request } => self.on_withdraw(request),
-            ClaimEvent::StoreAnswered { nonce, outcome } => {
+            ClaimEvent::StoreWriteEnded { nonce, outcome } => {
                 self.on_answered(now, nonce, outcome);
             }
-            ClaimEvent::StoreRead { object, outcome } => {
+            ClaimEvent::StoreReadEnded { object, outcome } => {
                 self.on_read(now, &object, outcome, &mut actions);
             }
             ClaimEvent::Tick => {}
--- a/lovagedock/src/claim/types.rs
+++ b/lovagedock/src/claim/types.rs
@@ -60,14 +60,14 @@
         request: RequestId,
     },
     /// A write or deletion ended.
-    StoreAnswered {
+    StoreWriteEnded {
         /// Nonce of the action.
         nonce: WriteNonce,
         /// How it ended.
         outcome: WriteOutcome,
     },
     /// A read ended.
-    StoreRead {
+    StoreReadEnded {
         /// What was read.
         object: ObjectName,
         /// How it ended.
@@ -80,12 +80,12 @@
 /// What to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimAction {
-    /// Read an object and report [`ClaimEvent::StoreRead`].
+    /// Read an object and report [`ClaimEvent::StoreReadEnded`].
     Read {
         /// Its name.
         object: ObjectName,
     },
-    /// Write an object and report [`ClaimEvent::StoreAnswered`].
+    /// Write an object and report [`ClaimEvent::StoreWriteEnded`].
     Write {
         /// Its name.
         object: ObjectName,
@@ -96,7 +96,7 @@
         /// Names this write in the report.
         nonce: WriteNonce,
     },
-    /// Delete an object, if it is there, and report [`ClaimEvent::StoreAnswered`].
+    /// Delete an object, if it is there, and report [`ClaimEvent::StoreWriteEnded`].
     Delete {
         /// Its name.
         object: ObjectName,
--- a/lovagedock/src/lease/holder.rs
+++ b/lovagedock/src/lease/holder.rs
@@ -95,8 +95,8 @@
         match event {
             LeaseEvent::Want => self.wanted = true,
             LeaseEvent::Release => self.release(now, &mut actions),
-            LeaseEvent::StoreRead(outcome) => self.on_read(now, outcome, &mut actions),
-            LeaseEvent::StoreAnswered { nonce, outcome } => {
+            LeaseEvent::StoreReadEnded(outcome) => self.on_read(now, outcome, &mut actions),
+            LeaseEvent::StoreWriteEnded { nonce, outcome } => {
                 self.on_answered(now, nonce, outcome, &mut actions);
             }
             LeaseEvent::Tick => {}
--- a/lovagedock/src/lease/types.rs
+++ b/lovagedock/src/lease/types.rs
@@ -17,9 +17,9 @@
     /// This process gives the lease up, or no longer wants it.
     Release,
     /// A read of the lease's object ended.
-    StoreRead(ReadOutcome),
+    StoreReadEnded(ReadOutcome),
     /// A write of the lease's object ended.
-    StoreAnswered {
+    StoreWriteEnded {
         /// Nonce of the action.
         nonce: WriteNonce,
         /// How it ended.
@@ -32,12 +32,12 @@
 /// What to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseAction {
-    /// Read the lease's object and report [`LeaseEvent::StoreRead`].
+    /// Read the lease's object and report [`LeaseEvent::StoreReadEnded`].
     Read {
         /// Its name.
         object: ObjectName,
     },
-    /// Write the lease's object and report [`LeaseEvent::StoreAnswered`].
+    /// Write the lease's object and report [`LeaseEvent::StoreWriteEnded`].
     Write {
         /// Its name.
         object: ObjectName,
--- a/lovagedock/src/lib.rs
+++ b/lovagedock/src/lib.rs
@@ -92,7 +92,7 @@
     UsageEntry, UsageLimiter, UsageReport,
 };
 pub use orders::{
-    Artifact, ArtifactSet, LoadOrder, LoadedMemory, LoadedReport, OrderAction, OrderAnswer,
+    Artifact, ArtifactSet, LoadOrder, LoadedArtifacts, LoadedReport, OrderAction, OrderAnswer,
     OrderEvent, OrderLimits, OrderPlanner, OrderStatus, pool_contenders,
 };
 pub use outcome::{AnswerEnd, AttemptKey, RevokeVerdict};
@@ -104,8 +104,8 @@
 };
 pub use registry::{PolicyPlugin, UnknownPolicy, build_policy, policies, policy_names};
 pub use request::{
-    Outcome, PlacedOn, RequestAction, RequestEvent, RequestMachine, RequestSpec, RequestTiming,
-    Safeguards, SpanPart,
+    PlacementOutcome, RequestAction, RequestEvent, RequestMachine, RequestOutcome,
+    RequestSafeguards, RequestSpec, RequestTiming, SpanPart,
 };
 pub use retry::{BackoffCurve, RetryAllowance, RetryBudget};
 pub use safeguards::DurableSafeguards;
--- a/lovagedock/src/orders/endpoint.rs
+++ b/lovagedock/src/orders/endpoint.rs
@@ -82,8 +82,8 @@
         self.busy = report.busy;
         self.look_at = now
             + match self.busy {
-                true => limits.busy_interval,
-                false => limits.look_interval,
+                true => limits.busy_poll_interval,
+                false => limits.poll_interval,
             };
         if succeeded && self.loaded.is_some() {
             self.failures = 0;
@@ -95,6 +95,6 @@
 
     fn pause(&self, limits: &OrderLimits) -> std::time::Duration {
         let doubled = 1 << self.failures.min(MOST_DOUBLINGS);
-        (limits.retry * doubled).min(limits.longest_retry)
+        (limits.retry * doubled).min(limits.max_retry)
     }
 }
--- a/lovagedock/src/orders/loaded.rs
+++ b/lovagedock/src/orders/loaded.rs
@@ -11,7 +11,7 @@
 /// Puts together what the engine reports, names without versions, with the orders that it has
 /// confirmed.
 #[derive(Debug, Default)]
-pub struct LoadedMemory {
+pub struct LoadedArtifacts {
     reported: Option<ArtifactSet>,
     model: Option<ConfirmedLoad>,
     adapters: Vec<ConfirmedLoad>,
@@ -42,7 +42,7 @@
     }
 }
 
-impl LoadedMemory {
+impl LoadedArtifacts {
     /// Nothing is known.
     pub fn new() -> Self {
         Self::default()
--- a/lovagedock/src/orders/mod.rs
+++ b/lovagedock/src/orders/mod.rs
@@ -1,6 +1,6 @@
 //! Orders to engines: what each engine of a pool has to load, and when.
 //!
-//! [`OrderPlanner`] runs at the gateway that holds the lease of a pool; [`LoadedMemory`] runs at
+//! [`OrderPlanner`] runs at the gateway that holds the lease of a pool; [`LoadedArtifacts`] runs at
 //! each sidecar and knows what its engine has loaded.
 
 mod artifact;
@@ -13,6 +13,6 @@
 
 pub use artifact::{Artifact, ArtifactSet, LoadOrder};
 pub use contenders::pool_contenders;
-pub use loaded::LoadedMemory;
+pub use loaded::LoadedArtifacts;
 pub use planner::OrderPlanner;
 pub use types::{LoadedReport, OrderAction, OrderAnswer, OrderEvent, OrderLimits, OrderStatus};
--- a/lovagedock/src/orders/planner.rs
+++ b/lovagedock/src/orders/planner.rs
@@ -205,7 +205,7 @@
     /// would be left to serve, and weights that do not load would take the whole pool down. An
     /// engine that failed counts as taken out until it has loaded, so a bad version stops there.
     fn has_room(&self, name: &EndpointId, order: &LoadOrder) -> bool {
-        if self.endpoints[name].busy || self.loading() >= self.limits.loads {
+        if self.endpoints[name].busy || self.loading() >= self.limits.max_loads {
             return false;
         }
         if !order.replaces_model() {
@@ -213,7 +213,7 @@
         }
         let others = self.endpoints.iter().filter(|(id, _)| *id != name);
         let replacing = others.filter(|(_, endpoint)| self.is_taken_out(endpoint));
-        let share = self.endpoints.len() * self.limits.replaced_percent / 100;
+        let share = self.endpoints.len() * self.limits.max_replaced_percent / 100;
         replacing.count() < share.max(1)
     }
 
--- a/lovagedock/src/orders/types.rs
+++ b/lovagedock/src/orders/types.rs
@@ -87,28 +87,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OrderLimits {
     /// Loads of one pool in flight, for the weight store's sake.
-    pub loads: usize,
+    pub max_loads: usize,
     /// Engines of a pool whose model may be exchanged at once, in percent; at least one.
-    pub replaced_percent: usize,
+    pub max_replaced_percent: usize,
     /// Between looks at an engine that has all that is wanted.
-    pub look_interval: Duration,
+    pub poll_interval: Duration,
     /// Between looks at an engine that is busy with another's order.
-    pub busy_interval: Duration,
+    pub busy_poll_interval: Duration,
     /// Pause after the first failure at an endpoint; it doubles with each.
     pub retry: Duration,
     /// Longest pause after a failure.
-    pub longest_retry: Duration,
+    pub max_retry: Duration,
 }
 
 impl Default for OrderLimits {
     fn default() -> Self {
         Self {
-            loads: 2,
-            replaced_percent: 25,
-            look_interval: Duration::from_secs(30),
-            busy_interval: Duration::from_secs(2),
+            max_loads: 2,
+            max_replaced_percent: 25,
+            poll_interval: Duration::from_secs(30),
+            busy_poll_interval: Duration::from_secs(2),
             retry: Duration::from_secs(1),
-            longest_retry: Duration::from_secs(60),
+            max_retry: Duration::from_secs(60),
         }
     }
 }
--- a/lovagedock/src/request/event.rs
+++ b/lovagedock/src/request/event.rs
@@ -10,7 +10,7 @@
 
 /// Where placement puts a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum PlacedOn {
+pub enum PlacementOutcome {
     /// On one endpoint.
     One {
         /// The endpoint.
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestEvent {
     /// Placement answered a [`RequestAction::Place`].
-    Placed(PlacedOn),
+    Placed(PlacementOutcome),
     /// The retry budget answered a [`RequestAction::AskRetry`].
     RetryAnswered {
         /// Whether the budget had a retry left.
@@ -86,7 +86,7 @@
         incarnation: Incarnation,
     },
     /// A new session to the endpoint is up.
-    SessionBack {
+    SessionReconnected {
         /// Endpoint at the other end.
         endpoint: EndpointId,
         /// Life of the sidecar that answered.
@@ -243,14 +243,14 @@
     },
     /// The final answer; nothing comes after it. Unless the code is `Complete`, a stream that
     /// has begun is cut and not ended.
-    Finish(Outcome),
+    Finish(RequestOutcome),
     /// Send [`RequestEvent::Tick`] at this time; replaces the time given before.
     WakeAt(Timestamp),
 }
 
 /// The final answer to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Outcome {
+pub struct RequestOutcome {
     /// What became of the request.
     pub code: ResultCode,
     /// Whether any attempt ran; goes before what the code says.
--- a/lovagedock/src/request/finish.rs
+++ b/lovagedock/src/request/finish.rs
@@ -4,7 +4,7 @@
 
 use super::{
     attempt::{Attempt, worst_ran},
-    event::{Outcome, RequestAction},
+    event::{RequestAction, RequestOutcome},
     machine::RequestMachine,
     phase::RequestPhase,
 };
@@ -211,7 +211,7 @@
         };
         self.release_span();
         self.phase = RequestPhase::Finished;
-        self.actions.push(RequestAction::Finish(Outcome {
+        self.actions.push(RequestAction::Finish(RequestOutcome {
             code: decisive.code,
             ran,
             retry_after,
--- a/lovagedock/src/request/machine.rs
+++ b/lovagedock/src/request/machine.rs
@@ -5,9 +5,9 @@
 use super::{
     answer::AnswerProgress,
     attempt::Attempt,
-    event::{PlacedOn, RequestAction, RequestEvent, SpanPart},
+    event::{PlacementOutcome, RequestAction, RequestEvent, SpanPart},
     phase::RequestPhase,
-    safeguards::Safeguards,
+    safeguards::RequestSafeguards,
     spec::RequestSpec,
 };
 use crate::{
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 pub struct RequestMachine {
     pub(super) spec: RequestSpec,
-    pub(super) safeguards: Safeguards,
+    pub(super) safeguards: RequestSafeguards,
     pub(super) deadline: Timestamp,
     pub(super) phase: RequestPhase,
     pub(super) attempt: Option<Attempt>,
@@ -46,7 +46,7 @@
         Self {
             deadline: now.saturating_add(spec.deadline),
             spec,
-            safeguards: Safeguards::ALL,
+            safeguards: RequestSafeguards::ALL,
             phase: RequestPhase::Placing,
             attempt: None,
             attempts: 0,
@@ -62,7 +62,7 @@
     }
 
     /// Turns safeguards off, for tests that show what each of them is for.
-    pub fn with_safeguards(mut self, safeguards: Safeguards) -> Self {
+    pub fn with_safeguards(mut self, safeguards: RequestSafeguards) -> Self {
         self.safeguards = safeguards;
         self
     }
@@ -136,7 +136,7 @@
             } => {
                 self.session_lost(now, &endpoint, incarnation);
             }
-            RequestEvent::SessionBack {
+            RequestEvent::SessionReconnected {
                 endpoint,
                 incarnation,
             } => {
@@ -176,20 +176,20 @@
         self.actions.push(RequestAction::Place { excluded });
     }
 
-    fn placed(&mut self, now: Timestamp, placed: PlacedOn) {
+    fn placed(&mut self, now: Timestamp, placed: PlacementOutcome) {
         if !matches!(self.phase, RequestPhase::Placing) {
             return;
         }
         match placed {
-            PlacedOn::One {
+            PlacementOutcome::One {
                 endpoint,
                 incarnation,
             } => {
                 self.begin_attempt(endpoint, incarnation);
                 self.submit(now);
             }
-            PlacedOn::Span(members) => self.begin_span(now, members),
-            PlacedOn::Refused { code, retry_after } => {
+            PlacementOutcome::Span(members) => self.begin_span(now, members),
+            PlacementOutcome::Refused { code, retry_after } => {
                 self.conclude(AnswerEnd::new(code).with_retry_after(retry_after));
             }
         }
--- a/lovagedock/src/request/mod.rs
+++ b/lovagedock/src/request/mod.rs
@@ -10,7 +10,7 @@
 mod safeguards;
 mod spec;
 
-pub use event::{Outcome, PlacedOn, RequestAction, RequestEvent, SpanPart};
+pub use event::{PlacementOutcome, RequestAction, RequestEvent, RequestOutcome, SpanPart};
 pub use machine::RequestMachine;
-pub use safeguards::Safeguards;
+pub use safeguards::RequestSafeguards;
 pub use spec::{RequestSpec, RequestTiming};
--- a/lovagedock/src/request/recover.rs
+++ b/lovagedock/src/request/recover.rs
@@ -168,7 +168,7 @@
         // A restarted sidecar knows nothing of what its former life did, and its "revoked" would
         // let a request that ran run again. The incarnation tells the two lives apart.
         let other_life = verdict == RevokeVerdict::OtherLife || life != attempt.incarnation;
-        let verdict = match (other_life, self.safeguards.check_verdict_life) {
+        let verdict = match (other_life, self.safeguards.check_verdict_incarnation) {
             (true, true) => RevokeVerdict::OtherLife,
             (true, false) => RevokeVerdict::Revoked,
             (false, _) => verdict,
--- a/lovagedock/src/request/safeguards.rs
+++ b/lovagedock/src/request/safeguards.rs
@@ -2,11 +2,11 @@
 
 /// Which safeguards of a request are on; all of them, unless a test turns one off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Safeguards {
+pub struct RequestSafeguards {
     /// A non-idempotent attempt that went silent is revoked before another is made.
     pub revoke_before_retry: bool,
     /// A verdict of another life of the sidecar is not believed.
-    pub check_verdict_life: bool,
+    pub check_verdict_incarnation: bool,
     /// Frames of an older attempt are dropped.
     pub drop_old_attempts: bool,
     /// Bytes are delivered once each and in order.
@@ -17,11 +17,11 @@
     pub remember_ran: bool,
 }
 
-impl Safeguards {
+impl RequestSafeguards {
     /// All safeguards on.
     pub const ALL: Self = Self {
         revoke_before_retry: true,
-        check_verdict_life: true,
+        check_verdict_incarnation: true,
         drop_old_attempts: true,
         check_offsets: true,
         check_end: true,
@@ -29,7 +29,7 @@
     };
 }
 
-impl Default for Safeguards {
+impl Default for RequestSafeguards {
     fn default() -> Self {
         Self::ALL
     }
--- a/lovagedock/src/span/coordinator.rs
+++ b/lovagedock/src/span/coordinator.rs
@@ -69,12 +69,12 @@
 
     /// Reserves the engines of the first choice.
     pub fn start(&mut self, now: Timestamp, parts: Vec<SpanPart>) -> Vec<SpanAction> {
-        self.handle(now, SpanEvent::Chosen(parts))
+        self.handle(now, SpanEvent::EnginesChosen(parts))
     }
 
     /// Answers an event with actions.
     pub fn handle(&mut self, now: Timestamp, event: SpanEvent) -> Vec<SpanAction> {
-        if self.is_over() {
+        if self.is_finished() {
             return Vec::new();
         }
         if event != SpanEvent::Released && self.has_lapsed(now) {
@@ -82,8 +82,8 @@
             return self.take_actions();
         }
         match event {
-            SpanEvent::Chosen(parts) => self.chosen(now, parts),
-            SpanEvent::Reserved {
+            SpanEvent::EnginesChosen(parts) => self.chosen(now, parts),
+            SpanEvent::ReserveAnswered {
                 endpoint,
                 round,
                 granted,
@@ -103,7 +103,7 @@
             } => {
                 self.member_lost(now, &endpoint, incarnation);
             }
-            SpanEvent::MemberBack {
+            SpanEvent::MemberReconnected {
                 endpoint,
                 incarnation,
             } => {
@@ -116,7 +116,7 @@
     }
 
     /// Whether the span holds nothing any more.
-    pub fn is_over(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         self.state == SpanState::Over
     }
 
@@ -132,7 +132,7 @@
         self.round += 1;
         self.members = parts.into_iter().map(SpanMember::new).collect();
         self.state = SpanState::Reserving {
-            until: now + self.plan.timing.answer_limit,
+            until: now + self.plan.timing.answer_timeout,
         };
         self.renew_at = now + self.renew_pause();
         self.reserve_missing(now);
@@ -183,7 +183,7 @@
             SpanState::Reserving { until } if now >= until => self.step_back(now),
             SpanState::BackingOff { until } if now >= until => {
                 self.state = SpanState::Choosing;
-                self.actions.push(SpanAction::Choose);
+                self.actions.push(SpanAction::ChooseEngines);
             }
             SpanState::Prefilling | SpanState::Decoding => self.renew(now),
             _ => {}
@@ -196,7 +196,10 @@
     }
 
     fn back_off(&mut self, now: Timestamp) {
-        let (waited, patience) = (now.saturating_sub(self.began), self.plan.patience());
+        let (waited, patience) = (
+            now.saturating_sub(self.began),
+            self.plan.reserve_time_limit(),
+        );
         if waited >= patience {
             self.fail(AnswerEnd::new(ResultCode::NoCapacity));
             return;
--- a/lovagedock/src/span/event.rs
+++ b/lovagedock/src/span/event.rs
@@ -12,10 +12,10 @@
 /// What a span coordinator is told.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SpanEvent {
-    /// Placement answered a [`SpanAction::Choose`]; empty when there is no choice now.
-    Chosen(Vec<SpanPart>),
+    /// Placement answered a [`SpanAction::ChooseEngines`]; empty when there is no choice now.
+    EnginesChosen(Vec<SpanPart>),
     /// A sidecar answered a reservation or its renewal; answers of a lost session are dropped.
-    Reserved {
+    ReserveAnswered {
         /// The sidecar's endpoint.
         endpoint: EndpointId,
         /// Round that the reservation was made in.
@@ -40,7 +40,7 @@
         incarnation: Incarnation,
     },
     /// A new session to a member is up.
-    MemberBack {
+    MemberReconnected {
         /// The member's endpoint.
         endpoint: EndpointId,
         /// Life of the sidecar that answered.
@@ -56,7 +56,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SpanAction {
     /// Choose engines anew.
-    Choose,
+    ChooseEngines,
     /// Reserve memory, or renew the reservation of the same round.
     Reserve {
         /// Endpoint to reserve at.
--- a/lovagedock/src/span/plan.rs
+++ b/lovagedock/src/span/plan.rs
@@ -35,7 +35,7 @@
     /// Time after which a reservation lapses at the sidecar when it is not renewed.
     pub hold: Duration,
     /// How long to wait for the answers to one round of reservations.
-    pub answer_limit: Duration,
+    pub answer_timeout: Duration,
     /// Part of the remaining time that may pass before all engines are reserved, in percent.
     pub reserve_percent: u32,
     /// Pauses between two rounds.
@@ -47,7 +47,7 @@
         Self {
             segment_tokens: 16_384,
             hold: Duration::from_secs(3),
-            answer_limit: Duration::from_secs(1),
+            answer_timeout: Duration::from_secs(1),
             reserve_percent: 30,
             backoff: ReserveBackoff::default(),
         }
@@ -91,7 +91,7 @@
     }
 
     /// How long the span may try to reserve its engines.
-    pub fn patience(&self) -> Duration {
+    pub fn reserve_time_limit(&self) -> Duration {
         self.remaining * self.timing.reserve_percent / 100
     }
 
--- a/lovagedock/src/wake.rs
+++ b/lovagedock/src/wake.rs
@@ -30,7 +30,7 @@
     }
 
     /// Whether the time has come; if so, it is forgotten.
-    pub fn take_due(&mut self, now: Timestamp) -> bool {
+    pub fn clear_if_due(&mut self, now: Timestamp) -> bool {
         self.at.take_if(|at| *at <= now).is_some()
     }
 }
--- a/lovagedock/tests/claim_damage.rs
+++ b/lovagedock/tests/claim_damage.rs
@@ -40,7 +40,7 @@
             match action {
                 ClaimAction::Read { object } => {
                     let outcome = store.read(&object);
-                    events.push(ClaimEvent::StoreRead { object, outcome });
+                    events.push(ClaimEvent::StoreReadEnded { object, outcome });
                 }
                 ClaimAction::Write {
                     object,
@@ -50,7 +50,7 @@
                 } => {
                     let outcome = store.write(&object, condition, bytes);
                     assert!(matches!(outcome, WriteOutcome::Applied(_)));
-                    events.push(ClaimEvent::StoreAnswered { nonce, outcome });
+                    events.push(ClaimEvent::StoreWriteEnded { nonce, outcome });
                 }
                 ClaimAction::WakeAt(_) => {}
                 other => ends.push(other),
@@ -134,7 +134,7 @@
             version: 1,
             bytes: Bytes::copy_from_slice(bytes),
         };
-        let actions = machine.handle(NOW, ClaimEvent::StoreRead { object, outcome });
+        let actions = machine.handle(NOW, ClaimEvent::StoreReadEnded { object, outcome });
         let granted = |action: &ClaimAction| matches!(action, ClaimAction::Grant { .. });
         assert!(!actions.iter().any(granted), "{bytes:?}: {actions:?}");
         assert!(machine.status().damaged, "{bytes:?}");
--- a/lovagedock/tests/claim_scenarios.rs
+++ b/lovagedock/tests/claim_scenarios.rs
@@ -171,7 +171,7 @@
                     None => self.store.read(&object),
                     Some(_) => ReadOutcome::Unavailable,
                 };
-                ClaimEvent::StoreRead { object, outcome }
+                ClaimEvent::StoreReadEnded { object, outcome }
             }
             ClaimAction::Write {
                 object,
@@ -185,11 +185,11 @@
                     "lost-applied" => WriteOutcome::Unknown,
                     _ => outcome,
                 };
-                ClaimEvent::StoreAnswered { nonce, outcome }
+                ClaimEvent::StoreWriteEnded { nonce, outcome }
             }
             ClaimAction::Delete { object, nonce } => {
                 let outcome = refused.unwrap_or_else(|| self.store.delete(&object));
-                ClaimEvent::StoreAnswered { nonce, outcome }
+                ClaimEvent::StoreWriteEnded { nonce, outcome }
             }
             other => panic!("{other:?} is no call"),
         }
--- a/lovagedock/tests/lease_scenarios.rs
+++ b/lovagedock/tests/lease_scenarios.rs
@@ -140,7 +140,7 @@
     fn end_call(&mut self, call: LeaseAction, fault: &str) -> LeaseEvent {
         let lands = matches!(fault, "ok" | "lost-applied");
         match call {
-            LeaseAction::Read { object } => LeaseEvent::StoreRead(match lands {
+            LeaseAction::Read { object } => LeaseEvent::StoreReadEnded(match lands {
                 true => self.store.read(&object),
                 false => ReadOutcome::Unavailable,
             }),
@@ -156,7 +156,7 @@
                     ("down", _) => WriteOutcome::Unavailable,
                     _ => WriteOutcome::Unknown,
                 };
-                LeaseEvent::StoreAnswered { nonce, outcome }
+                LeaseEvent::StoreWriteEnded { nonce, outcome }
             }
             other => panic!("{other:?} is no call"),
         }
--- a/lovagedock/tests/loaded_memory.rs
+++ b/lovagedock/tests/loaded_memory.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use lovagedock::{Artifact, LoadOrder, LoadedMemory};
+use lovagedock::{Artifact, LoadOrder, LoadedArtifacts};
 
 const MODEL: &str = "reader";
 const ADAPTER: &str = "tracing";
@@ -85,7 +85,7 @@
     ]
 }
 
-fn show(memory: &LoadedMemory) -> String {
+fn show(memory: &LoadedArtifacts) -> String {
     let Some(set) = memory.current() else {
         return "nothing".to_owned();
     };
@@ -102,7 +102,7 @@
 #[test]
 fn loaded_memory_follows_orders_and_reports() {
     for case in cases() {
-        let mut memory = LoadedMemory::new();
+        let mut memory = LoadedArtifacts::new();
         for step in case.steps {
             match step {
                 Step::Report(at, model, adapters) => {
--- a/lovagedock/tests/request_properties.rs
+++ b/lovagedock/tests/request_properties.rs
@@ -2,7 +2,7 @@
 
 mod request_support;
 
-use lovagedock::Safeguards;
+use lovagedock::RequestSafeguards;
 use proptest::{
     prelude::*,
     test_runner::{RngAlgorithm, TestCaseError, TestRng, TestRunner},
@@ -40,7 +40,7 @@
 
 fn promises_hold(real_sidecars: bool) {
     let outcome = runner(CASES, 500).run(&schedules(real_sidecars, 0), |schedule| {
-        verdict(&schedule, Safeguards::ALL).map_err(|violation| fail(violation, &schedule))
+        verdict(&schedule, RequestSafeguards::ALL).map_err(|violation| fail(violation, &schedule))
     });
     if let Err(error) = outcome {
         panic!("{error}");
@@ -49,7 +49,7 @@
 
 struct SafeguardCase {
     name: &'static str,
-    safeguards: Safeguards,
+    safeguards: RequestSafeguards,
     violation: Violation,
 }
 
@@ -65,27 +65,27 @@
 }
 
 fn promises_break_without_each_safeguard(real_sidecars: bool) {
-    let all = Safeguards::ALL;
+    let all = RequestSafeguards::ALL;
     let cases = [
         SafeguardCase {
             name: "revoke_before_retry",
-            safeguards: Safeguards {
+            safeguards: RequestSafeguards {
                 revoke_before_retry: false,
                 ..all
             },
             violation: Violation::RanTwice,
         },
         SafeguardCase {
-            name: "check_verdict_life",
-            safeguards: Safeguards {
-                check_verdict_life: false,
+            name: "check_verdict_incarnation",
+            safeguards: RequestSafeguards {
+                check_verdict_incarnation: false,
                 ..all
             },
             violation: Violation::RanTwice,
         },
         SafeguardCase {
             name: "drop_old_attempts",
-            safeguards: Safeguards {
+            safeguards: RequestSafeguards {
                 drop_old_attempts: false,
                 ..all
             },
@@ -93,7 +93,7 @@
         },
         SafeguardCase {
             name: "check_offsets",
-            safeguards: Safeguards {
+            safeguards: RequestSafeguards {
                 check_offsets: false,
                 ..all
             },
@@ -101,7 +101,7 @@
         },
         SafeguardCase {
             name: "check_end",
-            safeguards: Safeguards {
+            safeguards: RequestSafeguards {
                 check_end: false,
                 ..all
             },
@@ -109,7 +109,7 @@
         },
         SafeguardCase {
             name: "remember_ran",
-            safeguards: Safeguards {
+            safeguards: RequestSafeguards {
                 remember_ran: false,
                 ..all
             },
--- a/lovagedock/tests/request_scenarios.rs
+++ b/lovagedock/tests/request_scenarios.rs
@@ -8,8 +8,8 @@
 
 use datadriven::TestCase;
 use lovagedock::{
-    Outcome, PlacedOn, RequestAction, RequestEvent, RequestMachine, RequestSpec, SpanPart,
-    prelude::*,
+    PlacementOutcome, RequestAction, RequestEvent, RequestMachine, RequestOutcome, RequestSpec,
+    SpanPart, prelude::*,
 };
 
 #[test]
@@ -67,12 +67,12 @@
     let endpoint = || EndpointId::from(words[1]);
     let life = || number(field(&words, "life"));
     match words[0] {
-        "placed" => RequestEvent::Placed(PlacedOn::One {
+        "placed" => RequestEvent::Placed(PlacementOutcome::One {
             endpoint: endpoint(),
             incarnation: life(),
         }),
-        "placed-span" => RequestEvent::Placed(PlacedOn::Span(parts(&words[1..]))),
-        "placed-nowhere" => RequestEvent::Placed(PlacedOn::Refused {
+        "placed-span" => RequestEvent::Placed(PlacementOutcome::Span(parts(&words[1..]))),
+        "placed-nowhere" => RequestEvent::Placed(PlacementOutcome::Refused {
             code: code(words[1]),
             retry_after: Duration::from_millis(number(field(&words, "retry-after"))),
         }),
@@ -101,7 +101,7 @@
             endpoint: endpoint(),
             incarnation: life(),
         },
-        "session-back" => RequestEvent::SessionBack {
+        "session-back" => RequestEvent::SessionReconnected {
             endpoint: endpoint(),
             incarnation: life(),
         },
@@ -253,7 +253,7 @@
     }
 }
 
-fn finish(outcome: &Outcome) -> String {
+fn finish(outcome: &RequestOutcome) -> String {
     format!(
         "FINAL {} {:?} ran={} retry-after={}ms attempts={}",
         outcome.code.number(),
--- a/lovagedock/tests/request_support/gateway.rs
+++ b/lovagedock/tests/request_support/gateway.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use lovagedock::{PlacedOn, RequestAction, RequestEvent, prelude::*};
+use lovagedock::{PlacementOutcome, RequestAction, RequestEvent, prelude::*};
 
 use super::{
     ENDPOINTS,
@@ -88,17 +88,17 @@
         }
     }
 
-    pub(super) fn place(&self, excluded: &[EndpointId]) -> PlacedOn {
+    pub(super) fn place(&self, excluded: &[EndpointId]) -> PlacementOutcome {
         let free = (0..ENDPOINTS).find_map(|endpoint| {
             let link = self.sessions[endpoint]?;
             (!excluded.contains(&name(endpoint))).then_some((endpoint, link))
         });
         match free {
-            Some((endpoint, link)) => PlacedOn::One {
+            Some((endpoint, link)) => PlacementOutcome::One {
                 endpoint: name(endpoint),
                 incarnation: self.links[link].life,
             },
-            None => PlacedOn::Refused {
+            None => PlacementOutcome::Refused {
                 code: ResultCode::NoCapacity,
                 retry_after: Duration::ZERO,
             },
--- a/lovagedock/tests/request_support/mod.rs
+++ b/lovagedock/tests/request_support/mod.rs
@@ -8,7 +8,7 @@
 mod work;
 mod world;
 
-use lovagedock::Safeguards;
+use lovagedock::RequestSafeguards;
 use proptest::prelude::*;
 
 pub(crate) use world::play;
@@ -111,7 +111,10 @@
     )
 }
 
-pub(crate) fn verdict(schedule: &FaultSchedule, safeguards: Safeguards) -> Result<(), Violation> {
+pub(crate) fn verdict(
+    schedule: &FaultSchedule,
+    safeguards: RequestSafeguards,
+) -> Result<(), Violation> {
     match play(schedule, safeguards).first() {
         Some(violation) => Err(*violation),
         None => Ok(()),
--- a/lovagedock/tests/request_support/world.rs
+++ b/lovagedock/tests/request_support/world.rs
@@ -3,7 +3,8 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use lovagedock::{
-    EndpointEvent, Outcome, RequestEvent, RequestMachine, RequestSpec, Safeguards, prelude::*,
+    EndpointEvent, RequestEvent, RequestMachine, RequestOutcome, RequestSafeguards, RequestSpec,
+    prelude::*,
 };
 
 use super::{
@@ -59,11 +60,11 @@
     pub(super) starts: Vec<AttemptNumber>,
     pub(super) frame: Vec<u8>,
     pub(super) read: Vec<u8>,
-    pub(super) finishes: Vec<(u64, Outcome)>,
+    pub(super) finishes: Vec<(u64, RequestOutcome)>,
 }
 
 /// Plays a schedule to its end and tells what was violated.
-pub(crate) fn play(schedule: &FaultSchedule, safeguards: Safeguards) -> Vec<Violation> {
+pub(crate) fn play(schedule: &FaultSchedule, safeguards: RequestSafeguards) -> Vec<Violation> {
     let mut world = World::new(schedule);
     let deadline = Duration::from_millis(schedule.deadline_ms);
     let spec =
@@ -255,7 +256,7 @@
         }
         self.sessions[endpoint] = Some(self.connect(endpoint));
         let incarnation = self.sidecars[endpoint].life;
-        Some(RequestEvent::SessionBack {
+        Some(RequestEvent::SessionReconnected {
             endpoint: name(endpoint),
             incarnation,
         })
--- a/lovagedock/tests/span_model/mod.rs
+++ b/lovagedock/tests/span_model/mod.rs
@@ -92,7 +92,7 @@
             }
             Fault::Back if !self.reachable[at] => {
                 self.reachable[at] = true;
-                return Some(SpanEvent::MemberBack {
+                return Some(SpanEvent::MemberReconnected {
                     endpoint,
                     incarnation,
                 });
@@ -103,7 +103,7 @@
                 self.reachable[at] = true;
                 self.answers.retain(|answer| !is_from(answer, &endpoint));
                 let incarnation = self.lives[at];
-                return Some(SpanEvent::MemberBack {
+                return Some(SpanEvent::MemberReconnected {
                     endpoint,
                     incarnation,
                 });
@@ -118,7 +118,9 @@
     pub(crate) fn carry_out(&mut self, actions: Vec<SpanAction>) {
         for action in actions {
             match action {
-                SpanAction::Choose => self.answers.push(SpanEvent::Chosen(self.parts())),
+                SpanAction::ChooseEngines => {
+                    self.answers.push(SpanEvent::EnginesChosen(self.parts()))
+                }
                 SpanAction::Reserve {
                     endpoint,
                     incarnation,
@@ -190,7 +192,7 @@
         if granted {
             self.held_until.insert(at, self.now + hold);
         }
-        self.answers.push(SpanEvent::Reserved {
+        self.answers.push(SpanEvent::ReserveAnswered {
             endpoint,
             round,
             granted,
@@ -208,7 +210,7 @@
 
 fn is_from(answer: &SpanEvent, from: &EndpointId) -> bool {
     match answer {
-        SpanEvent::Reserved { endpoint, .. } | SpanEvent::SegmentDone { endpoint, .. } => {
+        SpanEvent::ReserveAnswered { endpoint, .. } | SpanEvent::SegmentDone { endpoint, .. } => {
             endpoint == from
         }
         _ => false,
--- a/lovagedock/tests/span_properties.rs
+++ b/lovagedock/tests/span_properties.rs
@@ -38,13 +38,13 @@
             events.push(SpanEvent::Released);
         }
         for event in events {
-            let over = span.is_over();
+            let over = span.is_finished();
             let actions = span.handle(engines.now, event);
             prop_assert!(!over || actions.is_empty(), "actions after the end");
             engines.carry_out(actions);
         }
     }
-    prop_assert!(span.is_over(), "the span never ended");
+    prop_assert!(span.is_finished(), "the span never ended");
     prop_assert!(
         engines.held_until.is_empty(),
         "memory was kept: {:?}",
@@ -194,11 +194,11 @@
     let mut engines = Engines::new();
     engines.busy_until = [REMAINING; ENGINES];
     let plan = SpanPlan::new(1, 1, PROMPT, REMAINING);
-    let patience = plan.patience();
+    let patience = plan.reserve_time_limit();
     let mut span = SpanCoordinator::new(Duration::ZERO, plan, 3);
     let first = span.start(Duration::ZERO, engines.parts());
     engines.carry_out(first);
-    while !span.is_over() {
+    while !span.is_finished() {
         engines.now += Duration::from_millis(1);
         let event = match engines.answers.is_empty() {
             true => SpanEvent::Tick,
--- a/lovagedock/tests/support/claim_world/calls.rs
+++ b/lovagedock/tests/support/claim_world/calls.rs
@@ -42,7 +42,7 @@
                     false => ReadOutcome::Unavailable,
                 };
                 let object = object.clone();
-                ClaimEvent::StoreRead { object, outcome }
+                ClaimEvent::StoreReadEnded { object, outcome }
             }
             ClaimAction::Write {
                 object,
@@ -55,7 +55,7 @@
                     false => WriteOutcome::Unavailable,
                 };
                 let nonce = *nonce;
-                ClaimEvent::StoreAnswered { nonce, outcome }
+                ClaimEvent::StoreWriteEnded { nonce, outcome }
             }
             ClaimAction::Delete { object, nonce } => {
                 let outcome = match call.lands {
@@ -63,7 +63,7 @@
                     false => WriteOutcome::Unavailable,
                 };
                 let nonce = *nonce;
-                ClaimEvent::StoreAnswered { nonce, outcome }
+                ClaimEvent::StoreWriteEnded { nonce, outcome }
             }
             other => panic!("{other:?} is no call"),
         };
@@ -75,7 +75,7 @@
         let (gateway, life) = (call.gateway, call.life);
         let event = match (&call.action, call.confirmed) {
             (ClaimAction::Write { nonce, .. } | ClaimAction::Delete { nonce, .. }, false) => {
-                ClaimEvent::StoreAnswered {
+                ClaimEvent::StoreWriteEnded {
                     nonce: *nonce,
                     outcome: WriteOutcome::Unknown,
                 }
--- a/lovagedock/tests/support/lease_world.rs
+++ b/lovagedock/tests/support/lease_world.rs
@@ -183,7 +183,7 @@
                     false => self.millis(1..30),
                 };
                 if let (LeaseAction::Write { nonce, .. }, false) = (&action, confirmed) {
-                    let event = LeaseEvent::StoreAnswered {
+                    let event = LeaseEvent::StoreWriteEnded {
                         nonce: *nonce,
                         outcome: WriteOutcome::Unknown,
                     };
@@ -199,7 +199,7 @@
 
     fn land(&mut self, index: usize, action: LeaseAction, lands: bool, confirmed: bool) {
         let event = match action {
-            LeaseAction::Read { object } => LeaseEvent::StoreRead(match lands {
+            LeaseAction::Read { object } => LeaseEvent::StoreReadEnded(match lands {
                 true => self.store.read(&object),
                 false => ReadOutcome::Unavailable,
             }),
@@ -216,7 +216,7 @@
                 if !confirmed {
                     return;
                 }
-                LeaseEvent::StoreAnswered { nonce, outcome }
+                LeaseEvent::StoreWriteEnded { nonce, outcome }
             }
             other => panic!("{other:?} is no call"),
         };
--- a/lovagedock/tests/support/relay_world/traffic.rs
+++ b/lovagedock/tests/support/relay_world/traffic.rs
@@ -42,7 +42,7 @@
             }
             AdoptionAction::Push { to, bundle } => self.send_push(from, &to, bundle),
             AdoptionAction::Offer { to, generation } => {
-                let event = AdoptionEvent::Told {
+                let event = AdoptionEvent::PeerReported {
                     from: self.processes[from].member.process.clone(),
                     generation,
                 };
@@ -200,7 +200,11 @@
             let generation = self.generation(leaf);
             let from = self.processes[leaf].member.process.clone();
             let hops = self.tallies[feeder].hops;
-            self.deliver(feeder, AdoptionEvent::Told { from, generation }, hops);
+            self.deliver(
+                feeder,
+                AdoptionEvent::PeerReported { from, generation },
+                hops,
+            );
         }
         self.push(self.now + HEARTBEAT, Step::Heartbeat(leaf));
     }
--- a/lovagedock/tests/wake.rs
+++ b/lovagedock/tests/wake.rs
@@ -17,9 +17,9 @@
         timer.next(Duration::from_secs(1), LONGEST),
         Duration::from_secs(5)
     );
-    assert!(!timer.take_due(Duration::from_secs(4)));
-    assert!(timer.take_due(Duration::from_secs(5)));
-    assert!(!timer.take_due(Duration::from_secs(6)));
+    assert!(!timer.clear_if_due(Duration::from_secs(4)));
+    assert!(timer.clear_if_due(Duration::from_secs(5)));
+    assert!(!timer.clear_if_due(Duration::from_secs(6)));
     let next = timer.next(Duration::from_secs(6), LONGEST);
     assert_eq!(next, Duration::from_secs(66));
 }
