--- a/lovagedock/src/adoption/plan.rs
+++ b/lovagedock/src/adoption/plan.rs
@@ -51,7 +51,7 @@
         for region in regions.values() {
             plan.add_region(region, limits);
         }
-        plan.join_watchers();
+        plan.connect_watchers();
         plan
     }
 
@@ -79,10 +79,10 @@
         self.add_tree(&relays, &watchers, limits, OFFER_SEED);
         self.add_peers(&relays, limits);
         self.add_leaves(region, &relays);
-        self.add_stand_ins(&ranked, wanted);
+        self.add_standbys(&ranked, wanted);
     }
 
-    fn add_stand_ins(&mut self, ranked: &MemberList<'_>, wanted: usize) {
+    fn add_standbys(&mut self, ranked: &MemberList<'_>, wanted: usize) {
         let watchers = ranked.iter().take(wanted);
         let fed: BTreeSet<ProcessId> = watchers
             .flat_map(|watcher| self.role_of(&watcher.process).children)
@@ -159,18 +159,18 @@
         for (domain, leaves) in domains {
             let near = relays.iter().filter(|relay| &*relay.domain == domain);
             let near: MemberList<'_> = near.copied().collect();
-            let feeders = if near.is_empty() { relays } else { &near };
-            self.feed_leaves(&leaves, feeders);
+            let parents = if near.is_empty() { relays } else { &near };
+            self.assign_leaves(&leaves, parents);
         }
     }
 
     /// Rendezvous hash with a bound on what one relay feeds, its children in the tree included:
     /// without the bound the busiest relay sends twice as much as the mean and breaks its budget.
-    fn feed_leaves(&mut self, leaves: &MemberList<'_>, feeders: &MemberList<'_>) {
-        let edges = leaves.len() + feeders.len();
-        let bound = (edges * (100 + LEAF_SLACK_PERCENT)).div_ceil(100 * feeders.len().max(1));
+    fn assign_leaves(&mut self, leaves: &MemberList<'_>, parents: &MemberList<'_>) {
+        let edges = leaves.len() + parents.len();
+        let bound = (edges * (100 + LEAF_SLACK_PERCENT)).div_ceil(100 * parents.len().max(1));
         for leaf in leaves {
-            let mut ranked = feeders.clone();
+            let mut ranked = parents.clone();
             ranked.sort_by_cached_key(|r| Reverse(pair_score(&r.process, &leaf.process)));
             let has_room = |relay: &&RelayMember| {
                 let role = self.roles.get(&relay.process);
@@ -191,7 +191,7 @@
 
     /// Watchers of all regions know each other: a region that cannot reach the store is fed by one
     /// that can, and nobody else crosses regions.
-    fn join_watchers(&mut self) {
+    fn connect_watchers(&mut self) {
         for watcher in self.watchers.clone() {
             let others = self.watchers.iter().filter(|other| **other != watcher);
             let others: Vec<ProcessId> = others.cloned().collect();
--- a/lovagedock/src/adoption/push.rs
+++ b/lovagedock/src/adoption/push.rs
@@ -19,24 +19,24 @@
 
 impl AdoptionState {
     /// Starts the pushes and offers of a generation that has just been adopted.
-    pub(super) fn spread(
+    pub(super) fn propagate(
         &mut self,
         now: Timestamp,
         source: &AdoptionSource,
         actions: &mut Vec<AdoptionAction>,
     ) {
         let generation = self.generation();
-        let giver = match source {
+        let sender = match source {
             AdoptionSource::Store => None,
             AdoptionSource::Push(peer) | AdoptionSource::Pull(peer) => Some(peer.clone()),
         };
         for child in self.receivers() {
             let progress = self.pushes.entry(child.clone()).or_default();
             progress.sent = 0;
-            progress.due = (giver.as_ref() != Some(&child)).then_some(now);
+            progress.due = (sender.as_ref() != Some(&child)).then_some(now);
         }
         let offers = self.role.offers.iter();
-        for to in offers.filter(|peer| giver.as_ref() != Some(*peer)) {
+        for to in offers.filter(|peer| sender.as_ref() != Some(*peer)) {
             let to = to.clone();
             actions.push(AdoptionAction::Offer { to, generation });
         }
@@ -44,8 +44,8 @@
 
     /// Those that the plan names, and as a stand-in those of the watchers.
     fn receivers(&self) -> Vec<ProcessId> {
-        let stands_in = self.upstream.watching && !self.role.watches;
-        let others = self.role.standby_children.iter().filter(|_| stands_in);
+        let is_standing_in = self.upstream.watching && !self.role.watches;
+        let others = self.role.standby_children.iter().filter(|_| is_standing_in);
         self.role.children.iter().chain(others).cloned().collect()
     }
 
@@ -77,7 +77,7 @@
     }
 
     pub(super) fn on_push_answered(&mut self, now: Timestamp, to: ProcessId, has: Generation) {
-        self.hear(has);
+        self.note_generation(has);
         let generation = self.generation();
         if has > generation {
             self.repair.pull_at(to.clone(), now);
--- a/lovagedock/src/adoption/repair.rs
+++ b/lovagedock/src/adoption/repair.rs
@@ -14,7 +14,7 @@
 #[derive(Debug, Default)]
 pub(super) struct RepairState {
     /// The next pull asks for the whole, since the last bundle was damaged.
-    pub(super) wants_whole: bool,
+    pub(super) needs_full_bundle: bool,
     compare_at: Option<Timestamp>,
     due: BTreeMap<ProcessId, Timestamp>,
     in_flight: Option<ProcessId>,
@@ -36,12 +36,17 @@
 impl AdoptionState {
     /// A peer told its generation. One ahead of us is pulled after a pause, in which the push that
     /// is on its way from the parent usually arrives.
-    pub(super) fn on_told(&mut self, now: Timestamp, from: ProcessId, generation: Generation) {
-        self.hear(generation);
+    pub(super) fn on_peer_reported(
+        &mut self,
+        now: Timestamp,
+        from: ProcessId,
+        generation: Generation,
+    ) {
+        self.note_generation(generation);
         self.note_contact(now, &from);
         if generation > self.generation() {
-            let patience = self.jitter(self.limits.offer_delay);
-            self.repair.pull_at(from, now + patience);
+            let delay = self.jitter(self.limits.offer_delay);
+            self.repair.pull_at(from, now + delay);
             return;
         }
         self.note_receiver(now, &from, generation);
@@ -59,7 +64,7 @@
         };
         self.repair.due.remove(&from);
         self.repair.in_flight = Some(from.clone());
-        let above = match self.repair.wants_whole {
+        let above = match self.repair.needs_full_bundle {
             true => 0,
             false => self.generation(),
         };
@@ -97,13 +102,13 @@
             self.repair.in_flight = None;
         }
         let Some(answer) = answer else {
-            self.note_start(&from, None);
+            self.note_startup_answer(&from, None);
             return;
         };
         self.note_contact(now, &from);
-        self.hear(answer.generation);
+        self.note_generation(answer.generation);
         self.note_receiver(now, &from, answer.generation);
-        if self.note_start(&from, Some(&answer)) {
+        if self.note_startup_answer(&from, Some(&answer)) {
             return;
         }
         let Some(bundle) = answer.bundle else {
@@ -111,8 +116,8 @@
         };
         // What was due from others is most likely the same generation.
         let source = AdoptionSource::Pull(from.clone());
-        self.take_bundle(now, from, &bundle, source, actions);
-        if self.generation() >= self.heard {
+        self.apply_bundle(now, from, &bundle, source, actions);
+        if self.generation() >= self.highest_seen {
             self.repair
                 .due
                 .retain(|peer, _| self.role.higher_ranked.contains(peer));
--- a/lovagedock/src/adoption/start.rs
+++ b/lovagedock/src/adoption/startup.rs
@@ -12,14 +12,14 @@
 
 /// Peers that were asked at the start.
 #[derive(Debug, Default)]
-pub(super) struct StartState {
+pub(super) struct StartupState {
     asked: BTreeMap<ProcessId, Option<PullAnswer>>,
     open: usize,
     decide_at: Option<Timestamp>,
     ask_at: Option<Timestamp>,
 }
 
-impl StartState {
+impl StartupState {
     pub(super) fn next_wake(&self) -> Option<Timestamp> {
         match self.asked.is_empty() {
             true => self.ask_at,
@@ -34,26 +34,26 @@
     /// One peer alone may itself be behind: a process that took its word would refuse or admit by
     /// rules that were replaced long ago. The root is read as well; it raises the process to the
     /// newest, and its chunks come from the store only if no peer had them.
-    pub(super) fn drive_start(&mut self, now: Timestamp, actions: &mut Vec<AdoptionAction>) {
+    pub(super) fn drive_startup(&mut self, now: Timestamp, actions: &mut Vec<AdoptionAction>) {
         if self.generation() > 0 {
-            self.start = StartState::default();
+            self.startup = StartupState::default();
             return;
         }
-        let may_ask = self.start.ask_at.is_none_or(|at| at <= now);
-        if self.start.asked.is_empty() && may_ask {
+        let may_ask = self.startup.ask_at.is_none_or(|at| at <= now);
+        if self.startup.asked.is_empty() && may_ask {
             self.ask_peers(now, actions);
             return;
         }
-        let answers = self.start.asked.values().flatten();
+        let answers = self.startup.asked.values().flatten();
         let best = answers.map(|answer| answer.generation).max();
         // Nobody can have more than the store, if that was read.
         let is_newest = best.is_some() && best == self.wanted_generation();
-        if best.is_some() && self.start.decide_at.is_none() {
-            self.start.decide_at = Some(now + self.limits.startup_wait);
+        if best.is_some() && self.startup.decide_at.is_none() {
+            self.startup.decide_at = Some(now + self.limits.startup_wait);
         }
-        let is_time = self.start.decide_at.is_some_and(|at| at <= now);
-        if !self.start.asked.is_empty() && (self.start.open == 0 || is_time || is_newest) {
-            self.decide_start(now, actions);
+        let is_time = self.startup.decide_at.is_some_and(|at| at <= now);
+        if !self.startup.asked.is_empty() && (self.startup.open == 0 || is_time || is_newest) {
+            self.apply_startup_answers(now, actions);
         }
     }
 
@@ -61,29 +61,33 @@
         let mut peers = self.role.peers.clone();
         peers.shuffle(&mut self.rng);
         peers.truncate(self.limits.startup_peers);
-        self.start.open = peers.len();
+        self.startup.open = peers.len();
         let pause = self.jitter(self.limits.compare_interval);
-        self.start.ask_at = Some(now + pause);
+        self.startup.ask_at = Some(now + pause);
         for from in peers {
-            self.start.asked.insert(from.clone(), None);
+            self.startup.asked.insert(from.clone(), None);
             actions.push(AdoptionAction::Pull { from, above: 0 });
         }
     }
 
     /// Keeps an answer for the decision; `false` when it is no answer of the start.
-    pub(super) fn note_start(&mut self, from: &ProcessId, answer: Option<&PullAnswer>) -> bool {
-        let Some(slot) = self.start.asked.get_mut(from) else {
+    pub(super) fn note_startup_answer(
+        &mut self,
+        from: &ProcessId,
+        answer: Option<&PullAnswer>,
+    ) -> bool {
+        let Some(slot) = self.startup.asked.get_mut(from) else {
             return false;
         };
-        self.start.open = self.start.open.saturating_sub(1);
+        self.startup.open = self.startup.open.saturating_sub(1);
         *slot = answer.cloned();
         true
     }
 
-    fn decide_start(&mut self, now: Timestamp, actions: &mut Vec<AdoptionAction>) {
-        let ask_at = self.start.ask_at;
-        let asked = std::mem::take(&mut self.start).asked;
-        self.start.ask_at = ask_at;
+    fn apply_startup_answers(&mut self, now: Timestamp, actions: &mut Vec<AdoptionAction>) {
+        let ask_at = self.startup.ask_at;
+        let asked = std::mem::take(&mut self.startup).asked;
+        self.startup.ask_at = ask_at;
         let mut answers: Vec<(ProcessId, PullAnswer)> = asked
             .into_iter()
             .filter_map(|(peer, answer)| Some((peer, answer?)))
@@ -94,7 +98,7 @@
                 continue;
             };
             let source = AdoptionSource::Pull(from.clone());
-            self.take_bundle(now, from, &bundle, source, actions);
+            self.apply_bundle(now, from, &bundle, source, actions);
             if self.generation() > 0 {
                 return;
             }
--- a/lovagedock/src/adoption/state.rs
+++ b/lovagedock/src/adoption/state.rs
@@ -12,8 +12,8 @@
     push::PushProgress,
     repair::RepairState,
     role::RelayRole,
-    senior::SeniorState,
-    start::StartState,
+    standby::StandbyState,
+    startup::StartupState,
     types::{
         AdoptionAction, AdoptionEvent, AdoptionLimits, AdoptionSource, AdoptionStatus, ProcessId,
         PullAnswer,
@@ -38,12 +38,12 @@
     pub(super) role: RelayRole,
     pub(super) current: Option<ConfigSnapshot>,
     pub(super) history: VecDeque<ConfigManifest>,
-    pub(super) heard: Generation,
+    pub(super) highest_seen: Generation,
     pub(super) pushes: BTreeMap<ProcessId, PushProgress>,
     pub(super) repair: RepairState,
     pub(super) upstream: UpstreamState,
-    pub(super) start: StartState,
-    pub(super) senior: SeniorState,
+    pub(super) startup: StartupState,
+    pub(super) standby: StandbyState,
     source: Option<AdoptionSource>,
     wake_at: Option<Timestamp>,
 }
@@ -58,12 +58,12 @@
             role: RelayRole::default(),
             current: None,
             history: VecDeque::new(),
-            heard: 0,
+            highest_seen: 0,
             pushes: BTreeMap::new(),
             repair: RepairState::default(),
             upstream: UpstreamState::default(),
-            start: StartState::default(),
-            senior: SeniorState::default(),
+            startup: StartupState::default(),
+            standby: StandbyState::default(),
             source: None,
             wake_at: None,
         }
@@ -106,7 +106,7 @@
     pub fn status(&self) -> AdoptionStatus {
         AdoptionStatus {
             generation: self.generation(),
-            heard: self.heard,
+            heard: self.highest_seen,
             source: self.source.clone(),
             watches: self.upstream.watching,
             store_failures: self.upstream.failures,
@@ -116,9 +116,9 @@
     /// Takes an event and returns what to do.
     pub fn handle(&mut self, now: Timestamp, event: AdoptionEvent) -> Vec<AdoptionAction> {
         let mut actions = Vec::new();
-        self.take(now, event, &mut actions);
-        self.drive_seniors(now);
-        self.drive_start(now, &mut actions);
+        self.dispatch(now, event, &mut actions);
+        self.drive_standby(now);
+        self.drive_startup(now, &mut actions);
         self.drive_upstream(now, &mut actions);
         self.drive_repair(now, &mut actions);
         self.drive_pushes(now, &mut actions);
@@ -126,43 +126,50 @@
         actions
     }
 
-    fn take(&mut self, now: Timestamp, event: AdoptionEvent, actions: &mut Vec<AdoptionAction>) {
+    fn dispatch(
+        &mut self,
+        now: Timestamp,
+        event: AdoptionEvent,
+        actions: &mut Vec<AdoptionAction>,
+    ) {
         match event {
             AdoptionEvent::Role(role) => {
                 let lists = [&role.children, &role.offers, &role.standby_children];
                 let has = |peer: &ProcessId| lists.iter().any(|list| list.contains(peer));
                 self.pushes.retain(|peer, _| has(peer));
                 self.role = role;
-                self.set_seniors(now);
+                self.set_higher_ranked(now);
             }
             AdoptionEvent::RootRead(outcome) => self.on_root(now, outcome, actions),
             AdoptionEvent::ChunkRead { hash, bytes } => self.on_chunk(now, hash, bytes, actions),
             AdoptionEvent::Pushed { from, bundle } => {
-                self.hear(bundle.generation);
+                self.note_generation(bundle.generation);
                 self.note_contact(now, &from);
                 let source = AdoptionSource::Push(from.clone());
-                self.take_bundle(now, from, &bundle, source, actions);
+                self.apply_bundle(now, from, &bundle, source, actions);
+            }
+            AdoptionEvent::PeerReported { from, generation } => {
+                self.on_peer_reported(now, from, generation)
             }
-            AdoptionEvent::PeerReported { from, generation } => self.on_told(now, from, generation),
             AdoptionEvent::PushAnswered { to, generation } => {
                 self.on_push_answered(now, to, generation);
             }
             AdoptionEvent::PushFailed { to } => self.on_push_failed(now, &to),
             AdoptionEvent::Pulled { from, answer } => self.on_pulled(now, from, answer, actions),
             AdoptionEvent::Accepted { generation } => {
-                self.hear(generation);
+                self.note_generation(generation);
                 self.upstream.poll_soon(generation > self.generation());
             }
             AdoptionEvent::Tick => {}
         }
     }
 
-    pub(super) fn hear(&mut self, generation: Generation) {
-        self.heard = self.heard.max(generation);
+    pub(super) fn note_generation(&mut self, generation: Generation) {
+        self.highest_seen = self.highest_seen.max(generation);
     }
 
     /// Takes what a peer sent, if it is newer and whole.
-    pub(super) fn take_bundle(
+    pub(super) fn apply_bundle(
         &mut self,
         now: Timestamp,
         from: ProcessId,
@@ -179,7 +186,7 @@
             Err(error) => {
                 // A base that is not ours is told to the sender by the generation that it gets as
                 // an answer; everything else is damage, and the next pull asks for the whole.
-                self.repair.wants_whole |= error != BundleError::OtherBase;
+                self.repair.needs_full_bundle |= error != BundleError::OtherBase;
                 actions.push(AdoptionAction::Rejected { from, error });
             }
         }
@@ -206,8 +213,8 @@
         while self.history.len() > self.limits.history {
             self.history.pop_front();
         }
-        self.hear(generation);
-        self.repair.wants_whole = false;
+        self.note_generation(generation);
+        self.repair.needs_full_bundle = false;
         self.source = Some(source.clone());
         self.note_adopted(now);
         actions.push(AdoptionAction::Adopt {
@@ -215,7 +222,7 @@
             digest,
             source: source.clone(),
         });
-        self.spread(now, &source, actions);
+        self.propagate(now, &source, actions);
     }
 
     /// What a process at `base` lacks, or the whole.
@@ -229,9 +236,9 @@
         let times = [
             self.upstream.next_wake(),
             self.repair.next_wake(),
-            self.start.next_wake(),
+            self.startup.next_wake(),
             self.next_push(),
-            self.senior.next_wake(),
+            self.standby.next_wake(),
         ];
         let wake_at = times.into_iter().flatten().min().map(|at| at.max(now));
         if wake_at != self.wake_at {
--- a/lovagedock/src/adoption/upstream.rs
+++ b/lovagedock/src/adoption/upstream.rs
@@ -37,7 +37,7 @@
     missing: BTreeSet<ChunkHash>,
     in_flight: BTreeSet<ChunkHash>,
     /// Until when peers may bring the chunks; the store's reads are few.
-    patient_until: Timestamp,
+    read_from_store_at: Timestamp,
     read: BTreeMap<ChunkHash, Bytes>,
 }
 
@@ -52,7 +52,7 @@
             .fetch
             .as_ref()
             .filter(|fetch| fetch.in_flight.is_empty());
-        let chunks_at = waiting.map(|fetch| fetch.patient_until);
+        let chunks_at = waiting.map(|fetch| fetch.read_from_store_at);
         let chunks_at = chunks_at.filter(|_| self.failures == 0);
         next_at.into_iter().chain(chunks_at).min()
     }
@@ -129,7 +129,7 @@
         let RootOutcome::Found(manifest) = outcome else {
             return;
         };
-        self.hear(manifest.generation);
+        self.note_generation(manifest.generation);
         if self.is_newer(manifest.generation) {
             self.fetch(now, manifest, actions);
         }
@@ -141,11 +141,11 @@
         fetch.map(|fetch| fetch.manifest.generation)
     }
 
-    /// Gives up reads that a peer has made needless.
+    /// Gives up reads that a peer has made is_superseded.
     pub(super) fn note_adopted(&mut self, now: Timestamp) {
         let generation = self.generation();
-        let needless = |fetch: &mut ChunkFetch| fetch.manifest.generation <= generation;
-        self.upstream.fetch.take_if(needless);
+        let is_superseded = |fetch: &mut ChunkFetch| fetch.manifest.generation <= generation;
+        self.upstream.fetch.take_if(is_superseded);
         // The role under this configuration comes next. A watch begun before it would be held for
         // as long as a watch lasts by a process that is not to watch.
         if self.upstream.next_at.is_some_and(|at| at <= now) {
@@ -178,14 +178,14 @@
         };
         let missing = manifest.chunks.iter().filter(|hash| !has(hash));
         let missing = missing.copied().collect();
-        let patience = match self.upstream.watching || self.role.peers.is_empty() {
+        let delay = match self.upstream.watching || self.role.peers.is_empty() {
             true => Timestamp::ZERO,
             false => self.jitter(self.limits.startup_wait * 2),
         };
         let mut fetch = ChunkFetch {
             missing,
             in_flight: BTreeSet::new(),
-            patient_until: now + patience,
+            read_from_store_at: now + delay,
             read: BTreeMap::new(),
             manifest,
         };
@@ -198,7 +198,7 @@
     }
 
     fn read_chunks(&mut self, now: Timestamp, actions: &mut Vec<AdoptionAction>) {
-        let due = |fetch: &&mut ChunkFetch| fetch.patient_until <= now;
+        let due = |fetch: &&mut ChunkFetch| fetch.read_from_store_at <= now;
         let Some(fetch) = self.upstream.fetch.as_mut().filter(due) else {
             return;
         };
@@ -226,8 +226,8 @@
             return;
         };
         fetch.in_flight.remove(&hash);
-        let whole = bytes.filter(|bytes| !verify || chunk_hash(bytes) == hash);
-        let Some(bytes) = whole else {
+        let verified = bytes.filter(|bytes| !verify || chunk_hash(bytes) == hash);
+        let Some(bytes) = verified else {
             self.back_off(now);
             return;
         };
--- a/lovagedock/src/claim/backoff.rs
+++ b/lovagedock/src/claim/backoff.rs
@@ -8,7 +8,7 @@
 use crate::ids::Timestamp;
 
 /// Conflicts in a row after which a gateway pauses, so that another one gets its turn.
-const PATIENT_CONFLICTS: u32 = 2;
+const CONFLICTS_BEFORE_BACKOFF: u32 = 2;
 const MAX_CONFLICT_DOUBLINGS: u32 = 3;
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
 
@@ -16,8 +16,8 @@
     pub(super) fn on_conflict(&mut self, now: Timestamp) {
         self.stale = true;
         self.conflicts += 1;
-        if self.conflicts > PATIENT_CONFLICTS {
-            let doublings = (self.conflicts - PATIENT_CONFLICTS).min(MAX_CONFLICT_DOUBLINGS);
+        if self.conflicts > CONFLICTS_BEFORE_BACKOFF {
+            let doublings = (self.conflicts - CONFLICTS_BEFORE_BACKOFF).min(MAX_CONFLICT_DOUBLINGS);
             self.retry_at = now + self.jitter(self.limits.backoff / 10 * (1 << doublings));
         }
     }
@@ -32,7 +32,7 @@
     /// Spreads the gateways' retries over the second half of a pause.
     fn jitter(&self, pause: Duration) -> Duration {
         let seed = u64::from(self.failures) << 32 | u64::from(self.conflicts);
-        let drawn = xxh3_64_with_seed(&self.owner.to_le_bytes(), seed ^ u64::from(self.index));
-        pause / 2 + pause / 2 * (drawn % 1024) as u32 / 1024
+        let hash = xxh3_64_with_seed(&self.owner.to_le_bytes(), seed ^ u64::from(self.index));
+        pause / 2 + pause / 2 * (hash % 1024) as u32 / 1024
     }
 }
--- a/lovagedock/src/claim/partition.rs
+++ b/lovagedock/src/claim/partition.rs
@@ -147,7 +147,7 @@
             ClaimEvent::Abandon { key, request } => self.abandon(key, request),
             ClaimEvent::Withdraw { request } => self.on_withdraw(request),
             ClaimEvent::StoreWriteEnded { nonce, outcome } => {
-                self.on_answered(now, nonce, outcome);
+                self.on_write_ended(now, nonce, outcome);
             }
             ClaimEvent::StoreReadEnded { object, outcome } => {
                 self.on_read(now, &object, outcome, &mut actions);
@@ -160,9 +160,9 @@
 
     fn on_claim(&mut self, now: Timestamp, claim: ClaimRequest, actions: &mut Vec<ClaimAction>) {
         let too_long = claim.deadline.saturating_sub(now) >= self.limits.window;
-        let crowded = self.claims.len() >= self.limits.max_waiting;
+        let is_full = self.claims.len() >= self.limits.max_waiting;
         // A request that may outlive its claim could run beside a repeat that found none.
-        if too_long || crowded {
+        if too_long || is_full {
             actions.push(ClaimAction::Refuse {
                 request: claim.request,
                 code: ResultCode::ClaimUnavailable,
@@ -207,11 +207,11 @@
             return;
         };
         let waiting = self.claims.remove(at);
-        self.take_back(&waiting);
+        self.abandon_if_sent(&waiting);
     }
 
     /// Gives up a claim that was not granted and may or may not be in the store.
-    pub(super) fn take_back(&mut self, waiting: &WaitingClaim) {
+    pub(super) fn abandon_if_sent(&mut self, waiting: &WaitingClaim) {
         if waiting.sent {
             self.abandon(waiting.claim.key, waiting.claim.request);
         }
--- a/lovagedock/src/claim/pending.rs
+++ b/lovagedock/src/claim/pending.rs
@@ -16,7 +16,7 @@
     /// A write that contains it was sent.
     pub(crate) sent: bool,
     /// The caller was told that another request runs.
-    pub(crate) announced: bool,
+    pub(crate) in_progress_reported: bool,
     /// The last known value does not have the key.
     pub(crate) free: bool,
     /// When the store has to be read before more can be said.
@@ -29,7 +29,7 @@
             claim,
             arrived,
             sent: false,
-            announced: false,
+            in_progress_reported: false,
             free: false,
             read_due: None,
         }
--- a/lovagedock/src/claim/replay.rs
+++ b/lovagedock/src/claim/replay.rs
@@ -34,7 +34,7 @@
     }
 
     /// Whether the nonce was a part's.
-    pub(super) fn on_part_answered(
+    pub(super) fn on_part_write_ended(
         &mut self,
         now: Timestamp,
         nonce: WriteNonce,
--- a/lovagedock/src/claim/settle.rs
+++ b/lovagedock/src/claim/settle.rs
@@ -20,7 +20,7 @@
 }
 
 /// What the last known value says about a waiting claim.
-enum Verdict {
+enum ClaimVerdict {
     /// The key is free; the claim goes into the next write.
     Free,
     /// The claim is in the store.
@@ -40,11 +40,11 @@
 impl ClaimPartition {
     /// Ends what ran out of time.
     pub(super) fn expire(&mut self, now: Timestamp, actions: &mut Vec<ClaimAction>) {
-        let is_over = |waiting: &mut WaitingClaim| waiting.claim.deadline <= now;
-        let over: Vec<WaitingClaim> = self.claims.extract_if(.., is_over).collect();
+        let is_expired = |waiting: &mut WaitingClaim| waiting.claim.deadline <= now;
+        let over: Vec<WaitingClaim> = self.claims.extract_if(.., is_expired).collect();
         for waiting in over {
-            self.take_back(&waiting);
-            let code = match waiting.announced {
+            self.abandon_if_sent(&waiting);
+            let code = match waiting.in_progress_reported {
                 true => ResultCode::KeyInProgress,
                 false => ResultCode::ClaimUnavailable,
             };
@@ -102,44 +102,44 @@
         waiting.read_due = None;
         waiting.free = false;
         match self.verdict(now, &waiting) {
-            Verdict::Free => {
+            ClaimVerdict::Free => {
                 waiting.free = true;
                 self.claims.push(waiting);
             }
-            Verdict::Granted => actions.push(ClaimAction::Grant { request }),
-            Verdict::Answer(answer) => actions.push(ClaimAction::Replay { request, answer }),
-            Verdict::Split(replay) => self.replays.push(*replay),
-            Verdict::Refused(code) => actions.push(refuse(&waiting, code)),
-            Verdict::Reread => {
+            ClaimVerdict::Granted => actions.push(ClaimAction::Grant { request }),
+            ClaimVerdict::Answer(answer) => actions.push(ClaimAction::Replay { request, answer }),
+            ClaimVerdict::Split(replay) => self.replays.push(*replay),
+            ClaimVerdict::Refused(code) => actions.push(refuse(&waiting, code)),
+            ClaimVerdict::Reread => {
                 waiting.read_due = Some(now);
                 self.claims.push(waiting);
             }
-            Verdict::Running { due } => {
+            ClaimVerdict::Running { due } => {
                 waiting.read_due = Some(due);
-                self.announce(&mut waiting, actions);
+                self.report_in_progress(&mut waiting, actions);
                 self.claims.push(waiting);
             }
         }
     }
 
-    fn verdict(&self, now: Timestamp, waiting: &WaitingClaim) -> Verdict {
+    fn verdict(&self, now: Timestamp, waiting: &WaitingClaim) -> ClaimVerdict {
         let claim = &waiting.claim;
         let Some((known, entry)) = self.live_entry(now, &claim.key) else {
-            return Verdict::Free;
+            return ClaimVerdict::Free;
         };
         if entry.is_of(self.owner, claim.request) {
-            return Verdict::Granted;
+            return ClaimVerdict::Granted;
         }
         let is_current = known.as_of >= waiting.arrived || entry.owner == self.owner;
         if !is_current && !entry.is_answered() {
-            return Verdict::Reread;
+            return ClaimVerdict::Reread;
         }
         if entry.body != claim.body {
-            return Verdict::Refused(ResultCode::KeyReused);
+            return ClaimVerdict::Refused(ResultCode::KeyReused);
         }
         match &entry.run {
-            RunState::Inline(answer) => Verdict::Answer(answer.clone()),
-            RunState::Split(split) => Verdict::Split(Box::new(ReplayRead {
+            RunState::Inline(answer) => ClaimVerdict::Answer(answer.clone()),
+            RunState::Split(split) => ClaimVerdict::Split(Box::new(ReplayRead {
                 request: claim.request,
                 deadline: claim.deadline,
                 source: entry.request,
@@ -155,27 +155,32 @@
     /// A lapsed claim is never taken over: its owner may be paused or cut off, and its request may
     /// have run. The caller of the repeat sees that the answer is lost and that the run is unknown;
     /// that is enough, since whoever knows better abandons the claim or records the answer.
-    fn running_verdict(&self, now: Timestamp, known: &KnownObject, entry: &ClaimEntry) -> Verdict {
+    fn running_verdict(
+        &self,
+        now: Timestamp,
+        known: &KnownObject,
+        entry: &ClaimEntry,
+    ) -> ClaimVerdict {
         if entry.has_lapsed(known.clock.read(now)) {
             return match self.safeguards.lapsed_claims_stay {
-                true => Verdict::Refused(ResultCode::AnswerLost),
-                false => Verdict::Free,
+                true => ClaimVerdict::Refused(ResultCode::AnswerLost),
+                false => ClaimVerdict::Free,
             };
         }
         let due = match entry.owner == self.owner {
             true => now + entry.time_to_lapse(known.clock.read(now)),
             false => now.max(known.as_of + self.limits.poll_interval),
         };
-        Verdict::Running { due }
+        ClaimVerdict::Running { due }
     }
 
-    fn announce(&self, waiting: &mut WaitingClaim, actions: &mut Vec<ClaimAction>) {
+    fn report_in_progress(&self, waiting: &mut WaitingClaim, actions: &mut Vec<ClaimAction>) {
         let known = self.known.as_ref();
         let entry = known.and_then(|known| known.value.entries.get(&waiting.claim.key));
-        let Some(entry) = entry.filter(|_| !waiting.announced) else {
+        let Some(entry) = entry.filter(|_| !waiting.in_progress_reported) else {
             return;
         };
-        waiting.announced = true;
+        waiting.in_progress_reported = true;
         actions.push(ClaimAction::InProgress {
             request: waiting.claim.request,
             owner: entry.owner,
--- a/lovagedock/src/claim/store.rs
+++ b/lovagedock/src/claim/store.rs
@@ -147,11 +147,16 @@
         };
     }
 
-    pub(super) fn on_answered(&mut self, now: Timestamp, nonce: WriteNonce, outcome: WriteOutcome) {
-        if self.on_part_answered(now, nonce, outcome) {
+    pub(super) fn on_write_ended(
+        &mut self,
+        now: Timestamp,
+        nonce: WriteNonce,
+        outcome: WriteOutcome,
+    ) {
+        if self.on_part_write_ended(now, nonce, outcome) {
             return;
         }
-        if self.on_deletion_answered(now, nonce, outcome) {
+        if self.on_deletion_ended(now, nonce, outcome) {
             return;
         }
         if !matches!(&self.call, StoreCall::Writing { nonce: sent, .. } if *sent == nonce) {
@@ -172,8 +177,8 @@
     fn on_applied(&mut self, sent_at: Timestamp, version: ObjectVersion, value: PartitionObject) {
         self.conflicts = 0;
         self.unsettled = None;
-        let gone = |request: &RequestId| !value.strays.iter().any(|s| s.request == *request);
-        self.deleted.retain(|request| !gone(request));
+        let is_removed = |request: &RequestId| !value.strays.iter().any(|s| s.request == *request);
+        self.deleted.retain(|request| !is_removed(request));
         self.note_own_strays(&value);
         self.install(sent_at, sent_at, Some(version), value);
     }
--- a/lovagedock/src/claim/sweep.rs
+++ b/lovagedock/src/claim/sweep.rs
@@ -15,7 +15,7 @@
 };
 
 /// Time after which any gateway deletes what the one that found it has not.
-const STRAY_PATIENCE: Duration = Duration::from_secs(120);
+const STRAY_DELETE_DELAY: Duration = Duration::from_secs(120);
 
 /// A deletion that is under way, one part at a time.
 #[derive(Debug)]
@@ -51,7 +51,7 @@
         let is_due = |stray: &&StrayParts| {
             let age_ms = clock_ms.saturating_sub(stray.found_ms);
             let own = self.own_strays.contains(&stray.request);
-            let due = own || age_ms >= whole_ms(STRAY_PATIENCE);
+            let due = own || age_ms >= whole_ms(STRAY_DELETE_DELAY);
             due && !self.deleted.contains(&stray.request)
         };
         let stray = known.value.strays.iter().find(is_due)?;
@@ -64,7 +64,7 @@
     }
 
     /// Whether the nonce was a deletion's.
-    pub(super) fn on_deletion_answered(
+    pub(super) fn on_deletion_ended(
         &mut self,
         now: Timestamp,
         nonce: WriteNonce,
--- a/lovagedock/src/fence.rs
+++ b/lovagedock/src/fence.rs
@@ -8,7 +8,7 @@
 };
 
 /// Orders that wait at most; a holder gives one at a time, so more are a fault.
-const WAITING_ORDERS: usize = 16;
+const MAX_WAITING_ORDERS: usize = 16;
 
 /// An order to the endpoint, as far as the fence needs it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -56,7 +56,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct FenceMark {
+struct PoolMark {
     epoch: Epoch,
     sequence: u64,
 }
@@ -74,7 +74,7 @@
 /// first. Who announces a number must have found its lease valid after this life began.
 #[derive(Debug, Default)]
 pub struct FenceGate {
-    marks: BTreeMap<PoolId, FenceMark>,
+    marks: BTreeMap<PoolId, PoolMark>,
     passing: Option<FencedOrder>,
     waiting: VecDeque<FencedOrder>,
 }
@@ -89,8 +89,8 @@
     pub fn handle(&mut self, event: FenceEvent) -> Vec<FenceAction> {
         let mut actions = Vec::new();
         match event {
-            FenceEvent::Seen { pool, epoch } => self.raise(pool, epoch),
-            FenceEvent::Order(order) => self.take(order, &mut actions),
+            FenceEvent::Seen { pool, epoch } => self.raise_mark(pool, epoch),
+            FenceEvent::Order(order) => self.on_order(order, &mut actions),
             FenceEvent::Finished(order) => {
                 if self.passing.as_ref() == Some(&order) {
                     self.passing = None;
@@ -111,15 +111,15 @@
         self.passing.as_ref()
     }
 
-    fn raise(&mut self, pool: PoolId, epoch: Epoch) {
-        let first = FenceMark { epoch, sequence: 0 };
+    fn raise_mark(&mut self, pool: PoolId, epoch: Epoch) {
+        let first = PoolMark { epoch, sequence: 0 };
         let mark = self.marks.entry(pool).or_insert(first);
         *mark = (*mark).max(first);
     }
 
-    fn take(&mut self, order: FencedOrder, actions: &mut Vec<FenceAction>) {
-        let here = self.passing.iter().chain(&self.waiting);
-        if here.into_iter().any(|other| *other == order) {
+    fn on_order(&mut self, order: FencedOrder, actions: &mut Vec<FenceAction>) {
+        let pending = self.passing.iter().chain(&self.waiting);
+        if pending.into_iter().any(|other| *other == order) {
             actions.push(FenceAction::Repeated(order));
             return;
         }
@@ -127,7 +127,7 @@
             actions.push(refusal);
             return;
         }
-        if self.waiting.len() >= WAITING_ORDERS {
+        if self.waiting.len() >= MAX_WAITING_ORDERS {
             let highest = order.epoch;
             let code = ResultCode::TooManyStreams;
             actions.push(FenceAction::Refuse {
@@ -137,7 +137,7 @@
             });
             return;
         }
-        self.raise(order.pool.clone(), order.epoch);
+        self.raise_mark(order.pool.clone(), order.epoch);
         self.waiting.push_back(order);
     }
 
@@ -152,7 +152,7 @@
                 actions.push(refusal);
                 continue;
             }
-            let mark = FenceMark {
+            let mark = PoolMark {
                 epoch: order.epoch,
                 sequence: order.sequence,
             };
--- a/lovagedock/src/lease/holder.rs
+++ b/lovagedock/src/lease/holder.rs
@@ -97,7 +97,7 @@
             LeaseEvent::Release => self.release(now, &mut actions),
             LeaseEvent::StoreReadEnded(outcome) => self.on_read(now, outcome, &mut actions),
             LeaseEvent::StoreWriteEnded { nonce, outcome } => {
-                self.on_answered(now, nonce, outcome, &mut actions);
+                self.on_write_ended(now, nonce, outcome, &mut actions);
             }
             LeaseEvent::Tick => {}
         }
@@ -134,7 +134,7 @@
     /// asked: counted from the confirmation, a slow answer would let both hold at once.
     pub(super) fn hold(&mut self, now: Timestamp, sent: SentWrite, actions: &mut Vec<LeaseAction>) {
         let from = match self.safeguards.lease_from_request {
-            true => sent.asked_at,
+            true => sent.requested_at,
             false => now,
         };
         let margin = self.limits.clock_margin_percent.min(90);
@@ -186,8 +186,8 @@
 
     /// Spreads contenders over half of a pause, each in its own way.
     pub(super) fn jitter(&self, pause: Duration) -> Duration {
-        let drawn = xxh3_64(&self.owner.to_le_bytes()) % 1024;
-        pause / 2 + pause / 2 * drawn as u32 / 1024
+        let hash = xxh3_64(&self.owner.to_le_bytes()) % 1024;
+        pause / 2 + pause / 2 * hash as u32 / 1024
     }
 }
 
--- a/lovagedock/src/lease/store.rs
+++ b/lovagedock/src/lease/store.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SentWrite {
     pub(super) nonce: WriteNonce,
-    pub(super) asked_at: Timestamp,
+    pub(super) requested_at: Timestamp,
     pub(super) epoch: Epoch,
     pub(super) holder: Option<Incarnation>,
 }
@@ -97,7 +97,7 @@
         };
         self.call = LeaseCall::Writing(SentWrite {
             nonce,
-            asked_at: now,
+            requested_at: now,
             epoch,
             holder,
         });
@@ -109,7 +109,7 @@
         });
     }
 
-    pub(super) fn on_answered(
+    pub(super) fn on_write_ended(
         &mut self,
         now: Timestamp,
         nonce: WriteNonce,
--- a/lovagedock/src/orders/endpoint.rs
+++ b/lovagedock/src/orders/endpoint.rs
@@ -10,7 +10,7 @@
 };
 
 /// Doublings of the pause that are worth telling apart.
-const MOST_DOUBLINGS: u32 = 16;
+const MAX_RETRY_DOUBLINGS: u32 = 16;
 
 /// A call that has not ended.
 #[derive(Debug)]
@@ -33,7 +33,7 @@
     pub(super) busy: bool,
     /// It may be without a model, since the last load of one did not succeed.
     pub(super) model_failed: bool,
-    pub(super) look_at: Timestamp,
+    pub(super) poll_at: Timestamp,
     pub(super) retry_at: Timestamp,
     failures: u32,
 }
@@ -60,7 +60,7 @@
         };
     }
 
-    pub(super) fn take_answer(
+    pub(super) fn apply_answer(
         &mut self,
         now: Timestamp,
         sent: &SentCall,
@@ -80,7 +80,7 @@
         let report = answer.report.unwrap_or_default();
         self.loaded = report.loaded;
         self.busy = report.busy;
-        self.look_at = now
+        self.poll_at = now
             + match self.busy {
                 true => limits.busy_poll_interval,
                 false => limits.poll_interval,
@@ -94,7 +94,7 @@
     }
 
     fn pause(&self, limits: &OrderLimits) -> std::time::Duration {
-        let doubled = 1 << self.failures.min(MOST_DOUBLINGS);
+        let doubled = 1 << self.failures.min(MAX_RETRY_DOUBLINGS);
         (limits.retry * doubled).min(limits.max_retry)
     }
 }
--- a/lovagedock/src/orders/loaded.rs
+++ b/lovagedock/src/orders/loaded.rs
@@ -18,11 +18,11 @@
     /// A load of a model began and has not been confirmed.
     unsettled: bool,
     /// What was known before the order that the engine has now.
-    before: Option<KnownBefore>,
+    before: Option<PriorState>,
 }
 
 #[derive(Debug)]
-struct KnownBefore {
+struct PriorState {
     model: Option<ConfirmedLoad>,
     adapters: Vec<ConfirmedLoad>,
     unsettled: bool,
@@ -75,7 +75,7 @@
 
     /// An order goes to the engine; until it is confirmed, nobody knows what it has done.
     pub fn begin(&mut self, order: &LoadOrder) {
-        self.before = Some(KnownBefore {
+        self.before = Some(PriorState {
             model: self.model.clone(),
             adapters: self.adapters.clone(),
             unsettled: self.unsettled,
--- a/lovagedock/src/orders/planner.rs
+++ b/lovagedock/src/orders/planner.rs
@@ -53,14 +53,14 @@
     /// Takes an event and returns what to do.
     pub fn handle(&mut self, now: Timestamp, event: OrderEvent) -> Vec<OrderAction> {
         match event {
-            OrderEvent::Lease { epoch, until } => self.hold(epoch, until),
+            OrderEvent::Lease { epoch, until } => self.set_lease(epoch, until),
             OrderEvent::LeaseLost => self.lease = None,
             OrderEvent::Configure { wanted, endpoints } => self.configure(wanted, endpoints),
             OrderEvent::Answered {
                 endpoint,
                 sequence,
                 answer,
-            } => self.take_answer(now, &endpoint, sequence, answer),
+            } => self.on_answered(now, &endpoint, sequence, answer),
             OrderEvent::Tick => {}
         }
         let mut actions = Vec::new();
@@ -84,7 +84,7 @@
         })
     }
 
-    fn hold(&mut self, epoch: Epoch, until: Timestamp) {
+    fn set_lease(&mut self, epoch: Epoch, until: Timestamp) {
         if epoch <= self.superseded {
             return;
         }
@@ -107,7 +107,7 @@
         }
     }
 
-    fn take_answer(
+    fn on_answered(
         &mut self,
         now: Timestamp,
         endpoint: &EndpointId,
@@ -123,7 +123,7 @@
         let Some(sent) = endpoint.call.take_if(|call| call.sequence == sequence) else {
             return;
         };
-        endpoint.take_answer(now, &sent, answer, &self.limits);
+        endpoint.apply_answer(now, &sent, answer, &self.limits);
     }
 
     /// A sidecar has seen a later holder: this process's clock or store is wrong, so it gives no
@@ -147,12 +147,12 @@
             if endpoint.call.is_some() || now < endpoint.retry_at {
                 continue;
             }
-            let looks = endpoint.loaded.is_none() || now >= endpoint.look_at;
-            let order = self.missing(endpoint).filter(|_| !looks);
+            let needs_poll = endpoint.loaded.is_none() || now >= endpoint.poll_at;
+            let order = self.missing(endpoint).filter(|_| !needs_poll);
             let may_load = order
                 .as_ref()
-                .is_some_and(|order| self.has_room(&name, order));
-            if looks || may_load {
+                .is_some_and(|order| self.within_limits(&name, order));
+            if needs_poll || may_load {
                 self.send(lease.epoch, name, order, actions);
             }
         }
@@ -194,7 +194,7 @@
         endpoint.model_failed && !is_met
     }
 
-    fn is_taken_out(&self, endpoint: &PoolEndpoint) -> bool {
+    fn is_out_of_service(&self, endpoint: &PoolEndpoint) -> bool {
         endpoint.is_replacing() || self.has_failed(endpoint)
     }
 
@@ -204,7 +204,7 @@
     /// would ask the weight store at once and be refused by its rate; without the second none
     /// would be left to serve, and weights that do not load would take the whole pool down. An
     /// engine that failed counts as taken out until it has loaded, so a bad version stops there.
-    fn has_room(&self, name: &EndpointId, order: &LoadOrder) -> bool {
+    fn within_limits(&self, name: &EndpointId, order: &LoadOrder) -> bool {
         if self.endpoints[name].busy || self.loading() >= self.limits.max_loads {
             return false;
         }
@@ -212,7 +212,7 @@
             return true;
         }
         let others = self.endpoints.iter().filter(|(id, _)| *id != name);
-        let replacing = others.filter(|(_, endpoint)| self.is_taken_out(endpoint));
+        let replacing = others.filter(|(_, endpoint)| self.is_out_of_service(endpoint));
         let share = self.endpoints.len() * self.limits.max_replaced_percent / 100;
         replacing.count() < share.max(1)
     }
@@ -223,7 +223,7 @@
         let due =
             idle.map(
                 |endpoint| match endpoint.loaded.is_some() && endpoint.retry_at <= now {
-                    true => endpoint.look_at,
+                    true => endpoint.poll_at,
                     false => endpoint.retry_at,
                 },
             );
--- a/lovagedock/src/request/answer.rs
+++ b/lovagedock/src/request/answer.rs
@@ -13,10 +13,10 @@
     /// Bytes that were delivered in order.
     pub(super) delivered: u64,
     head_seen: bool,
-    head_given: bool,
+    head_delivered: bool,
 }
 
-enum ChunkPlace {
+enum ChunkPosition {
     Fits { skip: u64 },
     Repeated,
     Gap,
@@ -27,14 +27,14 @@
         self.head_seen = false;
     }
 
-    fn locate(&self, offset: u64, length: u64) -> ChunkPlace {
+    fn locate(&self, offset: u64, length: u64) -> ChunkPosition {
         if !self.head_seen || offset > self.delivered {
-            return ChunkPlace::Gap;
+            return ChunkPosition::Gap;
         }
         if offset.saturating_add(length) <= self.delivered {
-            return ChunkPlace::Repeated;
+            return ChunkPosition::Repeated;
         }
-        ChunkPlace::Fits {
+        ChunkPosition::Fits {
             skip: self.delivered - offset,
         }
     }
@@ -43,21 +43,21 @@
 impl RequestMachine {
     /// The head waits for the first byte: until then the request can still run elsewhere, and a
     /// failure can still be told by the HTTP status.
-    pub(super) fn head(&mut self, number: AttemptNumber) {
-        if self.takes_frames(number) {
+    pub(super) fn on_head(&mut self, number: AttemptNumber) {
+        if self.accepts_frames(number) {
             self.answer.head_seen = true;
             self.mark_started();
         }
     }
 
-    pub(super) fn chunk(
+    pub(super) fn on_chunk(
         &mut self,
         now: Timestamp,
         number: AttemptNumber,
         offset: u64,
         length: u64,
     ) {
-        if !self.takes_frames(number) {
+        if !self.accepts_frames(number) {
             return;
         }
         self.mark_started();
@@ -66,17 +66,17 @@
         let place = if self.safeguards.check_offsets {
             self.answer.locate(offset, length)
         } else {
-            ChunkPlace::Fits { skip: 0 }
+            ChunkPosition::Fits { skip: 0 }
         };
         match place {
-            ChunkPlace::Fits { skip } => self.deliver(number, offset, length, skip),
-            ChunkPlace::Repeated => {}
-            ChunkPlace::Gap => self.repair_gap(now),
+            ChunkPosition::Fits { skip } => self.deliver(number, offset, length, skip),
+            ChunkPosition::Repeated => {}
+            ChunkPosition::Gap => self.repair_gap(now),
         }
     }
 
-    pub(super) fn end(&mut self, now: Timestamp, number: AttemptNumber, end: AnswerEnd) {
-        if !self.takes_frames(number) {
+    pub(super) fn on_end(&mut self, now: Timestamp, number: AttemptNumber, end: AnswerEnd) {
+        if !self.accepts_frames(number) {
             return;
         }
         if end.code != ResultCode::Complete {
@@ -104,7 +104,7 @@
         }
     }
 
-    pub(super) fn digest_checked(&mut self, now: Timestamp, matches: bool) {
+    pub(super) fn on_digest_checked(&mut self, now: Timestamp, matches: bool) {
         let RequestPhase::Checking { end } = &self.phase else {
             return;
         };
@@ -120,7 +120,7 @@
     ///
     /// An answer of an attempt that was given up may still arrive, late, beside the answer of its
     /// successor; mixed, the caller would read parts of both. The attempt number tells them apart.
-    fn takes_frames(&self, number: AttemptNumber) -> bool {
+    fn accepts_frames(&self, number: AttemptNumber) -> bool {
         let open = matches!(
             self.phase,
             RequestPhase::Submitting
@@ -132,7 +132,7 @@
     }
 
     fn deliver(&mut self, attempt: AttemptNumber, offset: u64, length: u64, skip: u64) {
-        self.give_head(attempt);
+        self.deliver_head(attempt);
         self.answer.delivered += length - skip;
         self.actions.push(RequestAction::Deliver {
             attempt,
@@ -141,15 +141,15 @@
         });
     }
 
-    fn give_head(&mut self, attempt: AttemptNumber) {
-        if !self.answer.head_given {
-            self.answer.head_given = true;
+    fn deliver_head(&mut self, attempt: AttemptNumber) {
+        if !self.answer.head_delivered {
+            self.answer.head_delivered = true;
             self.actions.push(RequestAction::DeliverHead { attempt });
         }
     }
 
     fn complete(&mut self, end: AnswerEnd) {
-        self.give_head(self.attempts);
+        self.deliver_head(self.attempts);
         self.conclude(end);
     }
 
--- a/lovagedock/src/request/attempt.rs
+++ b/lovagedock/src/request/attempt.rs
@@ -22,7 +22,7 @@
     /// Whether a verdict said that it ran to an end.
     pub(super) ended: bool,
     /// Whether the life of the sidecar that had it is known to be over.
-    pub(super) life_over: bool,
+    pub(super) incarnation_ended: bool,
     /// Resumes because of missing frames, and revokes.
     pub(super) repairs: u32,
 }
@@ -42,7 +42,7 @@
             accepted: false,
             started: false,
             ended: false,
-            life_over: false,
+            incarnation_ended: false,
             repairs: 0,
         }
     }
@@ -65,7 +65,7 @@
 }
 
 /// Of two facts about one request, the one that says more was done.
-pub(super) fn worst_ran(one: RanState, other: RanState) -> RanState {
+pub(super) fn merge_ran_states(one: RanState, other: RanState) -> RanState {
     match (one, other) {
         (RanState::Yes, _) | (_, RanState::Yes) => RanState::Yes,
         (RanState::Unknown, _) | (_, RanState::Unknown) => RanState::Unknown,
--- a/lovagedock/src/request/finish.rs
+++ b/lovagedock/src/request/finish.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::{
-    attempt::{Attempt, worst_ran},
+    attempt::{Attempt, merge_ran_states},
     event::{RequestAction, RequestOutcome},
     machine::RequestMachine,
     phase::RequestPhase,
@@ -18,7 +18,12 @@
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl RequestMachine {
-    pub(super) fn submit_refused(&mut self, now: Timestamp, number: AttemptNumber, end: AnswerEnd) {
+    pub(super) fn on_submit_refused(
+        &mut self,
+        now: Timestamp,
+        number: AttemptNumber,
+        end: AnswerEnd,
+    ) {
         let waiting = matches!(
             self.phase,
             RequestPhase::Submitting | RequestPhase::Revoking { .. }
@@ -28,14 +33,14 @@
         }
     }
 
-    pub(super) fn span_failed(&mut self, now: Timestamp, number: AttemptNumber, end: AnswerEnd) {
+    pub(super) fn on_span_failed(&mut self, now: Timestamp, number: AttemptNumber, end: AnswerEnd) {
         if number != self.attempts {
             return;
         }
         match self.phase {
             RequestPhase::Spanning => self.attempt_failed(now, end),
             RequestPhase::Submitting | RequestPhase::Attached | RequestPhase::Resuming { .. } => {
-                self.settle(now);
+                self.resolve_attempt(now);
             }
             _ => {}
         }
@@ -63,13 +68,13 @@
             end.code = ResultCode::CallerGone;
         }
         if !self.may_try_again(&end, prefilling, only_prefilled) {
-            self.abandon_attempt_unless(end.ran == RanState::No || ends_work(&end));
+            self.abandon_attempt_unless(end.ran == RanState::No || frees_endpoint(&end));
             self.conclude(end);
             return;
         }
-        self.abandon_attempt_unless(end.ran == RanState::No || ends_work(&end));
+        self.abandon_attempt_unless(end.ran == RanState::No || frees_endpoint(&end));
         self.exclude(&end);
-        self.earlier_ran = worst_ran(self.earlier_ran, end.ran);
+        self.earlier_ran = merge_ran_states(self.earlier_ran, end.ran);
         if end.ran != RanState::No {
             self.earlier_failure = Some(end.clone());
         }
@@ -106,8 +111,8 @@
             || !self.spec.non_idempotent
             || !self.safeguards.revoke_before_retry;
         // A span has tried other engines itself for as long as made sense.
-        let span_in_vain = prefilling && end.code == ResultCode::NoCapacity;
-        (engine_side || end.code.may_go_elsewhere()) && repeatable && !span_in_vain
+        let span_gave_up = prefilling && end.code == ResultCode::NoCapacity;
+        (engine_side || end.code.may_go_elsewhere()) && repeatable && !span_gave_up
     }
 
     fn exclude(&mut self, end: &AnswerEnd) {
@@ -122,7 +127,12 @@
             .extend(attempt.map(|attempt| attempt.endpoint.clone()));
     }
 
-    pub(super) fn retry_answered(&mut self, now: Timestamp, granted: bool, jitter_permille: u16) {
+    pub(super) fn on_retry_answered(
+        &mut self,
+        now: Timestamp,
+        granted: bool,
+        jitter_permille: u16,
+    ) {
         let RequestPhase::AskingRetry { failure } = &self.phase else {
             return;
         };
@@ -156,7 +166,7 @@
         self.conclude(AnswerEnd::new(code).with_ran(self.ran_so_far()));
     }
 
-    pub(super) fn caller_left(&mut self) {
+    pub(super) fn on_caller_gone(&mut self) {
         if self.caller_gone {
             return;
         }
@@ -176,7 +186,7 @@
         self.conclude(AnswerEnd::new(ResultCode::CallerGone).with_ran(ran));
     }
 
-    pub(super) fn stop(&mut self, now: Timestamp, grace: Duration) {
+    pub(super) fn on_stopping(&mut self, now: Timestamp, grace: Duration) {
         self.stopping = true;
         self.deadline = self.deadline.min(now.saturating_add(grace));
         let idle = matches!(
@@ -197,7 +207,7 @@
             _ if !self.safeguards.remember_ran => end.ran,
             // One attempt that was refused does not undo an earlier one that may have run; told
             // "not run", the caller would repeat a request that ran.
-            _ => worst_ran(self.earlier_ran, end.ran),
+            _ => merge_ran_states(self.earlier_ran, end.ran),
         };
         let contradicts = end.code.ran() == RanState::No && ran != RanState::No;
         let decisive = match (contradicts, &self.earlier_failure) {
@@ -234,7 +244,7 @@
 
     fn ran_so_far(&self) -> RanState {
         let current = self.attempt.as_ref().map_or(RanState::No, Attempt::ran);
-        worst_ran(self.earlier_ran, current)
+        merge_ran_states(self.earlier_ran, current)
     }
 
     /// Frees what the current attempt holds, unless it is known to hold nothing.
@@ -246,7 +256,7 @@
             return;
         };
         let revoking = matches!(self.phase, RequestPhase::Revoking { .. });
-        if is_over || attempt.life_over || !attempt.submitted {
+        if is_over || attempt.incarnation_ended || !attempt.submitted {
             return;
         }
         if !self.spec.non_idempotent {
@@ -262,7 +272,7 @@
 }
 
 /// Whether a sidecar's own end frame brought this, so that it holds nothing any more.
-fn ends_work(end: &AnswerEnd) -> bool {
+fn frees_endpoint(end: &AnswerEnd) -> bool {
     matches!(
         end.code,
         ResultCode::EngineFailed | ResultCode::ExpiredRunning | ResultCode::Complete
--- a/lovagedock/src/request/machine.rs
+++ b/lovagedock/src/request/machine.rs
@@ -114,58 +114,60 @@
 
     fn dispatch(&mut self, now: Timestamp, event: RequestEvent) {
         match event {
-            RequestEvent::Placed(placed) => self.placed(now, placed),
+            RequestEvent::Placed(placed) => self.on_placed(now, placed),
             RequestEvent::RetryAnswered {
                 granted,
                 jitter_permille,
             } => {
-                self.retry_answered(now, granted, jitter_permille);
+                self.on_retry_answered(now, granted, jitter_permille);
             }
-            RequestEvent::SpanReady { attempt } => self.span_ready(now, attempt),
-            RequestEvent::SpanFailed { attempt, end } => self.span_failed(now, attempt, end),
+            RequestEvent::SpanReady { attempt } => self.on_span_ready(now, attempt),
+            RequestEvent::SpanFailed { attempt, end } => self.on_span_failed(now, attempt, end),
             RequestEvent::SubmitAccepted {
                 attempt,
                 incarnation,
             } => {
-                self.submit_accepted(attempt, incarnation);
+                self.on_submit_accepted(attempt, incarnation);
+            }
+            RequestEvent::SubmitRefused { attempt, end } => {
+                self.on_submit_refused(now, attempt, end)
             }
-            RequestEvent::SubmitRefused { attempt, end } => self.submit_refused(now, attempt, end),
             RequestEvent::SessionLost {
                 endpoint,
                 incarnation,
             } => {
-                self.session_lost(now, &endpoint, incarnation);
+                self.on_session_lost(now, &endpoint, incarnation);
             }
             RequestEvent::SessionReconnected {
                 endpoint,
                 incarnation,
             } => {
-                self.session_back(now, &endpoint, incarnation);
+                self.on_session_reconnected(now, &endpoint, incarnation);
             }
             RequestEvent::RevokeAnswered {
                 attempt,
                 incarnation,
                 verdict,
             } => {
-                self.revoke_answered(now, attempt, incarnation, verdict);
+                self.on_revoke_answered(now, attempt, incarnation, verdict);
             }
-            RequestEvent::RevokeFailed { attempt } => self.revoke_failed(now, attempt),
+            RequestEvent::RevokeFailed { attempt } => self.on_revoke_failed(now, attempt),
             RequestEvent::ResumeAnswered { attempt, found } => {
-                self.resume_answered(now, attempt, found);
+                self.on_resume_answered(now, attempt, found);
             }
-            RequestEvent::ResumeFailed { attempt } => self.resume_failed(now, attempt),
-            RequestEvent::Head { attempt } => self.head(attempt),
+            RequestEvent::ResumeFailed { attempt } => self.on_resume_failed(now, attempt),
+            RequestEvent::Head { attempt } => self.on_head(attempt),
             RequestEvent::Chunk {
                 attempt,
                 offset,
                 length,
             } => {
-                self.chunk(now, attempt, offset, length);
+                self.on_chunk(now, attempt, offset, length);
             }
-            RequestEvent::End { attempt, end } => self.end(now, attempt, end),
-            RequestEvent::DigestChecked { matches } => self.digest_checked(now, matches),
-            RequestEvent::CallerGone => self.caller_left(),
-            RequestEvent::Stopping { grace } => self.stop(now, grace),
+            RequestEvent::End { attempt, end } => self.on_end(now, attempt, end),
+            RequestEvent::DigestChecked { matches } => self.on_digest_checked(now, matches),
+            RequestEvent::CallerGone => self.on_caller_gone(),
+            RequestEvent::Stopping { grace } => self.on_stopping(now, grace),
             RequestEvent::Tick => self.tick(now),
         }
     }
@@ -176,7 +178,7 @@
         self.actions.push(RequestAction::Place { excluded });
     }
 
-    fn placed(&mut self, now: Timestamp, placed: PlacementOutcome) {
+    fn on_placed(&mut self, now: Timestamp, placed: PlacementOutcome) {
         if !matches!(self.phase, RequestPhase::Placing) {
             return;
         }
@@ -222,7 +224,7 @@
         });
     }
 
-    fn span_ready(&mut self, now: Timestamp, attempt: AttemptNumber) {
+    fn on_span_ready(&mut self, now: Timestamp, attempt: AttemptNumber) {
         if matches!(self.phase, RequestPhase::Spanning) && attempt == self.attempts {
             self.submit(now);
         }
@@ -244,7 +246,7 @@
         });
     }
 
-    fn submit_accepted(&mut self, number: AttemptNumber, incarnation: Incarnation) {
+    fn on_submit_accepted(&mut self, number: AttemptNumber, incarnation: Incarnation) {
         let Some(attempt) = self
             .attempt
             .as_mut()
--- a/lovagedock/src/request/mod.rs
+++ b/lovagedock/src/request/mod.rs
@@ -6,7 +6,7 @@
 mod finish;
 mod machine;
 mod phase;
-mod recover;
+mod recovery;
 mod safeguards;
 mod spec;
 
--- a/lovagedock/src/request/recover.rs
+++ b/lovagedock/src/request/recovery.rs
@@ -8,16 +8,16 @@
 };
 
 impl RequestMachine {
-    pub(super) fn session_lost(
+    pub(super) fn on_session_lost(
         &mut self,
         now: Timestamp,
         endpoint: &EndpointId,
-        life: Incarnation,
+        incarnation: Incarnation,
     ) {
         let Some(attempt) = self
             .attempt
             .as_ref()
-            .filter(|attempt| attempt.is_on(endpoint, life))
+            .filter(|attempt| attempt.is_on(endpoint, incarnation))
         else {
             return;
         };
@@ -25,16 +25,16 @@
         match self.phase {
             // A long prefill that goes on behind a silent connection is worth more than a new one.
             RequestPhase::Submitting | RequestPhase::Attached if accepted => self.resume(now),
-            RequestPhase::Submitting => self.settle(now),
+            RequestPhase::Submitting => self.resolve_attempt(now),
             _ => {}
         }
     }
 
-    pub(super) fn session_back(
+    pub(super) fn on_session_reconnected(
         &mut self,
         now: Timestamp,
         endpoint: &EndpointId,
-        life: Incarnation,
+        incarnation: Incarnation,
     ) {
         let Some(attempt) = self
             .attempt
@@ -43,27 +43,27 @@
         else {
             return;
         };
-        let same_life = attempt.incarnation == life;
+        let same_incarnation = attempt.incarnation == incarnation;
         match self.phase {
             RequestPhase::Resuming {
                 until,
                 again_at: Some(_),
-            } if same_life => {
+            } if same_incarnation => {
                 self.send_resume(until);
             }
             RequestPhase::Revoking {
                 until,
                 again_at: Some(_),
-            } if same_life => {
+            } if same_incarnation => {
                 self.send_revoke(until);
             }
             RequestPhase::Attached
             | RequestPhase::Resuming { .. }
             | RequestPhase::Revoking { .. }
-                if !same_life =>
+                if !same_incarnation =>
             {
-                attempt.life_over = true;
-                self.give_up_search(now);
+                attempt.incarnation_ended = true;
+                self.fail_endpoint_lost(now);
             }
             _ => {}
         }
@@ -74,7 +74,12 @@
         self.send_resume(now + self.spec.timing.resume_wait);
     }
 
-    pub(super) fn resume_answered(&mut self, now: Timestamp, number: AttemptNumber, found: bool) {
+    pub(super) fn on_resume_answered(
+        &mut self,
+        now: Timestamp,
+        number: AttemptNumber,
+        found: bool,
+    ) {
         if !self.is_resuming(number) {
             return;
         }
@@ -92,10 +97,10 @@
             );
             return;
         }
-        self.settle(now);
+        self.resolve_attempt(now);
     }
 
-    pub(super) fn resume_failed(&mut self, now: Timestamp, number: AttemptNumber) {
+    pub(super) fn on_resume_failed(&mut self, now: Timestamp, number: AttemptNumber) {
         if !self.is_resuming(number) {
             return;
         }
@@ -112,7 +117,7 @@
         again_at: Option<Timestamp>,
     ) {
         if now >= until {
-            self.settle(now);
+            self.resolve_attempt(now);
         } else if again_at.is_some_and(|again_at| now >= again_at) {
             self.send_resume(until);
         }
@@ -138,24 +143,24 @@
     /// A non-idempotent request whose connection went silent may still be running; sent elsewhere
     /// as well it would run twice. A revoke on a new connection leaves a tombstone, after which
     /// the attempt can never start, so only then may it go elsewhere.
-    pub(super) fn settle(&mut self, now: Timestamp) {
+    pub(super) fn resolve_attempt(&mut self, now: Timestamp) {
         let revokes = self.spec.non_idempotent && self.safeguards.revoke_before_retry;
         if !revokes {
-            self.give_up_search(now);
+            self.fail_endpoint_lost(now);
             return;
         }
         if self.spend_repair() {
             self.send_revoke(now + self.spec.timing.revoke_wait);
         } else {
-            self.give_up_search(now);
+            self.fail_endpoint_lost(now);
         }
     }
 
-    pub(super) fn revoke_answered(
+    pub(super) fn on_revoke_answered(
         &mut self,
         now: Timestamp,
         number: AttemptNumber,
-        life: Incarnation,
+        incarnation: Incarnation,
         verdict: RevokeVerdict,
     ) {
         let Some(attempt) = self
@@ -165,17 +170,18 @@
         else {
             return;
         };
-        // A restarted sidecar knows nothing of what its former life did, and its "revoked" would
+        // A restarted sidecar knows nothing of what its former incarnation did, and its "revoked" would
         // let a request that ran run again. The incarnation tells the two lives apart.
-        let other_life = verdict == RevokeVerdict::OtherLife || life != attempt.incarnation;
-        let verdict = match (other_life, self.safeguards.check_verdict_incarnation) {
+        let other_incarnation =
+            verdict == RevokeVerdict::OtherLife || incarnation != attempt.incarnation;
+        let verdict = match (other_incarnation, self.safeguards.check_verdict_incarnation) {
             (true, true) => RevokeVerdict::OtherLife,
             (true, false) => RevokeVerdict::Revoked,
             (false, _) => verdict,
         };
         attempt.started |= matches!(verdict, RevokeVerdict::Running | RevokeVerdict::Ended);
         attempt.ended |= verdict == RevokeVerdict::Ended;
-        attempt.life_over |= verdict == RevokeVerdict::OtherLife;
+        attempt.incarnation_ended |= verdict == RevokeVerdict::OtherLife;
         if self.caller_gone && verdict == RevokeVerdict::Revoked {
             self.attempt_failed(
                 now,
@@ -189,11 +195,11 @@
         match verdict {
             RevokeVerdict::Revoked => self.attempt_failed(now, revoked()),
             RevokeVerdict::Running | RevokeVerdict::Ended => self.resume(now),
-            RevokeVerdict::OtherLife => self.give_up_search(now),
+            RevokeVerdict::OtherLife => self.fail_endpoint_lost(now),
         }
     }
 
-    pub(super) fn revoke_failed(&mut self, now: Timestamp, number: AttemptNumber) {
+    pub(super) fn on_revoke_failed(&mut self, now: Timestamp, number: AttemptNumber) {
         let pause = self.spec.timing.reconnect_pause;
         if number != self.attempts {
             return;
@@ -210,14 +216,14 @@
         again_at: Option<Timestamp>,
     ) {
         if now >= until {
-            self.give_up_search(now);
+            self.fail_endpoint_lost(now);
         } else if again_at.is_some_and(|again_at| now >= again_at) {
             self.send_revoke(until);
         }
     }
 
     /// Nobody is left who could tell what became of the attempt.
-    fn give_up_search(&mut self, now: Timestamp) {
+    fn fail_endpoint_lost(&mut self, now: Timestamp) {
         let ran = self
             .attempt
             .as_ref()
--- a/lovagedock/src/span/backoff.rs
+++ b/lovagedock/src/span/backoff.rs
@@ -32,9 +32,15 @@
 impl ReserveBackoff {
     /// Pause after refused round number `round` (from 1) of a span that has waited this long of
     /// its patience; `jitter` is a random number in `0.0..1.0`.
-    pub fn delay(&self, round: u32, waited: Duration, patience: Duration, jitter: f64) -> Duration {
-        let left = patience.saturating_sub(waited).as_secs_f64();
-        let share = left / patience.as_secs_f64().max(f64::MIN_POSITIVE);
+    pub fn delay(
+        &self,
+        round: u32,
+        waited: Duration,
+        time_limit: Duration,
+        jitter: f64,
+    ) -> Duration {
+        let left = time_limit.saturating_sub(waited).as_secs_f64();
+        let share = left / time_limit.as_secs_f64().max(f64::MIN_POSITIVE);
         let pause = self.curve.delay(round, jitter).mul_f64(share * share);
         pause.max(self.floor.mul_f64(0.5 + 0.5 * jitter))
     }
--- a/lovagedock/src/span/coordinator.rs
+++ b/lovagedock/src/span/coordinator.rs
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub struct SpanCoordinator {
     pub(super) plan: SpanPlan,
-    began: Timestamp,
+    began_at: Timestamp,
     rng: ChaCha8Rng,
     pub(super) state: SpanState,
     pub(super) round: u32,
@@ -45,7 +45,7 @@
     BackingOff { until: Timestamp },
     Prefilling,
     Decoding,
-    Over,
+    Finished,
 }
 
 impl SpanCoordinator {
@@ -54,7 +54,7 @@
     pub fn new(now: Timestamp, plan: SpanPlan, seed: u64) -> Self {
         Self {
             plan,
-            began: now,
+            began_at: now,
             rng: ChaCha8Rng::seed_from_u64(seed),
             state: SpanState::Choosing,
             round: 0,
@@ -78,36 +78,36 @@
             return Vec::new();
         }
         if event != SpanEvent::Released && self.has_lapsed(now) {
-            self.fail_lost();
+            self.fail_endpoint_lost();
             return self.take_actions();
         }
         match event {
-            SpanEvent::EnginesChosen(parts) => self.chosen(now, parts),
+            SpanEvent::EnginesChosen(parts) => self.on_engines_chosen(now, parts),
             SpanEvent::ReserveAnswered {
                 endpoint,
                 round,
                 granted,
             } => {
-                self.reserved(now, &endpoint, round, granted);
+                self.on_reserve_answered(now, &endpoint, round, granted);
             }
             SpanEvent::SegmentDone {
                 endpoint,
                 start,
                 end,
             } => {
-                self.segment_done(&endpoint, start, end);
+                self.on_segment_done(&endpoint, start, end);
             }
             SpanEvent::MemberLost {
                 endpoint,
                 incarnation,
             } => {
-                self.member_lost(now, &endpoint, incarnation);
+                self.on_member_lost(now, &endpoint, incarnation);
             }
             SpanEvent::MemberReconnected {
                 endpoint,
                 incarnation,
             } => {
-                self.member_back(now, &endpoint, incarnation);
+                self.on_member_reconnected(now, &endpoint, incarnation);
             }
             SpanEvent::Released => self.finish(),
             SpanEvent::Tick => self.tick(now),
@@ -117,10 +117,10 @@
 
     /// Whether the span holds nothing any more.
     pub fn is_finished(&self) -> bool {
-        self.state == SpanState::Over
+        self.state == SpanState::Finished
     }
 
-    fn chosen(&mut self, now: Timestamp, parts: Vec<SpanPart>) {
+    fn on_engines_chosen(&mut self, now: Timestamp, parts: Vec<SpanPart>) {
         if self.state != SpanState::Choosing {
             return;
         }
@@ -134,11 +134,17 @@
         self.state = SpanState::Reserving {
             until: now + self.plan.timing.answer_timeout,
         };
-        self.renew_at = now + self.renew_pause();
-        self.reserve_missing(now);
+        self.renew_at = now + self.renew_interval();
+        self.request_reservations(now);
     }
 
-    fn reserved(&mut self, now: Timestamp, endpoint: &EndpointId, round: u32, granted: bool) {
+    fn on_reserve_answered(
+        &mut self,
+        now: Timestamp,
+        endpoint: &EndpointId,
+        round: u32,
+        granted: bool,
+    ) {
         if round != self.round {
             return;
         }
@@ -156,19 +162,19 @@
             return;
         }
         if !granted && reserving {
-            self.step_back(now);
+            self.release_and_back_off(now);
             return;
         }
         // The sidecar gave the memory to others because a renewal came too late; the KV blocks of
         // this part are gone.
         if !granted {
-            self.fail_lost();
+            self.fail_endpoint_lost();
             return;
         }
-        let came_back = member.grant(hold);
+        let reconnected = member.grant(hold);
         if reserving && self.members.iter().all(SpanMember::is_granted) {
             self.begin_prefill();
-        } else if came_back
+        } else if reconnected
             && self
                 .segments
                 .front()
@@ -180,7 +186,7 @@
 
     fn tick(&mut self, now: Timestamp) {
         match self.state {
-            SpanState::Reserving { until } if now >= until => self.step_back(now),
+            SpanState::Reserving { until } if now >= until => self.release_and_back_off(now),
             SpanState::BackingOff { until } if now >= until => {
                 self.state = SpanState::Choosing;
                 self.actions.push(SpanAction::ChooseEngines);
@@ -190,17 +196,17 @@
         }
     }
 
-    pub(super) fn step_back(&mut self, now: Timestamp) {
+    pub(super) fn release_and_back_off(&mut self, now: Timestamp) {
         self.release_all();
         self.back_off(now);
     }
 
     fn back_off(&mut self, now: Timestamp) {
-        let (waited, patience) = (
-            now.saturating_sub(self.began),
+        let (waited, time_limit) = (
+            now.saturating_sub(self.began_at),
             self.plan.reserve_time_limit(),
         );
-        if waited >= patience {
+        if waited >= time_limit {
             self.fail(AnswerEnd::new(ResultCode::NoCapacity));
             return;
         }
@@ -209,11 +215,11 @@
             .plan
             .timing
             .backoff
-            .delay(self.round.max(1), waited, patience, jitter);
+            .delay(self.round.max(1), waited, time_limit, jitter);
         self.state = SpanState::BackingOff { until: now + pause };
     }
 
-    pub(super) fn fail_lost(&mut self) {
+    pub(super) fn fail_endpoint_lost(&mut self) {
         let ran = if self.computed {
             RanState::Yes
         } else {
@@ -230,7 +236,7 @@
 
     fn finish(&mut self) {
         self.release_all();
-        self.state = SpanState::Over;
+        self.state = SpanState::Finished;
     }
 
     fn release_all(&mut self) {
@@ -245,13 +251,13 @@
             .collect()
     }
 
-    pub(super) fn renew_pause(&self) -> Duration {
+    pub(super) fn renew_interval(&self) -> Duration {
         self.plan.timing.hold / 3
     }
 
     fn take_actions(&mut self) -> Vec<SpanAction> {
         let wake_at = match self.state {
-            SpanState::Choosing | SpanState::Over => None,
+            SpanState::Choosing | SpanState::Finished => None,
             SpanState::Reserving { until } | SpanState::BackingOff { until } => Some(until),
             SpanState::Prefilling | SpanState::Decoding => Some(self.next_check()),
         };
--- a/lovagedock/src/span/member.rs
+++ b/lovagedock/src/span/member.rs
@@ -13,28 +13,28 @@
 pub(super) struct SpanMember {
     pub(super) part: SpanPart,
     /// When the latest reservation or renewal was asked for.
-    asked_at: Timestamp,
+    requested_at: Timestamp,
     awaits_answer: bool,
     /// Until when the sidecar surely holds the memory; counted from before it was asked.
     held_until: Option<Timestamp>,
     /// Whether no session reaches it.
-    pub(super) is_lost: bool,
+    pub(super) is_disconnected: bool,
     /// Whether the request was submitted there, which took the reservation over.
     is_submitted: bool,
     /// Whether a new session awaits its first grant; a segment is sent again after it.
-    came_back: bool,
+    awaits_regrant: bool,
 }
 
 impl SpanMember {
     pub(super) fn new(part: SpanPart) -> Self {
         Self {
             part,
-            asked_at: Timestamp::ZERO,
+            requested_at: Timestamp::ZERO,
             awaits_answer: false,
             held_until: None,
-            is_lost: false,
+            is_disconnected: false,
             is_submitted: false,
-            came_back: false,
+            awaits_regrant: false,
         }
     }
 
@@ -42,8 +42,8 @@
         self.part.endpoint == *endpoint
     }
 
-    pub(super) fn is_on(&self, endpoint: &EndpointId, life: Incarnation) -> bool {
-        self.is_at(endpoint) && self.part.incarnation == life
+    pub(super) fn is_on(&self, endpoint: &EndpointId, incarnation: Incarnation) -> bool {
+        self.is_at(endpoint) && self.part.incarnation == incarnation
     }
 
     pub(super) fn is_granted(&self) -> bool {
@@ -55,12 +55,12 @@
     }
 
     /// Whether a renewal makes sense now: one at a time, or it is not known which was granted.
-    pub(super) fn may_ask(&self) -> bool {
-        !self.awaits_answer && !self.is_lost && !self.is_submitted
+    pub(super) fn may_reserve(&self) -> bool {
+        !self.awaits_answer && !self.is_disconnected && !self.is_submitted
     }
 
     pub(super) fn reserve(&mut self, now: Timestamp, round: u32, hold: Duration) -> SpanAction {
-        self.asked_at = now;
+        self.requested_at = now;
         self.awaits_answer = true;
         SpanAction::Reserve {
             endpoint: self.part.endpoint.clone(),
@@ -74,8 +74,8 @@
     /// Notes a grant; tells whether it is the first since the session came back.
     pub(super) fn grant(&mut self, hold: Duration) -> bool {
         self.awaits_answer = false;
-        self.held_until = Some(self.asked_at + hold);
-        mem::take(&mut self.came_back)
+        self.held_until = Some(self.requested_at + hold);
+        mem::take(&mut self.awaits_regrant)
     }
 
     /// The request itself holds the memory from now on, and the request machine looks after it.
@@ -88,9 +88,9 @@
         self.is_submitted
     }
 
-    pub(super) fn come_back(&mut self) {
-        self.is_lost = false;
-        self.came_back = true;
+    pub(super) fn reconnect(&mut self) {
+        self.is_disconnected = false;
+        self.awaits_regrant = true;
         self.awaits_answer = false;
     }
 
--- a/lovagedock/src/span/mod.rs
+++ b/lovagedock/src/span/mod.rs
@@ -3,10 +3,10 @@
 mod backoff;
 mod coordinator;
 mod event;
-mod keep;
 mod member;
 mod plan;
 mod prefill;
+mod renewal;
 
 pub use backoff::ReserveBackoff;
 pub use coordinator::SpanCoordinator;
--- a/lovagedock/src/span/prefill.rs
+++ b/lovagedock/src/span/prefill.rs
@@ -38,14 +38,14 @@
         let Some(segment) = self.segments.front() else {
             return;
         };
-        let lost = |member: &SpanMember| member.is_at(&segment.endpoint) && member.is_lost;
+        let lost = |member: &SpanMember| member.is_at(&segment.endpoint) && member.is_disconnected;
         if !self.members.iter().any(lost) {
             self.computed = true;
             self.actions.push(SpanAction::Segment(segment.clone()));
         }
     }
 
-    pub(super) fn segment_done(
+    pub(super) fn on_segment_done(
         &mut self,
         endpoint: &EndpointId,
         start: TokenCount,
--- a/lovagedock/src/span/keep.rs
+++ b/lovagedock/src/span/renewal.rs
@@ -9,7 +9,7 @@
 use crate::ids::{EndpointId, Incarnation, Timestamp};
 
 impl SpanCoordinator {
-    pub(super) fn is_keeping(&self) -> bool {
+    pub(super) fn holds_reservations(&self) -> bool {
         matches!(self.state, SpanState::Prefilling | SpanState::Decoding)
     }
 
@@ -21,26 +21,36 @@
     /// sidecar surely held the memory all along.
     pub(super) fn has_lapsed(&self, now: Timestamp) -> bool {
         let lapsed = |member: &SpanMember| member.held_until().is_some_and(|until| now >= until);
-        self.is_keeping() && self.members.iter().any(lapsed)
+        self.holds_reservations() && self.members.iter().any(lapsed)
     }
 
-    pub(super) fn member_lost(&mut self, now: Timestamp, endpoint: &EndpointId, life: Incarnation) {
+    pub(super) fn on_member_lost(
+        &mut self,
+        now: Timestamp,
+        endpoint: &EndpointId,
+        incarnation: Incarnation,
+    ) {
         let Some(member) = self
             .members
             .iter_mut()
-            .find(|member| member.is_on(endpoint, life))
+            .find(|member| member.is_on(endpoint, incarnation))
         else {
             return;
         };
         // A silent connection is no dead engine: its reservation lasts for the hold, and a new
         // connection may renew it before a long prefill is thrown away.
-        member.is_lost = true;
+        member.is_disconnected = true;
         if matches!(self.state, SpanState::Reserving { .. }) {
-            self.step_back(now);
+            self.release_and_back_off(now);
         }
     }
 
-    pub(super) fn member_back(&mut self, now: Timestamp, endpoint: &EndpointId, life: Incarnation) {
+    pub(super) fn on_member_reconnected(
+        &mut self,
+        now: Timestamp,
+        endpoint: &EndpointId,
+        incarnation: Incarnation,
+    ) {
         let Some(member) = self
             .members
             .iter_mut()
@@ -51,13 +61,15 @@
         if member.is_submitted() {
             return;
         }
-        let same_life = member.part.incarnation == life;
+        let same_incarnation = member.part.incarnation == incarnation;
         match self.state {
-            SpanState::Reserving { .. } if !same_life => self.step_back(now),
-            SpanState::Prefilling | SpanState::Decoding if !same_life => self.fail_lost(),
-            SpanState::Prefilling | SpanState::Decoding if member.is_lost => {
-                member.come_back();
-                self.reserve_missing(now);
+            SpanState::Reserving { .. } if !same_incarnation => self.release_and_back_off(now),
+            SpanState::Prefilling | SpanState::Decoding if !same_incarnation => {
+                self.fail_endpoint_lost()
+            }
+            SpanState::Prefilling | SpanState::Decoding if member.is_disconnected => {
+                member.reconnect();
+                self.request_reservations(now);
             }
             _ => {}
         }
@@ -65,15 +77,18 @@
 
     pub(super) fn renew(&mut self, now: Timestamp) {
         if now >= self.renew_at {
-            self.renew_at = now + self.renew_pause();
-            self.reserve_missing(now);
+            self.renew_at = now + self.renew_interval();
+            self.request_reservations(now);
         }
     }
 
     /// Asks every member that is in reach and has no question open.
-    pub(super) fn reserve_missing(&mut self, now: Timestamp) {
+    pub(super) fn request_reservations(&mut self, now: Timestamp) {
         let (round, hold) = (self.round, self.plan.timing.hold);
-        let members = self.members.iter_mut().filter(|member| member.may_ask());
+        let members = self
+            .members
+            .iter_mut()
+            .filter(|member| member.may_reserve());
         self.actions
             .extend(members.map(|member| member.reserve(now, round, hold)));
     }
--- a/lovagedock/tests/request_support/mod.rs
+++ b/lovagedock/tests/request_support/mod.rs
@@ -1,9 +1,9 @@
 //! A model of sidecars and links that plays a schedule of faults against a request machine.
 
+mod checks;
 mod core_engine;
 mod core_sidecar;
 mod gateway;
-mod journal;
 mod sidecar;
 mod work;
 mod world;
