--- a/lovagedock/tests/adoption_properties.rs
+++ b/lovagedock/tests/adoption_properties.rs
@@ -11,10 +11,10 @@
 use support::relay_world::{RelaySetup, RelayWorld};
 
 const CASES: u32 = 60;
-const IN_FORCE: Duration = Duration::from_secs(6);
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// Changes, crashes, restarts, outages and cut regions, one after the other.
-fn storm(setup: RelaySetup) -> RelayWorld {
+fn run_with_faults(setup: RelaySetup) -> RelayWorld {
     let mut rng = ChaCha8Rng::seed_from_u64(setup.seed);
     let regions = setup.regions;
     let mut world = RelayWorld::new(setup);
@@ -39,7 +39,7 @@
 }
 
 /// Everything works again; the next change is in force everywhere in time.
-fn calm(world: &mut RelayWorld) {
+fn repair_and_accept(world: &mut RelayWorld) {
     world.store_up = true;
     world.cut.clear();
     world.setup.loss = 0;
@@ -51,7 +51,7 @@
     }
     world.run(Duration::from_secs(12));
     world.accept();
-    world.run(IN_FORCE);
+    world.run(IN_FORCE_TIMEOUT);
 }
 
 fn setups() -> impl Strategy<Value = RelaySetup> {
@@ -84,8 +84,8 @@
     // an accepted configuration; once all works again, a change is in force everywhere within 6 s.
     #[test]
     fn a_generation_never_goes_back(setup in setups()) {
-        let mut world = storm(setup);
-        calm(&mut world);
+        let mut world = run_with_faults(setup);
+        repair_and_accept(&mut world);
         prop_assert!(world.violations.is_empty(), "{:?}", world.violations);
         for position in 0..world.len() {
             prop_assert_eq!(world.generation(position), world.accepted(), "process {}", position);
@@ -119,7 +119,7 @@
         let mut safeguards = DurableSafeguards::default();
         (case.switch_off)(&mut safeguards);
         let seen = (0..20).any(|seed| {
-            let world = storm(RelaySetup {
+            let world = run_with_faults(RelaySetup {
                 seed,
                 regions: 2,
                 domains: 4,
--- a/lovagedock/tests/adoption_scenarios.rs
+++ b/lovagedock/tests/adoption_scenarios.rs
@@ -26,7 +26,10 @@
             }
             "steps" => {
                 let world = world.as_mut().expect("a fleet comes first");
-                case.input.lines().map(|line| play(world, line)).collect()
+                case.input
+                    .lines()
+                    .map(|line| run_line(world, line))
+                    .collect()
             }
             other => panic!("unknown directive {other}"),
         });
@@ -48,7 +51,7 @@
     }
 }
 
-fn play(world: &mut RelayWorld, line: &str) -> String {
+fn run_line(world: &mut RelayWorld, line: &str) -> String {
     let words: Vec<&str> = line.split_whitespace().collect();
     let mut shown = String::new();
     match words[0] {
--- a/lovagedock/tests/claim_properties.rs
+++ b/lovagedock/tests/claim_properties.rs
@@ -29,7 +29,7 @@
     }
 }
 
-const STORMY: FaultRates = FaultRates {
+const HIGH_FAULT_RATES: FaultRates = FaultRates {
     lost_confirmation: 20,
     unavailable: 15,
     crash: 5,
@@ -74,7 +74,7 @@
 fn the_schedules_reach_every_outcome() {
     let mut total = WorldReport::default();
     for seed in 0..40 {
-        let report = World::new(schedule(seed, STORMY)).run();
+        let report = World::new(schedule(seed, HIGH_FAULT_RATES)).run();
         total.granted += report.granted;
         total.replayed += report.replayed;
         total.recorded += report.recorded;
@@ -121,7 +121,7 @@
         let mut safeguards = DurableSafeguards::default();
         (case.switch_off)(&mut safeguards);
         let seen = (0..60).any(|seed| {
-            let mut schedule = schedule(seed, STORMY);
+            let mut schedule = schedule(seed, HIGH_FAULT_RATES);
             schedule.safeguards = safeguards;
             let report = World::new(schedule).run();
             report.violations.iter().any(|v| v.contains(case.symptom))
--- a/lovagedock/tests/claim_scenarios.rs
+++ b/lovagedock/tests/claim_scenarios.rs
@@ -21,17 +21,21 @@
 #[test]
 fn scenarios() {
     datadriven::walk("tests/scenarios/claim", |file| {
-        let mut stage = Stage::default();
+        let mut state = ScenarioState::default();
         file.run(|case| match case.directive.as_str() {
-            "limits" => stage.set_limits(case),
-            "steps" => case.input.lines().map(|line| stage.play(line)).collect(),
+            "limits" => state.set_limits(case),
+            "steps" => case
+                .input
+                .lines()
+                .map(|line| state.run_line(line))
+                .collect(),
             other => panic!("unknown directive {other}"),
         });
     });
 }
 
 #[derive(Default)]
-struct Stage {
+struct ScenarioState {
     now: Timestamp,
     limits: ClaimLimits,
     store: FakeStore,
@@ -45,7 +49,7 @@
     wake_at: Option<Timestamp>,
 }
 
-impl Stage {
+impl ScenarioState {
     fn set_limits(&mut self, case: &TestCase) -> String {
         let number = |name: &str| -> Option<usize> {
             let values = case.args.get(name)?;
@@ -61,7 +65,7 @@
         String::new()
     }
 
-    fn play(&mut self, line: &str) -> String {
+    fn run_line(&mut self, line: &str) -> String {
         let words: Vec<&str> = line.split_whitespace().collect();
         let mut shown = Vec::new();
         if words[0] == "wait" {
--- a/lovagedock/tests/fence_gate.rs
+++ b/lovagedock/tests/fence_gate.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn fence_scenarios_end_as_written() {
+fn scenarios() {
     walk("tests/scenarios/fence", |file| {
         let mut gate = FenceGate::new();
         file.run(|case| {
--- a/lovagedock/tests/lease_properties.rs
+++ b/lovagedock/tests/lease_properties.rs
@@ -8,7 +8,7 @@
 
 const CASES: u32 = 150;
 
-const STORMY: LeaseFaults = LeaseFaults {
+const HIGH_FAULT_RATES: LeaseFaults = LeaseFaults {
     lost_confirmation: 25,
     unavailable: 20,
     pause: 10,
@@ -47,8 +47,8 @@
 // The schedules reach hand-overs, and orders that come too late; else the property proves nothing.
 #[test]
 fn the_schedules_reach_late_orders() {
-    let reports =
-        (0..20).map(|seed| LeaseWorld::new(seed, STORMY, DurableSafeguards::default()).run());
+    let reports = (0..20)
+        .map(|seed| LeaseWorld::new(seed, HIGH_FAULT_RATES, DurableSafeguards::default()).run());
     let reports: Vec<_> = reports.collect();
     let epochs: usize = reports.iter().map(|report| report.epochs.len()).sum();
     let orders: usize = reports.iter().map(|report| report.orders).sum();
@@ -89,7 +89,7 @@
         let mut safeguards = DurableSafeguards::default();
         (case.switch_off)(&mut safeguards);
         let seen = (0..40).any(|seed| {
-            let report = LeaseWorld::new(seed, STORMY, safeguards).run();
+            let report = LeaseWorld::new(seed, HIGH_FAULT_RATES, safeguards).run();
             report.violations.iter().any(|v| v.contains(case.symptom))
         });
         assert!(seen, "{}: no schedule shows it", case.name);
--- a/lovagedock/tests/lease_scenarios.rs
+++ b/lovagedock/tests/lease_scenarios.rs
@@ -18,7 +18,7 @@
 #[test]
 fn scenarios() {
     datadriven::walk("tests/scenarios/lease", |file| {
-        let mut stage = Stage {
+        let mut state = ScenarioState {
             now: Duration::ZERO,
             store: FakeStore::default(),
             receiver: FenceMark::new(0),
@@ -26,7 +26,7 @@
         };
         file.run(|case| match case.directive.as_str() {
             "steps" => {
-                let shown = case.input.lines().map(|line| stage.play(line));
+                let shown = case.input.lines().map(|line| state.run_line(line));
                 shown.collect::<String>()
             }
             other => panic!("unknown directive {other}"),
@@ -34,7 +34,7 @@
     });
 }
 
-struct Stage {
+struct ScenarioState {
     now: Timestamp,
     store: FakeStore,
     receiver: FenceMark,
@@ -50,8 +50,8 @@
     last_fence: Option<Epoch>,
 }
 
-impl Stage {
-    fn play(&mut self, line: &str) -> String {
+impl ScenarioState {
+    fn run_line(&mut self, line: &str) -> String {
         let words: Vec<&str> = line.split_whitespace().collect();
         let mut shown = Vec::new();
         if words[0] == "wait" {
@@ -65,10 +65,10 @@
     }
 
     fn step(&mut self, name: &str, words: &[&str], shown: &mut Vec<String>) {
-        let life = self.contenders.len() as u64 + 1;
+        let incarnation = self.contenders.len() as u64 + 1;
         let contender = self.contenders.entry(name.to_owned());
         let contender = contender.or_insert_with(|| Contender {
-            machine: LeaseHolder::new("leases/pool".into(), life, LeaseLimits::default()),
+            machine: LeaseHolder::new("leases/pool".into(), incarnation, LeaseLimits::default()),
             calls: Vec::new(),
             wake_at: None,
             paused: false,
--- a/lovagedock/tests/order_scenarios.rs
+++ b/lovagedock/tests/order_scenarios.rs
@@ -16,10 +16,10 @@
 #[test]
 fn scenarios() {
     datadriven::walk("tests/scenarios/orders", |file| {
-        let mut stage = Stage::new();
+        let mut state = ScenarioState::new();
         file.run(|case| match case.directive.as_str() {
             "steps" => {
-                let shown = case.input.lines().map(|line| stage.play(line));
+                let shown = case.input.lines().map(|line| state.run_line(line));
                 shown.collect::<String>()
             }
             other => panic!("unknown directive {other}"),
@@ -30,7 +30,7 @@
 /// Which gateways compete must be the same at all of them, and must move little: a gateway that
 /// joins may take a place, and no two others change theirs because of it.
 #[test]
-fn contenders_are_few_and_stay() {
+fn contenders_are_few_and_stable() {
     let gateways: Vec<_> = (0..9).map(|n| format!("g{n}").into()).collect();
     let mut used = std::collections::BTreeSet::new();
     for number in 0..50 {
@@ -47,7 +47,7 @@
     assert_eq!(used.len(), 9, "the pools are spread over all gateways");
 }
 
-struct Stage {
+struct ScenarioState {
     now: Timestamp,
     planner: OrderPlanner,
     wake_at: Option<Timestamp>,
@@ -125,7 +125,7 @@
     }
 }
 
-impl Stage {
+impl ScenarioState {
     fn new() -> Self {
         Self {
             now: Duration::ZERO,
@@ -135,7 +135,7 @@
         }
     }
 
-    fn play(&mut self, line: &str) -> String {
+    fn run_line(&mut self, line: &str) -> String {
         let words: Vec<&str> = line.split_whitespace().collect();
         let mut shown = Vec::new();
         match words[0] {
--- a/lovagedock/tests/relay_plan.rs
+++ b/lovagedock/tests/relay_plan.rs
@@ -126,17 +126,17 @@
     let mut members = members(fleet);
     let before = RelayPlan::new(&members, &RelayLimits::default());
     let watching: BTreeSet<ProcessId> = before.watchers().iter().cloned().collect();
-    let leaver = members
+    let leaving_index = members
         .iter()
         .position(|member| !watching.contains(&member.process));
-    members.remove(leaver.expect("most do not watch"));
+    members.remove(leaving_index.expect("most do not watch"));
     let after = RelayPlan::new(&members, &RelayLimits::default());
     assert_eq!(before.watchers(), after.watchers());
 }
 
 // The operator asks who has generation 5: reports come late and out of order.
 #[test]
-fn the_counter_tells_who_is_behind() {
+fn the_counter_lists_lagging_processes() {
     let mut counter = AdoptionCounter::new(["a", "b", "c"].map(ProcessId::from));
     for (process, generation) in [("a", 5), ("a", 4), ("b", 4), ("x", 9)] {
         counter.report(process.into(), generation);
--- a/lovagedock/tests/request_properties.rs
+++ b/lovagedock/tests/request_properties.rs
@@ -7,10 +7,10 @@
     prelude::*,
     test_runner::{RngAlgorithm, TestCaseError, TestRng, TestRunner},
 };
-use request_support::{FaultSchedule, Violation, schedules, verdict};
+use request_support::{FaultSchedule, Violation, check_schedule, schedules};
 
 const CASES: u32 = 2000;
-const CASES_TO_FAIL: u32 = 20_000;
+const MAX_CASES_UNTIL_VIOLATION: u32 = 20_000;
 
 fn runner(cases: u32, shrinks: u32) -> TestRunner {
     let config = ProptestConfig {
@@ -28,19 +28,20 @@
 // one truthful final answer by its deadline, a clean end only on a whole answer, and a
 // non-idempotent request never starts twice.
 #[test]
-fn promises_hold_under_any_schedule() {
-    promises_hold(false);
+fn guarantees_hold_under_any_schedule() {
+    guarantees_hold(false);
 }
 
 // The same with the sidecar's real decisions on the other end of the links.
 #[test]
-fn promises_hold_with_the_real_sidecar() {
-    promises_hold(true);
+fn guarantees_hold_with_the_real_sidecar() {
+    guarantees_hold(true);
 }
 
-fn promises_hold(real_sidecars: bool) {
+fn guarantees_hold(real_sidecars: bool) {
     let outcome = runner(CASES, 500).run(&schedules(real_sidecars, 0), |schedule| {
-        verdict(&schedule, RequestSafeguards::ALL).map_err(|violation| fail(violation, &schedule))
+        check_schedule(&schedule, RequestSafeguards::ALL)
+            .map_err(|violation| fail(violation, &schedule))
     });
     if let Err(error) = outcome {
         panic!("{error}");
@@ -56,15 +57,15 @@
 // The same schedules with one safeguard off: the promise that it keeps is broken.
 #[test]
 fn each_safeguard_is_needed() {
-    promises_break_without_each_safeguard(false);
+    guarantees_break_without_each_safeguard(false);
 }
 
 #[test]
 fn each_safeguard_is_needed_with_the_real_sidecar() {
-    promises_break_without_each_safeguard(true);
+    guarantees_break_without_each_safeguard(true);
 }
 
-fn promises_break_without_each_safeguard(real_sidecars: bool) {
+fn guarantees_break_without_each_safeguard(real_sidecars: bool) {
     let all = RequestSafeguards::ALL;
     let cases = [
         SafeguardCase {
@@ -117,12 +118,15 @@
         },
     ];
     for case in cases {
-        let outcome = runner(CASES_TO_FAIL, 0).run(&schedules(real_sidecars, 4), |schedule| {
-            match verdict(&schedule, case.safeguards) {
-                Err(violation) if violation == case.violation => Err(fail(violation, &schedule)),
-                _ => Ok(()),
-            }
-        });
+        let outcome =
+            runner(MAX_CASES_UNTIL_VIOLATION, 0).run(&schedules(real_sidecars, 4), |schedule| {
+                match check_schedule(&schedule, case.safeguards) {
+                    Err(violation) if violation == case.violation => {
+                        Err(fail(violation, &schedule))
+                    }
+                    _ => Ok(()),
+                }
+            });
         assert!(outcome.is_err(), "without {} nothing went wrong", case.name);
     }
 }
--- a/lovagedock/tests/request_scenarios.rs
+++ b/lovagedock/tests/request_scenarios.rs
@@ -18,7 +18,7 @@
         let mut machine = None;
         file.run(|case| match case.directive.as_str() {
             "request" => admit(case, &mut machine),
-            "steps" => play(case, machine.as_mut().expect("a request comes first")),
+            "steps" => run_steps(case, machine.as_mut().expect("a request comes first")),
             other => panic!("unknown directive {other}"),
         });
     });
@@ -36,7 +36,7 @@
     line("admitted", &actions, false)
 }
 
-fn play(case: &TestCase, machine: &mut RequestMachine) -> String {
+fn run_steps(case: &TestCase, machine: &mut RequestMachine) -> String {
     let wakes = case.args.contains_key("wakes");
     case.input
         .lines()
@@ -65,11 +65,11 @@
     let words: Vec<&str> = text.split_whitespace().collect();
     let attempt = || number(words[1]) as AttemptNumber;
     let endpoint = || EndpointId::from(words[1]);
-    let life = || number(field(&words, "life"));
+    let incarnation = || number(field(&words, "incarnation"));
     match words[0] {
         "placed" => RequestEvent::Placed(PlacementOutcome::One {
             endpoint: endpoint(),
-            incarnation: life(),
+            incarnation: incarnation(),
         }),
         "placed-span" => RequestEvent::Placed(PlacementOutcome::Span(parts(&words[1..]))),
         "placed-nowhere" => RequestEvent::Placed(PlacementOutcome::Refused {
@@ -91,7 +91,7 @@
         },
         "accepted" => RequestEvent::SubmitAccepted {
             attempt: attempt(),
-            incarnation: life(),
+            incarnation: incarnation(),
         },
         "refused" => RequestEvent::SubmitRefused {
             attempt: attempt(),
@@ -99,15 +99,15 @@
         },
         "session-lost" => RequestEvent::SessionLost {
             endpoint: endpoint(),
-            incarnation: life(),
+            incarnation: incarnation(),
         },
         "session-back" => RequestEvent::SessionReconnected {
             endpoint: endpoint(),
-            incarnation: life(),
+            incarnation: incarnation(),
         },
         "revoke-answered" => RequestEvent::RevokeAnswered {
             attempt: attempt(),
-            incarnation: life(),
+            incarnation: incarnation(),
             verdict: verdict(words[3]),
         },
         "revoke-failed" => RequestEvent::RevokeFailed { attempt: attempt() },
@@ -182,7 +182,7 @@
         "revoked" => RevokeVerdict::Revoked,
         "running" => RevokeVerdict::Running,
         "ended" => RevokeVerdict::Ended,
-        "other-life" => RevokeVerdict::OtherLife,
+        "other-incarnation" => RevokeVerdict::OtherLife,
         other => panic!("unknown verdict {other}"),
     }
 }
@@ -220,7 +220,7 @@
             remaining,
             ..
         } => format!(
-            "submit {attempt} to {endpoint} life={incarnation} remaining={}ms",
+            "submit {attempt} to {endpoint} incarnation={incarnation} remaining={}ms",
             remaining.as_millis()
         ),
         RequestAction::Revoke {
@@ -228,7 +228,7 @@
             attempt,
             incarnation,
         } => {
-            format!("revoke {attempt} at {endpoint} life={incarnation}, new connection")
+            format!("revoke {attempt} at {endpoint} incarnation={incarnation}, new connection")
         }
         RequestAction::Resume {
             endpoint,
@@ -236,7 +236,7 @@
             incarnation,
             offset,
         } => format!(
-            "resume {attempt} at {endpoint} life={incarnation} from {offset}, new connection"
+            "resume {attempt} at {endpoint} incarnation={incarnation} from {offset}, new connection"
         ),
         RequestAction::Cancel {
             endpoint, attempt, ..
--- a/lovagedock/tests/request_support/core_engine.rs
+++ b/lovagedock/tests/request_support/core_engine.rs
@@ -13,62 +13,62 @@
     pub(super) fn begin_core(
         &mut self,
         endpoint: usize,
-        life: Incarnation,
+        incarnation: Incarnation,
         attempt: AttemptNumber,
     ) {
         let sidecar = &mut self.sidecars[endpoint];
         let Some(work) = sidecar.work.get_mut(&attempt) else {
             return;
         };
-        if sidecar.life != life || work.state != WorkState::Queued {
+        if sidecar.incarnation != incarnation || work.state != WorkState::Queued {
             return;
         }
         work.state = WorkState::Running;
         let link = work.link;
         self.starts.push(attempt);
-        self.tell_core(
+        self.send_to_core(
             endpoint,
             link,
-            EndpointEvent::EngineStarted(key(attempt, life)),
+            EndpointEvent::EngineStarted(key(attempt, incarnation)),
         );
         self.after(
             1,
             Step::ToGateway(link, RequestEvent::Head { attempt }, vec![]),
         );
         let delay = self.delay();
-        self.after(delay, Step::Produce(endpoint, life, attempt));
+        self.after(delay, Step::Produce(endpoint, incarnation, attempt));
     }
 
     pub(super) fn produce_core(
         &mut self,
         endpoint: usize,
-        life: Incarnation,
+        incarnation: Incarnation,
         attempt: AttemptNumber,
     ) {
         let sidecar = &mut self.sidecars[endpoint];
         let Some(work) = sidecar.work.get_mut(&attempt) else {
             return;
         };
-        if sidecar.life != life || work.state != WorkState::Running {
+        if sidecar.incarnation != incarnation || work.state != WorkState::Running {
             return;
         }
         let link = work.link;
-        let key = key(attempt, life);
+        let key = key(attempt, incarnation);
         if work.produced == ANSWER_BYTES {
             work.state = WorkState::Ended;
             let result = EngineResult::Finished(finished(attempt));
-            self.tell_core(endpoint, link, EndpointEvent::EngineEnded { key, result });
+            self.send_to_core(endpoint, link, EndpointEvent::EngineEnded { key, result });
             return;
         }
         work.produced += FRAME_BYTES;
         let length = FRAME_BYTES;
-        self.tell_core(endpoint, link, EndpointEvent::EngineBytes { key, length });
+        self.send_to_core(endpoint, link, EndpointEvent::EngineBytes { key, length });
         let delay = self.delay().max(2);
-        self.after(delay, Step::Produce(endpoint, life, attempt));
+        self.after(delay, Step::Produce(endpoint, incarnation, attempt));
     }
 
     pub(super) fn fail_core(&mut self, endpoint: usize) {
-        let life = self.sidecars[endpoint].life;
+        let incarnation = self.sidecars[endpoint].incarnation;
         let works = self.sidecars[endpoint].work.iter_mut();
         let running = works.filter(|(_, work)| work.state == WorkState::Running);
         let failed: Vec<(AttemptNumber, usize)> = running
@@ -78,11 +78,11 @@
             })
             .collect();
         for (attempt, link) in failed {
-            let key = key(attempt, life);
+            let key = key(attempt, incarnation);
             let result = EngineResult::Failed {
                 detail: String::new(),
             };
-            self.tell_core(endpoint, link, EndpointEvent::EngineEnded { key, result });
+            self.send_to_core(endpoint, link, EndpointEvent::EngineEnded { key, result });
         }
     }
 }
--- a/lovagedock/tests/request_support/core_sidecar.rs
+++ b/lovagedock/tests/request_support/core_sidecar.rs
@@ -15,30 +15,34 @@
 
 const REQUEST: RequestId = 1;
 
-pub(super) fn new_core(life: Incarnation) -> EndpointCore {
-    EndpointCore::new(life, EndpointLimits::default())
+pub(super) fn new_core(incarnation: Incarnation) -> EndpointCore {
+    EndpointCore::new(incarnation, EndpointLimits::default())
 }
 
 impl World {
     pub(super) fn receive_core(&mut self, link: usize, message: Message) {
         let endpoint = self.links[link].endpoint;
         let (attempt, event) = match message {
-            Message::Submit(attempt, life) => {
-                let order = self.order(key(attempt, life));
+            Message::Submit(attempt, incarnation) => {
+                let order = self.order(key(attempt, incarnation));
                 (attempt, EndpointEvent::Submit(order))
             }
-            Message::Revoke(attempt, life) => (attempt, EndpointEvent::Revoke(key(attempt, life))),
-            Message::Cancel(attempt, life) => (attempt, EndpointEvent::Cancel(key(attempt, life))),
-            Message::Resume(attempt, life, offset) => {
-                let key = key(attempt, life);
+            Message::Revoke(attempt, incarnation) => {
+                (attempt, EndpointEvent::Revoke(key(attempt, incarnation)))
+            }
+            Message::Cancel(attempt, incarnation) => {
+                (attempt, EndpointEvent::Cancel(key(attempt, incarnation)))
+            }
+            Message::Resume(attempt, incarnation, offset) => {
+                let key = key(attempt, incarnation);
                 (attempt, EndpointEvent::Resume { key, offset })
             }
         };
-        let takes_answer = matches!(
+        let expects_answer = matches!(
             event,
             EndpointEvent::Submit(_) | EndpointEvent::Resume { .. }
         );
-        if takes_answer {
+        if expects_answer {
             let work = self.sidecars[endpoint].work.entry(attempt).or_insert(Work {
                 state: WorkState::Queued,
                 link,
@@ -46,7 +50,7 @@
             });
             work.link = link;
         }
-        self.tell_core(endpoint, link, event);
+        self.send_to_core(endpoint, link, event);
     }
 
     fn order(&self, key: AttemptKey) -> WorkOrder {
@@ -66,23 +70,23 @@
     }
 
     /// Tells the sidecar something and carries out what it asks for; `link` asked.
-    pub(super) fn tell_core(&mut self, endpoint: usize, link: usize, event: EndpointEvent) {
+    pub(super) fn send_to_core(&mut self, endpoint: usize, link: usize, event: EndpointEvent) {
         let now = Duration::from_millis(self.now);
         let Some(core) = self.sidecars[endpoint].core.as_mut() else {
             return;
         };
         for action in core.handle(now, event) {
-            self.act_for_core(endpoint, link, action);
+            self.act_on_core(endpoint, link, action);
         }
     }
 
-    fn act_for_core(&mut self, endpoint: usize, asked: usize, action: EndpointAction) {
-        let life = self.sidecars[endpoint].life;
+    fn act_on_core(&mut self, endpoint: usize, origin: usize, action: EndpointAction) {
+        let incarnation = self.sidecars[endpoint].incarnation;
         match action {
             EndpointAction::Accept(key) => {
                 let (attempt, incarnation) = (key.attempt, key.incarnation);
                 self.answer(
-                    asked,
+                    origin,
                     RequestEvent::SubmitAccepted {
                         attempt,
                         incarnation,
@@ -91,7 +95,7 @@
             }
             EndpointAction::Refuse { key, end } => {
                 self.answer(
-                    asked,
+                    origin,
                     RequestEvent::SubmitRefused {
                         attempt: key.attempt,
                         end,
@@ -100,7 +104,7 @@
             }
             EndpointAction::Start(key) => {
                 let delay = 2 * self.delay();
-                self.after(delay, Step::Begin(endpoint, life, key.attempt));
+                self.after(delay, Step::Begin(endpoint, incarnation, key.attempt));
             }
             EndpointAction::CancelOnEngine(_) => {
                 let works = self.sidecars[endpoint].work.values_mut();
@@ -128,18 +132,18 @@
                 let attempt = key.attempt;
                 let event = RequestEvent::RevokeAnswered {
                     attempt,
-                    incarnation: life,
+                    incarnation,
                     verdict,
                 };
-                self.answer(asked, event);
+                self.answer(origin, event);
             }
             EndpointAction::ResumeFrom { key, offset, end } => {
-                self.resume_core(endpoint, asked, key.attempt, offset, end);
+                self.resume_core(endpoint, origin, key.attempt, offset, end);
             }
             EndpointAction::NotFound(key) => {
                 let attempt = key.attempt;
                 self.answer(
-                    asked,
+                    origin,
                     RequestEvent::ResumeAnswered {
                         attempt,
                         found: false,
@@ -148,7 +152,10 @@
             }
             EndpointAction::WakeAt(at) => {
                 let at = at.as_micros().div_ceil(1000) as u64;
-                self.after(at.saturating_sub(self.now), Step::Wake(endpoint, life));
+                self.after(
+                    at.saturating_sub(self.now),
+                    Step::Wake(endpoint, incarnation),
+                );
             }
             EndpointAction::ForgetAnswer(_)
             | EndpointAction::GrantReservation { .. }
@@ -193,12 +200,16 @@
 
     /// The sidecar sees the loss of a session as well.
     pub(super) fn lose_sinks(&mut self, endpoint: usize, link: usize) {
-        let life = self.sidecars[endpoint].life;
+        let incarnation = self.sidecars[endpoint].incarnation;
         let works = self.sidecars[endpoint].work.iter();
         let lost = works.filter(|(_, work)| work.link == link);
         let lost: Vec<AttemptNumber> = lost.map(|(attempt, _)| *attempt).collect();
         for attempt in lost {
-            self.tell_core(endpoint, link, EndpointEvent::SinkLost(key(attempt, life)));
+            self.send_to_core(
+                endpoint,
+                link,
+                EndpointEvent::SinkLost(key(attempt, incarnation)),
+            );
         }
     }
 
--- a/lovagedock/tests/request_support/gateway.rs
+++ b/lovagedock/tests/request_support/gateway.rs
@@ -9,7 +9,7 @@
     world::{Message, Step, World, index, name},
 };
 
-const CONNECT_LIMIT_MS: u64 = 60;
+const CONNECT_TIMEOUT_MS: u64 = 60;
 
 impl World {
     pub(super) fn carry_out(&mut self, actions: Vec<RequestAction>) {
@@ -50,7 +50,7 @@
                 endpoint,
                 attempt,
                 incarnation,
-            } => self.send_anew(
+            } => self.send_on_new_connection(
                 &endpoint,
                 Message::Revoke(attempt, incarnation),
                 Some(RequestEvent::RevokeFailed { attempt }),
@@ -60,7 +60,7 @@
                 attempt,
                 incarnation,
                 offset,
-            } => self.send_anew(
+            } => self.send_on_new_connection(
                 &endpoint,
                 Message::Resume(attempt, incarnation, offset),
                 Some(RequestEvent::ResumeFailed { attempt }),
@@ -70,7 +70,7 @@
                 attempt,
                 incarnation,
             } => {
-                self.send_anew(&endpoint, Message::Cancel(attempt, incarnation), None);
+                self.send_on_new_connection(&endpoint, Message::Cancel(attempt, incarnation), None);
             }
             RequestAction::Deliver { skip, .. } => self.read.extend(&self.frame[skip as usize..]),
             RequestAction::CheckDigest { expected } => {
@@ -96,7 +96,7 @@
         match free {
             Some((endpoint, link)) => PlacementOutcome::One {
                 endpoint: name(endpoint),
-                incarnation: self.links[link].life,
+                incarnation: self.links[link].incarnation,
             },
             None => PlacementOutcome::Refused {
                 code: ResultCode::NoCapacity,
@@ -105,7 +105,7 @@
         }
     }
 
-    pub(super) fn send_anew(
+    pub(super) fn send_on_new_connection(
         &mut self,
         endpoint: &EndpointId,
         message: Message,
@@ -114,7 +114,7 @@
         let endpoint = index(endpoint);
         if self.cut_until[endpoint] > self.now {
             if let Some(event) = failed {
-                self.after(CONNECT_LIMIT_MS, Step::Event(event));
+                self.after(CONNECT_TIMEOUT_MS, Step::Event(event));
             }
             return;
         }
--- a/lovagedock/tests/request_support/mod.rs
+++ b/lovagedock/tests/request_support/mod.rs
@@ -11,7 +11,7 @@
 use lovagedock::RequestSafeguards;
 use proptest::prelude::*;
 
-pub(crate) use world::play;
+pub(crate) use world::run_schedule;
 
 /// One request and the faults that meet it.
 #[derive(Clone, Debug)]
@@ -111,11 +111,11 @@
     )
 }
 
-pub(crate) fn verdict(
+pub(crate) fn check_schedule(
     schedule: &FaultSchedule,
     safeguards: RequestSafeguards,
 ) -> Result<(), Violation> {
-    match play(schedule, safeguards).first() {
+    match run_schedule(schedule, safeguards).first() {
         Some(violation) => Err(*violation),
         None => Ok(()),
     }
--- a/lovagedock/tests/request_support/sidecar.rs
+++ b/lovagedock/tests/request_support/sidecar.rs
@@ -28,16 +28,16 @@
 pub(crate) struct SidecarModel {
     /// The real decisions, where they take the model's place.
     pub(crate) core: Option<EndpointCore>,
-    pub(crate) life: Incarnation,
+    pub(crate) incarnation: Incarnation,
     pub(crate) leaving: bool,
     pub(crate) work: BTreeMap<AttemptNumber, Work>,
 }
 
 impl SidecarModel {
-    pub(crate) fn new(life: Incarnation) -> Self {
+    pub(crate) fn new(incarnation: Incarnation) -> Self {
         Self {
             core: None,
-            life,
+            incarnation,
             leaving: false,
             work: BTreeMap::new(),
         }
@@ -46,10 +46,10 @@
     pub(crate) fn submit(
         &mut self,
         attempt: AttemptNumber,
-        life: Incarnation,
+        incarnation: Incarnation,
         link: usize,
     ) -> Result<(), ResultCode> {
-        if life != self.life {
+        if incarnation != self.incarnation {
             return Err(ResultCode::StaleIncarnation);
         }
         if self.leaving {
@@ -67,8 +67,12 @@
         Ok(())
     }
 
-    pub(crate) fn revoke(&mut self, attempt: AttemptNumber, life: Incarnation) -> RevokeVerdict {
-        if life != self.life {
+    pub(crate) fn revoke(
+        &mut self,
+        attempt: AttemptNumber,
+        incarnation: Incarnation,
+    ) -> RevokeVerdict {
+        if incarnation != self.incarnation {
             return RevokeVerdict::OtherLife;
         }
         let work = self.work.entry(attempt).or_insert(Work {
@@ -86,8 +90,8 @@
         }
     }
 
-    pub(crate) fn cancel(&mut self, attempt: AttemptNumber, life: Incarnation) {
-        if life == self.life {
+    pub(crate) fn cancel(&mut self, attempt: AttemptNumber, incarnation: Incarnation) {
+        if incarnation == self.incarnation {
             let work = self.work.entry(attempt).or_insert(Work {
                 state: WorkState::Tombstone,
                 link: 0,
@@ -104,10 +108,13 @@
     pub(crate) fn resume(
         &mut self,
         attempt: AttemptNumber,
-        life: Incarnation,
+        incarnation: Incarnation,
         link: usize,
     ) -> Option<Work> {
-        let work = self.work.get_mut(&attempt).filter(|_| life == self.life)?;
+        let work = self
+            .work
+            .get_mut(&attempt)
+            .filter(|_| incarnation == self.incarnation)?;
         if work.state == WorkState::Tombstone {
             return None;
         }
--- a/lovagedock/tests/request_support/work.rs
+++ b/lovagedock/tests/request_support/work.rs
@@ -15,14 +15,14 @@
         }
         let endpoint = self.links[link].endpoint;
         match message {
-            Message::Submit(attempt, life) => {
-                let event = match self.sidecars[endpoint].submit(attempt, life, link) {
+            Message::Submit(attempt, incarnation) => {
+                let event = match self.sidecars[endpoint].submit(attempt, incarnation, link) {
                     Ok(()) => {
                         let delay = 2 * self.delay();
-                        self.after(delay, Step::Begin(endpoint, life, attempt));
+                        self.after(delay, Step::Begin(endpoint, incarnation, attempt));
                         RequestEvent::SubmitAccepted {
                             attempt,
-                            incarnation: life,
+                            incarnation,
                         }
                     }
                     Err(code) => RequestEvent::SubmitRefused {
@@ -32,9 +32,9 @@
                 };
                 self.send(link, Step::ToGateway(link, event, Vec::new()));
             }
-            Message::Revoke(attempt, life) => {
-                let verdict = self.sidecars[endpoint].revoke(attempt, life);
-                let incarnation = self.sidecars[endpoint].life;
+            Message::Revoke(attempt, incarnation) => {
+                let verdict = self.sidecars[endpoint].revoke(attempt, incarnation);
+                let incarnation = self.sidecars[endpoint].incarnation;
                 let event = RequestEvent::RevokeAnswered {
                     attempt,
                     incarnation,
@@ -42,8 +42,12 @@
                 };
                 self.send(link, Step::ToGateway(link, event, Vec::new()));
             }
-            Message::Cancel(attempt, life) => self.sidecars[endpoint].cancel(attempt, life),
-            Message::Resume(attempt, life, offset) => self.resume(link, attempt, life, offset),
+            Message::Cancel(attempt, incarnation) => {
+                self.sidecars[endpoint].cancel(attempt, incarnation)
+            }
+            Message::Resume(attempt, incarnation, offset) => {
+                self.resume(link, attempt, incarnation, offset)
+            }
         }
     }
 
@@ -51,11 +55,11 @@
         &mut self,
         link: usize,
         attempt: AttemptNumber,
-        life: Incarnation,
+        incarnation: Incarnation,
         offset: u64,
     ) {
         let endpoint = self.links[link].endpoint;
-        let work = self.sidecars[endpoint].resume(attempt, life, link);
+        let work = self.sidecars[endpoint].resume(attempt, incarnation, link);
         let found = work.is_some();
         self.after(
             1,
@@ -88,15 +92,20 @@
         );
     }
 
-    pub(super) fn begin(&mut self, endpoint: usize, life: Incarnation, attempt: AttemptNumber) {
+    pub(super) fn begin(
+        &mut self,
+        endpoint: usize,
+        incarnation: Incarnation,
+        attempt: AttemptNumber,
+    ) {
         if self.real_sidecars {
-            return self.begin_core(endpoint, life, attempt);
+            return self.begin_core(endpoint, incarnation, attempt);
         }
         let sidecar = &mut self.sidecars[endpoint];
         let Some(work) = sidecar.work.get_mut(&attempt) else {
             return;
         };
-        if sidecar.life != life || work.state != WorkState::Queued {
+        if sidecar.incarnation != incarnation || work.state != WorkState::Queued {
             return;
         }
         work.state = WorkState::Running;
@@ -107,18 +116,23 @@
             Step::ToGateway(link, RequestEvent::Head { attempt }, vec![]),
         );
         let delay = self.delay();
-        self.after(delay, Step::Produce(endpoint, life, attempt));
+        self.after(delay, Step::Produce(endpoint, incarnation, attempt));
     }
 
-    pub(super) fn produce(&mut self, endpoint: usize, life: Incarnation, attempt: AttemptNumber) {
+    pub(super) fn produce(
+        &mut self,
+        endpoint: usize,
+        incarnation: Incarnation,
+        attempt: AttemptNumber,
+    ) {
         if self.real_sidecars {
-            return self.produce_core(endpoint, life, attempt);
+            return self.produce_core(endpoint, incarnation, attempt);
         }
         let sidecar = &mut self.sidecars[endpoint];
         let Some(work) = sidecar.work.get_mut(&attempt) else {
             return;
         };
-        if sidecar.life != life || work.state != WorkState::Running {
+        if sidecar.incarnation != incarnation || work.state != WorkState::Running {
             return;
         }
         let (link, from) = (work.link, work.produced);
@@ -135,7 +149,7 @@
         let frame = chunk(link, attempt, from, from + FRAME_BYTES);
         self.send_frame(frame);
         let delay = self.delay().max(2);
-        self.after(delay, Step::Produce(endpoint, life, attempt));
+        self.after(delay, Step::Produce(endpoint, incarnation, attempt));
     }
 
     pub(super) fn send_frame(&mut self, mut frame: Step) {
--- a/lovagedock/tests/request_support/world.rs
+++ b/lovagedock/tests/request_support/world.rs
@@ -12,9 +12,9 @@
     sidecar::SidecarModel,
 };
 
-const HEARTBEAT_LIMIT_MS: u64 = 120;
+const HEARTBEAT_TIMEOUT_MS: u64 = 120;
 const RECONNECT_MS: u64 = 150;
-const END_OF_PLAY_MS: u64 = 30_000;
+const END_OF_SCHEDULE_MS: u64 = 30_000;
 
 #[derive(Clone, Debug)]
 pub(super) enum Message {
@@ -32,14 +32,14 @@
     Begin(usize, Incarnation, AttemptNumber),
     Produce(usize, Incarnation, AttemptNumber),
     Wake(usize, Incarnation),
-    Strike(Fault),
+    InjectFault(Fault),
     LoseSession(usize, usize),
     Reconnect(usize),
 }
 
 pub(super) struct Link {
     pub(super) endpoint: usize,
-    pub(super) life: Incarnation,
+    pub(super) incarnation: Incarnation,
     pub(super) silent_until: u64,
 }
 
@@ -64,7 +64,10 @@
 }
 
 /// Plays a schedule to its end and tells what was violated.
-pub(crate) fn play(schedule: &FaultSchedule, safeguards: RequestSafeguards) -> Vec<Violation> {
+pub(crate) fn run_schedule(
+    schedule: &FaultSchedule,
+    safeguards: RequestSafeguards,
+) -> Vec<Violation> {
     let mut world = World::new(schedule);
     let deadline = Duration::from_millis(schedule.deadline_ms);
     let spec =
@@ -73,11 +76,11 @@
     let first = machine.start();
     world.carry_out(first);
     while let Some(((at, _), step)) = world.steps.pop_first() {
-        if at > END_OF_PLAY_MS {
+        if at > END_OF_SCHEDULE_MS {
             break;
         }
         world.now = at;
-        if let Some(event) = world.take_step(step) {
+        if let Some(event) = world.process_step(step) {
             let actions = machine.handle(Duration::from_millis(at), event);
             world.carry_out(actions);
         }
@@ -112,16 +115,16 @@
             world.sessions[endpoint] = Some(world.connect(endpoint));
         }
         for fault in &schedule.faults {
-            world.after(fault.at_ms, Step::Strike(fault.clone()));
+            world.after(fault.at_ms, Step::InjectFault(fault.clone()));
         }
         world
     }
 
     pub(super) fn connect(&mut self, endpoint: usize) -> usize {
-        let life = self.sidecars[endpoint].life;
+        let incarnation = self.sidecars[endpoint].incarnation;
         self.links.push(Link {
             endpoint,
-            life,
+            incarnation,
             silent_until: 0,
         });
         self.links.len() - 1
@@ -145,11 +148,12 @@
 
     /// Whether a message passes now; one that does not is held on a silent link or lost.
     pub(super) fn passes(&mut self, link: usize, step: Step) -> bool {
-        let (endpoint, life, until) = {
+        let (endpoint, incarnation, until) = {
             let link = &self.links[link];
-            (link.endpoint, link.life, link.silent_until)
+            (link.endpoint, link.incarnation, link.silent_until)
         };
-        if life != self.sidecars[endpoint].life && matches!(step, Step::ToSidecar(..)) {
+        if incarnation != self.sidecars[endpoint].incarnation && matches!(step, Step::ToSidecar(..))
+        {
             return false;
         }
         if until > self.now {
@@ -159,7 +163,7 @@
         true
     }
 
-    pub(super) fn take_step(&mut self, step: Step) -> Option<RequestEvent> {
+    pub(super) fn process_step(&mut self, step: Step) -> Option<RequestEvent> {
         match step.clone() {
             Step::Event(event) => return Some(event),
             Step::ToSidecar(link, message) => {
@@ -173,31 +177,35 @@
                     return Some(event);
                 }
             }
-            Step::Begin(endpoint, life, attempt) => self.begin(endpoint, life, attempt),
-            Step::Produce(endpoint, life, attempt) => self.produce(endpoint, life, attempt),
-            Step::Wake(endpoint, life) => {
-                if self.sidecars[endpoint].life == life {
-                    self.tell_core(endpoint, 0, EndpointEvent::Tick);
+            Step::Begin(endpoint, incarnation, attempt) => {
+                self.begin(endpoint, incarnation, attempt)
+            }
+            Step::Produce(endpoint, incarnation, attempt) => {
+                self.produce(endpoint, incarnation, attempt)
+            }
+            Step::Wake(endpoint, incarnation) => {
+                if self.sidecars[endpoint].incarnation == incarnation {
+                    self.send_to_core(endpoint, 0, EndpointEvent::Tick);
                 }
             }
-            Step::Strike(fault) => return self.strike(fault),
+            Step::InjectFault(fault) => return self.inject_fault(fault),
             Step::LoseSession(endpoint, link) => return self.lose_session(endpoint, link),
             Step::Reconnect(endpoint) => return self.reconnect(endpoint),
         }
         None
     }
 
-    pub(super) fn strike(&mut self, fault: Fault) -> Option<RequestEvent> {
+    pub(super) fn inject_fault(&mut self, fault: Fault) -> Option<RequestEvent> {
         let endpoint = fault.endpoint;
         match fault.kind {
-            FaultKind::Silence => self.silence(endpoint, fault.length_ms),
+            FaultKind::Silence => self.silence_links(endpoint, fault.length_ms),
             FaultKind::Partition => {
                 self.cut_until[endpoint] = self.now + fault.length_ms;
-                self.silence(endpoint, fault.length_ms);
+                self.silence_links(endpoint, fault.length_ms);
             }
             FaultKind::Restart => {
-                let life = self.sidecars[endpoint].life + 1;
-                self.sidecars[endpoint] = new_sidecar(life, self.real_sidecars);
+                let incarnation = self.sidecars[endpoint].incarnation + 1;
+                self.sidecars[endpoint] = new_sidecar(incarnation, self.real_sidecars);
                 if let Some(link) = self.sessions[endpoint] {
                     self.after(1, Step::LoseSession(endpoint, link));
                 }
@@ -205,7 +213,7 @@
             FaultKind::EngineFails => self.fail_running(endpoint),
             FaultKind::Leaves => {
                 self.sidecars[endpoint].leaving = true;
-                self.tell_core(endpoint, 0, EndpointEvent::Drain(true));
+                self.send_to_core(endpoint, 0, EndpointEvent::Drain(true));
             }
             FaultKind::CallerGone => return Some(RequestEvent::CallerGone),
             FaultKind::Stopping => {
@@ -221,7 +229,7 @@
         None
     }
 
-    pub(super) fn silence(&mut self, endpoint: usize, length: u64) {
+    pub(super) fn silence_links(&mut self, endpoint: usize, length: u64) {
         let until = self.now + length;
         for link in self
             .links
@@ -231,7 +239,7 @@
             link.silent_until = until;
         }
         if let Some(link) = self.sessions[endpoint] {
-            self.after(HEARTBEAT_LIMIT_MS, Step::LoseSession(endpoint, link));
+            self.after(HEARTBEAT_TIMEOUT_MS, Step::LoseSession(endpoint, link));
         }
     }
 
@@ -242,7 +250,7 @@
         self.sessions[endpoint] = None;
         self.lose_sinks(endpoint, link);
         self.after(RECONNECT_MS, Step::Reconnect(endpoint));
-        let incarnation = self.links[link].life;
+        let incarnation = self.links[link].incarnation;
         Some(RequestEvent::SessionLost {
             endpoint: name(endpoint),
             incarnation,
@@ -255,7 +263,7 @@
             return None;
         }
         self.sessions[endpoint] = Some(self.connect(endpoint));
-        let incarnation = self.sidecars[endpoint].life;
+        let incarnation = self.sidecars[endpoint].incarnation;
         Some(RequestEvent::SessionReconnected {
             endpoint: name(endpoint),
             incarnation,
@@ -271,8 +279,8 @@
     endpoint[1..].parse().expect("an endpoint of this model")
 }
 
-fn new_sidecar(life: Incarnation, real: bool) -> SidecarModel {
-    let mut sidecar = SidecarModel::new(life);
-    sidecar.core = real.then(|| new_core(life));
+fn new_sidecar(incarnation: Incarnation, real: bool) -> SidecarModel {
+    let mut sidecar = SidecarModel::new(incarnation);
+    sidecar.core = real.then(|| new_core(incarnation));
     sidecar
 }
--- a/lovagedock/tests/span_contention.rs
+++ b/lovagedock/tests/span_contention.rs
@@ -5,38 +5,38 @@
 use std::fmt::Write;
 
 use expect_test::expect;
-use span_support::{Contention, ContentionFigures, ReserveWay};
+use span_support::{Contention, ContentionFigures, ReserveStrategy};
 
 const SEEDS: u64 = 3;
 const HOURS: u64 = 1;
 
-struct WayCase {
+struct StrategyCase {
     name: &'static str,
-    way: ReserveWay,
+    strategy: ReserveStrategy,
 }
 
-const CASES: [WayCase; 4] = [
-    WayCase {
+const CASES: [StrategyCase; 4] = [
+    StrategyCase {
         name: "ordered",
-        way: ReserveWay::Ordered,
+        strategy: ReserveStrategy::Ordered,
     },
-    WayCase {
+    StrategyCase {
         name: "wound-wait",
-        way: ReserveWay::WoundWait,
+        strategy: ReserveStrategy::WoundWait,
     },
-    WayCase {
+    StrategyCase {
         name: "back-off",
-        way: ReserveWay::BackOff,
+        strategy: ReserveStrategy::BackOff,
     },
-    WayCase {
+    StrategyCase {
         name: "aged back-off",
-        way: ReserveWay::AgedBackOff,
+        strategy: ReserveStrategy::AgedBackOff,
     },
 ];
 
-fn figures(way: ReserveWay, load: f64) -> Vec<ContentionFigures> {
+fn figures(strategy: ReserveStrategy, load: f64) -> Vec<ContentionFigures> {
     (0..SEEDS)
-        .map(|seed| Contention::new(way, seed).play(load, HOURS))
+        .map(|seed| Contention::new(strategy, seed).run_arrivals(load, HOURS))
         .collect()
 }
 
@@ -53,7 +53,7 @@
     );
     for load in [0.4, 0.6, 0.75] {
         for case in &CASES {
-            let figures = figures(case.way, load);
+            let figures = figures(case.strategy, load);
             writeln!(
                 table,
                 "{load:<5} {:<14} {:>6.0} {:>8.0} {:>8.0} {:>8.0} {:>8.0} {:>8.1}% {:>8.1}",
--- a/lovagedock/tests/span_model/mod.rs
+++ b/lovagedock/tests/span_model/mod.rs
@@ -73,12 +73,12 @@
             .collect()
     }
 
-    pub(crate) fn lapse(&mut self) {
+    pub(crate) fn expire_reservations(&mut self) {
         let now = self.now;
         self.held_until.retain(|_, until| *until > now);
     }
 
-    pub(crate) fn strike(&mut self, at: usize, fault: Fault) -> Option<SpanEvent> {
+    pub(crate) fn inject_fault(&mut self, at: usize, fault: Fault) -> Option<SpanEvent> {
         let (endpoint, incarnation) = (name(at), self.lives[at]);
         match fault {
             Fault::Busy => self.busy_until[at] = self.now + Duration::from_secs(2),
--- a/lovagedock/tests/span_properties.rs
+++ b/lovagedock/tests/span_properties.rs
@@ -11,7 +11,7 @@
 };
 use span_model::{ENGINES, Engines, Fault, HOLD, PROMPT, REMAINING, STEP_MS};
 
-fn play(faults: &[(u64, usize, Fault)], seed: u64) -> Result<(), TestCaseError> {
+fn run_schedule(faults: &[(u64, usize, Fault)], seed: u64) -> Result<(), TestCaseError> {
     let mut engines = Engines::new();
     let plan = SpanPlan::new(1, 1, PROMPT, REMAINING);
     let mut span = SpanCoordinator::new(Duration::ZERO, plan, seed);
@@ -20,7 +20,7 @@
     let mut faults = faults.iter().peekable();
     for step in 0..(REMAINING.as_millis() as u64 / STEP_MS) {
         engines.now = Duration::from_millis(step * STEP_MS);
-        engines.lapse();
+        engines.expire_reservations();
         let mut events = Vec::new();
         // One answer a step, so that faults fall between the segments.
         if !engines.answers.is_empty() {
@@ -31,16 +31,16 @@
             events.push(SpanEvent::Tick);
         }
         if let Some((_, at, fault)) = faults.next_if(|(at_step, _, _)| *at_step <= step) {
-            events.extend(engines.strike(*at, *fault));
+            events.extend(engines.inject_fault(*at, *fault));
         }
         // The answer is read and the engines are not needed any more.
         if step == 800 {
             events.push(SpanEvent::Released);
         }
         for event in events {
-            let over = span.is_finished();
+            let finished = span.is_finished();
             let actions = span.handle(engines.now, event);
-            prop_assert!(!over || actions.is_empty(), "actions after the end");
+            prop_assert!(!finished || actions.is_empty(), "actions after the end");
             engines.carry_out(actions);
         }
     }
@@ -65,7 +65,7 @@
 // reserve, prefill and decode. The span ends in time, never works on memory that it does not hold,
 // and holds nothing afterwards: what cannot be released lapses.
 #[test]
-fn no_engine_keeps_memory_of_a_span() {
+fn every_reservation_of_a_span_is_released() {
     let fault = prop_oneof![
         3 => Just(Fault::Busy),
         3 => Just(Fault::Silent),
@@ -87,7 +87,7 @@
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let outcome = TestRunner::new_with_rng(config, rng)
         .run(&(faults, any::<u64>()), |(faults, seed)| {
-            play(&faults, seed)
+            run_schedule(&faults, seed)
         });
     if let Err(error) = outcome {
         panic!("{error}");
@@ -103,7 +103,7 @@
 
 // One failure at a time: what the request is told.
 #[test]
-fn each_failure_has_its_end() {
+fn each_failure_ends_as_expected() {
     let cases = [
         EndCase {
             name: "nothing fails",
@@ -153,7 +153,7 @@
         let mut span =
             SpanCoordinator::new(Duration::ZERO, SpanPlan::new(1, 1, PROMPT, REMAINING), 3);
         if let Some((0, at, fault)) = case.faults.first() {
-            engines.strike(*at, *fault);
+            engines.inject_fault(*at, *fault);
         }
         let first = span.start(Duration::ZERO, engines.parts());
         engines.carry_out(first);
@@ -171,10 +171,10 @@
 fn run_case(case: &EndCase, span: &mut SpanCoordinator, engines: &mut Engines) {
     for step in 1..400 {
         engines.now = Duration::from_millis(step * STEP_MS);
-        engines.lapse();
+        engines.expire_reservations();
         let fault = case.faults.iter().find(|(at, _, _)| *at == step);
         let mut events: Vec<SpanEvent> = fault
-            .and_then(|(_, at, fault)| engines.strike(*at, *fault))
+            .and_then(|(_, at, fault)| engines.inject_fault(*at, *fault))
             .into_iter()
             .collect();
         if !engines.answers.is_empty() {
@@ -190,11 +190,11 @@
 
 // Nobody has room: the span gives up after its share of the time, as not run, and holds nothing.
 #[test]
-fn a_span_without_room_is_given_up_in_time() {
+fn a_span_without_capacity_fails_within_its_time_limit() {
     let mut engines = Engines::new();
     engines.busy_until = [REMAINING; ENGINES];
     let plan = SpanPlan::new(1, 1, PROMPT, REMAINING);
-    let patience = plan.reserve_time_limit();
+    let time_limit = plan.reserve_time_limit();
     let mut span = SpanCoordinator::new(Duration::ZERO, plan, 3);
     let first = span.start(Duration::ZERO, engines.parts());
     engines.carry_out(first);
@@ -207,7 +207,7 @@
         let actions = span.handle(engines.now, event);
         engines.carry_out(actions);
     }
-    assert!(engines.now < patience + HOLD);
+    assert!(engines.now < time_limit + HOLD);
     assert!(engines.held_until.is_empty());
     let end = &engines.failed[0];
     assert_eq!((end.code, end.ran), (ResultCode::NoCapacity, RanState::No));
--- a/lovagedock/tests/span_support/mod.rs
+++ b/lovagedock/tests/span_support/mod.rs
@@ -15,10 +15,10 @@
 const ONE_WAY_MS: u64 = 2;
 const REPORT_AGE_MS: u64 = 200;
 const GIVE_UP_MS: u64 = 60_000;
-const PATIENCE: Duration = Duration::from_millis(GIVE_UP_MS);
+const RESERVE_TIMEOUT: Duration = Duration::from_millis(GIVE_UP_MS);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum ReserveWay {
+pub(crate) enum ReserveStrategy {
     /// One engine after the other in the order of their names, waiting for each.
     Ordered,
     /// All at once; an older span takes an engine from a younger one that has not begun.
@@ -75,7 +75,7 @@
 }
 
 pub(crate) struct Contention {
-    way: ReserveWay,
+    strategy: ReserveStrategy,
     rng: ChaCha8Rng,
     now: u64,
     steps: BinaryHeap<Reverse<(u64, u64, Step)>>,
@@ -90,9 +90,9 @@
 }
 
 impl Contention {
-    pub(crate) fn new(way: ReserveWay, seed: u64) -> Self {
+    pub(crate) fn new(strategy: ReserveStrategy, seed: u64) -> Self {
         Self {
-            way,
+            strategy,
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: 0,
             steps: BinaryHeap::new(),
@@ -107,11 +107,11 @@
     }
 
     /// Plays `hours` of arrivals at this share of the engines' time.
-    pub(crate) fn play(mut self, load: f64, hours: u64) -> ContentionFigures {
+    pub(crate) fn run_arrivals(mut self, load: f64, hours: u64) -> ContentionFigures {
         self.add_arrivals(load, hours * 3_600_000);
         while let Some(Reverse((at, _, step))) = self.steps.pop() {
             self.pass_time(at);
-            self.take(step);
+            self.process_step(step);
         }
         self.figures()
     }
@@ -138,7 +138,7 @@
         self.now = at;
     }
 
-    fn take(&mut self, step: Step) {
+    fn process_step(&mut self, step: Step) {
         match step {
             Step::Arrive(span) => self.begin_round(span),
             Step::Ask {
@@ -188,7 +188,7 @@
         state.granted.clear();
         state.members = members;
         let round = state.round;
-        let first = if self.way == ReserveWay::Ordered {
+        let first = if self.strategy == ReserveStrategy::Ordered {
             1
         } else {
             state.size
@@ -222,8 +222,11 @@
     }
 
     fn ask(&mut self, engine: usize, span: usize, round: u32) {
-        let waits = matches!(self.way, ReserveWay::Ordered | ReserveWay::WoundWait);
-        let wounds = self.way == ReserveWay::WoundWait;
+        let waits = matches!(
+            self.strategy,
+            ReserveStrategy::Ordered | ReserveStrategy::WoundWait
+        );
+        let wounds = self.strategy == ReserveStrategy::WoundWait;
         let begun = |holder: usize| self.spans[holder].state == SpanState::Begun;
         let answers = self.engines[engine].ask(span, round, waits, wounds, begun);
         for (span, round, verdict) in answers {
@@ -237,7 +240,7 @@
     }
 
     fn free(&mut self, engine: usize, span: usize, round: u32) {
-        let by_age = self.way == ReserveWay::WoundWait;
+        let by_age = self.strategy == ReserveStrategy::WoundWait;
         if let Some((next, round)) = self.engines[engine].free((span, round), by_age) {
             self.send(Step::Answer {
                 engine,
@@ -261,7 +264,7 @@
         }
         match verdict {
             Verdict::Granted => self.granted(engine, span),
-            Verdict::Refused | Verdict::Wounded => self.step_back(span),
+            Verdict::Refused | Verdict::Wounded => self.release_and_back_off(span),
         }
     }
 
@@ -273,7 +276,7 @@
             state.wait_ms = Some(self.now - state.arrived);
             let end = self.now + state.service_ms;
             self.at(end, Step::Done(span));
-        } else if self.way == ReserveWay::Ordered {
+        } else if self.strategy == ReserveStrategy::Ordered {
             let next = state.members[state.granted.len()];
             let round = state.round;
             self.send(Step::Ask {
@@ -284,7 +287,7 @@
         }
     }
 
-    fn step_back(&mut self, span: usize) {
+    fn release_and_back_off(&mut self, span: usize) {
         self.release_all(span);
         let state = &mut self.spans[span];
         state.round += 1;
@@ -292,8 +295,8 @@
         let waited = Duration::from_millis(self.now - state.arrived);
         let backoff = ReserveBackoff::default();
         let jitter = self.rng.random::<f64>();
-        let pause = match self.way {
-            ReserveWay::AgedBackOff => backoff.delay(round, waited, PATIENCE, jitter),
+        let pause = match self.strategy {
+            ReserveStrategy::AgedBackOff => backoff.delay(round, waited, RESERVE_TIMEOUT, jitter),
             _ => backoff.curve.delay(round, jitter),
         };
         let pause = pause.as_millis() as u64;
--- a/lovagedock/tests/support/claim_world/calls.rs
+++ b/lovagedock/tests/support/claim_world/calls.rs
@@ -5,7 +5,7 @@
 use super::{Call, Step, World};
 
 impl World {
-    pub(super) fn call(&mut self, gateway: usize, life: u32, action: ClaimAction) {
+    pub(super) fn call(&mut self, gateway: usize, incarnation: u32, action: ClaimAction) {
         if matches!(&action, ClaimAction::Write { object, .. } if object.contains("partitions")) {
             self.report.partition_writes += 1;
         }
@@ -22,7 +22,7 @@
         };
         let call = Call {
             gateway,
-            life,
+            incarnation,
             action,
             outcome: None,
             lands,
@@ -33,7 +33,7 @@
         self.push(reports_at, Step::Report(id));
     }
 
-    pub(super) fn land(&mut self, id: u64) {
+    pub(super) fn apply_call(&mut self, id: u64) {
         let call = self.calls.get_mut(&id).expect("call is known");
         let event = match &call.action {
             ClaimAction::Read { object } => {
@@ -72,7 +72,7 @@
 
     pub(super) fn answer(&mut self, id: u64) {
         let call = &self.calls[&id];
-        let (gateway, life) = (call.gateway, call.life);
+        let (gateway, incarnation) = (call.gateway, call.incarnation);
         let event = match (&call.action, call.confirmed) {
             (ClaimAction::Write { nonce, .. } | ClaimAction::Delete { nonce, .. }, false) => {
                 ClaimEvent::StoreWriteEnded {
@@ -82,6 +82,6 @@
             }
             _ => call.outcome.clone().expect("the call has landed"),
         };
-        self.deliver(gateway, life, event);
+        self.deliver(gateway, incarnation, event);
     }
 }
--- a/lovagedock/tests/support/claim_world/endpoint.rs
+++ b/lovagedock/tests/support/claim_world/endpoint.rs
@@ -17,9 +17,9 @@
             let text = format!("request {request} granted after its deadline");
             self.report.violations.push(text);
         }
-        let (key, gateway, life) = (delivery.key, delivery.gateway, delivery.life);
+        let (key, gateway, incarnation) = (delivery.key, delivery.gateway, delivery.incarnation);
         if self.chance(self.schedule.faults.abandon) {
-            self.deliver(gateway, life, ClaimEvent::Abandon { key, request });
+            self.deliver(gateway, incarnation, ClaimEvent::Abandon { key, request });
             return;
         }
         self.deliveries.get_mut(&request).expect("known").ran = true;
@@ -45,7 +45,7 @@
         let answer = Bytes::from(bytes);
         self.made.insert(request, answer.clone());
         let delivery = &self.deliveries[&request];
-        let (key, gateway, life) = (delivery.key, delivery.gateway, delivery.life);
+        let (key, gateway, incarnation) = (delivery.key, delivery.gateway, delivery.incarnation);
         let local = self.now - self.gateways[gateway].started;
         let event = ClaimEvent::Record {
             key,
@@ -53,7 +53,7 @@
             answer,
             deadline: local + Duration::from_secs(5),
         };
-        self.deliver(gateway, life, event);
+        self.deliver(gateway, incarnation, event);
     }
 
     pub(super) fn end(&mut self, request: RequestId) {
--- a/lovagedock/tests/support/claim_world/mod.rs
+++ b/lovagedock/tests/support/claim_world/mod.rs
@@ -67,7 +67,7 @@
 #[derive(Debug)]
 struct Call {
     gateway: usize,
-    life: u32,
+    incarnation: u32,
     action: ClaimAction,
     outcome: Option<ClaimEvent>,
     lands: bool,
@@ -77,7 +77,7 @@
 #[derive(Debug)]
 struct Gateway {
     machine: ClaimPartition,
-    life: u32,
+    incarnation: u32,
     started: Timestamp,
     paused: bool,
     held: Vec<(u32, ClaimEvent)>,
@@ -87,7 +87,7 @@
 struct Delivery {
     key: KeyHash,
     gateway: usize,
-    life: u32,
+    incarnation: u32,
     deadline: Timestamp,
     ended: bool,
     ran: bool,
@@ -152,13 +152,13 @@
         self.report
     }
 
-    fn start_gateway(&mut self, index: usize, life: u32) -> Gateway {
-        let owner = (index as u64 + 1) * 1_000 + u64::from(life);
+    fn start_gateway(&mut self, index: usize, incarnation: u32) -> Gateway {
+        let owner = (index as u64 + 1) * 1_000 + u64::from(incarnation);
         let machine = ClaimPartition::new(0, owner, self.schedule.limits.clone())
             .with_safeguards(self.schedule.safeguards);
         Gateway {
             machine,
-            life,
+            incarnation,
             // No two processes have the same clock.
             started: self.now - Duration::from_secs(17 * (index as u64 + 1)),
             paused: false,
@@ -169,9 +169,11 @@
     fn step(&mut self, step: Step) {
         match step {
             Step::Arrive(index) => self.arrive(index),
-            Step::Land(call) => self.land(call),
+            Step::Land(call) => self.apply_call(call),
             Step::Report(call) => self.answer(call),
-            Step::Tick(gateway, life) => self.deliver(gateway, life, ClaimEvent::Tick),
+            Step::Tick(gateway, incarnation) => {
+                self.deliver(gateway, incarnation, ClaimEvent::Tick)
+            }
             Step::Finish(request) => self.finish(request),
             Step::Crash(gateway) => self.crash(gateway),
             Step::Resume(gateway) => self.resume(gateway),
@@ -193,11 +195,11 @@
         let request = index as RequestId + 1;
         let time = self.millis(200..4_000);
         let local = self.now - self.gateways[gateway].started;
-        let life = self.gateways[gateway].life;
+        let incarnation = self.gateways[gateway].incarnation;
         let delivery = Delivery {
             key,
             gateway,
-            life,
+            incarnation,
             deadline: self.now + time,
             ended: false,
             ran: false,
@@ -209,26 +211,26 @@
             body: key,
             deadline: local + time,
         };
-        self.deliver(gateway, life, ClaimEvent::Claim(claim));
+        self.deliver(gateway, incarnation, ClaimEvent::Claim(claim));
     }
 
-    fn deliver(&mut self, gateway: usize, life: u32, event: ClaimEvent) {
+    fn deliver(&mut self, gateway: usize, incarnation: u32, event: ClaimEvent) {
         let target = &mut self.gateways[gateway];
-        if target.life != life {
+        if target.incarnation != incarnation {
             return;
         }
         if target.paused {
-            target.held.push((life, event));
+            target.held.push((incarnation, event));
             return;
         }
         let local = self.now - target.started;
         let actions = target.machine.handle(local, event);
         for action in actions {
-            self.act(gateway, life, action);
+            self.act(gateway, incarnation, action);
         }
     }
 
-    fn act(&mut self, gateway: usize, life: u32, action: ClaimAction) {
+    fn act(&mut self, gateway: usize, incarnation: u32, action: ClaimAction) {
         match action {
             ClaimAction::Grant { request } => self.grant(request),
             ClaimAction::Replay { request, answer } => {
@@ -248,18 +250,18 @@
             ClaimAction::NotRecorded { .. } | ClaimAction::InProgress { .. } => {}
             ClaimAction::WakeAt(at) => {
                 let at = self.gateways[gateway].started + at;
-                self.push(at, Step::Tick(gateway, life));
+                self.push(at, Step::Tick(gateway, incarnation));
             }
             ClaimAction::Read { .. } | ClaimAction::Write { .. } | ClaimAction::Delete { .. } => {
-                self.call(gateway, life, action);
+                self.call(gateway, incarnation, action);
             }
         }
     }
 
     fn crash(&mut self, gateway: usize) {
-        let life = self.gateways[gateway].life + 1;
-        self.gateways[gateway] = self.start_gateway(gateway, life);
-        let lost = |d: &&mut Delivery| d.gateway == gateway && d.life < life;
+        let incarnation = self.gateways[gateway].incarnation + 1;
+        self.gateways[gateway] = self.start_gateway(gateway, incarnation);
+        let lost = |d: &&mut Delivery| d.gateway == gateway && d.incarnation < incarnation;
         for delivery in self.deliveries.values_mut().filter(lost) {
             delivery.ended = true;
         }
@@ -267,8 +269,8 @@
 
     fn resume(&mut self, gateway: usize) {
         self.gateways[gateway].paused = false;
-        for (life, event) in std::mem::take(&mut self.gateways[gateway].held) {
-            self.deliver(gateway, life, event);
+        for (incarnation, event) in std::mem::take(&mut self.gateways[gateway].held) {
+            self.deliver(gateway, incarnation, event);
         }
     }
 
--- a/lovagedock/tests/support/lease_world.rs
+++ b/lovagedock/tests/support/lease_world.rs
@@ -43,7 +43,7 @@
 enum Step {
     Land(usize, LeaseAction, bool, bool),
     Event(usize, LeaseEvent),
-    Work(usize),
+    GiveOrder(usize),
     Order(usize, Epoch),
     Resume(usize),
 }
@@ -103,7 +103,7 @@
         };
         for index in 0..CONTENDERS {
             world.push(Duration::ZERO, Step::Event(index, LeaseEvent::Want));
-            world.push(ORDER_INTERVAL, Step::Work(index));
+            world.push(ORDER_INTERVAL, Step::GiveOrder(index));
         }
         world
     }
@@ -135,9 +135,9 @@
         match step {
             Step::Event(index, event) => self.deliver(index, event),
             Step::Land(index, action, lands, confirmed) => {
-                self.land(index, action, lands, confirmed);
+                self.apply_call(index, action, lands, confirmed);
             }
-            Step::Work(index) => self.work(index),
+            Step::GiveOrder(index) => self.give_order(index),
             Step::Order(index, epoch) => self.order(index, epoch),
             Step::Resume(index) => {
                 self.contenders[index].paused = false;
@@ -197,7 +197,7 @@
         }
     }
 
-    fn land(&mut self, index: usize, action: LeaseAction, lands: bool, confirmed: bool) {
+    fn apply_call(&mut self, index: usize, action: LeaseAction, lands: bool, confirmed: bool) {
         let event = match action {
             LeaseAction::Read { object } => LeaseEvent::StoreReadEnded(match lands {
                 true => self.store.read(&object),
@@ -227,8 +227,8 @@
         self.push(self.now + delay, Step::Event(index, event));
     }
 
-    fn work(&mut self, index: usize) {
-        self.push(self.now + ORDER_INTERVAL, Step::Work(index));
+    fn give_order(&mut self, index: usize) {
+        self.push(self.now + ORDER_INTERVAL, Step::GiveOrder(index));
         if self.contenders[index].paused {
             return;
         }
@@ -272,13 +272,13 @@
     }
 
     fn check_holders(&mut self) {
-        let believe = (0..CONTENDERS).filter(|index| {
+        let holders = (0..CONTENDERS).filter(|index| {
             let now = self.local(*index);
             self.contenders[*index].machine.fence(now).is_some()
         });
-        let believe: Vec<usize> = believe.collect();
-        if believe.len() > 1 {
-            let text = format!("{believe:?} hold at once at {:?}", self.now);
+        let holders: Vec<usize> = holders.collect();
+        if holders.len() > 1 {
+            let text = format!("{holders:?} hold at once at {:?}", self.now);
             self.report.violations.push(text);
         }
     }
--- a/lovagedock/tests/support/relay_world/lifecycle.rs
+++ b/lovagedock/tests/support/relay_world/lifecycle.rs
@@ -20,9 +20,9 @@
         self.digests.insert(generation, self.accepted.digest());
         for position in 0..self.processes.len() {
             if std::mem::take(&mut self.processes[position].watching) {
-                let life = self.processes[position].life;
+                let incarnation = self.processes[position].incarnation;
                 let at = self.now + self.store_latency();
-                self.push(at, Step::Root(position, life));
+                self.push(at, Step::Root(position, incarnation));
             }
         }
         generation
@@ -31,7 +31,7 @@
     /// Ends a process.
     pub(crate) fn kill(&mut self, position: usize) {
         self.processes[position].alive = false;
-        self.processes[position].life += 1;
+        self.processes[position].incarnation += 1;
         self.processes[position].watching = false;
     }
 
@@ -55,7 +55,7 @@
             region: member.region.parse().expect("regions are numbers"),
             member,
             state,
-            life: 0,
+            incarnation: 0,
             alive: true,
             watching: false,
             feeders: Vec::new(),
--- a/lovagedock/tests/support/relay_world/mod.rs
+++ b/lovagedock/tests/support/relay_world/mod.rs
@@ -52,7 +52,7 @@
     member: RelayMember,
     region: usize,
     state: AdoptionState,
-    life: u32,
+    incarnation: u32,
     alive: bool,
     watching: bool,
     feeders: Vec<usize>,
@@ -183,27 +183,31 @@
 
     fn step(&mut self, step: Step) {
         match step {
-            Step::Event(to, life, event, hops) => {
-                if self.lives(to, life) {
+            Step::Event(to, incarnation, event, hops) => {
+                if self.is_current(to, incarnation) {
                     self.deliver(to, event, hops);
                 }
             }
-            Step::Push(from, life, to, bundle, hops) => self.arrive(from, life, to, bundle, hops),
-            Step::Pull(from, life, to, above) => self.pulled(from, life, to, above),
-            Step::Root(position, life) => {
+            Step::Push(from, incarnation, to, bundle, hops) => {
+                self.arrive(from, incarnation, to, bundle, hops)
+            }
+            Step::Pull(from, incarnation, to, above) => self.pulled(from, incarnation, to, above),
+            Step::Root(position, incarnation) => {
                 let event = AdoptionEvent::RootRead(self.root_of(position));
-                self.push(self.now, Step::Event(position, life, event, 0));
+                self.push(self.now, Step::Event(position, incarnation, event, 0));
+            }
+            Step::Watch(position, incarnation, above, since) => {
+                self.watch(position, incarnation, above, since)
             }
-            Step::Watch(position, life, above, since) => self.watch(position, life, above, since),
-            Step::Chunk(position, life, hash) => {
+            Step::Chunk(position, incarnation, hash) => {
                 let bytes = self.chunks.get(&hash).cloned();
                 let bytes = bytes.filter(|_| self.reaches_store(position));
                 let event = AdoptionEvent::ChunkRead { hash, bytes };
-                self.push(self.now, Step::Event(position, life, event, 0));
+                self.push(self.now, Step::Event(position, incarnation, event, 0));
             }
             Step::Heartbeat(position) => self.heartbeat(position),
-            Step::Tick(position, life) => {
-                if self.lives(position, life) {
+            Step::Tick(position, incarnation) => {
+                if self.is_current(position, incarnation) {
                     let hops = self.tallies[position].hops;
                     self.deliver(position, AdoptionEvent::Tick, hops);
                 }
@@ -211,8 +215,8 @@
         }
     }
 
-    fn lives(&self, position: usize, life: u32) -> bool {
-        self.processes[position].alive && self.processes[position].life == life
+    fn is_current(&self, position: usize, incarnation: u32) -> bool {
+        self.processes[position].alive && self.processes[position].incarnation == incarnation
     }
 
     fn deliver(&mut self, position: usize, event: AdoptionEvent, hops: usize) {
--- a/lovagedock/tests/support/relay_world/store.rs
+++ b/lovagedock/tests/support/relay_world/store.rs
@@ -10,11 +10,11 @@
     pub(super) fn watch(
         &mut self,
         position: usize,
-        life: u32,
+        incarnation: u32,
         above: Generation,
         since: Timestamp,
     ) {
-        if !self.lives(position, life) {
+        if !self.is_current(position, incarnation) {
             return;
         }
         let outcome = self.root_of(position);
@@ -27,13 +27,13 @@
             };
             self.push(
                 self.now,
-                Step::Event(position, life, AdoptionEvent::RootRead(outcome), 0),
+                Step::Event(position, incarnation, AdoptionEvent::RootRead(outcome), 0),
             );
             return;
         }
         // The store notices a broken watch as slowly as a caller does.
         let at = self.now + Duration::from_millis(100);
-        self.push(at, Step::Watch(position, life, above, since));
+        self.push(at, Step::Watch(position, incarnation, above, since));
     }
 
     pub(super) fn root_of(&self, position: usize) -> RootOutcome {
--- a/lovagedock/tests/support/relay_world/traffic.rs
+++ b/lovagedock/tests/support/relay_world/traffic.rs
@@ -10,7 +10,7 @@
 
 impl RelayWorld {
     pub(super) fn act(&mut self, from: usize, action: AdoptionAction) {
-        let life = self.processes[from].life;
+        let incarnation = self.processes[from].incarnation;
         match action {
             AdoptionAction::Adopt {
                 generation, digest, ..
@@ -23,22 +23,22 @@
                 }
                 self.tallies[from].adopted_at.insert(generation, self.now);
             }
-            AdoptionAction::WakeAt(at) => self.push(at, Step::Tick(from, life)),
+            AdoptionAction::WakeAt(at) => self.push(at, Step::Tick(from, incarnation)),
             AdoptionAction::Rejected { .. } => {}
             AdoptionAction::ReadRoot => {
                 self.tallies[from].store_reads += 1;
                 let at = self.now + self.store_latency();
-                self.push(at, Step::Root(from, life));
+                self.push(at, Step::Root(from, incarnation));
             }
             AdoptionAction::WatchRoot { above } => {
                 self.tallies[from].store_reads += 1;
                 let at = self.now + self.store_latency();
-                self.push(at, Step::Watch(from, life, above, self.now));
+                self.push(at, Step::Watch(from, incarnation, above, self.now));
             }
             AdoptionAction::ReadChunk { hash } => {
                 self.tallies[from].store_reads += 1;
                 let at = self.now + self.store_latency();
-                self.push(at, Step::Chunk(from, life, hash));
+                self.push(at, Step::Chunk(from, incarnation, hash));
             }
             AdoptionAction::Push { to, bundle } => self.send_push(from, &to, bundle),
             AdoptionAction::Offer { to, generation } => {
@@ -46,8 +46,8 @@
                     from: self.processes[from].member.process.clone(),
                     generation,
                 };
-                self.send(from, &to, CONTROL_BYTES, |to, life| {
-                    Step::Event(to, life, event, 0)
+                self.send(from, &to, CONTROL_BYTES, |to, incarnation| {
+                    Step::Event(to, incarnation, event, 0)
                 });
             }
             AdoptionAction::Pull { from: peer, above } => self.send_pull(from, &peer, above),
@@ -76,13 +76,13 @@
             return None;
         }
         let at = self.now + self.latency(from, to);
-        let life = self.processes[to].life;
-        self.push(at, step(to, life));
+        let incarnation = self.processes[to].incarnation;
+        self.push(at, step(to, incarnation));
         Some(())
     }
 
     pub(super) fn send_push(&mut self, from: usize, to: &ProcessId, mut bundle: ConfigBundle) {
-        let life = self.processes[from].life;
+        let incarnation = self.processes[from].incarnation;
         let hops = self.tallies[from].hops + 1;
         let data: usize = bundle.chunks.iter().map(Bytes::len).sum();
         let bytes = CONTROL_BYTES + 32 * (1 + bundle.middle.len()) + data;
@@ -97,7 +97,7 @@
         }
         let name = to.clone();
         let sent = self.send(from, to, bytes, |to, _| {
-            Step::Push(from, life, to, bundle, hops)
+            Step::Push(from, incarnation, to, bundle, hops)
         });
         if sent.is_none() {
             self.fail(from, AdoptionEvent::PushFailed { to: name });
@@ -105,9 +105,9 @@
     }
 
     pub(super) fn send_pull(&mut self, from: usize, peer: &ProcessId, above: Generation) {
-        let life = self.processes[from].life;
+        let incarnation = self.processes[from].incarnation;
         let sent = self.send(from, peer, CONTROL_BYTES, |to, _| {
-            Step::Pull(from, life, to, above)
+            Step::Pull(from, incarnation, to, above)
         });
         if sent.is_none() {
             let from_peer = peer.clone();
@@ -122,15 +122,15 @@
     }
 
     pub(super) fn fail(&mut self, position: usize, event: AdoptionEvent) {
-        let life = self.processes[position].life;
+        let incarnation = self.processes[position].incarnation;
         let at = self.now + CALL_TIMEOUT;
-        self.push(at, Step::Event(position, life, event, 0));
+        self.push(at, Step::Event(position, incarnation, event, 0));
     }
 
     pub(super) fn arrive(
         &mut self,
         from: usize,
-        life: u32,
+        incarnation: u32,
         to: usize,
         bundle: ConfigBundle,
         hops: usize,
@@ -139,7 +139,7 @@
         if !self.processes[to].alive {
             self.push(
                 self.now + CALL_TIMEOUT,
-                Step::Event(from, life, AdoptionEvent::PushFailed { to: name }, 0),
+                Step::Event(from, incarnation, AdoptionEvent::PushFailed { to: name }, 0),
             );
             return;
         }
@@ -163,10 +163,13 @@
             false => (CALL_TIMEOUT, AdoptionEvent::PushFailed { to: name }),
         };
         let hops = self.tallies[from].hops;
-        self.push(self.now + delay, Step::Event(from, life, event, hops));
+        self.push(
+            self.now + delay,
+            Step::Event(from, incarnation, event, hops),
+        );
     }
 
-    pub(super) fn pulled(&mut self, from: usize, life: u32, to: usize, above: Generation) {
+    pub(super) fn pulled(&mut self, from: usize, incarnation: u32, to: usize, above: Generation) {
         let name = self.processes[to].member.process.clone();
         let hops = self.tallies[to].hops + 1;
         let passed = self.processes[to].alive && self.is_passed(to, from);
@@ -175,7 +178,10 @@
                 from: name,
                 answer: None,
             };
-            self.push(self.now + CALL_TIMEOUT, Step::Event(from, life, event, 0));
+            self.push(
+                self.now + CALL_TIMEOUT,
+                Step::Event(from, incarnation, event, 0),
+            );
             return;
         }
         let answer = self.processes[to].state.answer_pull(above);
@@ -188,7 +194,7 @@
             from: name,
             answer: Some(answer),
         };
-        self.push(at, Step::Event(from, life, event, hops));
+        self.push(at, Step::Event(from, incarnation, event, hops));
     }
 
     pub(super) fn heartbeat(&mut self, leaf: usize) {
--- a/lovagedock/tests/wake.rs
+++ b/lovagedock/tests/wake.rs
@@ -10,7 +10,7 @@
 /// kept the time and woke at once for ever: 33 s of processor time where 2 s were needed. A time
 /// that was taken must not come again.
 #[test]
-fn a_time_that_has_come_is_forgotten() {
+fn a_due_time_is_cleared() {
     let mut timer = WakeTimer::new();
     timer.set(Duration::from_secs(5));
     assert_eq!(
