--- a/lovagedock/src/adoption/bundle.rs
+++ b/lovagedock/src/adoption/bundle.rs
@@ -1,4 +1,4 @@
-//! A configuration as one process hands it to another: what changed since a generation.
+//! Bundles that transfer a configuration between processes as a difference to an older generation.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -11,35 +11,35 @@
 use super::manifest::{ChunkHash, ConfigManifest, ManifestDigest, chunk_hash};
 use crate::ids::Generation;
 
-/// A generation as a change of another one, or whole.
+/// A generation, either complete or as a difference to another one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigBundle {
-    /// What the receiver will have.
+    /// Generation that the receiver has after applying the bundle.
     pub generation: Generation,
-    /// Digest of the manifest that the receiver will have.
+    /// Digest of the resulting manifest.
     pub digest: ManifestDigest,
-    /// What the receiver must have; 0 when the bundle is whole.
+    /// Generation that the receiver must have; 0 for a complete bundle.
     pub base: Generation,
-    /// Chunks of the base that stay at the beginning.
+    /// Number of chunks at the start of the base that are unchanged.
     pub prefix: u32,
-    /// Chunks of the base that stay at the end.
+    /// Number of chunks at the end of the base that are unchanged.
     pub suffix: u32,
-    /// Hashes between the two.
+    /// Chunk hashes between prefix and suffix.
     pub middle: Vec<ChunkHash>,
-    /// Chunks that the base does not have.
+    /// Chunks that are not in the base.
     pub chunks: Vec<Bytes>,
 }
 
-/// Why a bundle was not taken.
+/// Reason why a bundle was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BundleError {
     /// The bytes are not a bundle.
     Malformed,
-    /// It changes a generation that the receiver does not have.
+    /// Its base is a generation that the receiver does not have.
     OtherBase,
-    /// The result is not what its digest names.
+    /// The result does not match the digest.
     DigestMismatch,
-    /// It lacks a chunk.
+    /// A chunk is missing.
     MissingChunk,
 }
 
@@ -57,14 +57,14 @@
         Bytes::from(bytes)
     }
 
-    /// Reads what [`Self::encode`] wrote.
+    /// Decodes the output of [`Self::encode`].
     pub fn decode(bytes: &[u8]) -> Result<Self, BundleError> {
         postcard::from_bytes(bytes).map_err(|_| BundleError::Malformed)
     }
 }
 
 impl ConfigSnapshot {
-    /// The whole configuration, one chunk after the other.
+    /// Returns the complete configuration by concatenating its chunks.
     pub(crate) fn text(&self) -> Bytes {
         let hashes = self.manifest.chunks.iter();
         let chunks = hashes.filter_map(|hash| self.chunks.get(hash));
@@ -72,7 +72,7 @@
         Bytes::from(parts.concat())
     }
 
-    /// What a process at `base` lacks; the whole when there is no base.
+    /// Returns the difference to `base`, or a complete bundle without a base.
     pub(crate) fn bundle(&self, base: Option<&ConfigManifest>) -> ConfigBundle {
         let none: Arc<[ChunkHash]> = Arc::new([]);
         let old = base.map_or(&none, |base| &base.chunks);
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Applies a bundle to what a process has.
+    /// Applies a bundle to an older snapshot.
     pub(crate) fn from_bundle(
         base: Option<&ConfigSnapshot>,
         bundle: &ConfigBundle,
@@ -111,16 +111,16 @@
             generation: bundle.generation,
             chunks,
         };
-        // A bundle that was damaged, or built on another list of chunks, would come into force as
-        // a configuration that nobody accepted. The digest covers the generation, the order and,
-        // by their hashes, the content of all chunks.
+        // Without this check, a bundle that is damaged or was built on another list of chunks would
+        // come into force as a configuration that was never accepted. The digest covers the
+        // generation, the order of the chunks and, by their hashes, their content.
         if verify && manifest.digest() != bundle.digest {
             return Err(BundleError::DigestMismatch);
         }
         Self::collect(manifest, base, &bundle.chunks)
     }
 
-    /// Puts a manifest together with its chunks, from an older snapshot and new ones.
+    /// Combines a manifest with its chunks, which come from an older snapshot and from `fresh`.
     pub(crate) fn collect(
         manifest: ConfigManifest,
         base: Option<&ConfigSnapshot>,
--- a/lovagedock/src/adoption/counter.rs
+++ b/lovagedock/src/adoption/counter.rs
@@ -1,32 +1,32 @@
-//! Counts where a generation is in force.
+//! Counts the processes at which a generation is in force.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::types::ProcessId;
 use crate::ids::Generation;
 
-/// Collects what processes say they have in force.
+/// Collects the generations that processes report.
 #[derive(Clone, Debug, Default)]
 pub struct AdoptionCounter {
     expected: BTreeSet<ProcessId>,
     reported: BTreeMap<ProcessId, Generation>,
 }
 
-/// How far a generation has come.
+/// Progress of the adoption of a generation.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize)]
 pub struct AdoptionCount {
-    /// The generation, or a later one, is in force at so many expected processes.
+    /// Number of expected processes at which the generation or a later one is in force.
     pub in_force: usize,
-    /// Expected processes that have an earlier one.
+    /// Expected processes that have an earlier generation.
     pub behind: Vec<ProcessId>,
-    /// Expected processes that said nothing.
+    /// Expected processes that did not report.
     pub silent: Vec<ProcessId>,
-    /// Processes that answered and are not in the configuration.
+    /// Processes that reported but are not in the configuration.
     pub unexpected: Vec<ProcessId>,
 }
 
 impl AdoptionCounter {
-    /// Counts these processes, as the configuration names them.
+    /// Creates a counter for the processes that the configuration names.
     pub fn new(expected: impl IntoIterator<Item = ProcessId>) -> Self {
         Self {
             expected: expected.into_iter().collect(),
@@ -34,13 +34,13 @@
         }
     }
 
-    /// Notes a report; reports may come late and out of order, so only a higher one counts.
+    /// Records a report. Reports can arrive late and out of order, so the highest one counts.
     pub fn report(&mut self, process: ProcessId, generation: Generation) {
         let highest = self.reported.entry(process).or_default();
         *highest = generation.max(*highest);
     }
 
-    /// Counts for a generation.
+    /// Returns the progress of a generation.
     pub fn count(&self, generation: Generation) -> AdoptionCount {
         let mut count = AdoptionCount {
             in_force: 0,
--- a/lovagedock/src/adoption/manifest.rs
+++ b/lovagedock/src/adoption/manifest.rs
@@ -1,4 +1,4 @@
-//! The root of an accepted configuration.
+//! Manifest of an accepted configuration, which is the root object in the store.
 
 use std::sync::Arc;
 
@@ -17,17 +17,17 @@
     *blake3::hash(chunk).as_bytes()
 }
 
-/// Names a generation and, in their order, the chunks that it consists of.
+/// A generation and the ordered list of its chunks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigManifest {
-    /// Number of the acceptance.
+    /// Number of the generation, which increases with each accepted configuration.
     pub generation: Generation,
     /// Hashes of the chunks.
     pub chunks: Arc<[ChunkHash]>,
 }
 
 impl ConfigManifest {
-    /// Names these chunks.
+    /// Creates the manifest of these chunks.
     pub fn new(generation: Generation, chunks: &[Bytes]) -> Self {
         Self {
             generation,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Tells this manifest from every other.
+    /// Returns a digest that identifies this manifest.
     pub fn digest(&self) -> ManifestDigest {
         let mut hasher = blake3::Hasher::new();
         hasher.update(&self.generation.to_le_bytes());
--- a/lovagedock/src/adoption/mod.rs
+++ b/lovagedock/src/adoption/mod.rs
@@ -1,11 +1,12 @@
-//! Which configuration is in force at a process, and how an accepted one reaches every process.
+//! Distribution of accepted configurations to all processes, and the configuration in force at
+//! each.
 //!
 //! The store holds the accepted configuration: chunks named by their hash and one root, the
-//! [`ConfigManifest`]. A few processes watch the root ([`RelayPlan`] says which); they hand it to
-//! the others along a tree, as the chunks that the receiver lacks ([`ConfigBundle`]). A second
-//! tree offers the generation number, and each process compares itself with a random peer from
-//! time to time, so a lost message or a dead parent delays a process and never leaves it behind.
-//! [`AdoptionState`] decides all this for one process.
+//! [`ConfigManifest`]. A few processes, selected by [`RelayPlan`], watch the root. They push it to
+//! the others along a tree, as the chunks that the receiver lacks ([`ConfigBundle`]). A second tree
+//! distributes only the generation number, and each process periodically compares its generation
+//! with a random peer. A lost message or a dead parent therefore delays a process, but never leaves
+//! it behind for good. [`AdoptionState`] is the state machine of one process.
 
 mod bundle;
 mod counter;
--- a/lovagedock/src/adoption/plan.rs
+++ b/lovagedock/src/adoption/plan.rs
@@ -1,4 +1,4 @@
-//! Who watches the store, and who feeds whom.
+//! Plan of the relay: which processes watch the store, and which process pushes to which.
 
 use std::{
     cmp::Reverse,
@@ -19,12 +19,13 @@
 const PEER_SEED: u64 = 5;
 const LEAF_SLACK_PERCENT: usize = 25;
 
-/// The relay of a fleet; the same at every process that knows the same members.
+/// The relay of a fleet. The plan is the same at every process that knows the same members.
 ///
-/// In each region a few watchers are the roots. Under them stand the heads of the region's failure
-/// domains and under each head the other relays of its domain, both as heaps of bounded width, so
-/// depth grows with the logarithm of a domain. Only watchers talk across regions. A second such
-/// tree with other heads carries offers, so that no single process cuts off those below it.
+/// In each region a few watchers are the roots of a tree. Their children are the heads of the
+/// region's failure domains, and each head has the other relays of its domain below it. Both levels
+/// are heaps of bounded width, so the depth grows with the logarithm of the domain's size. Only
+/// watchers communicate across regions. A second tree with other heads carries offers, so that no
+/// single process can cut off those below it.
 #[derive(Clone, Debug)]
 pub struct RelayPlan {
     roles: BTreeMap<ProcessId, RelayRole>,
@@ -34,7 +35,7 @@
 type MemberList<'a> = Vec<&'a RelayMember>;
 
 impl RelayPlan {
-    /// Plans for these members.
+    /// Creates the plan for these members.
     pub fn new(members: &[RelayMember], limits: &RelayLimits) -> Self {
         let mut plan = Self {
             roles: BTreeMap::new(),
@@ -55,12 +56,12 @@
         plan
     }
 
-    /// What a process has to do; nothing when it is no member.
+    /// Returns the role of a process, which is empty if the process is not a member.
     pub fn role_of(&self, process: &str) -> RelayRole {
         self.roles.get(process).cloned().unwrap_or_default()
     }
 
-    /// All processes that watch the store.
+    /// Returns all processes that watch the store.
     pub fn watchers(&self) -> &[ProcessId] {
         &self.watchers
     }
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Gives each relay random peers of its region, on other hosts.
+    /// Assigns each relay random peers in its region, on other hosts.
     fn add_peers(&mut self, relays: &MemberList<'_>, limits: &RelayLimits) {
         let mut ring = relays.clone();
         ring.sort_by_key(|member| score(&member.process, PEER_SEED));
@@ -150,7 +151,8 @@
         }
     }
 
-    /// Each leaf is fed by one relay and offered by another, of its own domain where possible.
+    /// Assigns each leaf one relay that pushes to it and another that sends it offers, in the
+    /// leaf's own failure domain where possible.
     fn add_leaves(&mut self, region: &MemberList<'_>, relays: &MemberList<'_>) {
         let mut domains: BTreeMap<&str, MemberList<'_>> = BTreeMap::new();
         for leaf in region.iter().filter(|m| m.kind == RelayKind::Leaf) {
@@ -164,8 +166,9 @@
         }
     }
 
-    /// Rendezvous hash with a bound on what one relay feeds, its children in the tree included:
-    /// without the bound the busiest relay sends twice as much as the mean and breaks its budget.
+    /// Assigns leaves by rendezvous hashing with a bound on the number of children of a relay, its
+    /// children in the tree included. Without the bound the busiest relay sends twice as much as
+    /// the mean and exceeds its budget.
     fn assign_leaves(&mut self, leaves: &MemberList<'_>, parents: &MemberList<'_>) {
         let edges = leaves.len() + parents.len();
         let bound = (edges * (100 + LEAF_SLACK_PERCENT)).div_ceil(100 * parents.len().max(1));
@@ -189,8 +192,8 @@
         }
     }
 
-    /// Watchers of all regions know each other: a region that cannot reach the store is fed by one
-    /// that can, and nobody else crosses regions.
+    /// Connects the watchers of all regions with each other. A region that cannot reach the store
+    /// gets the configuration from one that can. No other process communicates across regions.
     fn connect_watchers(&mut self) {
         for watcher in self.watchers.clone() {
             let others = self.watchers.iter().filter(|other| **other != watcher);
@@ -221,7 +224,7 @@
     (index - roots) / fanout
 }
 
-/// The highest scores, first of different failure domains.
+/// Ranks relays by score, taking the best of each failure domain first.
 fn rank_watchers<'a>(relays: &MemberList<'a>, count: usize) -> MemberList<'a> {
     let mut ranked = relays.clone();
     ranked.sort_by_key(|member| Reverse(score(&member.process, WATCH_SEED)));
@@ -232,7 +235,7 @@
     first.into_iter().chain(rest).take(count).collect()
 }
 
-/// Steps around a ring that double, so that comparisons reach across it.
+/// Returns steps around a ring that double, so that comparisons reach across the whole ring.
 fn spread_steps(length: usize, count: usize) -> Vec<usize> {
     let mut steps: Vec<usize> = (0..count as u32)
         .map(|power| 1usize << power.min(30))
--- a/lovagedock/src/adoption/push.rs
+++ b/lovagedock/src/adoption/push.rs
@@ -1,4 +1,4 @@
-//! Pushes a new generation to those that the plan names.
+//! Pushes a new generation to the receivers in the plan.
 
 use super::{
     state::AdoptionState,
@@ -6,19 +6,19 @@
 };
 use crate::ids::{Generation, Timestamp};
 
-/// What is known of one receiver.
+/// Progress of pushing to one receiver.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PushProgress {
-    /// What it last said to have in force.
+    /// Generation that it last reported.
     pub(super) has: Option<Generation>,
-    /// Pushes of the generation in force that were sent.
+    /// Number of pushes sent for the generation in force.
     sent: u32,
     in_flight: bool,
     due: Option<Timestamp>,
 }
 
 impl AdoptionState {
-    /// Starts the pushes and offers of a generation that has just been adopted.
+    /// Starts the pushes and offers of a newly adopted generation.
     pub(super) fn propagate(
         &mut self,
         now: Timestamp,
@@ -42,7 +42,8 @@
         }
     }
 
-    /// Those that the plan names, and as a stand-in those of the watchers.
+    /// Returns the children in the plan and, if this process is an active standby, those of the
+    /// watchers.
     fn receivers(&self) -> Vec<ProcessId> {
         let is_standing_in = self.upstream.watching && !self.role.watches;
         let others = self.role.standby_children.iter().filter(|_| is_standing_in);
@@ -54,7 +55,7 @@
         if generation == 0 {
             return;
         }
-        // Most receivers have the generation before this one; a wrong guess costs one answer.
+        // Most receivers have the previous generation. A wrong guess costs one round trip.
         let guess = self.history.back().map_or(0, |old| old.generation);
         let due = self.pushes.iter().filter(|(_, progress)| {
             let is_due = progress.due.is_some_and(|due| due <= now);
@@ -100,8 +101,8 @@
         }
     }
 
-    /// A receiver told by itself what it has; one that lags is pushed again, also by the process
-    /// that only offers to it: the one that should push may be gone.
+    /// Records the generation that a receiver reported on its own. A receiver that is behind gets a
+    /// push again, also from a process that only sends it offers, because its parent may be gone.
     pub(super) fn note_receiver(&mut self, now: Timestamp, peer: &ProcessId, has: Generation) {
         let generation = self.generation();
         let retry = self.limits.push_retry;
--- a/lovagedock/src/adoption/repair.rs
+++ b/lovagedock/src/adoption/repair.rs
@@ -1,4 +1,4 @@
-//! Comparisons with random peers, and pulls of what they have more.
+//! Comparisons with random peers, and pulls of newer generations.
 
 use std::collections::BTreeMap;
 
@@ -10,10 +10,10 @@
 };
 use crate::ids::{Generation, Timestamp};
 
-/// Pulls that are due or under way.
+/// Pulls that are due or in flight.
 #[derive(Debug, Default)]
 pub(super) struct RepairState {
-    /// The next pull asks for the whole, since the last bundle was damaged.
+    /// The next pull requests a complete bundle, because the last bundle was damaged.
     pub(super) needs_full_bundle: bool,
     compare_at: Option<Timestamp>,
     due: BTreeMap<ProcessId, Timestamp>,
@@ -34,8 +34,8 @@
 }
 
 impl AdoptionState {
-    /// A peer told its generation. One ahead of us is pulled after a pause, in which the push that
-    /// is on its way from the parent usually arrives.
+    /// Handles the generation reported by a peer. If it is newer, it is pulled after a delay in
+    /// which the push from the parent usually arrives.
     pub(super) fn on_peer_reported(
         &mut self,
         now: Timestamp,
@@ -71,8 +71,8 @@
         actions.push(AdoptionAction::Pull { from, above });
     }
 
-    /// Every process asks one random peer at a time, at a rate that no failure raises: when
-    /// regions find each other again, or the store comes back, there is no burst.
+    /// Schedules a comparison with a random peer. Failures never raise the rate of comparisons, so
+    /// there is no burst when regions reconnect or the store recovers.
     fn plan_comparison(&mut self, now: Timestamp) {
         if self.role.peers.is_empty() || self.generation() == 0 {
             self.repair.compare_at = None;
@@ -114,7 +114,7 @@
         let Some(bundle) = answer.bundle else {
             return;
         };
-        // What was due from others is most likely the same generation.
+        // Pulls that are due from other peers would most likely return the same generation.
         let source = AdoptionSource::Pull(from.clone());
         self.apply_bundle(now, from, &bundle, source, actions);
         if self.generation() >= self.highest_seen {
--- a/lovagedock/src/adoption/role.rs
+++ b/lovagedock/src/adoption/role.rs
@@ -1,4 +1,4 @@
-//! What a process has to do for the relay.
+//! The role of a process in the relay.
 
 use super::types::ProcessId;
 use crate::ids::{DomainId, HostId};
@@ -14,30 +14,30 @@
     pub domain: DomainId,
     /// Region of the failure domain.
     pub region: String,
-    /// Whether it feeds others.
+    /// Whether it pushes configurations to others.
     pub kind: RelayKind,
 }
 
-/// Whether a process feeds others.
+/// Whether a process pushes configurations to others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RelayKind {
-    /// It opens sessions to others, as gateways do.
+    /// The process opens sessions to others and pushes to them, as gateways do.
     Relay,
-    /// It is only fed, as sidecars are.
+    /// The process only receives, as sidecars do.
     Leaf,
 }
 
-/// Widths of the relay.
+/// Size limits of the relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RelayLimits {
     /// Processes per region that watch the store, in different failure domains where there are
     /// several.
     pub watchers_per_region: usize,
-    /// Relays that one relay feeds at each of its two places in the tree.
+    /// Maximum number of relays that one relay pushes to at each of its two positions in the tree.
     pub fanout: usize,
-    /// Relays per region that watch when too few of those before them answer.
+    /// Relays per region that watch the store when too few higher-ranked relays answer.
     pub standbys_per_region: usize,
-    /// Random peers that a relay knows for its comparisons.
+    /// Number of random peers of a relay for its comparisons.
     pub peers: usize,
 }
 
@@ -52,21 +52,22 @@
     }
 }
 
-/// What the plan asks of one process.
+/// The tasks of one process in the plan.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RelayRole {
-    /// It watches the store.
+    /// Whether it watches the store.
     pub watches: bool,
     /// Processes that it pushes each new generation to.
     pub children: Vec<ProcessId>,
-    /// Processes that it tells the number of each new generation.
+    /// Processes that it sends the number of each new generation.
     pub offers: Vec<ProcessId>,
-    /// Processes that it compares itself with; hosts other than its own.
+    /// Processes on other hosts that it compares its generation with.
     pub peers: Vec<ProcessId>,
-    /// Watchers and stand-ins that are ranked before it; empty unless it is a stand-in.
+    /// Watchers and standbys that are ranked before it; empty unless it is a standby.
     pub higher_ranked: Vec<ProcessId>,
-    /// How many of the higher_ranked have to answer, or it watches too.
+    /// Minimum number of higher-ranked relays that must answer. If fewer do, this process watches
+    /// the store as well.
     pub required_watchers: usize,
-    /// Processes that it pushes to while it stands in: those that the watchers feed.
+    /// Children of the watchers, which it pushes to while it is an active standby.
     pub standby_children: Vec<ProcessId>,
 }
--- a/lovagedock/src/adoption/standby.rs
+++ b/lovagedock/src/adoption/standby.rs
@@ -1,11 +1,11 @@
-//! Stand-ins: relays that watch the store when too few of those ranked before them answer.
+//! Standbys: relays that watch the store when too few higher-ranked relays answer.
 
 use std::collections::BTreeMap;
 
 use super::{state::AdoptionState, types::ProcessId};
 use crate::ids::Timestamp;
 
-/// When each process that is ranked before this one was last heard.
+/// Time of the last contact with each higher-ranked relay.
 #[derive(Debug, Default)]
 pub(super) struct StandbyState {
     last_contact: BTreeMap<ProcessId, Timestamp>,
@@ -19,7 +19,7 @@
 }
 
 impl AdoptionState {
-    /// Forgets higher_ranked of an older plan; new ones get the benefit of the doubt.
+    /// Replaces the higher-ranked relays by those of a new plan. New ones count as alive at first.
     pub(super) fn set_higher_ranked(&mut self, now: Timestamp) {
         let old = std::mem::take(&mut self.standby.last_contact);
         let higher_ranked = self.role.higher_ranked.iter();
@@ -37,11 +37,11 @@
         }
     }
 
-    /// Compares with each senior from time to time and decides whether to watch in its place.
+    /// Checks the higher-ranked relays periodically and decides whether to watch the store.
     ///
-    /// When all watchers of a region die, nobody there hears of a change until a poll, minutes
-    /// later. The next in rank notices by their silence; a stand-in that is wrong about it costs
-    /// the store one more watch and nothing else.
+    /// If all watchers of a region die, no process there learns of a change until its next poll,
+    /// minutes later. The relay ranked next detects this by their silence. If a standby takes over
+    /// needlessly, the only cost is one more watch at the store.
     pub(super) fn drive_standby(&mut self, now: Timestamp) {
         if self.standby.check_at.is_some_and(|at| at <= now) {
             self.check_higher_ranked(now);
--- a/lovagedock/src/adoption/startup.rs
+++ b/lovagedock/src/adoption/startup.rs
@@ -1,4 +1,4 @@
-//! The first configuration of a process that has none.
+//! The first configuration of a process that has none in force.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 };
 use crate::ids::Timestamp;
 
-/// Peers that were asked at the start.
+/// Peers that were asked at startup, and their answers.
 #[derive(Debug, Default)]
 pub(super) struct StartupState {
     asked: BTreeMap<ProcessId, Option<PullAnswer>>,
@@ -29,11 +29,12 @@
 }
 
 impl AdoptionState {
-    /// Asks several peers in other hosts and takes the highest of their answers.
+    /// Asks several peers on other hosts and adopts the highest generation among their answers.
     ///
-    /// One peer alone may itself be behind: a process that took its word would refuse or admit by
-    /// rules that were replaced long ago. The root is read as well; it raises the process to the
-    /// newest, and its chunks come from the store only if no peer had them.
+    /// A single peer may itself be behind, and a process that trusted it would refuse or admit
+    /// requests by rules that were replaced long ago. The root is read from the store as well,
+    /// which brings the process to the newest generation. Chunks are read from the store only if no
+    /// peer has them.
     pub(super) fn drive_startup(&mut self, now: Timestamp, actions: &mut Vec<AdoptionAction>) {
         if self.generation() > 0 {
             self.startup = StartupState::default();
@@ -46,7 +47,7 @@
         }
         let answers = self.startup.asked.values().flatten();
         let best = answers.map(|answer| answer.generation).max();
-        // Nobody can have more than the store, if that was read.
+        // No peer can have a newer generation than the root in the store, if that was read.
         let is_newest = best.is_some() && best == self.wanted_generation();
         if best.is_some() && self.startup.decide_at.is_none() {
             self.startup.decide_at = Some(now + self.limits.startup_wait);
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Keeps an answer for the decision; `false` when it is no answer of the start.
+    /// Stores an answer of a peer. Returns `false` if the peer was not asked at startup.
     pub(super) fn note_startup_answer(
         &mut self,
         from: &ProcessId,
--- a/lovagedock/src/adoption/state.rs
+++ b/lovagedock/src/adoption/state.rs
@@ -1,4 +1,4 @@
-//! What one process has in force, and what it does to get and spread the newest.
+//! State machine of one process for obtaining and distributing the newest configuration.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -25,11 +25,11 @@
     safeguards::DurableSafeguards,
 };
 
-/// Adoption at one process.
+/// Adoption of configurations at one process.
 ///
-/// The generation in force only ever grows during a process's life. A process that starts adopts
-/// what the store says or, when the store cannot be read, the highest of several peers, so it may
-/// begin below what its host had before and then only catches up.
+/// The generation in force never decreases while a process runs. At startup a process adopts the
+/// generation in the store or, if the store cannot be read, the highest one of several peers. It
+/// may therefore start with a lower generation than its predecessor had, and catches up later.
 #[derive(Debug)]
 pub struct AdoptionState {
     pub(super) limits: AdoptionLimits,
@@ -49,7 +49,8 @@
 }
 
 impl AdoptionState {
-    /// A process that has nothing in force; `seed` spreads its timers.
+    /// Creates the state of a process without a configuration. `seed` determines the jitter of its
+    /// timers.
     pub fn new(limits: AdoptionLimits, seed: u64) -> Self {
         Self {
             limits,
@@ -75,19 +76,19 @@
         self
     }
 
-    /// The generation in force; 0 for nothing.
+    /// Returns the generation in force; 0 for none.
     pub fn generation(&self) -> Generation {
         self.current
             .as_ref()
             .map_or(0, |current| current.manifest.generation)
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn text(&self) -> Option<Bytes> {
         self.current.as_ref().map(ConfigSnapshot::text)
     }
 
-    /// The manifest in force.
+    /// Returns the manifest in force.
     pub fn manifest(&self) -> Option<&ConfigManifest> {
         self.current.as_ref().map(|current| &current.manifest)
     }
@@ -102,7 +103,7 @@
         }
     }
 
-    /// What a dump shows.
+    /// Returns the state for a dump.
     pub fn status(&self) -> AdoptionStatus {
         AdoptionStatus {
             generation: self.generation(),
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Takes an event and returns what to do.
+    /// Handles an event and returns the actions to carry out.
     pub fn handle(&mut self, now: Timestamp, event: AdoptionEvent) -> Vec<AdoptionAction> {
         let mut actions = Vec::new();
         self.dispatch(now, event, &mut actions);
@@ -168,7 +169,7 @@
         self.highest_seen = self.highest_seen.max(generation);
     }
 
-    /// Takes what a peer sent, if it is newer and whole.
+    /// Adopts a bundle from a peer if it is newer and undamaged.
     pub(super) fn apply_bundle(
         &mut self,
         now: Timestamp,
@@ -184,16 +185,19 @@
         match ConfigSnapshot::from_bundle(self.current.as_ref(), bundle, verify) {
             Ok(snapshot) => self.adopt(now, snapshot, source, actions),
             Err(error) => {
-                // A base that is not ours is told to the sender by the generation that it gets as
-                // an answer; everything else is damage, and the next pull asks for the whole.
+                // If only the base differs, the sender learns it from the generation in the answer.
+                // Any other error means damage, and the next pull requests a complete bundle.
                 self.repair.needs_full_bundle |= error != BundleError::OtherBase;
                 actions.push(AdoptionAction::Rejected { from, error });
             }
         }
     }
 
-    /// A late push, a slow read or a peer that lags would take the process back to rules that an
-    /// operator has replaced; since generations grow with each acceptance, one comparison is enough.
+    /// Whether a generation is newer than the one in force.
+    ///
+    /// Without this check a late push, a slow read or a peer that is behind would revert the
+    /// process to rules that an operator has replaced. Generations increase with each accepted
+    /// configuration, so one comparison is enough.
     pub(super) fn is_newer(&self, generation: Generation) -> bool {
         generation > self.generation() || !self.safeguards.generations_ascend
     }
@@ -225,7 +229,7 @@
         self.propagate(now, &source, actions);
     }
 
-    /// What a process at `base` lacks, or the whole.
+    /// Returns the difference to the generation `base` if that is known, else a complete bundle.
     pub(super) fn bundle(&self, base: Generation) -> Option<ConfigBundle> {
         let current = self.current.as_ref()?;
         let base = self.history.iter().find(|old| old.generation == base);
@@ -247,7 +251,7 @@
         }
     }
 
-    /// Between half of a time and one and a half of it.
+    /// Returns a random duration between 0.5 and 1.5 times the mean.
     pub(super) fn jitter(&mut self, mean: std::time::Duration) -> std::time::Duration {
         mean.mul_f64(self.rng.random_range(0.5..1.5))
     }
--- a/lovagedock/src/adoption/types.rs
+++ b/lovagedock/src/adoption/types.rs
@@ -11,119 +11,122 @@
 };
 use crate::ids::{Generation, Timestamp};
 
-/// Name of one of our processes.
+/// Name of a lovagedock process.
 pub type ProcessId = Arc<str>;
 
-/// How a read or a watch of the root ended.
+/// Result of a read or a watch of the root.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RootOutcome {
     /// The accepted configuration.
     Found(ConfigManifest),
-    /// A watch ended without a change, or nothing was accepted yet.
+    /// A watch ended without a change, or no configuration was accepted yet.
     Unchanged,
-    /// The store is down, slow or refused the call.
+    /// The store is down or slow, or it refused the call.
     Unavailable,
 }
 
-/// What a peer answers to a pull.
+/// A peer's answer to a pull.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PullAnswer {
-    /// What the peer has in force; 0 for nothing.
+    /// Generation in force at the peer; 0 for none.
     pub generation: Generation,
-    /// What the puller lacks, if the peer has more.
+    /// The peer's configuration, if it is newer than the requester's.
     pub bundle: Option<ConfigBundle>,
 }
 
-/// What happened.
+/// An event that an adoption state reacts to.
 #[derive(Clone, Debug)]
 pub enum AdoptionEvent {
-    /// The relay's plan, or the peers known from the settings before there is a plan.
+    /// The role of this process in the relay. Before there is a plan, it holds the peers from the
+    /// settings.
     Role(RelayRole),
     /// A read or watch of the root ended.
     RootRead(RootOutcome),
-    /// A read of a chunk ended; `None` when the store failed.
+    /// A read of a chunk ended.
     ChunkRead {
-        /// Name of the chunk.
+        /// Hash of the chunk.
         hash: ChunkHash,
-        /// Its bytes.
+        /// Bytes of the chunk; `None` if the store failed.
         bytes: Option<Bytes>,
     },
-    /// A peer pushed; the daemon answers it with [`super::AdoptionState::generation`] afterwards.
+    /// A peer pushed a bundle. The daemon replies with [`super::AdoptionState::generation`] after
+    /// handling this event.
     Pushed {
         /// The peer.
         from: ProcessId,
-        /// What it sent.
+        /// The bundle.
         bundle: ConfigBundle,
     },
-    /// A peer told that it has this generation: by an offer, a heartbeat or a greeting.
+    /// A peer reported its generation by an offer, a heartbeat or a greeting.
     PeerReported {
         /// The peer.
         from: ProcessId,
-        /// Its generation.
+        /// Generation in force at the peer.
         generation: Generation,
     },
-    /// The receiver of a push told what it has now.
+    /// The receiver of a push replied with its generation.
     PushAnswered {
         /// The receiver.
         to: ProcessId,
-        /// What it has.
+        /// Generation in force at the receiver.
         generation: Generation,
     },
-    /// A push had no answer in time.
+    /// A push was not answered in time.
     PushFailed {
         /// The receiver.
         to: ProcessId,
     },
-    /// A pull ended; `None` when it had no answer in time.
+    /// A pull ended.
     Pulled {
         /// The peer.
         from: ProcessId,
-        /// What it answered.
+        /// The peer's answer; `None` if there was none in time.
         answer: Option<PullAnswer>,
     },
-    /// Somebody said that the store accepted this generation, as `apply` does.
+    /// This process was notified that the store accepted a generation, for instance by `apply`.
     Accepted {
         /// The generation.
         generation: Generation,
     },
-    /// Time passed; due at the last [`AdoptionAction::WakeAt`].
+    /// The time of the last [`AdoptionAction::WakeAt`] is due.
     Tick,
 }
 
-/// What to do.
+/// An action to carry out for an adoption state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdoptionAction {
     /// Read the root and report [`AdoptionEvent::RootRead`].
     ReadRoot,
     /// Watch the root until it is above this generation and report [`AdoptionEvent::RootRead`].
     WatchRoot {
-        /// What is known.
+        /// Generation in force at this process.
         above: Generation,
     },
     /// Read a chunk and report [`AdoptionEvent::ChunkRead`].
     ReadChunk {
-        /// Its name.
+        /// Hash of the chunk.
         hash: ChunkHash,
     },
-    /// Push to a peer and report [`AdoptionEvent::PushAnswered`] or its failure.
+    /// Push a bundle to a peer and report [`AdoptionEvent::PushAnswered`] or
+    /// [`AdoptionEvent::PushFailed`].
     Push {
         /// The receiver.
         to: ProcessId,
-        /// What to send.
+        /// The bundle.
         bundle: ConfigBundle,
     },
-    /// Tell a peer what is in force here; no answer is needed.
+    /// Send a peer the generation in force at this process. No answer is needed.
     Offer {
         /// The receiver.
         to: ProcessId,
-        /// What is in force here.
+        /// Generation in force at this process.
         generation: Generation,
     },
-    /// Ask a peer for what it has above a generation and report [`AdoptionEvent::Pulled`].
+    /// Request a newer configuration from a peer and report [`AdoptionEvent::Pulled`].
     Pull {
         /// The peer.
         from: ProcessId,
-        /// What is in force here; 0 asks for the whole.
+        /// Generation in force at this process; 0 requests a complete bundle.
         above: Generation,
     },
     /// [`super::AdoptionState::text`] is now the configuration in force.
@@ -132,62 +135,63 @@
         generation: Generation,
         /// Its digest.
         digest: ManifestDigest,
-        /// Where it came from.
+        /// Source of the configuration.
         source: AdoptionSource,
     },
-    /// What a peer sent was not taken; for the log.
+    /// A bundle from a peer was rejected. This action is only for the log.
     Rejected {
         /// The peer.
         from: ProcessId,
-        /// Why.
+        /// Reason for the rejection.
         error: BundleError,
     },
     /// Send [`AdoptionEvent::Tick`] at this time; replaces an earlier one.
     WakeAt(Timestamp),
 }
 
-/// Where a configuration came from.
+/// Source of a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AdoptionSource {
     /// The platform's store.
     Store,
-    /// A peer that pushed it.
+    /// A push from a peer.
     Push(ProcessId),
-    /// A peer that was asked.
+    /// A pull from a peer.
     Pull(ProcessId),
 }
 
-/// Times and counts of adoption.
+/// Time limits and counts of adoption.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdoptionLimits {
     /// Mean time between comparisons with a random peer.
     pub compare_interval: Duration,
     /// Mean time between reads of the store by a process that does not watch it.
     pub poll_interval: Duration,
-    /// Pause between two watches; also paces a store that answers each watch at once.
+    /// Pause between two watches. It also limits the rate of calls to a store that answers each
+    /// watch at once.
     pub watch_pause: Duration,
-    /// First pause after the store failed; doubles up to `max_backoff`, with jitter.
+    /// First pause after a store failure. It doubles up to `max_backoff` and has jitter.
     pub backoff: Duration,
-    /// Longest pause after the store failed.
+    /// Longest pause after a store failure.
     pub max_backoff: Duration,
     /// Pause before a failed push is repeated, with jitter.
     pub push_retry: Duration,
-    /// Pushes of one generation to one peer, repeats included.
+    /// Maximum number of pushes of one generation to one peer, including repeats.
     pub max_pushes: u32,
-    /// How long an offer waits for the push that is expected from another peer.
+    /// Delay between an offer and the pull, in which the push from another peer usually arrives.
     pub offer_delay: Duration,
-    /// Time between a stand-in's comparisons with each of its higher_ranked.
+    /// Interval at which a standby checks each higher-ranked relay.
     pub standby_check_interval: Duration,
-    /// Silence after which a senior counts as gone.
+    /// Time without contact after which a higher-ranked relay counts as gone.
     pub standby_timeout: Duration,
-    /// Peers that a process without configuration asks at once.
+    /// Number of peers that a process without configuration asks at once.
     pub startup_peers: usize,
-    /// How long such a process waits for the rest of them after the first answer.
+    /// How long such a process waits for further answers after the first one.
     pub startup_wait: Duration,
-    /// Chunks that are read from the store at a time.
+    /// Maximum number of chunks that are read from the store at the same time.
     pub chunk_reads: usize,
-    /// Older generations that changes can be told against.
+    /// Number of older generations that can be the base of a bundle.
     pub history: usize,
 }
 
@@ -212,17 +216,17 @@
     }
 }
 
-/// What a dump shows of adoption.
+/// State of adoption for a dump.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct AdoptionStatus {
-    /// In force here; 0 for nothing.
+    /// Generation in force at this process; 0 for none.
     pub generation: Generation,
-    /// Highest generation that anybody told of.
+    /// Highest generation that this process knows of.
     pub heard: Generation,
-    /// Where the one in force came from.
+    /// Source of the generation in force.
     pub source: Option<AdoptionSource>,
     /// Whether this process watches the store.
     pub watches: bool,
-    /// Store calls that failed in a row.
+    /// Number of consecutive store failures.
     pub store_failures: u32,
 }
--- a/lovagedock/src/adoption/upstream.rs
+++ b/lovagedock/src/adoption/upstream.rs
@@ -1,4 +1,4 @@
-//! The store: watched by few, polled seldom by the rest.
+//! Reads of the store, which few processes watch and the others poll rarely.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,18 +14,18 @@
 
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
 
-/// What is being read from the store.
+/// State of reading from the store.
 #[derive(Debug, Default)]
 pub(super) struct UpstreamState {
     pub(super) failures: u32,
     in_flight: bool,
     next_at: Option<Timestamp>,
     soon: bool,
-    /// This process watches, by plan or as a stand-in.
+    /// Whether this process watches the store, by plan or as a standby.
     pub(super) watching: bool,
-    /// The first read was answered, or a peer was faster.
+    /// Whether the first read was answered, or a peer was faster.
     started: bool,
-    /// The store said that nothing was accepted yet.
+    /// Whether the store reported that no configuration was accepted yet.
     is_empty: bool,
     fetch: Option<ChunkFetch>,
 }
@@ -36,7 +36,8 @@
     manifest: ConfigManifest,
     missing: BTreeSet<ChunkHash>,
     in_flight: BTreeSet<ChunkHash>,
-    /// Until when peers may bring the chunks; the store's reads are few.
+    /// When to read the chunks from the store unless peers provide them earlier, since the store
+    /// allows few reads.
     read_from_store_at: Timestamp,
     read: BTreeMap<ChunkHash, Bytes>,
 }
@@ -65,15 +66,15 @@
         }
         let stops = !watching && self.upstream.watching;
         if stops && self.generation() > 0 && self.upstream.failures == 0 {
-            // The next call was planned at the pace of a watcher.
+            // The next call was scheduled at the short interval of a watcher.
             let pause = self.jitter(self.limits.poll_interval);
             self.upstream.next_at = Some(now + pause);
         }
         self.upstream.watching = watching;
     }
 
-    /// Reads at the start, then watches or polls. Only a failure, or a hint that there is more,
-    /// changes the pace, and failures slow it down.
+    /// Reads the root at startup, then watches or polls it. Only failures and hints of a newer
+    /// generation change the interval. Failures make it longer.
     pub(super) fn drive_upstream(&mut self, now: Timestamp, actions: &mut Vec<AdoptionAction>) {
         if self.upstream.failures == 0 {
             self.read_chunks(now, actions);
@@ -82,7 +83,8 @@
             return;
         }
         if self.upstream.next_at.is_none() && !self.upstream.watching {
-            // A domain that restarts as a whole spreads its reads, and most need none.
+            // The jitter spreads the reads if a whole failure domain restarts. Most processes then
+            // get the configuration from a peer and need no read.
             let pause = self.jitter(self.limits.startup_wait);
             self.upstream.next_at = Some(now + pause);
         }
@@ -94,8 +96,8 @@
         self.upstream.in_flight = true;
         self.upstream.soon = false;
         let above = self.generation();
-        // Before the first acceptance there is no plan and no peer to hear from, so every process
-        // watches; a poll would notice the first configuration minutes later.
+        // Before the first configuration is accepted, there is no plan and no peer can push, so
+        // every process watches. A poll would find the first configuration minutes later.
         let may_watch = match above {
             0 => self.upstream.is_empty,
             _ => self.upstream.watching,
@@ -135,19 +137,19 @@
         }
     }
 
-    /// The generation that is being read from the store.
+    /// Returns the generation that is being read from the store.
     pub(super) fn wanted_generation(&self) -> Option<Generation> {
         let fetch = self.upstream.fetch.as_ref();
         fetch.map(|fetch| fetch.manifest.generation)
     }
 
-    /// Gives up reads that a peer has made is_superseded.
+    /// Stops reads that are superseded by a configuration from a peer.
     pub(super) fn note_adopted(&mut self, now: Timestamp) {
         let generation = self.generation();
         let is_superseded = |fetch: &mut ChunkFetch| fetch.manifest.generation <= generation;
         self.upstream.fetch.take_if(is_superseded);
-        // The role under this configuration comes next. A watch begun before it would be held for
-        // as long as a watch lasts by a process that is not to watch.
+        // The role for this configuration follows with a separate event. A watch that started
+        // before it would stay open for its full time, even if this process is not to watch.
         if self.upstream.next_at.is_some_and(|at| at <= now) {
             self.upstream.next_at = Some(now + self.limits.watch_pause);
         }
@@ -242,7 +244,7 @@
         let Some(fetch) = self.upstream.fetch.take_if(done) else {
             return;
         };
-        // A peer may have been faster.
+        // A push or pull from a peer may have been faster.
         if !self.is_newer(fetch.manifest.generation) {
             return;
         }
--- a/lovagedock/src/claim/answer.rs
+++ b/lovagedock/src/claim/answer.rs
@@ -1,4 +1,4 @@
-//! Answers that are split over objects of their own.
+//! Answers that are too large for the partition's object and are split into separate objects.
 
 use bytes::{Bytes, BytesMut};
 
@@ -8,12 +8,12 @@
     store_call::ObjectName,
 };
 
-/// Name of one part of an answer.
+/// Returns the object name of one part of an answer.
 pub(crate) fn part_name(request: RequestId, part: u16) -> ObjectName {
     format!("claims/answers/{}/{part}", format_request_id(request)).into()
 }
 
-/// Objects that an answer needs; `None` when it is inline, an error when it is too large.
+/// Returns the number of objects that an answer needs, or `None` if it is stored inline.
 pub(crate) fn parts_needed(length: usize, limits: &ClaimLimits) -> Result<Option<u16>, TooLarge> {
     if length <= limits.inline_bytes {
         return Ok(None);
@@ -30,19 +30,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct TooLarge;
 
-/// Bytes of one part.
+/// Returns the bytes of one part.
 pub(crate) fn part_bytes(answer: &Bytes, part: u16, limits: &ClaimLimits) -> Bytes {
     let start = usize::from(part) * limits.part_bytes;
     let end = answer.len().min(start + limits.part_bytes);
     answer.slice(start..end)
 }
 
-/// A redelivery that reads a split answer.
+/// State of reading a split answer for a repeated request.
 #[derive(Clone, Debug)]
 pub(crate) struct ReplayRead {
     pub(crate) request: RequestId,
     pub(crate) deadline: Timestamp,
-    /// The request whose answer it is.
+    /// The request that produced the answer.
     pub(crate) source: RequestId,
     pub(crate) split: SplitAnswer,
     pub(crate) bytes: BytesMut,
@@ -55,7 +55,7 @@
         part_name(self.source, self.next)
     }
 
-    /// Adds a part; the whole answer once there is no more.
+    /// Appends a part. Returns the whole answer after the last one.
     pub(crate) fn add(&mut self, bytes: &[u8]) -> Option<Bytes> {
         self.in_flight = false;
         self.bytes.extend_from_slice(bytes);
@@ -66,7 +66,7 @@
         Some(self.bytes.split().freeze())
     }
 
-    /// Whether these are the bytes that were recorded.
+    /// Whether length and digest match the recorded answer.
     pub(crate) fn matches(&self, answer: &Bytes) -> bool {
         answer.len() as u64 == self.split.length
             && *blake3::hash(answer).as_bytes() == self.split.digest
--- a/lovagedock/src/claim/backoff.rs
+++ b/lovagedock/src/claim/backoff.rs
@@ -1,4 +1,4 @@
-//! Pauses after the store failed or refused, and between gateways that conflict.
+//! Backoff after store failures and after write conflicts with other gateways.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use super::partition::ClaimPartition;
 use crate::ids::Timestamp;
 
-/// Conflicts in a row after which a gateway pauses, so that another one gets its turn.
+/// Number of consecutive conflicts after which a gateway backs off to let another one write.
 const CONFLICTS_BEFORE_BACKOFF: u32 = 2;
 const MAX_CONFLICT_DOUBLINGS: u32 = 3;
 const MAX_BACKOFF_DOUBLINGS: u32 = 6;
@@ -29,7 +29,7 @@
         self.retry_at = now + self.jitter(pause.min(self.limits.max_backoff));
     }
 
-    /// Spreads the gateways' retries over the second half of a pause.
+    /// Spreads the retries of the gateways over the second half of the pause.
     fn jitter(&self, pause: Duration) -> Duration {
         let seed = u64::from(self.failures) << 32 | u64::from(self.conflicts);
         let hash = xxh3_64_with_seed(&self.owner.to_le_bytes(), seed ^ u64::from(self.index));
--- a/lovagedock/src/claim/batch.rs
+++ b/lovagedock/src/claim/batch.rs
@@ -1,4 +1,4 @@
-//! Puts everything that waits for a partition into one new value.
+//! Combines all pending operations of a partition into one new value.
 
 use super::{
     clock::whole_ms,
@@ -12,7 +12,7 @@
     safeguards::DurableSafeguards,
 };
 
-/// What the next value of a partition is made from.
+/// Inputs for the next value of a partition.
 pub(crate) struct BatchInput<'a> {
     pub(crate) now: Timestamp,
     pub(crate) clock_ms: u64,
@@ -25,7 +25,7 @@
 /// The next value of a partition.
 pub(crate) struct BatchDraft {
     pub(crate) object: PartitionObject,
-    /// Whether it differs from the last value in more than its time.
+    /// Whether it differs from the last value in anything but `clock_ms`.
     pub(crate) changed: bool,
     bytes: usize,
 }
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Takes out what was kept for its window. Alone it is no reason for a write.
+    /// Removes entries whose window is over. This alone does not cause a write.
     pub(crate) fn sweep(&mut self, input: &BatchInput<'_>) {
         let window_ms = whole_ms(input.limits.window);
         let max_parts = input.limits.max_parts;
@@ -79,7 +79,7 @@
         self.changed = true;
     }
 
-    /// Records an answer inline, or by reference to objects that are written.
+    /// Records an answer inline, or by reference to objects that are already written.
     pub(crate) fn record(&mut self, input: &BatchInput<'_>, record: &mut PendingRecord) {
         if !record.is_ready() {
             return;
@@ -110,7 +110,7 @@
         self.changed = true;
     }
 
-    /// Claims a free key; `false` when the partition is full.
+    /// Claims a free key. Returns `false` if the partition is full.
     pub(crate) fn claim(&mut self, input: &BatchInput<'_>, waiting: &mut WaitingClaim) -> bool {
         let claim = &waiting.claim;
         if !self.is_free(input, waiting) {
@@ -138,7 +138,7 @@
         let Some(entry) = self.object.entries.get(&waiting.claim.key) else {
             return true;
         };
-        // With the safeguard a lapsed claim stays: its owner may be paused, not dead.
+        // With the safeguard on, a lapsed claim stays: its owner may be paused instead of dead.
         !input.safeguards.lapsed_claims_stay
             && !entry.is_answered()
             && entry.has_lapsed(input.clock_ms)
--- a/lovagedock/src/claim/clock.rs
+++ b/lovagedock/src/claim/clock.rs
@@ -1,14 +1,14 @@
-//! The clock of a partition, by which claims lapse and expire.
+//! The clock of a partition, which determines when claims lapse and expire.
 
 use std::time::Duration;
 
 use crate::ids::Timestamp;
 
-/// Time of a partition: never ahead of the time that truly passed between its writes.
+/// Time of a partition: never ahead of the real time that passed between its writes.
 ///
-/// Gateways compare no clocks. Each write stores the partition's time; a reader adds only what its
-/// own monotonic clock measured since the value reached it. So an age is never overstated, and a
-/// claim is kept for its window or longer, also when the writer was paused.
+/// The gateways' clocks are never compared. Each write stores the partition's time. A reader adds
+/// only the time that its own monotonic clock measured since it received the value. An age is thus
+/// never overstated, and a claim is kept for at least its window, even if the writer was paused.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PartitionClock {
     base_ms: u64,
@@ -16,11 +16,11 @@
 }
 
 impl PartitionClock {
-    /// A value that was read, or written, at `since`.
+    /// Creates the clock of a value that was read or written at `since`.
     ///
-    /// A newer value always replaces the older one, even when it is behind what the older one
-    /// would show by now: claims in it are stamped with its writer's clock, and a clock ahead of
-    /// the writer's would overstate their age.
+    /// A newer value always replaces the older one, even if its time is behind the current time of
+    /// the older one. The claims in it carry the time of its writer, and a clock ahead of the
+    /// writer's would overstate their age.
     pub(crate) fn new(base_ms: u64, since: Timestamp) -> Self {
         Self { base_ms, since }
     }
--- a/lovagedock/src/claim/entry.rs
+++ b/lovagedock/src/claim/entry.rs
@@ -1,4 +1,4 @@
-//! One claim as the store keeps it.
+//! A claim as it is stored.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 /// Upper bound of an encoded entry without an inline answer, in bytes.
 pub(crate) const ENTRY_BYTES: usize = 136;
 
-/// A key that was claimed, and what is known of its run.
+/// A claimed key and the state of its request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ClaimEntry {
     pub(crate) body: BodyDigest,
@@ -21,23 +21,23 @@
     pub(crate) request: RequestId,
     /// Partition time of the claim.
     pub(crate) claimed_ms: u64,
-    /// Time that the owner has to run the request, from the claim.
+    /// Time that the owner has to run the request, counted from the claim.
     pub(crate) stated_ms: u64,
     pub(crate) run: RunState,
 }
 
-/// What is known of a claimed run.
+/// State of the request of a claimed key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum RunState {
     /// It may have run.
     Claimed,
     /// It ran, and this is its answer.
     Inline(Bytes),
-    /// It ran, and its answer is in objects of its own.
+    /// It ran, and its answer is stored in separate objects.
     Split(SplitAnswer),
 }
 
-/// An answer that is kept in several objects.
+/// An answer that is stored in several objects.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct SplitAnswer {
     pub(crate) parts: u16,
@@ -54,7 +54,7 @@
         !matches!(self.run, RunState::Claimed)
     }
 
-    /// Whether the owner's stated time is over.
+    /// Whether the time that the owner had for the request is over.
     pub(crate) fn has_lapsed(&self, clock_ms: u64) -> bool {
         clock_ms.saturating_sub(self.claimed_ms) >= self.stated_ms
     }
@@ -64,7 +64,7 @@
         Duration::from_millis(lapses_ms.saturating_sub(clock_ms))
     }
 
-    /// Whether the claim has been kept for its window.
+    /// Whether the window of the claim is over.
     pub(crate) fn has_expired(&self, clock_ms: u64, window_ms: u64) -> bool {
         clock_ms.saturating_sub(self.claimed_ms) >= window_ms
     }
@@ -76,10 +76,10 @@
         }
     }
 
-    /// Objects that may hold parts of the answer.
+    /// Number of objects that may hold parts of the answer.
     pub(crate) fn parts(&self, max_parts: u16) -> u16 {
         match &self.run {
-            // The owner may have died between the parts and the entry.
+            // The owner may have died after writing the parts and before updating the entry.
             RunState::Claimed => max_parts,
             RunState::Inline(_) => 0,
             RunState::Split(split) => split.parts,
--- a/lovagedock/src/claim/keys.rs
+++ b/lovagedock/src/claim/keys.rs
@@ -1,11 +1,11 @@
-//! Keys, and how they are spread over partitions and gateways.
+//! Idempotency keys and their distribution over partitions and gateways.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::types::{BodyDigest, KeyHash, PartitionIndex};
 use crate::ids::{GatewayId, OrganisationId, ServiceId};
 
-/// What a claim is made for.
+/// The full key of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ClaimKey {
     /// Organisation of the caller.
@@ -17,7 +17,7 @@
 }
 
 impl ClaimKey {
-    /// Hashes the three parts; no two keys share a hash in practice.
+    /// Hashes the three parts. Two keys do not share a hash in practice.
     pub fn hash(&self) -> KeyHash {
         let mut hasher = blake3::Hasher::new();
         for part in [&*self.organisation, &*self.service, self.key.as_str()] {
@@ -27,7 +27,7 @@
         first_half(hasher.finalize())
     }
 
-    /// Hashes what the key is used for, so that its use for something else is noticed.
+    /// Hashes the request, so that the use of one key for two different requests is detected.
     pub fn body_digest(method: &str, path: &str, body: &[u8]) -> BodyDigest {
         let mut hasher = blake3::Hasher::new();
         for part in [method.as_bytes(), path.as_bytes(), body] {
@@ -38,29 +38,29 @@
     }
 }
 
-/// Finds the partition of a key and the gateway where claims of a partition best meet.
+/// Maps keys to partitions, and partitions to their home gateways.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PartitionMap {
     count: u32,
 }
 
 impl PartitionMap {
-    /// Spreads keys over `count` partitions, at least one.
+    /// Creates a map of `count` partitions, at least one.
     ///
-    /// All gateways must use the same count: a key whose partition changes is a new key. A change
-    /// is safe once no keyed request came for a whole window.
+    /// All gateways must use the same count, since a key whose partition changes counts as a new
+    /// key. Changing the count is safe after a whole window without keyed requests.
     pub fn new(count: u32) -> Self {
         Self {
             count: count.max(1),
         }
     }
 
-    /// Partitions in all.
+    /// Number of partitions.
     pub fn count(&self) -> u32 {
         self.count
     }
 
-    /// Partition of a key.
+    /// Returns the partition of a key.
     pub fn partition_of(&self, key: &KeyHash) -> PartitionIndex {
         let mut high = [0; 8];
         high.copy_from_slice(&key[..8]);
@@ -68,10 +68,11 @@
         (spread >> 64) as u32
     }
 
-    /// The gateway at which claims of a partition share writes, by rendezvous hash.
+    /// Returns the home gateway of a partition, chosen by rendezvous hashing. Claims that are sent
+    /// to it share writes.
     ///
-    /// Only the number of conflicts depends on it: two gateways that disagree about the home, or
-    /// a gateway that cannot reach it, still write safely by the conditional update.
+    /// Only the number of conflicts depends on it. Gateways that disagree about the home gateway or
+    /// cannot reach it still write safely, because updates are conditional.
     pub fn home_of<'a>(
         &self,
         partition: PartitionIndex,
@@ -83,21 +84,22 @@
     }
 }
 
-/// Counts the partitions that a load of keyed requests needs.
+/// Computes the number of partitions for a load of keyed requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PartitionPlan {
-    /// Keyed requests a second over the whole fleet.
+    /// Keyed requests per second over the whole fleet.
     pub claims_per_second: f64,
     /// How long a claim is kept, in seconds.
     pub window_seconds: f64,
     /// Mean size of a claim with its inline answer, in bytes.
     pub entry_bytes: f64,
-    /// Largest size of a partition's object, in bytes.
+    /// Maximum size of a partition's object, in bytes.
     pub partition_bytes: f64,
 }
 
 impl PartitionPlan {
-    /// Partitions that hold a window of claims when no more than half full on average.
+    /// Returns the number of partitions that hold a window of claims and are at most half full on
+    /// average.
     pub fn partitions(&self) -> u32 {
         const MEAN_FILL: f64 = 0.5;
         let held = self.claims_per_second * self.window_seconds * self.entry_bytes;
--- a/lovagedock/src/claim/mod.rs
+++ b/lovagedock/src/claim/mod.rs
@@ -1,10 +1,10 @@
-//! At most once: claims of idempotency keys and the answers recorded for them.
+//! At-most-once execution: claims of idempotency keys and their recorded answers.
 //!
-//! `Idempotency-Key`, organisation and service together make a key. A keyed request may start only
-//! after its claim is known to be in the store, and its answer is recorded before its clean end, so
-//! that each later delivery reads the same bytes, through whichever gateway. Keys are spread over
-//! partitions; each is one object, and all claims that wait for a partition go into one
-//! conditional update of it ([`ClaimPartition`]).
+//! A key consists of the `Idempotency-Key` header, the organisation and the service. A keyed
+//! request may start only after its claim is confirmed by the store. Its answer is recorded before
+//! it ends cleanly, so that each repeat returns the same bytes through any gateway. Keys are
+//! distributed over partitions. Each partition is one object, and all claims that wait for it go
+//! into one conditional update ([`ClaimPartition`]).
 
 mod answer;
 mod backoff;
--- a/lovagedock/src/claim/object.rs
+++ b/lovagedock/src/claim/object.rs
@@ -1,4 +1,4 @@
-//! The value of a partition's object.
+//! The stored value of a partition.
 
 use std::collections::BTreeMap;
 
@@ -21,21 +21,21 @@
     /// Partition time of the write.
     pub(crate) clock_ms: u64,
     pub(crate) entries: BTreeMap<KeyHash, ClaimEntry>,
-    /// Answers of expired claims that are not yet deleted.
+    /// Answers of expired claims that are not deleted yet.
     pub(crate) strays: Vec<StrayParts>,
 }
 
-/// Objects of an answer that nobody refers to any more.
+/// Parts of an answer whose claim has expired.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct StrayParts {
     #[serde(with = "postcard::fixint::le")]
     pub(crate) request: RequestId,
     pub(crate) parts: u16,
-    /// Partition time at which they were found.
+    /// Partition time at which the claim was found expired.
     pub(crate) found_ms: u64,
 }
 
-/// The value is damaged or of a newer format; nothing may be granted from it.
+/// The value is damaged or has a newer format. No claim may be granted from it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct DecodeError;
 
--- a/lovagedock/src/claim/partition.rs
+++ b/lovagedock/src/claim/partition.rs
@@ -1,4 +1,4 @@
-//! The group-commit machine of one partition.
+//! The group-commit state machine of one partition.
 
 use std::collections::BTreeSet;
 
@@ -25,13 +25,14 @@
 
 /// Claims of one partition at one gateway.
 ///
-/// At most one read or write of the partition's object is in flight; what arrives meanwhile goes
-/// into the next write together. The write names the version that it replaces, so of two gateways
-/// that write the same partition one is refused, reads the other's value and tries again on it.
+/// At most one read or write of the partition's object is in flight. Operations that arrive in the
+/// meantime go into the next write together. A write is conditional on the version that it
+/// replaces. If two gateways write the same partition, one is refused, reads the other's value and
+/// retries on top of it.
 ///
-/// The machine speaks of one request until it is granted, replayed or refused. A granted one stays
-/// claimed until [`ClaimEvent::Record`] or [`ClaimEvent::Abandon`]. If neither comes, the key stays
-/// claimed as one that may have run, and repeats are refused as [`ResultCode::AnswerLost`] once
+/// Each claim ends with a grant, a replay or a refusal. A granted request stays claimed until
+/// [`ClaimEvent::Record`] or [`ClaimEvent::Abandon`]. If neither arrives, the key stays claimed and
+/// its request counts as possibly run. Repeats are then refused as [`ResultCode::AnswerLost`] once
 /// the time that the request had is over.
 #[derive(Debug)]
 pub struct ClaimPartition {
@@ -43,7 +44,7 @@
     pub(super) nonces: NonceSource,
     pub(super) known: Option<KnownObject>,
     pub(super) call: StoreCall,
-    /// The last value may be out of date: it has to be read before the next write.
+    /// The last known value may be out of date and must be read before the next write.
     pub(super) stale: bool,
     /// A write on this version may still take effect.
     pub(super) unsettled: Option<Option<ObjectVersion>>,
@@ -54,7 +55,7 @@
     pub(super) replays: Vec<ReplayRead>,
     pub(super) deletion: Option<StrayDeletion>,
     pub(super) deleted: Vec<RequestId>,
-    /// Strays that this gateway's own writes found.
+    /// Requests whose stray parts were found by this gateway's own writes.
     pub(super) own_strays: BTreeSet<RequestId>,
     pub(super) failures: u32,
     pub(super) conflicts: u32,
@@ -63,19 +64,20 @@
     wake_at: Option<Timestamp>,
 }
 
-/// The last value of the object that this gateway knows.
+/// The last value of the object that this gateway has read or written.
 #[derive(Debug)]
 pub(super) struct KnownObject {
-    /// `None` while there is no object.
+    /// `None` if the object does not exist.
     pub(super) version: Option<ObjectVersion>,
     pub(super) value: PartitionObject,
     pub(super) clock: PartitionClock,
-    /// When the call that brought it was sent.
+    /// When the call that returned the value was sent.
     pub(super) as_of: Timestamp,
 }
 
 impl ClaimPartition {
-    /// A partition of which nothing is known yet; `owner` is the random id of this process's life.
+    /// Creates a partition whose value is not known yet. `owner` is the random incarnation of this
+    /// process.
     pub fn new(index: PartitionIndex, owner: Incarnation, limits: ClaimLimits) -> Self {
         Self {
             index,
@@ -115,7 +117,7 @@
         &self.object
     }
 
-    /// What a dump shows.
+    /// Returns the state for a dump.
     pub fn status(&self) -> ClaimStatus {
         let value = self.known.as_ref().map(|known| &known.value);
         ClaimStatus {
@@ -128,7 +130,7 @@
         }
     }
 
-    /// Takes an event and returns what to do.
+    /// Handles an event and returns the actions to carry out.
     pub fn handle(&mut self, now: Timestamp, event: ClaimEvent) -> Vec<ClaimAction> {
         let mut actions = Vec::new();
         let scope = match &event {
@@ -161,7 +163,8 @@
     fn on_claim(&mut self, now: Timestamp, claim: ClaimRequest, actions: &mut Vec<ClaimAction>) {
         let too_long = claim.deadline.saturating_sub(now) >= self.limits.window;
         let is_full = self.claims.len() >= self.limits.max_waiting;
-        // A request that may outlive its claim could run beside a repeat that found none.
+        // A request that outlives its claim could run at the same time as a repeat that finds no
+        // claim.
         if too_long || is_full {
             actions.push(ClaimAction::Refuse {
                 request: claim.request,
@@ -210,7 +213,7 @@
         self.abandon_if_sent(&waiting);
     }
 
-    /// Gives up a claim that was not granted and may or may not be in the store.
+    /// Abandons a claim that was not granted but may be in the store.
     pub(super) fn abandon_if_sent(&mut self, waiting: &WaitingClaim) {
         if waiting.sent {
             self.abandon(waiting.claim.key, waiting.claim.request);
--- a/lovagedock/src/claim/pending.rs
+++ b/lovagedock/src/claim/pending.rs
@@ -1,4 +1,4 @@
-//! What waits at this gateway for the store.
+//! Operations at this gateway that wait for the store.
 
 use bytes::Bytes;
 
@@ -8,18 +8,18 @@
     store_call::WriteNonce,
 };
 
-/// A keyed request that is neither granted nor answered.
+/// A keyed request that is neither granted, replayed nor refused.
 #[derive(Clone, Debug)]
 pub(crate) struct WaitingClaim {
     pub(crate) claim: ClaimRequest,
     pub(crate) arrived: Timestamp,
-    /// A write that contains it was sent.
+    /// A write that contains the claim was sent.
     pub(crate) sent: bool,
-    /// The caller was told that another request runs.
+    /// [`super::ClaimAction::InProgress`] was returned for it.
     pub(crate) in_progress_reported: bool,
-    /// The last known value does not have the key.
+    /// The key is free in the last known value.
     pub(crate) free: bool,
-    /// When the store has to be read before more can be said.
+    /// When the store must be read again to decide the claim.
     pub(crate) read_due: Option<Timestamp>,
 }
 
@@ -36,26 +36,26 @@
     }
 }
 
-/// An answer that is to be recorded.
+/// An answer that is waiting to be recorded.
 #[derive(Clone, Debug)]
 pub(crate) struct PendingRecord {
     pub(crate) key: KeyHash,
     pub(crate) request: RequestId,
     pub(crate) answer: Bytes,
     pub(crate) deadline: Timestamp,
-    /// The delivery has ended as not recorded; the record is still wanted for a repeat.
+    /// The delivery has already ended as not recorded. The answer is still recorded for repeats.
     pub(crate) late: bool,
     pub(crate) split: Option<SplitProgress>,
 }
 
 impl PendingRecord {
-    /// Whether the entry may refer to the answer.
+    /// Whether all parts are written, so that the entry may refer to them.
     pub(crate) fn is_ready(&self) -> bool {
         self.split.as_ref().is_none_or(SplitProgress::is_written)
     }
 }
 
-/// How far the objects of a large answer are written.
+/// Progress of writing the parts of a large answer.
 #[derive(Clone, Debug)]
 pub(crate) struct SplitProgress {
     pub(crate) parts: u16,
@@ -77,7 +77,7 @@
     }
 }
 
-/// A claim that is to be taken back because its request certainly did not run.
+/// A claim that is to be removed because its request certainly did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PendingAbandon {
     pub(crate) key: KeyHash,
--- a/lovagedock/src/claim/replay.rs
+++ b/lovagedock/src/claim/replay.rs
@@ -1,4 +1,4 @@
-//! Large answers: writing their parts before the record, reading them for a repeat.
+//! Writes the parts of large answers before the record, and reads them for repeated requests.
 
 use super::{
     answer::{part_bytes, part_name},
@@ -12,8 +12,8 @@
 };
 
 impl ClaimPartition {
-    /// Writes the next part of each large answer. The entry refers to them only once all are
-    /// written, so a repeat never finds half of an answer.
+    /// Writes the next part of each large answer. The entry refers to the parts only once all of
+    /// them are written, so a repeat never finds an incomplete answer.
     pub(super) fn drive_parts(&mut self, actions: &mut Vec<ClaimAction>) {
         for record in &mut self.records {
             let Some(split) = &mut record.split else {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Whether the nonce was a part's.
+    /// Handles the result of a write. Returns `false` if the nonce belongs to no part.
     pub(super) fn on_part_write_ended(
         &mut self,
         now: Timestamp,
@@ -46,7 +46,8 @@
         };
         split.in_flight = None;
         match outcome {
-            // The name holds the request, so what is there is what an earlier attempt wrote.
+            // The name contains the request id, so an existing object comes from an earlier try of
+            // this write.
             WriteOutcome::Applied(_) | WriteOutcome::Conflict => split.written += 1,
             WriteOutcome::Unknown | WriteOutcome::Unavailable | WriteOutcome::RateLimited => {
                 self.back_off(now);
@@ -96,8 +97,8 @@
             let Some(answer) = replay.add(bytes) else {
                 return true;
             };
-            // A damaged or mixed-up object would reach the caller as a clean answer with other
-            // bytes than before; length and digest of the whole answer tell.
+            // Without this check, the caller would get a damaged or wrong object as a clean answer
+            // with other bytes than before.
             let end = match !verified || replay.matches(&answer) {
                 true => ClaimAction::Replay { request, answer },
                 false => ClaimAction::Refuse {
--- a/lovagedock/src/claim/settle.rs
+++ b/lovagedock/src/claim/settle.rs
@@ -1,4 +1,4 @@
-//! What the last known value means for each request that waits.
+//! Decides pending operations from the last known value of the partition.
 
 use super::{
     answer::ReplayRead,
@@ -11,7 +11,8 @@
 use crate::{codes::ResultCode, ids::Timestamp};
 use bytes::{Bytes, BytesMut};
 
-/// What an event can have changed; an arrival says nothing about those that wait already.
+/// The pending operations that an event can decide. The arrival of an operation does not affect
+/// those that already wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SettleScope {
     All,
@@ -19,26 +20,26 @@
     LastRecord,
 }
 
-/// What the last known value says about a waiting claim.
+/// The decision on a waiting claim from the last known value.
 enum ClaimVerdict {
-    /// The key is free; the claim goes into the next write.
+    /// The key is free, and the claim goes into the next write.
     Free,
     /// The claim is in the store.
     Granted,
-    /// The recorded answer.
+    /// The answer is recorded inline.
     Answer(Bytes),
-    /// The recorded answer is in other objects.
+    /// The answer is recorded in separate objects.
     Split(Box<ReplayRead>),
     /// Another request holds the key.
     Running { due: Timestamp },
-    /// The end of the request.
+    /// The request is refused.
     Refused(ResultCode),
-    /// The value is older than the claim; it has to be read again.
+    /// The value is older than the claim and must be read again.
     Reread,
 }
 
 impl ClaimPartition {
-    /// Ends what ran out of time.
+    /// Ends all operations whose deadline has passed.
     pub(super) fn expire(&mut self, now: Timestamp, actions: &mut Vec<ClaimAction>) {
         let is_expired = |waiting: &mut WaitingClaim| waiting.claim.deadline <= now;
         let over: Vec<WaitingClaim> = self.claims.extract_if(.., is_expired).collect();
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Ends what the last known value decides.
+    /// Ends the operations that the last known value decides.
     pub(super) fn settle(
         &mut self,
         now: Timestamp,
@@ -152,9 +153,11 @@
         }
     }
 
-    /// A lapsed claim is never taken over: its owner may be paused or cut off, and its request may
-    /// have run. The caller of the repeat sees that the answer is lost and that the run is unknown;
-    /// that is enough, since whoever knows better abandons the claim or records the answer.
+    /// Decides on a claim whose key is held by another request without an answer.
+    ///
+    /// A lapsed claim is never taken over. Its owner may be paused or cut off, and its request may
+    /// have run. The caller of the repeat gets `AnswerLost`, which leaves open whether the request
+    /// ran. If the owner is still running, it abandons the claim or records the answer later.
     fn running_verdict(
         &self,
         now: Timestamp,
@@ -210,7 +213,7 @@
         }
     }
 
-    /// Drops what is no longer in the store and cannot come into it by a write that is under way.
+    /// Drops abandons whose claim is not in the store and cannot get there by a write in flight.
     fn settle_abandons(&mut self) {
         if self.unsettled.is_some() || self.is_writing() {
             return;
@@ -225,7 +228,7 @@
         });
     }
 
-    /// The entry of a key, unless its window is over.
+    /// Returns the entry of a key, unless its window is over.
     fn live_entry(&self, now: Timestamp, key: &KeyHash) -> Option<(&KnownObject, &ClaimEntry)> {
         let known = self.known.as_ref()?;
         let entry = known.value.entries.get(key)?;
--- a/lovagedock/src/claim/store.rs
+++ b/lovagedock/src/claim/store.rs
@@ -1,4 +1,4 @@
-//! Calls of the partition's object: when to read, when to write, what each answer means.
+//! Reads and writes of the partition's object.
 
 use super::{
     batch::{BatchDraft, BatchInput},
@@ -15,7 +15,7 @@
     },
 };
 
-/// The one call of the partition's object that may be in flight.
+/// The single call for the partition's object that may be in flight.
 #[derive(Debug)]
 pub(super) enum StoreCall {
     Idle,
@@ -99,7 +99,8 @@
                 refused.push(request);
                 return false;
             }
-            // Without a confirmation the write may be refused, and another gateway's may win.
+            // With the safeguard off, the grant does not wait for the confirmation. The write may
+            // then be refused because another gateway's write won.
             if !self.safeguards.confirmed_grants && waiting.sent {
                 granted.push(request);
                 return false;
@@ -112,8 +113,8 @@
                 .into_iter()
                 .map(|request| ClaimAction::Grant { request }),
         );
-        // A claim that was given up may still come into the store by the write whose confirmation
-        // was lost. Any write of ours on the same version settles that: one of the two is refused.
+        // An abandoned claim may still reach the store by the write whose confirmation was lost.
+        // Another write on the same version settles this, because one of the two is refused.
         let settles = self.unsettled.is_some() && !self.abandons.is_empty();
         if draft.changed || settles {
             self.send(now, version, draft.object, actions);
@@ -183,8 +184,8 @@
         self.install(sent_at, sent_at, Some(version), value);
     }
 
-    /// The confirmation was lost: the value that is read back tells by the owner and request of
-    /// each entry, which no other write can contain, whether the claims are in the store.
+    /// Handles a lost confirmation by reading the value back. The owner and the request of an entry
+    /// are unique to this write, so they show whether the claims are in the store.
     fn on_unknown(&mut self, now: Timestamp) {
         self.stale = true;
         let version = self.known.as_ref().and_then(|known| known.version);
@@ -219,7 +220,8 @@
         }
     }
 
-    /// Nothing is granted from a value that cannot be read: it may hold any key.
+    /// Handles a value that cannot be decoded. No claim is granted, since the value may contain any
+    /// key.
     fn on_damaged(&mut self, now: Timestamp) {
         self.damaged = true;
         self.known = None;
@@ -241,7 +243,7 @@
         }
         let known = self.known.as_mut().filter(|known| known.version == version);
         if let Some(known) = known {
-            // The same value: its clock has been running here since it was first read.
+            // The value is unchanged, and its clock has been running since it was first read.
             known.as_of = sent_at;
             return;
         }
--- a/lovagedock/src/claim/sweep.rs
+++ b/lovagedock/src/claim/sweep.rs
@@ -1,4 +1,4 @@
-//! Deletes the objects of expired answers.
+//! Deletes the parts of expired answers.
 
 use std::time::Duration;
 
@@ -14,10 +14,10 @@
     store_call::{WriteNonce, WriteOutcome},
 };
 
-/// Time after which any gateway deletes what the one that found it has not.
+/// Time after which any gateway may delete parts that the gateway that found them has not deleted.
 const STRAY_DELETE_DELAY: Duration = Duration::from_secs(120);
 
-/// A deletion that is under way, one part at a time.
+/// A deletion in progress, one part at a time.
 #[derive(Debug)]
 pub(super) struct StrayDeletion {
     request: RequestId,
@@ -63,7 +63,7 @@
         })
     }
 
-    /// Whether the nonce was a deletion's.
+    /// Handles the result of a deletion. Returns `false` if the nonce does not belong to one.
     pub(super) fn on_deletion_ended(
         &mut self,
         now: Timestamp,
@@ -91,7 +91,7 @@
         true
     }
 
-    /// Remembers what this gateway's write took out of the window.
+    /// Stores the requests whose entries this gateway's write removed as expired.
     pub(super) fn note_own_strays(&mut self, value: &PartitionObject) {
         let before = self.known.as_ref().map(|known| &known.value.strays);
         for stray in &value.strays {
--- a/lovagedock/src/claim/types.rs
+++ b/lovagedock/src/claim/types.rs
@@ -14,70 +14,70 @@
 pub type KeyHash = [u8; 16];
 /// First 128 bits of the BLAKE3 hash of a request's method, path and body.
 pub type BodyDigest = [u8; 16];
-/// Number of a partition, from 0.
+/// Index of a partition, starting at 0.
 pub type PartitionIndex = u32;
 
-/// A keyed request that wants to run or to read the recorded answer.
+/// A keyed request that is to run or to get the recorded answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimRequest {
     /// The key.
     pub key: KeyHash,
-    /// This delivery; a repeat of the same call has another.
+    /// Id of this delivery. A repeat of the same call has another id.
     pub request: RequestId,
-    /// What the key was used for.
+    /// Digest of the request that uses the key.
     pub body: BodyDigest,
-    /// When the request's time ends, by the clock of this process. After it the request must not
-    /// be running, or is at least cancelled and never started.
+    /// Deadline of the request by the clock of this process. After it, the request must not be
+    /// running, or it must at least be cancelled and never be started.
     pub deadline: Timestamp,
 }
 
-/// What happened.
+/// An event that a claim partition reacts to.
 #[derive(Clone, Debug)]
 pub enum ClaimEvent {
     /// A keyed request arrived.
     Claim(ClaimRequest),
-    /// A granted request ended with this answer, not yet delivered to its end.
+    /// A granted request ended with this answer, whose delivery has not ended yet.
     Record {
         /// The key.
         key: KeyHash,
         /// The request that was granted.
         request: RequestId,
-        /// Its whole answer, encoded by the caller of this module.
+        /// The whole answer, encoded by the user of this module.
         answer: Bytes,
-        /// Until when the delivery can wait for the record.
+        /// Time until which the delivery can wait for the record.
         deadline: Timestamp,
     },
-    /// A granted request certainly did not run and never will.
+    /// A granted request did not run and never will.
     Abandon {
         /// The key.
         key: KeyHash,
         /// The request that was granted.
         request: RequestId,
     },
-    /// The caller of an unfinished claim went away.
+    /// The caller of an undecided claim disconnected.
     Withdraw {
-        /// The request, not yet granted.
+        /// The request, which is not granted yet.
         request: RequestId,
     },
     /// A write or deletion ended.
     StoreWriteEnded {
         /// Nonce of the action.
         nonce: WriteNonce,
-        /// How it ended.
+        /// Result of the write or deletion.
         outcome: WriteOutcome,
     },
     /// A read ended.
     StoreReadEnded {
-        /// What was read.
+        /// Name of the object.
         object: ObjectName,
-        /// How it ended.
+        /// Result of the read.
         outcome: ReadOutcome,
     },
-    /// Time passed; due at the last [`ClaimAction::WakeAt`].
+    /// The time of the last [`ClaimAction::WakeAt`] is due.
     Tick,
 }
 
-/// What to do.
+/// An action to carry out for a claim partition.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimAction {
     /// Read an object and report [`ClaimEvent::StoreReadEnded`].
@@ -89,37 +89,37 @@
     Write {
         /// Its name.
         object: ObjectName,
-        /// What must hold.
+        /// Condition for the write.
         condition: WriteCondition,
         /// The new value.
         bytes: Bytes,
-        /// Names this write in the report.
+        /// Identifies this write in [`ClaimEvent::StoreWriteEnded`].
         nonce: WriteNonce,
     },
-    /// Delete an object, if it is there, and report [`ClaimEvent::StoreWriteEnded`].
+    /// Delete an object, if it exists, and report [`ClaimEvent::StoreWriteEnded`].
     Delete {
         /// Its name.
         object: ObjectName,
-        /// Names this deletion in the report.
+        /// Identifies this deletion in [`ClaimEvent::StoreWriteEnded`].
         nonce: WriteNonce,
     },
-    /// The request may run now, once.
+    /// The request may run once.
     Grant {
         /// The request.
         request: RequestId,
     },
-    /// The key ran before: deliver this answer.
+    /// The request ran before under this key. Deliver its recorded answer.
     Replay {
         /// The request.
         request: RequestId,
         /// The answer as it was recorded.
         answer: Bytes,
     },
-    /// Another request with the key is running; this one waits for its answer.
+    /// Another request with the key is running, and this one waits for its answer.
     InProgress {
         /// The request that waits.
         request: RequestId,
-        /// Life of the gateway that runs the other.
+        /// Incarnation of the gateway that runs the other request.
         owner: Incarnation,
         /// The other request.
         running: RequestId,
@@ -128,15 +128,15 @@
     Refuse {
         /// The request.
         request: RequestId,
-        /// Why.
+        /// Reason for the refusal.
         code: ResultCode,
     },
-    /// The answer is in the store: the delivery may end cleanly.
+    /// The answer is in the store, and the delivery may end cleanly.
     Recorded {
         /// The granted request.
         request: RequestId,
     },
-    /// The answer is not in the store: the delivery must not end cleanly.
+    /// The answer is not in the store, and the delivery must not end cleanly.
     NotRecorded {
         /// The granted request.
         request: RequestId,
@@ -145,29 +145,29 @@
     WakeAt(Timestamp),
 }
 
-/// Sizes and times of a partition; the same at all gateways.
+/// Sizes and times of a partition. They must be the same at all gateways.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimLimits {
-    /// How long a claim and its answer are kept, at least. Longer than any request's time.
+    /// Minimum time that a claim and its answer are kept. Longer than the deadline of any request.
     pub window: Duration,
-    /// Largest answer that is kept inside the partition's object, in bytes.
+    /// Maximum size of an answer that is kept inside the partition's object, in bytes.
     pub inline_bytes: usize,
-    /// Size of the objects that larger answers are split over, in bytes.
+    /// Size of the objects into which larger answers are split, in bytes.
     pub part_bytes: usize,
-    /// Most objects that one answer is split over.
+    /// Maximum number of objects for one answer.
     pub max_parts: u16,
-    /// Largest size of the partition's object, in bytes.
+    /// Maximum size of the partition's object, in bytes.
     pub partition_bytes: usize,
-    /// Most requests that may wait in the partition at one gateway.
+    /// Maximum number of requests that wait in the partition at one gateway.
     pub max_waiting: usize,
-    /// Least time between two writes of the partition by one gateway; 0 writes as soon as the one
-    /// before is answered.
+    /// Minimum time between two writes of the partition by one gateway. With 0, a write follows as
+    /// soon as the previous one ends.
     pub write_interval: Duration,
     /// Time between reads while a repeat waits for another gateway's answer.
     pub poll_interval: Duration,
-    /// First pause after the store failed or refused; doubles up to `max_backoff`.
+    /// First pause after the store failed or refused a call. It doubles up to `max_backoff`.
     pub backoff: Duration,
-    /// Longest pause after the store failed or refused.
+    /// Longest pause after the store failed or refused a call.
     pub max_backoff: Duration,
 }
 
@@ -188,19 +188,19 @@
     }
 }
 
-/// What a dump shows of a partition.
+/// State of a partition for a dump.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize)]
 pub struct ClaimStatus {
     /// The partition.
     pub partition: PartitionIndex,
-    /// Keys in the last known object.
+    /// Number of keys in the last known object.
     pub keys: usize,
     /// Size of the last known object, in bytes.
     pub bytes: usize,
-    /// Requests that wait for a claim or an answer.
+    /// Number of requests that wait for a claim or an answer.
     pub waiting: usize,
-    /// Answers that wait to be recorded.
+    /// Number of answers that wait to be recorded.
     pub recording: usize,
-    /// Whether the object could not be decoded, so that nothing is granted.
+    /// Whether the object could not be decoded, so that no claim is granted.
     pub damaged: bool,
 }
--- a/lovagedock/src/fence.rs
+++ b/lovagedock/src/fence.rs
@@ -1,4 +1,4 @@
-//! Orders to an endpoint: only of the newest lease holder, one at a time.
+//! Fencing of orders to an endpoint: only the newest lease holder may give orders, one at a time.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,24 +7,24 @@
     ids::{Epoch, PoolId},
 };
 
-/// Orders that wait at most; a holder gives one at a time, so more are a fault.
+/// Maximum number of waiting orders. A holder gives one order at a time, so more indicate a fault.
 const MAX_WAITING_ORDERS: usize = 16;
 
-/// An order to the endpoint, as far as the fence needs it.
+/// The properties of an order to the endpoint that the fence needs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FencedOrder {
-    /// Pool whose lease gives the right to the order.
+    /// Pool whose lease authorises the order.
     pub pool: PoolId,
     /// Fencing number of the lease.
     pub epoch: Epoch,
-    /// Counts the orders of one holder from 1.
+    /// Sequence number of the order at its holder, starting at 1.
     pub sequence: u64,
 }
 
-/// Something that concerns the fence.
+/// An event that a fence gate reacts to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FenceEvent {
-    /// A lease holder, or the store's lease object, says that this is a fencing number of a pool.
+    /// A lease holder or the lease object in the store announced a fencing number of a pool.
     Seen {
         /// The pool.
         pool: PoolId,
@@ -33,25 +33,25 @@
     },
     /// A lease holder gives an order.
     Order(FencedOrder),
-    /// The endpoint is done with the order that was passed to it, well or badly.
+    /// The endpoint has finished the order that was passed to it, with or without success.
     Finished(FencedOrder),
 }
 
-/// What the daemon has to do.
+/// An action that the daemon carries out for a fence gate.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FenceAction {
-    /// Carry the order out and report its end.
+    /// Carry out the order and report its end.
     Pass(FencedOrder),
-    /// Tell the holder that the order is not carried out.
+    /// Report to the holder that the order is refused.
     Refuse {
         /// The order.
         order: FencedOrder,
-        /// Why.
+        /// Reason for the refusal.
         code: ResultCode,
-        /// The newest fencing number seen; 0 when none is known.
+        /// The highest fencing number seen; 0 if none is known.
         highest: Epoch,
     },
-    /// Tell the holder that this order has passed already.
+    /// Report to the holder that this order repeats one that is waiting or has passed.
     Repeated(FencedOrder),
 }
 
@@ -61,17 +61,18 @@
     sequence: u64,
 }
 
-/// Lets an order pass only if no newer lease holder is known.
+/// Passes an order only if no newer lease holder is known.
 ///
-/// A holder that was paused past the lapse of its lease goes on as if it held it; its late order
-/// would undo what its successor did, for instance unload the model that the successor has just
-/// loaded. Some endpoints check the fencing number themselves. For the others this gate is the
-/// only check, and it is enough because every order takes this door. Orders pass one at a time,
-/// since two that overlap on the endpoint could take effect in either order.
+/// A holder that was paused beyond the end of its lease continues as if it still held it. Its late
+/// order would undo the work of its successor, for instance unload a model that the successor has
+/// just loaded. Some endpoints check the fencing number themselves. For the others this gate is the
+/// only check, and it is sufficient because every order goes through it. Orders pass one at a time,
+/// since two orders that overlap on the endpoint could take effect in either order.
 ///
-/// The mark is in memory only. After a restart nothing passes for a pool until a number has been
-/// announced for it: an order of a former holder, sent to an earlier life, could otherwise come
-/// first. Who announces a number must have found its lease valid after this life began.
+/// The highest number is kept in memory only. After a restart, no order passes for a pool until a
+/// number has been announced for it. Otherwise an order that a former holder sent to an earlier
+/// incarnation could arrive first. A process that announces a number must have found its lease
+/// valid after this incarnation began.
 #[derive(Debug, Default)]
 pub struct FenceGate {
     marks: BTreeMap<PoolId, PoolMark>,
@@ -80,12 +81,12 @@
 }
 
 impl FenceGate {
-    /// A gate that knows no fencing number and lets nothing pass.
+    /// Creates a gate that knows no fencing number and passes no order.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Decides on an event.
+    /// Handles an event and returns the actions to carry out.
     pub fn handle(&mut self, event: FenceEvent) -> Vec<FenceAction> {
         let mut actions = Vec::new();
         match event {
@@ -101,12 +102,12 @@
         actions
     }
 
-    /// The newest fencing number seen for a pool.
+    /// Returns the highest fencing number seen for a pool.
     pub fn highest(&self, pool: &str) -> Option<Epoch> {
         self.marks.get(pool).map(|mark| mark.epoch)
     }
 
-    /// The order that the endpoint is carrying out.
+    /// Returns the order that the endpoint is carrying out.
     pub fn passing(&self) -> Option<&FencedOrder> {
         self.passing.as_ref()
     }
@@ -141,8 +142,8 @@
         self.waiting.push_back(order);
     }
 
-    /// Looks at the fence again when an order's turn comes: while it waited, a newer holder may
-    /// have shown itself.
+    /// Passes the next order after checking it again, because a newer holder may have become known
+    /// while it waited.
     fn pass_next(&mut self, actions: &mut Vec<FenceAction>) {
         while self.passing.is_none() {
             let Some(order) = self.waiting.pop_front() else {
--- a/lovagedock/src/lease/fence.rs
+++ b/lovagedock/src/lease/fence.rs
@@ -4,21 +4,21 @@
 
 /// Highest fencing number that a receiver of orders has seen.
 ///
-/// An order of a holder that was paused past its lapse arrives after those of its successor and
-/// would undo them; its number is lower, so the receiver refuses it. The mark must outlive the
-/// receiver's restart: it starts from the epoch in the store.
+/// If a holder is paused beyond the end of its lease, its order can arrive after the orders of its
+/// successor and would undo them. Its number is lower, so the receiver refuses it. The mark must
+/// survive a restart of the receiver, so it starts from the epoch in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FenceMark {
     highest: Epoch,
 }
 
 impl FenceMark {
-    /// Starts from the epoch that the lease has in the store.
+    /// Creates a mark from the epoch of the lease in the store.
     pub fn new(highest: Epoch) -> Self {
         Self { highest }
     }
 
-    /// Whether an order with this number may take effect; a higher number is remembered.
+    /// Returns whether an order with this number may take effect, and stores a higher number.
     pub fn admit(&mut self, epoch: Epoch) -> bool {
         if epoch < self.highest {
             return false;
@@ -27,7 +27,7 @@
         true
     }
 
-    /// Highest number seen.
+    /// Returns the highest number seen.
     pub fn highest(&self) -> Epoch {
         self.highest
     }
--- a/lovagedock/src/lease/holder.rs
+++ b/lovagedock/src/lease/holder.rs
@@ -1,4 +1,4 @@
-//! The machine by which a process gets, keeps and loses a lease.
+//! State machine by which a process acquires, renews and loses a lease.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
     store_call::{NonceSource, ObjectName},
 };
 
-/// One process that contends for one lease.
+/// A process that contends for a lease.
 #[derive(Debug)]
 pub struct LeaseHolder {
     pub(super) object: ObjectName,
@@ -27,7 +27,7 @@
     pub(super) held: Option<HeldLease>,
     pub(super) known: Option<KnownRecord>,
     pub(super) call: LeaseCall,
-    /// Writes whose confirmation was lost, until the store shows what became of them.
+    /// Writes whose confirmation was lost, until a read shows whether they took effect.
     pub(super) unsettled: Vec<SentWrite>,
     pub(super) stale: bool,
     pub(super) damaged: bool,
@@ -44,7 +44,7 @@
 }
 
 impl LeaseHolder {
-    /// A process that wants nothing yet; `owner` is the random id of its life.
+    /// Creates a process that does not contend yet. `owner` is the random id of its incarnation.
     pub fn new(object: ObjectName, owner: Incarnation, limits: LeaseLimits) -> Self {
         Self {
             object,
@@ -70,13 +70,13 @@
         self
     }
 
-    /// The fencing number, if the lease is held at this moment; ask before each order.
+    /// Returns the fencing number if the lease is held at `now`. Call this before each order.
     pub fn fence(&self, now: Timestamp) -> Option<Epoch> {
         let held = self.held.filter(|held| now < held.until)?;
         Some(held.epoch)
     }
 
-    /// What a dump shows.
+    /// Returns the state for a dump.
     pub fn status(&self, now: Timestamp) -> LeaseStatus {
         let record = self.known.as_ref().and_then(|known| known.record.as_ref());
         LeaseStatus {
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Takes an event and returns what to do.
+    /// Handles an event and returns the actions to carry out.
     pub fn handle(&mut self, now: Timestamp, event: LeaseEvent) -> Vec<LeaseAction> {
         let mut actions = Vec::new();
         self.lapse(now, &mut actions);
@@ -106,7 +106,7 @@
         actions
     }
 
-    /// Notices that the time is over, also after a pause of the process.
+    /// Drops the lease if its time is over, which may be noticed late after a pause of the process.
     fn lapse(&mut self, now: Timestamp, actions: &mut Vec<LeaseAction>) {
         let over = |held: &mut HeldLease| held.until <= now;
         if let Some(held) = self.held.take_if(over) {
@@ -122,16 +122,17 @@
         };
         let epoch = held.epoch;
         actions.push(LeaseAction::Lost { epoch });
-        // Lets the next holder start at once; if the write is lost, it waits for the lapse.
+        // The next holder can then start at once. If the write is lost, it waits for the lapse.
         if matches!(self.call, LeaseCall::Idle) {
             self.write(now, None, epoch, actions);
         }
     }
 
-    /// Holds from a write that took effect.
+    /// Starts or extends the lease after a write that took effect.
     ///
-    /// A successor counts from when it sees the write, so the holder must count from before it
-    /// asked: counted from the confirmation, a slow answer would let both hold at once.
+    /// A successor counts the duration from when it sees the write, so the holder must count from
+    /// before it sent the write. If it counted from the confirmation, a slow reply would let both
+    /// hold the lease at once.
     pub(super) fn hold(&mut self, now: Timestamp, sent: SentWrite, actions: &mut Vec<LeaseAction>) {
         let from = match self.safeguards.lease_from_request {
             true => sent.requested_at,
@@ -162,7 +163,7 @@
         }
     }
 
-    /// When the lease of another holder has lapsed by this process's clock.
+    /// Returns when the lease of another holder lapses by this process's clock.
     pub(super) fn lapse_of(&self, known: &KnownRecord, record: &LeaseRecord) -> Timestamp {
         let is_free = record.holder.is_none_or(|holder| holder == self.owner);
         if !self.safeguards.lease_waits_lapse || is_free {
@@ -184,7 +185,7 @@
         }
     }
 
-    /// Spreads contenders over half of a pause, each in its own way.
+    /// Spreads the retries of the contenders over the second half of a pause.
     pub(super) fn jitter(&self, pause: Duration) -> Duration {
         let hash = xxh3_64(&self.owner.to_le_bytes()) % 1024;
         pause / 2 + pause / 2 * hash as u32 / 1024
--- a/lovagedock/src/lease/mod.rs
+++ b/lovagedock/src/lease/mod.rs
@@ -1,15 +1,15 @@
-//! Leases: which process may give orders, and the fencing number that each order carries.
+//! Leases determine which process may give orders, and the fencing number that each order carries.
 //!
-//! What holds, with clocks whose rates differ by less than [`LeaseLimits::clock_margin_percent`]:
+//! Guarantees, for clocks whose rates differ by less than [`LeaseLimits::clock_margin_percent`]:
 //!
-//! - At any moment [`LeaseHolder::fence`] returns a number at one process at most.
+//! - At any moment, [`LeaseHolder::fence`] returns a number at one process at most.
 //! - Two holders never have the same epoch, and a later holder has a higher one.
 //!
-//! A process that asked for its fence may be paused before its order leaves, or the order may be
-//! delayed, so an old order can still arrive after another process holds the lease. The fence
-//! guarantees that at each receiver with a [`FenceMark`] orders take effect in the order of their
-//! epochs: none of an earlier holder after one of a later holder. A new holder that sends its epoch
-//! to all receivers first can from then on rely on what they report.
+//! A process may be paused between the call of `fence` and the sending of its order, or the order
+//! may be delayed. An old order can thus arrive after another process has acquired the lease. At
+//! each receiver with a [`FenceMark`], orders take effect in the order of their epochs: no order of
+//! an earlier holder takes effect after one of a later holder. Once a new holder has sent its epoch
+//! to all receivers, it can rely on their reports.
 
 mod fence;
 mod holder;
--- a/lovagedock/src/lease/record.rs
+++ b/lovagedock/src/lease/record.rs
@@ -1,4 +1,4 @@
-//! The value of a lease's object.
+//! The stored value of a lease.
 
 use std::time::Duration;
 
@@ -13,14 +13,14 @@
 /// Version of the encoding, the first byte of the value.
 const FORMAT: u8 = 1;
 
-/// Who holds a lease.
+/// The current holder and epoch of a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct LeaseRecord {
-    /// Life of the holder; `None` when it gave the lease back.
+    /// Incarnation of the holder; `None` if it released the lease.
     pub(crate) holder: Option<Incarnation>,
     pub(crate) epoch: Epoch,
     pub(crate) duration_ms: u64,
-    /// Names the write, so that its author knows it again.
+    /// Identifies the write, so that its sender recognises it when it reads it back.
     pub(crate) nonce: WriteNonce,
 }
 
@@ -34,7 +34,7 @@
         Bytes::from(bytes)
     }
 
-    /// `None` for bytes that this version does not understand.
+    /// Decodes a record. Returns `None` for bytes that this version cannot decode.
     pub(crate) fn decode(bytes: &[u8]) -> Option<Self> {
         let (format, body) = bytes.split_first()?;
         if *format != FORMAT {
--- a/lovagedock/src/lease/store.rs
+++ b/lovagedock/src/lease/store.rs
@@ -1,4 +1,4 @@
-//! Calls of the lease's object.
+//! Reads and writes of the lease's object.
 
 use super::{holder::LeaseHolder, record::LeaseRecord, types::LeaseAction};
 use crate::{
@@ -6,7 +6,7 @@
     store_call::{ObjectVersion, ReadOutcome, WriteCondition, WriteNonce, WriteOutcome},
 };
 
-/// The one call that may be in flight.
+/// The single call that may be in flight.
 #[derive(Debug)]
 pub(super) enum LeaseCall {
     Idle,
@@ -14,7 +14,7 @@
     Writing(SentWrite),
 }
 
-/// A write that was asked for.
+/// A write that was sent.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SentWrite {
     pub(super) nonce: WriteNonce,
@@ -23,20 +23,20 @@
     pub(super) holder: Option<Incarnation>,
 }
 
-/// The last value that this process has seen.
+/// The last value that this process has read or written.
 #[derive(Debug)]
 pub(super) struct KnownRecord {
-    /// `None` while there is no object.
+    /// `None` if the object does not exist.
     pub(super) version: Option<ObjectVersion>,
     pub(super) record: Option<LeaseRecord>,
-    /// When this version was first seen here.
+    /// When this process first saw this version.
     pub(super) first_seen: Timestamp,
-    /// When it was last found unchanged.
+    /// When this version was last confirmed by a read or write.
     pub(super) checked: Timestamp,
 }
 
 impl LeaseHolder {
-    /// When the next call is due.
+    /// Returns when the next call is due.
     pub(super) fn next_call(&self, now: Timestamp) -> Option<Timestamp> {
         let Some(known) = self.known.as_ref().filter(|_| !self.stale) else {
             return Some(self.retry_at.max(now));
@@ -66,8 +66,8 @@
         self.write(now, Some(self.owner), epoch, actions);
     }
 
-    /// Whether the lease of another was still not renewed when it lapsed; a read finds that out
-    /// more cheaply than a write that is refused.
+    /// Whether a read after the lapse of another holder's lease has shown that it was not renewed.
+    /// Such a read is cheaper than a refused write.
     fn is_checked(&self, known: &KnownRecord) -> bool {
         let Some(record) = known.record.as_ref().filter(|_| self.held.is_none()) else {
             return true;
@@ -125,7 +125,7 @@
         self.call = LeaseCall::Idle;
         match outcome {
             WriteOutcome::Applied(version) => self.on_applied(now, sent, version, actions),
-            // Somebody else wrote, or an earlier write of ours took effect late.
+            // Another process wrote, or an earlier write of this process took effect late.
             WriteOutcome::Conflict => self.stale = true,
             WriteOutcome::Unknown => {
                 self.unsettled.push(sent);
@@ -180,7 +180,7 @@
             ReadOutcome::Found { version, bytes } => match LeaseRecord::decode(&bytes) {
                 Some(record) => self.install(now, Some(version), Some(record), actions),
                 None => {
-                    // Its epoch is unknown, so a successor could not exceed it.
+                    // The epoch is unknown, so a successor cannot choose a higher one.
                     self.damaged = true;
                     self.retry_at = now + self.jitter(self.limits.duration);
                 }
@@ -213,8 +213,8 @@
         if is_unchanged {
             return;
         }
-        // A confirmation that was lost: the nonce tells that the write took effect, and the time
-        // counts from when that write was asked for.
+        // After a lost confirmation, the nonce shows that the write took effect. The lease then
+        // counts from when that write was sent.
         let settled = self.unsettled.iter().find(|sent| Some(sent.nonce) == nonce);
         let settled = settled.copied();
         self.unsettled.clear();
--- a/lovagedock/src/lease/types.rs
+++ b/lovagedock/src/lease/types.rs
@@ -9,12 +9,12 @@
     store_call::{ObjectName, ReadOutcome, WriteCondition, WriteNonce, WriteOutcome},
 };
 
-/// What happened.
+/// An event that a lease holder reacts to.
 #[derive(Clone, Debug)]
 pub enum LeaseEvent {
-    /// This process wants the lease from now on.
+    /// This process contends for the lease from now on.
     Want,
-    /// This process gives the lease up, or no longer wants it.
+    /// This process releases the lease, or no longer contends for it.
     Release,
     /// A read of the lease's object ended.
     StoreReadEnded(ReadOutcome),
@@ -22,14 +22,14 @@
     StoreWriteEnded {
         /// Nonce of the action.
         nonce: WriteNonce,
-        /// How it ended.
+        /// Result of the write.
         outcome: WriteOutcome,
     },
-    /// Time passed; due at the last [`LeaseAction::WakeAt`].
+    /// The time of the last [`LeaseAction::WakeAt`] is due.
     Tick,
 }
 
-/// What to do.
+/// An action to carry out for a lease holder.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseAction {
     /// Read the lease's object and report [`LeaseEvent::StoreReadEnded`].
@@ -41,47 +41,47 @@
     Write {
         /// Its name.
         object: ObjectName,
-        /// What must hold.
+        /// Condition for the write.
         condition: WriteCondition,
         /// The new value.
         bytes: Bytes,
-        /// Names this write in the report.
+        /// Identifies this write in [`LeaseEvent::StoreWriteEnded`].
         nonce: WriteNonce,
     },
-    /// The lease is held; ask [`super::LeaseHolder::fence`] before each order.
+    /// The lease is held. Call [`super::LeaseHolder::fence`] before each order.
     Acquired {
         /// Fencing number of all orders.
         epoch: Epoch,
         /// When the lease lapses unless it is renewed.
         until: Timestamp,
     },
-    /// The lease is held for longer.
+    /// The lease was extended.
     Renewed {
-        /// Fencing number, as before.
+        /// Fencing number, unchanged.
         epoch: Epoch,
         /// When the lease lapses unless it is renewed again.
         until: Timestamp,
     },
-    /// The lease is no longer held; give no more orders.
+    /// The lease is no longer held. Give no more orders.
     Lost {
-        /// Fencing number that it had.
+        /// Fencing number of the lost lease.
         epoch: Epoch,
     },
     /// Send [`LeaseEvent::Tick`] at this time; replaces an earlier one.
     WakeAt(Timestamp),
 }
 
-/// Times of a lease; the same at all that contend for it.
+/// Times of a lease. They must be the same at all contenders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseLimits {
     /// How long a lease lasts without renewal.
     pub duration: Duration,
-    /// A holder renews after this part of the duration, in percent.
+    /// Share of the duration after which a holder renews, in percent.
     pub renew_percent: u32,
-    /// By how much the rates of two clocks may differ, in percent: a holder counts so much less
-    /// and a successor so much more than the duration.
+    /// Maximum difference between the rates of two clocks, in percent. A holder subtracts this
+    /// share from the duration, and a successor adds it.
     pub clock_margin_percent: u32,
-    /// Pause after the store failed.
+    /// Pause after a store failure.
     pub retry: Duration,
 }
 
@@ -96,7 +96,7 @@
     }
 }
 
-/// What a dump shows of a lease.
+/// State of a lease for a dump.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize)]
 pub struct LeaseStatus {
     /// Name of the object.
@@ -105,8 +105,8 @@
     pub held: Option<Epoch>,
     /// Highest epoch seen in the store.
     pub epoch: Epoch,
-    /// Whether this process wants the lease.
+    /// Whether this process contends for the lease.
     pub wanted: bool,
-    /// Whether the object could not be decoded, so that nobody takes it over.
+    /// Whether the object could not be decoded, so that no process can acquire the lease.
     pub damaged: bool,
 }
--- a/lovagedock/src/orders/artifact.rs
+++ b/lovagedock/src/orders/artifact.rs
@@ -1,20 +1,20 @@
-//! What can be loaded, and what is missing.
+//! Models and adapters that engines load, and the orders to load missing ones.
 
 use serde::Serialize;
 
 use crate::config::ModelSpec;
 
-/// A model or an adapter in a version.
+/// A model or an adapter with its version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Artifact {
-    /// Its name.
+    /// Name of the model or adapter.
     pub id: String,
-    /// Its version; empty where any will do or nobody knows it.
+    /// Version; empty if any version is accepted or the version is unknown.
     pub version: String,
 }
 
 impl Artifact {
-    /// A model or an adapter in a version.
+    /// Creates an artifact from its name and version.
     pub fn new(id: impl Into<String>, version: impl Into<String>) -> Self {
         Self {
             id: id.into(),
@@ -22,23 +22,23 @@
         }
     }
 
-    /// Whether what is loaded is what is wanted; a version that is not known is not the wanted one.
+    /// Whether a loaded artifact is the wanted one. An unknown version does not match a wanted one.
     pub(super) fn is_met_by(&self, loaded: &Self) -> bool {
         self.id == loaded.id && (self.version.is_empty() || self.version == loaded.version)
     }
 }
 
-/// A model and its adapters, wanted or loaded.
+/// A model and its adapters, either wanted or loaded.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct ArtifactSet {
     /// The model.
     pub model: Artifact,
-    /// Adapters on top of it.
+    /// Adapters for the model.
     pub adapters: Vec<Artifact>,
 }
 
 impl ArtifactSet {
-    /// What a configuration wants of the engines that run a model.
+    /// Returns the set that a configuration requires of the engines that run a model.
     pub fn wanted(model: &ModelSpec) -> Self {
         let adapters = model.adapters.iter();
         Self {
@@ -49,10 +49,10 @@
         }
     }
 
-    /// The first thing that is wanted and not loaded: the model before its adapters.
+    /// Returns the first artifact that is wanted and not loaded, the model before its adapters.
     ///
-    /// Adapters that are loaded and not wanted stay: callers are not routed to them, and engines
-    /// take no order to unload.
+    /// Adapters that are loaded but not wanted stay loaded: callers are not routed to them, and
+    /// engines have no order to unload.
     pub fn first_missing(&self, loaded: &Self) -> Option<LoadOrder> {
         if !self.model.is_met_by(&loaded.model) {
             return Some(LoadOrder::Model(self.model.clone()));
@@ -64,25 +64,25 @@
     }
 }
 
-/// What an engine is ordered to load.
+/// An order to an engine to load an artifact.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LoadOrder {
-    /// A model in the place of the one that is loaded.
+    /// A model, which replaces the loaded one.
     Model(Artifact),
-    /// An adapter on top of the model.
+    /// An adapter for the loaded model.
     Adapter(Artifact),
 }
 
 impl LoadOrder {
-    /// What is to be loaded.
+    /// Returns the artifact to load.
     pub fn artifact(&self) -> &Artifact {
         match self {
             Self::Model(artifact) | Self::Adapter(artifact) => artifact,
         }
     }
 
-    /// Whether the engine can serve nothing while it is carried out.
+    /// Whether the engine cannot serve any request while it carries out the order.
     pub fn replaces_model(&self) -> bool {
         matches!(self, Self::Model(_))
     }
--- a/lovagedock/src/orders/contenders.rs
+++ b/lovagedock/src/orders/contenders.rs
@@ -1,4 +1,4 @@
-//! Which gateways compete for the lease of a pool.
+//! Selection of the gateways that contend for the lease of a pool.
 
 use std::cmp::Reverse;
 
@@ -6,10 +6,11 @@
 
 use crate::ids::{GatewayId, PoolId};
 
-/// The gateways that rendezvous hashing ranks first for a pool.
+/// Returns the gateways that rendezvous hashing ranks first for a pool.
 ///
-/// Each contender reads the lease's object again and again. If all gateways competed, the calls to
-/// the store would grow with the fleet; with two, one takes over when the other is lost.
+/// Each contender reads the lease's object periodically. If all gateways contended, the number of
+/// store calls would grow with the fleet. Two contenders are enough for one to take over when the
+/// other is lost.
 pub fn pool_contenders<'a>(
     pool: &PoolId,
     gateways: impl Iterator<Item = &'a GatewayId>,
--- a/lovagedock/src/orders/endpoint.rs
+++ b/lovagedock/src/orders/endpoint.rs
@@ -1,4 +1,4 @@
-//! What the planner knows of one endpoint.
+//! The planner's state of one endpoint.
 
 use super::{
     artifact::{ArtifactSet, LoadOrder},
@@ -9,7 +9,8 @@
     ids::Timestamp,
 };
 
-/// Doublings of the pause that are worth telling apart.
+/// Maximum number of doublings of the retry pause. More would not change the pause, which is
+/// capped.
 const MAX_RETRY_DOUBLINGS: u32 = 16;
 
 /// A call that has not ended.
@@ -28,10 +29,10 @@
 #[derive(Debug, Default)]
 pub(super) struct PoolEndpoint {
     pub(super) call: Option<SentCall>,
-    /// What its last report said; `None` makes the planner look.
+    /// Artifacts in its last report. With `None`, the planner polls the endpoint.
     pub(super) loaded: Option<ArtifactSet>,
     pub(super) busy: bool,
-    /// It may be without a model, since the last load of one did not succeed.
+    /// Whether it may be without a model, because the last load of one did not succeed.
     pub(super) model_failed: bool,
     pub(super) poll_at: Timestamp,
     pub(super) retry_at: Timestamp,
@@ -39,19 +40,19 @@
 }
 
 impl PoolEndpoint {
-    /// Whether a load is going on there.
+    /// Whether a load is in progress at the endpoint.
     pub(super) fn is_loading(&self) -> bool {
         let call = self.call.as_ref();
         self.busy || call.is_some_and(|call| call.order.is_some())
     }
 
-    /// Whether its model is being exchanged, perhaps by another.
+    /// Whether its model is being replaced, possibly by the order of another lease holder.
     pub(super) fn is_replacing(&self) -> bool {
         let call = self.call.as_ref();
         self.busy || call.is_some_and(SentCall::replaces_model)
     }
 
-    /// Begins anew, for instance under another configuration; calls in flight stay counted.
+    /// Resets the state, for instance for a new configuration. Calls in flight still count.
     pub(super) fn reset(&mut self) {
         let call = self.call.take();
         *self = Self {
@@ -70,8 +71,9 @@
         let succeeded = answer.code == ResultCode::Complete;
         self.model_failed = match &answer.report {
             Some(report) => report.unsettled,
-            // Out of reach: the host is lost, whatever was loaded there. Holding up the others for
-            // it would end every change of a pool that has lost a host.
+            // The endpoint is unreachable, so its host is considered lost with everything that was
+            // loaded there. If the other engines waited for it, no pool that has lost a host could
+            // change its model.
             None if sent.order.is_none() => false,
             None => {
                 self.model_failed || (sent.replaces_model() && answer.code.ran() != RanState::No)
--- a/lovagedock/src/orders/loaded.rs
+++ b/lovagedock/src/orders/loaded.rs
@@ -1,23 +1,23 @@
-//! What a sidecar knows of what its engine has loaded.
+//! A sidecar's knowledge of the artifacts that its engine has loaded.
 
 use std::time::Duration;
 
 use super::artifact::{Artifact, ArtifactSet, LoadOrder};
 use crate::ids::Timestamp;
 
-/// How far an engine's report may lag behind.
+/// Maximum delay of an engine's report behind the actual state.
 const REPORT_LAG: Duration = Duration::from_secs(10);
 
-/// Puts together what the engine reports, names without versions, with the orders that it has
-/// confirmed.
+/// Combines the engine's reports, which contain names without versions, with the orders that the
+/// engine has confirmed.
 #[derive(Debug, Default)]
 pub struct LoadedArtifacts {
     reported: Option<ArtifactSet>,
     model: Option<ConfirmedLoad>,
     adapters: Vec<ConfirmedLoad>,
-    /// A load of a model began and has not been confirmed.
+    /// Whether the load of a model began and has not been confirmed.
     unsettled: bool,
-    /// What was known before the order that the engine has now.
+    /// The state before the order that the engine is carrying out.
     before: Option<PriorState>,
 }
 
@@ -35,20 +35,22 @@
 }
 
 impl ConfirmedLoad {
-    /// An engine that restarted by itself has lost what it had loaded; its report, once it is
-    /// newer than the order, shows that. Without the check the load would never be repeated.
+    /// Whether a newer report lacks the artifact.
+    ///
+    /// An engine that restarts by itself loses what it has loaded. A report that is newer than the
+    /// order shows this. Without the check the load would never be repeated.
     fn is_contradicted(&self, now: Timestamp, mut reported: impl Iterator<Item = String>) -> bool {
         now > self.at + REPORT_LAG && !reported.any(|id| id == self.artifact.id)
     }
 }
 
 impl LoadedArtifacts {
-    /// Nothing is known.
+    /// Creates the state of an engine of which nothing is known.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes the names that the engine reports.
+    /// Processes the names in a report of the engine.
     pub fn report(&mut self, now: Timestamp, model: &str, adapters: &[String]) {
         let is_gone =
             |load: &mut ConfirmedLoad| load.is_contradicted(now, std::iter::once(model.to_owned()));
@@ -64,7 +66,7 @@
         });
     }
 
-    /// The engine is down; what it has when it comes back must be seen anew.
+    /// Drops all knowledge because the engine is down. After its restart a new report is needed.
     pub fn forget(&mut self) {
         let unsettled = self.unsettled;
         *self = Self {
@@ -73,7 +75,7 @@
         };
     }
 
-    /// An order goes to the engine; until it is confirmed, nobody knows what it has done.
+    /// Records that an order is sent to the engine. Its effect is unknown until it is confirmed.
     pub fn begin(&mut self, order: &LoadOrder) {
         self.before = Some(PriorState {
             model: self.model.clone(),
@@ -92,7 +94,7 @@
         }
     }
 
-    /// The engine has carried an order out.
+    /// Records that the engine has carried out an order.
     pub fn confirm(&mut self, now: Timestamp, order: LoadOrder) {
         self.begin(&order);
         self.before = None;
@@ -106,7 +108,7 @@
         }
     }
 
-    /// The engine did not begin the order; it has what it had.
+    /// Restores the state before the last order, because the engine did not begin it.
     pub fn withdraw(&mut self) {
         if let Some(before) = self.before.take() {
             self.model = before.model;
@@ -115,7 +117,7 @@
         }
     }
 
-    /// Whether an order would load what is there already.
+    /// Whether the artifact of an order is already loaded.
     pub fn holds(&self, order: &LoadOrder) -> bool {
         let Some(set) = self.current() else {
             return false;
@@ -126,12 +128,12 @@
         }
     }
 
-    /// Whether the last load of a model is not known to have succeeded.
+    /// Whether the last load of a model began and is not known to have succeeded.
     pub fn is_unsettled(&self) -> bool {
         self.unsettled
     }
 
-    /// What is loaded, as far as it is known; `None` before the engine's first report.
+    /// Returns the loaded artifacts as far as they are known, or `None` before the first report.
     pub fn current(&self) -> Option<ArtifactSet> {
         let mut set = self.reported.clone()?;
         if let Some(load) = &self.model {
--- a/lovagedock/src/orders/mod.rs
+++ b/lovagedock/src/orders/mod.rs
@@ -1,7 +1,7 @@
-//! Orders to engines: what each engine of a pool has to load, and when.
+//! Orders to engines: which artifacts each engine of a pool has to load, and when.
 //!
-//! [`OrderPlanner`] runs at the gateway that holds the lease of a pool; [`LoadedArtifacts`] runs at
-//! each sidecar and knows what its engine has loaded.
+//! [`OrderPlanner`] runs at the gateway that holds the lease of a pool. [`LoadedArtifacts`] runs at
+//! each sidecar and tracks what its engine has loaded.
 
 mod artifact;
 mod contenders;
--- a/lovagedock/src/orders/planner.rs
+++ b/lovagedock/src/orders/planner.rs
@@ -1,4 +1,4 @@
-//! The machine that gives the orders of one pool.
+//! State machine that gives the orders of one pool.
 
 use std::collections::BTreeMap;
 
@@ -12,17 +12,18 @@
     ids::{EndpointId, Epoch, Timestamp},
 };
 
-/// Compares what the engines of a pool have loaded with what the configuration wants and orders
-/// the difference, a few engines at a time.
+/// Compares the artifacts that the engines of a pool have loaded with the configuration and orders
+/// the missing ones, a few engines at a time.
 ///
-/// Every call needs the pool's lease. A new holder looks at each engine before it orders anything
-/// there: the look announces its fencing number, so that what it sees stays true of all former
-/// holders.
+/// Every call requires the pool's lease. A new holder polls each engine before it gives it an
+/// order. The poll announces the fencing number, so that no former holder can change the engine
+/// after the reported state.
 #[derive(Debug)]
 pub struct OrderPlanner {
     limits: OrderLimits,
     lease: Option<PlannerLease>,
-    /// Another holder has a number above this process's, whatever its clock says.
+    /// Highest fencing number of another holder that a sidecar has reported. Leases of this process
+    /// up to this number are not used, even if they are valid by its own clock.
     superseded: Epoch,
     wanted: Option<ArtifactSet>,
     endpoints: BTreeMap<EndpointId, PoolEndpoint>,
@@ -37,7 +38,7 @@
 }
 
 impl OrderPlanner {
-    /// A planner without a lease or a configuration.
+    /// Creates a planner without a lease or a configuration.
     pub fn new(limits: OrderLimits) -> Self {
         Self {
             limits,
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Takes an event and returns what to do.
+    /// Handles an event and returns the actions to carry out.
     pub fn handle(&mut self, now: Timestamp, event: OrderEvent) -> Vec<OrderAction> {
         match event {
             OrderEvent::Lease { epoch, until } => self.set_lease(epoch, until),
@@ -69,7 +70,7 @@
         actions
     }
 
-    /// What a dump shows; `None` before a configuration.
+    /// Returns the state for a dump, or `None` before the first configuration.
     pub fn status(&self) -> Option<OrderStatus> {
         let wanted = self.wanted.clone()?;
         let endpoints = self.endpoints.values();
@@ -91,7 +92,7 @@
         let is_new = self.lease.is_none_or(|lease| lease.epoch != epoch);
         self.lease = Some(PlannerLease { epoch, until });
         if is_new {
-            // What was seen before may be another holder's past.
+            // Another holder may have changed the engines since the last reports.
             self.endpoints.values_mut().for_each(PoolEndpoint::reset);
         }
     }
@@ -126,8 +127,8 @@
         endpoint.apply_answer(now, &sent, answer, &self.limits);
     }
 
-    /// A sidecar has seen a later holder: this process's clock or store is wrong, so it gives no
-    /// more orders under this lease.
+    /// Stops using the lease because a sidecar has seen a later holder. The clock or the store of
+    /// this process is wrong, so it gives no more orders under this lease.
     fn yield_lease(&mut self, answer: &OrderAnswer) {
         let highest = answer.report.as_ref().map_or(0, |report| report.highest);
         if self.lease.is_some_and(|lease| lease.epoch < highest) {
@@ -137,7 +138,7 @@
     }
 
     fn drive(&mut self, now: Timestamp, actions: &mut Vec<OrderAction>) {
-        // The process may have been paused past the lapse since it was told of the lease.
+        // The process may have been paused beyond the end of the lease.
         let Some(lease) = self.lease.filter(|lease| now < lease.until) else {
             return;
         };
@@ -198,12 +199,13 @@
         endpoint.is_replacing() || self.has_failed(endpoint)
     }
 
-    /// Whether one more load keeps the limits.
+    /// Whether one more load stays within the limits.
     ///
-    /// Every engine of a pool lacks a new version at the same moment. Without the first limit all
-    /// would ask the weight store at once and be refused by its rate; without the second none
-    /// would be left to serve, and weights that do not load would take the whole pool down. An
-    /// engine that failed counts as taken out until it has loaded, so a bad version stops there.
+    /// All engines of a pool lack a new version at the same time. Without the limit on loads, all
+    /// of them would read from the weight store at once and be refused by its rate limit. Without
+    /// the limit on replaced models, no engine would be left to serve, and weights that do not load
+    /// would take down the whole pool. A failed engine counts as out of service until it has loaded
+    /// its model, so a bad version does not spread to further engines.
     fn within_limits(&self, name: &EndpointId, order: &LoadOrder) -> bool {
         if self.endpoints[name].busy || self.loading() >= self.limits.max_loads {
             return false;
--- a/lovagedock/src/orders/types.rs
+++ b/lovagedock/src/orders/types.rs
@@ -10,91 +10,93 @@
     ids::{EndpointId, Epoch, Timestamp},
 };
 
-/// What a sidecar tells of its engine.
+/// A sidecar's report about its engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LoadedReport {
-    /// What is loaded; `None` while that is not known.
+    /// Loaded artifacts; `None` if they are not known.
     pub loaded: Option<ArtifactSet>,
-    /// Whether the engine is carrying an order out, perhaps one of a former lease holder.
+    /// Whether the engine is carrying out an order, possibly one of a former lease holder.
     pub busy: bool,
     /// Whether the last load of a model began and is not known to have succeeded.
     pub unsettled: bool,
-    /// Highest fencing number that this life of the sidecar has seen for the pool; 0 for none.
+    /// Highest fencing number that this incarnation of the sidecar has seen for the pool; 0 for
+    /// none.
     pub highest: Epoch,
 }
 
-/// How a call to a sidecar ended.
+/// Result of a call to a sidecar.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OrderAnswer {
-    /// What became of the order.
+    /// Result code of the order.
     pub code: ResultCode,
-    /// What the sidecar told; `None` if nothing came back.
+    /// The sidecar's report; `None` if there was no reply.
     pub report: Option<LoadedReport>,
 }
 
-/// What happened.
+/// An event that an order planner reacts to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderEvent {
-    /// This process holds the lease of the pool, or holds it for longer.
+    /// This process has acquired or renewed the lease of the pool.
     Lease {
         /// Fencing number.
         epoch: Epoch,
-        /// When it lapses.
+        /// When the lease lapses.
         until: Timestamp,
     },
-    /// It does not hold the lease any more.
+    /// This process no longer holds the lease.
     LeaseLost,
-    /// A configuration is in force.
+    /// A configuration came into force.
     Configure {
-        /// What each engine of the pool has to have loaded.
+        /// Artifacts that each engine of the pool must have loaded.
         wanted: ArtifactSet,
-        /// The engines.
+        /// Endpoints of the engines.
         endpoints: Vec<EndpointId>,
     },
-    /// A call ended; each [`OrderAction::Send`] brings exactly one.
+    /// A call ended. There is exactly one such event for each [`OrderAction::Send`].
     Answered {
         /// The endpoint.
         endpoint: EndpointId,
-        /// Number of the call.
+        /// Sequence number of the call.
         sequence: u64,
-        /// How it ended.
+        /// Result of the call.
         answer: OrderAnswer,
     },
-    /// Time passed; due at the last [`OrderAction::WakeAt`].
+    /// The time of the last [`OrderAction::WakeAt`] is due.
     Tick,
 }
 
-/// What to do.
+/// An action to carry out for an order planner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderAction {
-    /// Call a sidecar, if the lease is still held when the connection is open, and report
+    /// Call a sidecar, provided the lease is still held when the connection is open, and report
     /// [`OrderEvent::Answered`].
     Send {
         /// The endpoint.
         endpoint: EndpointId,
         /// Fencing number.
         epoch: Epoch,
-        /// Counts the calls of this process.
+        /// Sequence number of the call at this process.
         sequence: u64,
-        /// What to load; `None` to announce the fencing number and see what is loaded.
+        /// Order to load; `None` only announces the fencing number and requests a report.
         order: Option<LoadOrder>,
     },
     /// Send [`OrderEvent::Tick`] at this time; replaces an earlier one.
     WakeAt(Timestamp),
 }
 
-/// Pace of orders.
+/// Limits and intervals of orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OrderLimits {
-    /// Loads of one pool in flight, for the weight store's sake.
+    /// Maximum number of concurrent loads of one pool, which limits the load on the weight store.
     pub max_loads: usize,
-    /// Engines of a pool whose model may be exchanged at once, in percent; at least one.
+    /// Maximum share of a pool's engines whose model is replaced at the same time, in percent; at
+    /// least one engine.
     pub max_replaced_percent: usize,
-    /// Between looks at an engine that has all that is wanted.
+    /// Interval of polling an engine that has loaded everything.
     pub poll_interval: Duration,
-    /// Between looks at an engine that is busy with another's order.
+    /// Interval of polling an engine that is busy with another holder's order.
     pub busy_poll_interval: Duration,
-    /// Pause after the first failure at an endpoint; it doubles with each.
+    /// Pause after the first failure at an endpoint. It doubles with each further failure.
     pub retry: Duration,
     /// Longest pause after a failure.
     pub max_retry: Duration,
@@ -113,15 +115,15 @@
     }
 }
 
-/// What a dump shows of the orders of one pool.
+/// State of the orders of one pool for a dump.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct OrderStatus {
-    /// What each engine has to have loaded.
+    /// Artifacts that each engine must have loaded.
     pub wanted: ArtifactSet,
-    /// Engines that have it.
+    /// Number of engines that have loaded them.
     pub met: usize,
-    /// Loads in flight.
+    /// Number of loads in progress.
     pub loading: usize,
-    /// Engines that failed to load their model; they hold up the others.
+    /// Engines that failed to load their model. They delay the others.
     pub failed: Vec<EndpointId>,
 }
--- a/lovagedock/src/request/answer.rs
+++ b/lovagedock/src/request/answer.rs
@@ -1,4 +1,4 @@
-//! Frames of an answer: which are delivered, which are dropped, and when the answer is whole.
+//! Delivers the frames of an answer to the caller and detects repeated, missing and damaged frames.
 
 use super::{event::RequestAction, machine::RequestMachine, phase::RequestPhase};
 use crate::{
@@ -7,10 +7,10 @@
     outcome::AnswerEnd,
 };
 
-/// How much of the answer the caller has.
+/// How much of the answer has been delivered to the caller.
 #[derive(Clone, Debug, Default)]
 pub(super) struct AnswerProgress {
-    /// Bytes that were delivered in order.
+    /// Number of bytes delivered in order.
     pub(super) delivered: u64,
     head_seen: bool,
     head_delivered: bool,
@@ -41,8 +41,10 @@
 }
 
 impl RequestMachine {
-    /// The head waits for the first byte: until then the request can still run elsewhere, and a
-    /// failure can still be told by the HTTP status.
+    /// Records the head of the answer without delivering it.
+    ///
+    /// The head is delivered together with the first byte. Until then the request can still run on
+    /// another endpoint, and a failure can still be reported by the HTTP status.
     pub(super) fn on_head(&mut self, number: AttemptNumber) {
         if self.accepts_frames(number) {
             self.answer.head_seen = true;
@@ -61,8 +63,8 @@
             return;
         }
         self.mark_started();
-        // A repeated frame would double bytes and a missing one would drop some, and the caller
-        // would read a wrong answer. The offset tells both, whatever connection a frame came on.
+        // A repeated frame would duplicate bytes and a missing frame would drop some, so the caller
+        // would read a wrong answer. The offset reveals both cases on any connection.
         let place = if self.safeguards.check_offsets {
             self.answer.locate(offset, length)
         } else {
@@ -93,8 +95,9 @@
             self.repair_gap(now);
             return;
         }
-        // A frame of another request or a lost byte would end as if the answer were whole. The
-        // sidecar computed length and digest where the answer was made, so they tell.
+        // Without this check, an answer with a frame of another request or a lost byte would end
+        // as complete. The sidecar computes length and digest next to the engine, so they show the
+        // difference.
         match end.digest {
             Some(expected) if end.length == self.answer.delivered => {
                 self.phase = RequestPhase::Checking { end };
@@ -116,10 +119,10 @@
         }
     }
 
-    /// Whether a frame is of the current attempt and the answer is still open.
+    /// Whether a frame belongs to the current attempt and the answer is still open.
     ///
-    /// An answer of an attempt that was given up may still arrive, late, beside the answer of its
-    /// successor; mixed, the caller would read parts of both. The attempt number tells them apart.
+    /// Frames of an abandoned attempt can arrive late, together with those of the next attempt.
+    /// Without the comparison of attempt numbers the caller would read parts of both answers.
     fn accepts_frames(&self, number: AttemptNumber) -> bool {
         let open = matches!(
             self.phase,
--- a/lovagedock/src/request/attempt.rs
+++ b/lovagedock/src/request/attempt.rs
@@ -5,25 +5,25 @@
     ids::{AttemptNumber, EndpointId, Incarnation},
 };
 
-/// The attempt that a request waits for, and what is known of it.
+/// The current attempt of a request and what is known about it.
 #[derive(Clone, Debug)]
 pub(super) struct Attempt {
     pub(super) number: AttemptNumber,
     pub(super) endpoint: EndpointId,
     pub(super) incarnation: Incarnation,
-    /// Endpoints of the span, first the one that decodes; empty without a span.
+    /// Endpoints of the span, starting with the one that decodes; empty without a span.
     pub(super) span: Vec<EndpointId>,
     /// Whether a submit was sent.
     pub(super) submitted: bool,
-    /// Whether the sidecar took it.
+    /// Whether the sidecar accepted it.
     pub(super) accepted: bool,
-    /// Whether a frame or a verdict showed that the work started.
+    /// Whether a frame or a revoke verdict showed that the engine started it.
     pub(super) started: bool,
-    /// Whether a verdict said that it ran to an end.
+    /// Whether a revoke verdict reported that it ran to its end.
     pub(super) ended: bool,
-    /// Whether the life of the sidecar that had it is known to be over.
+    /// Whether the sidecar incarnation that had it is known to have ended.
     pub(super) incarnation_ended: bool,
-    /// Resumes because of missing frames, and revokes.
+    /// Number of resumes because of missing frames, plus revokes.
     pub(super) repairs: u32,
 }
 
@@ -47,12 +47,12 @@
         }
     }
 
-    /// Whether it ran, if nothing more is heard of it.
+    /// Whether the attempt ran, if no further message about it arrives.
     pub(super) fn ran(&self) -> RanState {
         if self.started {
             return RanState::Yes;
         }
-        // The engines of a span compute before the submit, so a span never counts as not run.
+        // The engines of a span prefill before the submit, so a span never counts as not run.
         if self.submitted || !self.span.is_empty() {
             return RanState::Unknown;
         }
@@ -64,7 +64,7 @@
     }
 }
 
-/// Of two facts about one request, the one that says more was done.
+/// Combines the states of two attempts: `Yes` wins over `Unknown`, and `Unknown` over `No`.
 pub(super) fn merge_ran_states(one: RanState, other: RanState) -> RanState {
     match (one, other) {
         (RanState::Yes, _) | (_, RanState::Yes) => RanState::Yes,
--- a/lovagedock/src/request/event.rs
+++ b/lovagedock/src/request/event.rs
@@ -1,4 +1,4 @@
-//! What a request machine is told and what it asks for.
+//! Events and actions of a request machine.
 
 use std::time::Duration;
 
@@ -8,39 +8,39 @@
     outcome::{AnswerEnd, RevokeVerdict},
 };
 
-/// Where placement puts a request.
+/// Result of placing a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlacementOutcome {
-    /// On one endpoint.
+    /// One endpoint serves the request.
     One {
         /// The endpoint.
         endpoint: EndpointId,
-        /// Life of its sidecar that the gateway has a session to; the submit names it.
+        /// Incarnation of the sidecar that the gateway has a session to. The submit carries it.
         incarnation: Incarnation,
     },
-    /// On several engines, first the one that decodes.
+    /// Several engines serve the request, starting with the one that decodes.
     Span(Vec<SpanPart>),
-    /// Nowhere.
+    /// No endpoint can serve the request.
     Refused {
-        /// Why.
+        /// Reason for the refusal.
         code: ResultCode,
-        /// When another try makes sense.
+        /// Time after which the caller may retry.
         retry_after: Duration,
     },
 }
 
-/// One engine of a span and the life of its sidecar that the gateway has a session to.
+/// One engine of a span.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SpanPart {
     /// The engine's endpoint.
     pub endpoint: EndpointId,
-    /// Life of its sidecar that the gateway has a session to.
+    /// Incarnation of its sidecar that the gateway has a session to.
     pub incarnation: Incarnation,
-    /// Tokens of the prompt that it holds.
+    /// Number of prompt tokens that the engine holds.
     pub tokens: TokenCount,
 }
 
-/// What a request machine is told.
+/// An event that a request machine reacts to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestEvent {
     /// Placement answered a [`RequestAction::Place`].
@@ -57,82 +57,82 @@
         /// Attempt that the span belongs to.
         attempt: AttemptNumber,
     },
-    /// The span was given up and its engines are free.
+    /// The span failed, and its engines are released.
     SpanFailed {
         /// Attempt that the span belongs to.
         attempt: AttemptNumber,
-        /// Why, and whether any engine computed.
+        /// Reason, and whether any engine computed.
         end: AnswerEnd,
     },
     /// The sidecar queued the attempt.
     SubmitAccepted {
-        /// Which attempt.
+        /// Number of the attempt.
         attempt: AttemptNumber,
-        /// Life of the sidecar that took it.
+        /// Incarnation of the sidecar that accepted it.
         incarnation: Incarnation,
     },
-    /// The sidecar refused the attempt, or the submit could not be sent at all.
+    /// The sidecar refused the attempt, or the submit could not be sent.
     SubmitRefused {
-        /// Which attempt.
+        /// Number of the attempt.
         attempt: AttemptNumber,
-        /// Why.
+        /// Reason for the refusal.
         end: AnswerEnd,
     },
-    /// The session closed, or no heartbeat came within the limit.
+    /// The session closed, or no heartbeat arrived within the timeout.
     SessionLost {
-        /// Endpoint at the other end.
+        /// Endpoint of the session.
         endpoint: EndpointId,
-        /// Life of the sidecar that the session was to.
+        /// Incarnation of the sidecar that the session was connected to.
         incarnation: Incarnation,
     },
-    /// A new session to the endpoint is up.
+    /// A new session to the endpoint is established.
     SessionReconnected {
-        /// Endpoint at the other end.
+        /// Endpoint of the session.
         endpoint: EndpointId,
-        /// Life of the sidecar that answered.
+        /// Incarnation of the sidecar that answered.
         incarnation: Incarnation,
     },
     /// A sidecar answered a [`RequestAction::Revoke`].
     RevokeAnswered {
-        /// Which attempt.
+        /// Number of the attempt.
         attempt: AttemptNumber,
-        /// Life of the sidecar that answered.
+        /// Incarnation of the sidecar that answered.
         incarnation: Incarnation,
-        /// What became of the attempt.
+        /// State of the attempt at the sidecar.
         verdict: RevokeVerdict,
     },
     /// A revoke could not be delivered.
     RevokeFailed {
-        /// Which attempt.
+        /// Number of the attempt.
         attempt: AttemptNumber,
     },
     /// A sidecar answered a [`RequestAction::Resume`].
     ResumeAnswered {
-        /// Which attempt.
+        /// Number of the attempt.
         attempt: AttemptNumber,
-        /// Whether the sidecar has the attempt; its frames follow when it does.
+        /// Whether the sidecar has the attempt. If so, its frames follow.
         found: bool,
     },
     /// A resume could not be delivered.
     ResumeFailed {
-        /// Which attempt.
+        /// Number of the attempt.
         attempt: AttemptNumber,
     },
-    /// The head of the answer came; the daemon keeps it until [`RequestAction::DeliverHead`].
+    /// The head of the answer arrived. The daemon keeps it until [`RequestAction::DeliverHead`].
     Head {
         /// Attempt that it belongs to.
         attempt: AttemptNumber,
     },
-    /// Bytes of the answer came; the daemon keeps them for [`RequestAction::Deliver`].
+    /// Bytes of the answer arrived. The daemon keeps them for [`RequestAction::Deliver`].
     Chunk {
         /// Attempt that they belong to.
         attempt: AttemptNumber,
-        /// Place of the first byte in the whole answer.
+        /// Offset of the first byte in the whole answer.
         offset: u64,
-        /// Bytes in the frame.
+        /// Number of bytes in the frame.
         length: u64,
     },
-    /// The end frame came.
+    /// The end frame arrived.
     End {
         /// Attempt that it belongs to.
         attempt: AttemptNumber,
@@ -146,35 +146,36 @@
     },
     /// The caller closed its connection.
     CallerGone,
-    /// The gateway shuts down: nothing new starts and what runs has this long.
+    /// The gateway shuts down: it starts no new attempts, and running ones must end within the
+    /// grace period.
     Stopping {
         /// Time until the gateway exits.
         grace: Duration,
     },
-    /// The time of [`RequestAction::WakeAt`] came.
+    /// The time of the last [`RequestAction::WakeAt`] is due.
     Tick,
 }
 
-/// What a request machine asks for.
+/// An action that the daemon carries out for a request machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestAction {
     /// Place the request on an endpoint that is not among these.
     Place {
-        /// Endpoints that refused or lost it.
+        /// Endpoints that refused or lost an earlier attempt.
         excluded: Vec<EndpointId>,
     },
     /// Ask the service's retry budget, and answer with [`RequestEvent::RetryAnswered`].
     AskRetry,
-    /// Reserve and prefill a span; a span coordinator does it.
+    /// Reserve and prefill a span with a [`crate::SpanCoordinator`].
     StartSpan {
         /// Attempt that it belongs to.
         attempt: AttemptNumber,
-        /// The engines, first the one that decodes.
+        /// The engines, starting with the one that decodes.
         members: Vec<SpanPart>,
         /// Time that is left.
         remaining: Duration,
     },
-    /// The span's engines are not needed any more.
+    /// Release the engines of a span.
     ReleaseSpan {
         /// Attempt that it belongs to.
         attempt: AttemptNumber,
@@ -183,84 +184,84 @@
     Submit {
         /// Endpoint to submit to.
         endpoint: EndpointId,
-        /// Life of the sidecar that the submit names.
+        /// Incarnation of the sidecar that the submit carries.
         incarnation: Incarnation,
         /// Number of the attempt.
         attempt: AttemptNumber,
         /// Time that is left to the sidecar.
         remaining: Duration,
-        /// Engines of the span, first the one that decodes; empty without a span.
+        /// Engines of the span, starting with the one that decodes; empty without a span.
         span: Vec<EndpointId>,
     },
     /// Revoke an attempt, always on a new connection.
     Revoke {
         /// Endpoint that has the attempt.
         endpoint: EndpointId,
-        /// Which attempt.
+        /// Number of the attempt.
         attempt: AttemptNumber,
-        /// Life of the sidecar that may have it.
+        /// Incarnation of the sidecar that may have it.
         incarnation: Incarnation,
     },
-    /// Read the answer on from this offset, on a new connection; frames of the former one are
-    /// not wanted any more.
+    /// Continue the answer from this offset on a new connection. Frames that arrive on the former
+    /// connection are to be dropped.
     Resume {
         /// Endpoint that has the attempt.
         endpoint: EndpointId,
-        /// Which attempt.
+        /// Number of the attempt.
         attempt: AttemptNumber,
-        /// Life of the sidecar that has it.
+        /// Incarnation of the sidecar that has it.
         incarnation: Incarnation,
-        /// Bytes that the caller has already; the head comes again when it is 0.
+        /// Number of bytes that the caller has already; the head is sent again if it is 0.
         offset: u64,
     },
-    /// Stop an attempt that nobody waits for; no answer is needed.
+    /// Stop an attempt whose answer is no longer needed. No reply is expected.
     Cancel {
         /// Endpoint that may have the attempt.
         endpoint: EndpointId,
-        /// Which attempt.
+        /// Number of the attempt.
         attempt: AttemptNumber,
-        /// Life of the sidecar that may have it.
+        /// Incarnation of the sidecar that may have it.
         incarnation: Incarnation,
     },
-    /// Give the caller the head of this attempt's answer.
+    /// Send the head of this attempt's answer to the caller.
     DeliverHead {
-        /// Which attempt.
+        /// Number of the attempt.
         attempt: AttemptNumber,
     },
-    /// Give the caller the frame at this offset without its first `skip` bytes.
+    /// Send the frame at this offset to the caller, without its first `skip` bytes.
     Deliver {
-        /// Which attempt.
+        /// Number of the attempt.
         attempt: AttemptNumber,
         /// Offset of the frame.
         offset: u64,
-        /// Bytes at its beginning that the caller has already.
+        /// Number of bytes at its start that the caller has already.
         skip: u64,
     },
     /// Compare the digest of all delivered bytes with this one.
     CheckDigest {
-        /// BLAKE3 of the whole answer.
+        /// BLAKE3 hash of the whole answer.
         expected: [u8; 32],
     },
-    /// The final answer; nothing comes after it. Unless the code is `Complete`, a stream that
-    /// has begun is cut and not ended.
+    /// Give the caller the final answer; no action follows it. Unless the code is `Complete`, a
+    /// stream that has begun is aborted instead of being ended cleanly.
     Finish(RequestOutcome),
-    /// Send [`RequestEvent::Tick`] at this time; replaces the time given before.
+    /// Send [`RequestEvent::Tick`] at this time; replaces an earlier one.
     WakeAt(Timestamp),
 }
 
-/// The final answer to a request.
+/// The final result of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestOutcome {
-    /// What became of the request.
+    /// Result code of the request.
     pub code: ResultCode,
-    /// Whether any attempt ran; goes before what the code says.
+    /// Whether any attempt ran. This takes precedence over what the code implies.
     pub ran: RanState,
-    /// When another try makes sense; zero when there is no advice.
+    /// Time after which the caller may retry; zero if there is no advice.
     pub retry_after: Duration,
-    /// One line for people.
+    /// A one-line description for humans.
     pub detail: String,
-    /// Attempts that were made.
+    /// Number of attempts made.
     pub attempts: AttemptNumber,
-    /// Last frame of the attempt that decided, for its token counts.
+    /// End frame of the attempt that determined the result, for its token counts.
     pub end: Option<AnswerEnd>,
 }
--- a/lovagedock/src/request/finish.rs
+++ b/lovagedock/src/request/finish.rs
@@ -1,4 +1,4 @@
-//! When a request is tried again, and what its caller is told in the end.
+//! Decides whether a failed request is retried, and builds its final result.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
     outcome::AnswerEnd,
 };
 
-/// Advice for a request that was given up when nobody gave better.
+/// Retry advice for a failed request if no sidecar or placement gave any.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl RequestMachine {
@@ -46,13 +46,14 @@
         }
     }
 
-    /// The current attempt ended without an answer: tries again where that is safe and worth it.
+    /// Handles the end of the current attempt without an answer. Retries if that is safe and there
+    /// is enough time left.
     pub(super) fn attempt_failed(&mut self, now: Timestamp, end: AnswerEnd) {
-        // A frame or a verdict goes before the word of a later message that says "not run".
+        // A frame or a verdict that shows a start takes precedence over a later "not run".
         let started = self.attempt.as_ref().is_some_and(|attempt| attempt.started);
         let prefilling = matches!(self.phase, RequestPhase::Spanning);
-        // The parts of a span are prefilled before its submit: a refusal of the submit says that
-        // nothing was answered, and not that no engine has worked on the request.
+        // The parts of a span are prefilled before its submit. A refusal of the submit means that
+        // there is no answer, but the engines have already worked on the request.
         let is_span = self
             .attempt
             .as_ref()
@@ -94,8 +95,8 @@
         if given_up || spent || self.answer.delivered > 0 {
             return false;
         }
-        // An attempt that this request revoked may end on its old connection before the verdict
-        // comes; that is as good as the verdict.
+        // An attempt that this request revoked can end on its old connection before the verdict
+        // arrives. That end is equivalent to the verdict.
         let engine_side = matches!(
             end.code,
             ResultCode::EndpointLost
@@ -103,21 +104,21 @@
                 | ResultCode::AnswerDamaged
                 | ResultCode::Revoked
         );
-        // Prefill makes no answer and has no effect outside the engine, so it may be repeated even
-        // for a request that must not run twice.
+        // Prefill produces no answer and has no effect outside the engine, so it may be repeated
+        // even for a request that must not run twice.
         let repeatable = end.ran == RanState::No
             || prefilling
             || only_prefilled
             || !self.spec.non_idempotent
             || !self.safeguards.revoke_before_retry;
-        // A span has tried other engines itself for as long as made sense.
+        // The span coordinator has already tried other engines until its time limit.
         let span_gave_up = prefilling && end.code == ResultCode::NoCapacity;
         (engine_side || end.code.may_go_elsewhere()) && repeatable && !span_gave_up
     }
 
     fn exclude(&mut self, end: &AnswerEnd) {
-        // The next life of a restarted sidecar is as good as any; and which engine broke a span
-        // that was not submitted is for placement to see, by its session.
+        // A restarted sidecar may get the next attempt. If a span failed before its submit, the
+        // placement excludes the failed engine itself, because it sees the lost session.
         let restarted = end.code == ResultCode::StaleIncarnation;
         let attempt = self
             .attempt
@@ -154,7 +155,7 @@
         }
     }
 
-    /// The deadline passed: the caller gets the final answer at once.
+    /// Handles the deadline: the caller gets the final answer at once.
     pub(super) fn expire(&mut self) {
         let code = match self.ran_so_far() {
             RanState::No if self.stopping => ResultCode::GatewayStopping,
@@ -176,8 +177,8 @@
             .as_ref()
             .is_some_and(|attempt| attempt.submitted);
         if submitted && self.spec.non_idempotent {
-            // Its answer must be recorded for the caller that comes back with the same key, so
-            // only a revoke is sent, which stops what has not started and nothing else.
+            // The answer must be recorded for a caller that repeats the request with the same key.
+            // Therefore only a revoke is sent, which stops the attempt only if it has not started.
             self.abandon_attempt_unless(matches!(self.phase, RequestPhase::Checking { .. }));
             return;
         }
@@ -205,8 +206,8 @@
         let ran = match end.code {
             ResultCode::Complete => RanState::Yes,
             _ if !self.safeguards.remember_ran => end.ran,
-            // One attempt that was refused does not undo an earlier one that may have run; told
-            // "not run", the caller would repeat a request that ran.
+            // A refused attempt does not undo an earlier one that may have run. If "not run" were
+            // reported, the caller would repeat a request that ran.
             _ => merge_ran_states(self.earlier_ran, end.ran),
         };
         let contradicts = end.code.ran() == RanState::No && ran != RanState::No;
@@ -247,10 +248,10 @@
         merge_ran_states(self.earlier_ran, current)
     }
 
-    /// Frees what the current attempt holds, unless it is known to hold nothing.
+    /// Releases the resources of the current attempt, unless it is known to hold none.
     ///
-    /// A non-idempotent attempt is revoked and not cancelled: once started it runs to its end, so
-    /// that its answer can be recorded.
+    /// A non-idempotent attempt is revoked instead of cancelled: once started it runs to its end,
+    /// so that its answer can be recorded.
     fn abandon_attempt_unless(&mut self, is_over: bool) {
         let Some(attempt) = &self.attempt else {
             return;
@@ -271,7 +272,8 @@
     }
 }
 
-/// Whether a sidecar's own end frame brought this, so that it holds nothing any more.
+/// Whether this end came from a sidecar's end frame, which means that the sidecar has already
+/// released the attempt.
 fn frees_endpoint(end: &AnswerEnd) -> bool {
     matches!(
         end.code,
--- a/lovagedock/src/request/machine.rs
+++ b/lovagedock/src/request/machine.rs
@@ -16,11 +16,11 @@
     outcome::AnswerEnd,
 };
 
-/// Decides everything about one caller's request from its admission to its final answer.
+/// Makes all decisions about one caller's request from its admission to its final answer.
 ///
-/// Each event is answered with actions, which the daemon carries out in order. Exactly one
-/// [`RequestAction::Finish`] comes, by the deadline at the latest, provided that the daemon sends
-/// the ticks that it is asked for.
+/// Each event returns actions, which the daemon carries out in order. The machine returns exactly
+/// one [`RequestAction::Finish`], by the deadline at the latest, provided that the daemon sends the
+/// requested ticks.
 #[derive(Debug)]
 pub struct RequestMachine {
     pub(super) spec: RequestSpec,
@@ -31,7 +31,7 @@
     pub(super) attempts: AttemptNumber,
     pub(super) excluded: Vec<EndpointId>,
     pub(super) answer: AnswerProgress,
-    /// What the attempts before the current one did, and the failure that goes with it.
+    /// Whether an attempt before the current one ran, and the failure of that attempt.
     pub(super) earlier_ran: RanState,
     pub(super) earlier_failure: Option<AnswerEnd>,
     pub(super) caller_gone: bool,
@@ -41,7 +41,8 @@
 }
 
 impl RequestMachine {
-    /// A request that was admitted now; [`RequestMachine::start`] begins it.
+    /// Creates the machine of a request that is admitted at `now`. Call [`RequestMachine::start`]
+    /// to begin it.
     pub fn new(now: Timestamp, spec: RequestSpec) -> Self {
         Self {
             deadline: now.saturating_add(spec.deadline),
@@ -61,19 +62,19 @@
         }
     }
 
-    /// Turns safeguards off, for tests that show what each of them is for.
+    /// Replaces the safeguards, for tests that show what each of them prevents.
     pub fn with_safeguards(mut self, safeguards: RequestSafeguards) -> Self {
         self.safeguards = safeguards;
         self
     }
 
-    /// The first actions.
+    /// Begins the request and returns the first actions.
     pub fn start(&mut self) -> Vec<RequestAction> {
         self.place();
         self.take_actions()
     }
 
-    /// Answers an event with actions.
+    /// Handles an event and returns the actions to carry out.
     pub fn handle(&mut self, now: Timestamp, event: RequestEvent) -> Vec<RequestAction> {
         if self.is_finished() {
             return Vec::new();
@@ -87,7 +88,7 @@
         self.take_actions()
     }
 
-    /// The request.
+    /// Returns the specification of the request.
     pub fn spec(&self) -> &RequestSpec {
         &self.spec
     }
@@ -97,7 +98,7 @@
         matches!(self.phase, RequestPhase::Finished)
     }
 
-    /// Bytes of the answer that were delivered in order.
+    /// Number of answer bytes delivered in order.
     pub fn delivered(&self) -> u64 {
         self.answer.delivered
     }
@@ -107,7 +108,7 @@
         self.attempt.as_ref().map(|attempt| &attempt.endpoint)
     }
 
-    /// What the request waits for, in a word, for dumps.
+    /// Name of the current phase, for dumps.
     pub fn state_name(&self) -> &'static str {
         self.phase.name()
     }
@@ -261,7 +262,8 @@
         }
     }
 
-    /// Time that a sidecar gets: less than what is left, so that its last word comes in time.
+    /// Time limit for a sidecar. It is shorter than the remaining time, so that the sidecar's final
+    /// message arrives before the deadline.
     fn remaining(&self, now: Timestamp) -> Duration {
         let margin = self.spec.timing.answer_margin;
         self.deadline.saturating_sub(now).saturating_sub(margin)
--- a/lovagedock/src/request/mod.rs
+++ b/lovagedock/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! Everything that a gateway decides about one caller's request.
+//! Decisions of a gateway about one caller's request: placement, retries, recovery and delivery.
 
 mod answer;
 mod attempt;
--- a/lovagedock/src/request/phase.rs
+++ b/lovagedock/src/request/phase.rs
@@ -1,8 +1,8 @@
-//! What a request waits for.
+//! Phases of a request.
 
 use crate::{ids::Timestamp, outcome::AnswerEnd};
 
-/// What a request waits for.
+/// The phase of a request, named by what it waits for.
 #[derive(Clone, Debug)]
 pub(super) enum RequestPhase {
     Placing,
@@ -15,12 +15,12 @@
     Spanning,
     Submitting,
     Attached,
-    /// A resume was sent, or is to be sent again at `again_at`.
+    /// A resume was sent, or will be sent again at `again_at`.
     Resuming {
         until: Timestamp,
         again_at: Option<Timestamp>,
     },
-    /// A revoke was sent, or is to be sent again at `again_at`.
+    /// A revoke was sent, or will be sent again at `again_at`.
     Revoking {
         until: Timestamp,
         again_at: Option<Timestamp>,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// When the phase wants to be woken before the deadline.
+    /// Time at which the phase needs a tick, if that is before the deadline.
     pub(super) fn wake_at(&self) -> Option<Timestamp> {
         match *self {
             Self::BackingOff { until } => Some(until),
--- a/lovagedock/src/request/recovery.rs
+++ b/lovagedock/src/request/recovery.rs
@@ -1,4 +1,4 @@
-//! What a request does when a connection goes silent, frames are missing or a sidecar is gone.
+//! Recovery of a request from silent connections, missing frames and lost sidecars.
 
 use super::{attempt::Attempt, event::RequestAction, machine::RequestMachine, phase::RequestPhase};
 use crate::{
@@ -23,7 +23,8 @@
         };
         let accepted = attempt.accepted || attempt.started;
         match self.phase {
-            // A long prefill that goes on behind a silent connection is worth more than a new one.
+            // A long prefill may still be running behind the silent connection. Resuming it is
+            // cheaper than starting again.
             RequestPhase::Submitting | RequestPhase::Attached if accepted => self.resume(now),
             RequestPhase::Submitting => self.resolve_attempt(now),
             _ => {}
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Asks the same sidecar for the rest of the answer.
+    /// Requests the rest of the answer from the same sidecar.
     pub(super) fn resume(&mut self, now: Timestamp) {
         self.send_resume(now + self.spec.timing.resume_wait);
     }
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Frames are missing: reads on from the last byte that the caller has.
+    /// Handles missing frames by resuming after the last byte that the caller has.
     pub(super) fn repair_gap(&mut self, now: Timestamp) {
         if matches!(
             self.phase,
@@ -138,11 +139,12 @@
         }
     }
 
-    /// Finds out what became of an attempt that no connection tells about any more.
+    /// Determines the state of an attempt whose connection is lost.
     ///
-    /// A non-idempotent request whose connection went silent may still be running; sent elsewhere
-    /// as well it would run twice. A revoke on a new connection leaves a tombstone, after which
-    /// the attempt can never start, so only then may it go elsewhere.
+    /// A non-idempotent request whose connection went silent may still be running. If it were also
+    /// sent to another endpoint, it would run twice. A revoke on a new connection leaves a
+    /// tombstone, after which the attempt can never start. Only then may the request be retried on
+    /// another endpoint.
     pub(super) fn resolve_attempt(&mut self, now: Timestamp) {
         let revokes = self.spec.non_idempotent && self.safeguards.revoke_before_retry;
         if !revokes {
@@ -170,8 +172,8 @@
         else {
             return;
         };
-        // A restarted sidecar knows nothing of what its former incarnation did, and its "revoked" would
-        // let a request that ran run again. The incarnation tells the two lives apart.
+        // A restarted sidecar does not know what its former incarnation did. If its "revoked" were
+        // trusted, a request that ran could run again. The incarnation number tells the two apart.
         let other_incarnation =
             verdict == RevokeVerdict::OtherLife || incarnation != attempt.incarnation;
         let verdict = match (other_incarnation, self.safeguards.check_verdict_incarnation) {
@@ -222,7 +224,7 @@
         }
     }
 
-    /// Nobody is left who could tell what became of the attempt.
+    /// Fails the attempt as lost, because its state can no longer be determined.
     fn fail_endpoint_lost(&mut self, now: Timestamp) {
         let ran = self
             .attempt
@@ -279,5 +281,5 @@
 fn revoked() -> AnswerEnd {
     AnswerEnd::new(ResultCode::EndpointUnreachable)
         .with_ran(RanState::No)
-        .with_detail("the connection went silent and the attempt was revoked")
+        .with_detail("connection went silent; the attempt was revoked before it started")
 }
--- a/lovagedock/src/request/safeguards.rs
+++ b/lovagedock/src/request/safeguards.rs
@@ -1,24 +1,24 @@
-//! Switches that tests use to show that each safeguard is needed.
+//! Switches that let tests show that each safeguard is needed.
 
-/// Which safeguards of a request are on; all of them, unless a test turns one off.
+/// The enabled safeguards of a request. All of them are on, except in tests that turn one off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestSafeguards {
-    /// A non-idempotent attempt that went silent is revoked before another is made.
+    /// A non-idempotent attempt whose connection went silent is revoked before a retry.
     pub revoke_before_retry: bool,
-    /// A verdict of another life of the sidecar is not believed.
+    /// A revoke verdict from another incarnation of the sidecar is not trusted.
     pub check_verdict_incarnation: bool,
     /// Frames of an older attempt are dropped.
     pub drop_old_attempts: bool,
-    /// Bytes are delivered once each and in order.
+    /// Each byte is delivered once and in order.
     pub check_offsets: bool,
-    /// A clean end needs the end frame's length and digest to match what was delivered.
+    /// A clean end requires that length and digest in the end frame match the delivered bytes.
     pub check_end: bool,
-    /// What earlier attempts did counts when the caller is told whether the request ran.
+    /// Earlier attempts count when the gateway reports whether the request ran.
     pub remember_ran: bool,
 }
 
 impl RequestSafeguards {
-    /// All safeguards on.
+    /// All safeguards enabled.
     pub const ALL: Self = Self {
         revoke_before_retry: true,
         check_verdict_incarnation: true,
--- a/lovagedock/src/request/spec.rs
+++ b/lovagedock/src/request/spec.rs
@@ -1,4 +1,4 @@
-//! What a request is, and the times that apply to it.
+//! Properties of a request and the time limits that apply to it.
 
 use std::time::Duration;
 
@@ -8,27 +8,27 @@
     retry::BackoffCurve,
 };
 
-/// A caller's request, as far as the gateway's decisions depend on it.
+/// The properties of a caller's request that affect the gateway's decisions.
 #[derive(Clone, Debug)]
 pub struct RequestSpec {
     /// Random id of the request.
     pub id: RequestId,
-    /// Service that it addresses.
+    /// Service that the request addresses.
     pub service: ServiceId,
-    /// Organisation that it belongs to.
+    /// Organisation that the request belongs to.
     pub organisation: OrganisationId,
-    /// Importance of the request.
+    /// Priority tier of the request.
     pub tier: PriorityTier,
-    /// Whether it must not run twice.
+    /// Whether the request must not run twice.
     pub non_idempotent: bool,
-    /// Time from now within which the caller gets the final answer.
+    /// Time from admission within which the caller gets the final answer.
     pub deadline: Duration,
-    /// Times and counts that bound recovery.
+    /// Time limits and counts that bound recovery.
     pub timing: RequestTiming,
 }
 
 impl RequestSpec {
-    /// An idempotent request of standard priority without an organisation.
+    /// Creates an idempotent request of standard priority without an organisation.
     pub fn new(id: RequestId, service: impl Into<ServiceId>, deadline: Duration) -> Self {
         Self {
             id,
@@ -47,7 +47,7 @@
         self
     }
 
-    /// Sets the importance.
+    /// Sets the priority tier.
     pub fn with_tier(mut self, tier: PriorityTier) -> Self {
         self.tier = tier;
         self
@@ -59,30 +59,30 @@
         self
     }
 
-    /// Sets the times and counts that bound recovery.
+    /// Sets the time limits and counts that bound recovery.
     pub fn with_timing(mut self, timing: RequestTiming) -> Self {
         self.timing = timing;
         self
     }
 }
 
-/// Times and counts that bound how a request recovers from failures.
+/// Time limits and counts that bound how a request recovers from failures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestTiming {
-    /// How much earlier a sidecar has to give up than the gateway, so that its word on whether
-    /// the request ran arrives in time.
+    /// How much earlier than the gateway a sidecar times out, so that its report on whether the
+    /// request ran arrives before the deadline.
     pub answer_margin: Duration,
     /// How long to try to resume on a sidecar after its session was lost.
     pub resume_wait: Duration,
     /// How long to wait for the verdict of a revoke.
     pub revoke_wait: Duration,
-    /// Pause between two tries of a resume or a revoke that failed to connect.
+    /// Pause before a resume or a revoke that failed to connect is sent again.
     pub reconnect_pause: Duration,
-    /// Most attempts for one request, the first included.
+    /// Maximum number of attempts for one request, including the first.
     pub max_attempts: u32,
-    /// Most resumes because of missing frames, and most revokes, for one attempt.
+    /// Maximum number of resumes because of missing frames plus revokes, for one attempt.
     pub max_repairs: u32,
-    /// Waits between attempts.
+    /// Backoff between attempts.
     pub backoff: BackoffCurve,
 }
 
--- a/lovagedock/src/span/backoff.rs
+++ b/lovagedock/src/span/backoff.rs
@@ -1,17 +1,18 @@
-//! Pauses between two tries to reserve all engines of a span.
+//! Backoff between rounds of reserving the engines of a span.
 
 use std::time::Duration;
 
 use crate::retry::BackoffCurve;
 
-/// Pause that grows with each refused round and shrinks with the span's age.
+/// Backoff that grows with each refused round and shrinks with the span's age.
 ///
-/// With a plain back-off a wide span starves: the pauses of those that waited long are the
-/// longest, and narrow spans that came later find the engines first. Shrinking by age lets the
-/// oldest ask most often, without anyone holding an engine while it waits for another.
+/// With a plain backoff, wide spans starve: the spans that have waited longest have the longest
+/// pauses, and narrow spans that arrived later reserve the engines first. Shrinking the pause by
+/// age lets the oldest span retry most often, without holding any engine while it waits for
+/// another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReserveBackoff {
-    /// Pauses of a span that has just come.
+    /// Backoff of a span that has just arrived.
     pub curve: BackoffCurve,
     /// Shortest pause at any age.
     pub floor: Duration,
@@ -30,8 +31,8 @@
 }
 
 impl ReserveBackoff {
-    /// Pause after refused round number `round` (from 1) of a span that has waited this long of
-    /// its patience; `jitter` is a random number in `0.0..1.0`.
+    /// Returns the pause after refused round number `round` (counted from 1) of a span that has
+    /// waited `waited` of its `time_limit`. `jitter` is a random number in `0.0..1.0`.
     pub fn delay(
         &self,
         round: u32,
--- a/lovagedock/src/span/coordinator.rs
+++ b/lovagedock/src/span/coordinator.rs
@@ -1,4 +1,4 @@
-//! The state machine of one span.
+//! State machine of one span.
 
 use std::{collections::VecDeque, mem, time::Duration};
 
@@ -20,8 +20,8 @@
 /// Reserves several engines, all or none, prefills a prompt over them and keeps them reserved
 /// until the answer is decoded.
 ///
-/// While it lacks one engine it holds none: a refusal frees all the others, so spans can neither
-/// deadlock nor keep memory idle. Each reservation lapses by itself when this process dies.
+/// A refusal by one engine releases all the others, so spans can neither deadlock nor keep memory
+/// idle while they wait. Each reservation expires at the sidecar if this process dies.
 #[derive(Debug)]
 pub struct SpanCoordinator {
     pub(super) plan: SpanPlan,
@@ -49,8 +49,8 @@
 }
 
 impl SpanCoordinator {
-    /// A span whose first choice of engines is given to [`SpanCoordinator::start`]; `seed` spreads
-    /// its pauses.
+    /// Creates a span. Its first choice of engines is passed to [`SpanCoordinator::start`]. `seed`
+    /// determines the jitter of its pauses.
     pub fn new(now: Timestamp, plan: SpanPlan, seed: u64) -> Self {
         Self {
             plan,
@@ -72,7 +72,7 @@
         self.handle(now, SpanEvent::EnginesChosen(parts))
     }
 
-    /// Answers an event with actions.
+    /// Handles an event and returns the actions to carry out.
     pub fn handle(&mut self, now: Timestamp, event: SpanEvent) -> Vec<SpanAction> {
         if self.is_finished() {
             return Vec::new();
@@ -115,7 +115,7 @@
         self.take_actions()
     }
 
-    /// Whether the span holds nothing any more.
+    /// Whether the span has ended and released its engines.
     pub fn is_finished(&self) -> bool {
         self.state == SpanState::Finished
     }
@@ -157,7 +157,7 @@
         else {
             return;
         };
-        // Its reservation belongs to the running request now; a late answer says nothing.
+        // The running request has taken over the reservation, so a late reply is ignored.
         if member.is_submitted() {
             return;
         }
@@ -165,8 +165,8 @@
             self.release_and_back_off(now);
             return;
         }
-        // The sidecar gave the memory to others because a renewal came too late; the KV blocks of
-        // this part are gone.
+        // A renewal arrived too late, and the sidecar gave the memory to others. The KV blocks of
+        // this part are lost.
         if !granted {
             self.fail_endpoint_lost();
             return;
@@ -228,7 +228,7 @@
         self.fail(AnswerEnd::new(ResultCode::EndpointLost).with_ran(ran));
     }
 
-    /// Frees all members: blocks of a span are worth nothing once one part is gone.
+    /// Releases all members, since the blocks of a span are useless once one part is lost.
     pub(super) fn fail(&mut self, end: AnswerEnd) {
         self.finish();
         self.actions.push(SpanAction::Fail(end));
--- a/lovagedock/src/span/event.rs
+++ b/lovagedock/src/span/event.rs
@@ -1,4 +1,4 @@
-//! What a span coordinator is told and what it asks for.
+//! Events and actions of a span coordinator.
 
 use std::time::Duration;
 
@@ -9,83 +9,84 @@
     request::SpanPart,
 };
 
-/// What a span coordinator is told.
+/// An event that a span coordinator reacts to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SpanEvent {
-    /// Placement answered a [`SpanAction::ChooseEngines`]; empty when there is no choice now.
+    /// Placement answered a [`SpanAction::ChooseEngines`]. The list is empty if there is currently
+    /// no choice.
     EnginesChosen(Vec<SpanPart>),
-    /// A sidecar answered a reservation or its renewal; answers of a lost session are dropped.
+    /// A sidecar answered a reservation or its renewal. Answers from a lost session are dropped.
     ReserveAnswered {
         /// The sidecar's endpoint.
         endpoint: EndpointId,
-        /// Round that the reservation was made in.
+        /// Round in which the reservation was requested.
         round: u32,
         /// Whether the memory is reserved.
         granted: bool,
     },
-    /// A segment was prefilled, or failed.
+    /// The prefill of a segment ended or failed.
     SegmentDone {
-        /// Engine that had it.
+        /// Engine that prefilled it.
         endpoint: EndpointId,
         /// First token of the segment.
         start: TokenCount,
-        /// `Complete`, or what went wrong.
+        /// `Complete`, or the failure.
         end: AnswerEnd,
     },
     /// The session to a member closed or went silent.
     MemberLost {
         /// The member's endpoint.
         endpoint: EndpointId,
-        /// Life of the sidecar that the session was to.
+        /// Incarnation of the sidecar that the session was connected to.
         incarnation: Incarnation,
     },
-    /// A new session to a member is up.
+    /// A new session to a member is established.
     MemberReconnected {
         /// The member's endpoint.
         endpoint: EndpointId,
-        /// Life of the sidecar that answered.
+        /// Incarnation of the sidecar that answered.
         incarnation: Incarnation,
     },
-    /// The request needs the engines no more, for whatever reason.
+    /// The request no longer needs the engines.
     Released,
-    /// The time of [`SpanAction::WakeAt`] came.
+    /// The time of the last [`SpanAction::WakeAt`] is due.
     Tick,
 }
 
-/// What a span coordinator asks for.
+/// An action that the daemon carries out for a span coordinator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SpanAction {
-    /// Choose engines anew.
+    /// Choose another set of engines.
     ChooseEngines,
     /// Reserve memory, or renew the reservation of the same round.
     Reserve {
         /// Endpoint to reserve at.
         endpoint: EndpointId,
-        /// Life of the sidecar.
+        /// Incarnation of the sidecar.
         incarnation: Incarnation,
-        /// Round that the answer has to name.
+        /// Round that the answer must carry.
         round: u32,
-        /// Memory to reserve.
+        /// Memory to reserve, in tokens.
         tokens: TokenCount,
-        /// Time after which it lapses without renewal.
+        /// Time after which the reservation expires without renewal.
         hold: Duration,
     },
-    /// Give a reservation free, on the same session as the reservation or a later one.
+    /// Release a reservation, on the same session as the reservation or a later one.
     Release {
         /// Endpoint that may hold it.
         endpoint: EndpointId,
-        /// Life of the sidecar.
+        /// Incarnation of the sidecar.
         incarnation: Incarnation,
     },
-    /// Prefill a segment; asking again for the same one changes nothing.
+    /// Prefill a segment. This is idempotent: repeating it for the same segment changes nothing.
     Segment(SpanSegment),
-    /// All parts are prefilled: submit to the lead ([`crate::RequestEvent::SpanReady`]).
+    /// All parts are prefilled. Submit to the lead ([`crate::RequestEvent::SpanReady`]).
     Decode {
-        /// The engines, first the one that decodes.
+        /// The engines, starting with the one that decodes.
         members: Vec<SpanPart>,
     },
-    /// The span is over ([`crate::RequestEvent::SpanFailed`]).
+    /// The span failed ([`crate::RequestEvent::SpanFailed`]).
     Fail(AnswerEnd),
-    /// Send [`SpanEvent::Tick`] at this time; replaces the time given before.
+    /// Send [`SpanEvent::Tick`] at this time; replaces an earlier one.
     WakeAt(Timestamp),
 }
--- a/lovagedock/src/span/member.rs
+++ b/lovagedock/src/span/member.rs
@@ -1,4 +1,4 @@
-//! The engines of one round of a span.
+//! An engine in one round of a span.
 
 use std::{mem, time::Duration};
 
@@ -8,20 +8,21 @@
     request::SpanPart,
 };
 
-/// One engine and what is known of its reservation.
+/// An engine and the state of its reservation.
 #[derive(Clone, Debug)]
 pub(super) struct SpanMember {
     pub(super) part: SpanPart,
-    /// When the latest reservation or renewal was asked for.
+    /// When the latest reservation or renewal was requested.
     requested_at: Timestamp,
     awaits_answer: bool,
-    /// Until when the sidecar surely holds the memory; counted from before it was asked.
+    /// Time until which the sidecar certainly holds the memory, counted from before the request for
+    /// it was sent.
     held_until: Option<Timestamp>,
-    /// Whether no session reaches it.
+    /// Whether there is no session to it.
     pub(super) is_disconnected: bool,
-    /// Whether the request was submitted there, which took the reservation over.
+    /// Whether the request was submitted to it and has taken over the reservation.
     is_submitted: bool,
-    /// Whether a new session awaits its first grant; a segment is sent again after it.
+    /// Whether a new session is waiting for its first grant, after which a segment is sent again.
     awaits_regrant: bool,
 }
 
@@ -54,7 +55,8 @@
         self.held_until
     }
 
-    /// Whether a renewal makes sense now: one at a time, or it is not known which was granted.
+    /// Whether a reservation may be requested now. Only one request may be pending at a time, or it
+    /// is not known which one was granted.
     pub(super) fn may_reserve(&self) -> bool {
         !self.awaits_answer && !self.is_disconnected && !self.is_submitted
     }
@@ -71,14 +73,15 @@
         }
     }
 
-    /// Notes a grant; tells whether it is the first since the session came back.
+    /// Records a grant. Returns whether it is the first one since the session was reconnected.
     pub(super) fn grant(&mut self, hold: Duration) -> bool {
         self.awaits_answer = false;
         self.held_until = Some(self.requested_at + hold);
         mem::take(&mut self.awaits_regrant)
     }
 
-    /// The request itself holds the memory from now on, and the request machine looks after it.
+    /// Marks the member as submitted. From now on the request itself holds the memory, and the
+    /// request machine is responsible for it.
     pub(super) fn submit(&mut self) {
         self.is_submitted = true;
         self.held_until = None;
--- a/lovagedock/src/span/mod.rs
+++ b/lovagedock/src/span/mod.rs
@@ -1,4 +1,4 @@
-//! Prompts that are larger than any engine: several engines hold parts of one prompt.
+//! Spans: prompts that are too large for any single engine and are distributed over several.
 
 mod backoff;
 mod coordinator;
--- a/lovagedock/src/span/plan.rs
+++ b/lovagedock/src/span/plan.rs
@@ -1,4 +1,4 @@
-//! How a prompt is laid over several engines.
+//! Division of a prompt into segments for several engines.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
     request::SpanPart,
 };
 
-/// Largest share of an engine's memory that spans may hold, in percent; the rest stays for
+/// Maximum share of an engine's memory that spans may hold, in percent. The rest is kept for
 /// requests that fit one engine.
 pub const SPAN_SHARE_PERCENT: u8 = 50;
 
@@ -17,28 +17,28 @@
 pub struct SpanPlan {
     /// The caller's request.
     pub request: RequestId,
-    /// Attempt of it that the span belongs to.
+    /// Attempt of the request that the span belongs to.
     pub attempt: AttemptNumber,
-    /// Tokens of the whole prompt.
+    /// Number of tokens of the whole prompt.
     pub prompt_tokens: TokenCount,
     /// Time that is left for the whole request.
     pub remaining: Duration,
-    /// Times and sizes.
+    /// Time limits and sizes.
     pub timing: SpanTiming,
 }
 
-/// Times and sizes that bound a span.
+/// Time limits and sizes of a span.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SpanTiming {
-    /// Most tokens that one segment prefills, so that other work gets its turn between two.
+    /// Maximum number of tokens per segment, so that other work can run between two segments.
     pub segment_tokens: TokenCount,
-    /// Time after which a reservation lapses at the sidecar when it is not renewed.
+    /// Time after which a reservation expires at the sidecar unless it is renewed.
     pub hold: Duration,
     /// How long to wait for the answers to one round of reservations.
     pub answer_timeout: Duration,
-    /// Part of the remaining time that may pass before all engines are reserved, in percent.
+    /// Share of the remaining time that may pass before all engines are reserved, in percent.
     pub reserve_percent: u32,
-    /// Pauses between two rounds.
+    /// Backoff between two rounds.
     pub backoff: ReserveBackoff,
 }
 
@@ -54,12 +54,12 @@
     }
 }
 
-/// One piece of a prompt that one engine prefills.
+/// A part of a prompt that one engine prefills in one step.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SpanSegment {
     /// Engine that prefills it and keeps its KV blocks.
     pub endpoint: EndpointId,
-    /// Life of the sidecar that holds the reservation; another one must refuse.
+    /// Incarnation of the sidecar that holds the reservation. Any other incarnation must refuse.
     pub incarnation: Incarnation,
     /// First token.
     pub start: TokenCount,
@@ -68,7 +68,7 @@
 }
 
 impl SpanPlan {
-    /// A plan with default times and sizes.
+    /// Creates a plan with default time limits and sizes.
     pub fn new(
         request: RequestId,
         attempt: AttemptNumber,
@@ -84,21 +84,22 @@
         }
     }
 
-    /// Sets times and sizes.
+    /// Sets time limits and sizes.
     pub fn with_timing(mut self, timing: SpanTiming) -> Self {
         self.timing = timing;
         self
     }
 
-    /// How long the span may try to reserve its engines.
+    /// Returns how long the span may try to reserve its engines.
     pub fn reserve_time_limit(&self) -> Duration {
         self.remaining * self.timing.reserve_percent / 100
     }
 
-    /// The segments in the order in which they are prefilled.
+    /// Returns the segments in the order in which they are prefilled.
     ///
-    /// The lead, first of the parts, comes last: it holds the end of the prompt, where the answer
-    /// goes on. A prompt that is shorter than the parts leaves the lead the less to do.
+    /// The lead is the first of the parts, but its segments come last: it holds the end of the
+    /// prompt, where decoding continues. If the parts have more room than the prompt needs, the
+    /// lead gets fewer tokens.
     pub fn segments(&self, parts: &[SpanPart]) -> Vec<SpanSegment> {
         let order = parts.iter().skip(1).chain(parts.first());
         let mut segments = Vec::new();
--- a/lovagedock/src/span/prefill.rs
+++ b/lovagedock/src/span/prefill.rs
@@ -1,4 +1,4 @@
-//! Prefills the segments of a prompt, one after the other.
+//! Prefills the segments of a prompt one after another.
 
 use super::{
     coordinator::{SpanCoordinator, SpanState},
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Sends the segment that is next, unless its engine is out of reach; then it is sent when a
-    /// session is back.
+    /// Sends the next segment, unless its engine is disconnected. In that case it is sent after the
+    /// engine has reconnected.
     pub(super) fn send_segment(&mut self) {
         let Some(segment) = self.segments.front() else {
             return;
--- a/lovagedock/src/span/renewal.rs
+++ b/lovagedock/src/span/renewal.rs
@@ -1,4 +1,4 @@
-//! Keeps a span's reservations while its prompt is prefilled and its answer decoded.
+//! Renews a span's reservations while its prompt is prefilled and its answer decoded.
 
 use std::time::Duration;
 
@@ -13,12 +13,13 @@
         matches!(self.state, SpanState::Prefilling | SpanState::Decoding)
     }
 
-    /// Whether a sidecar may have given a part's memory to others.
+    /// Whether a reservation may have expired, so that a sidecar may have given the memory to
+    /// others.
     ///
-    /// A reservation that lapsed and was granted anew looks like a renewal, but the KV blocks are
-    /// gone and the answer would be computed from nothing. Time is counted from before each
-    /// renewal was asked for and its answer must come before the former one ran out, so the
-    /// sidecar surely held the memory all along.
+    /// A reservation that expired and was granted again looks like a renewal, but its KV blocks are
+    /// lost and the answer would be computed without them. Therefore the time of a renewal counts
+    /// from before it was requested, and its answer must arrive before the previous reservation
+    /// expires. This guarantees that the sidecar held the memory without interruption.
     pub(super) fn has_lapsed(&self, now: Timestamp) -> bool {
         let lapsed = |member: &SpanMember| member.held_until().is_some_and(|until| now >= until);
         self.holds_reservations() && self.members.iter().any(lapsed)
@@ -37,8 +38,8 @@
         else {
             return;
         };
-        // A silent connection is no dead engine: its reservation lasts for the hold, and a new
-        // connection may renew it before a long prefill is thrown away.
+        // A silent connection does not mean that the engine is dead. The reservation lasts for the
+        // hold time, and a new connection can renew it, so that a long prefill is not lost.
         member.is_disconnected = true;
         if matches!(self.state, SpanState::Reserving { .. }) {
             self.release_and_back_off(now);
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Asks every member that is in reach and has no question open.
+    /// Requests or renews the reservation of every connected member without a pending request.
     pub(super) fn request_reservations(&mut self, now: Timestamp) {
         let (round, hold) = (self.round, self.plan.timing.hold);
         let members = self
@@ -93,7 +94,7 @@
             .extend(members.map(|member| member.reserve(now, round, hold)));
     }
 
-    /// When to look again: at the next renewal, or when a reservation may run out.
+    /// Returns when to check again: at the next renewal, or when a reservation may expire.
     pub(super) fn next_check(&self) -> Timestamp {
         let ends = self.members.iter().filter_map(SpanMember::held_until);
         ends.fold(self.renew_at, Duration::min)
--- a/lovagedock/src/wake.rs
+++ b/lovagedock/src/wake.rs
@@ -1,35 +1,35 @@
-//! The time at which a decision wants its next tick.
+//! The time at which a state machine needs its next tick.
 
 use crate::ids::Timestamp;
 
-/// Keeps the last time that a machine named, for the task that drives it.
+/// Stores the last wake-up time of a state machine for the task that drives it.
 ///
-/// A machine names a time once, and none when nothing is due any more. A task that kept a time
-/// after it had come would wake at once again and again, and a core would be busy with nothing;
-/// taking the time forgets it.
+/// A machine requests each time once, and none if nothing is due any more. If the task kept a time
+/// after it was due, it would wake up again immediately and occupy a core without doing any work.
+/// [`Self::clear_if_due`] therefore clears the time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WakeTimer {
     at: Option<Timestamp>,
 }
 
 impl WakeTimer {
-    /// A timer that is not set.
+    /// Creates a timer that is not set.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Sets the time; it replaces the one before.
+    /// Sets the time and replaces an earlier one.
     pub fn set(&mut self, at: Timestamp) {
         self.at = Some(at);
     }
 
-    /// The time to wake, at the latest after `longest` from now.
+    /// Returns the time to wake up, at most `longest` from now.
     pub fn next(&self, now: Timestamp, longest: Timestamp) -> Timestamp {
         let latest = now.saturating_add(longest);
         self.at.map_or(latest, |at| at.min(latest))
     }
 
-    /// Whether the time has come; if so, it is forgotten.
+    /// Returns whether the time is due, and clears it if so.
     pub fn clear_if_due(&mut self, now: Timestamp) -> bool {
         self.at.take_if(|at| *at <= now).is_some()
     }
