--- a/lovagedock/examples/claims_capacity.rs
+++ b/lovagedock/examples/claims_capacity.rs
@@ -1,10 +1,11 @@
-//! Measures claims per store write, and what claims add to a request: `cargo run --release
-//! --example claims_capacity`.
+//! Measures claims per store write, and the latency that claims add to a request: `cargo run
+//! --release --example claims_capacity`.
 //!
-//! Partitions are instances of the pure decision; time and store are virtual. A write takes 4 to
-//! 8 ms and 10 ms more for a megabyte, a read half of that. A granted request runs for 500 ms on
-//! average and has an answer of 64 bytes. Each partition writes so seldom that all together stay
-//! under the store's rate. With a number as argument only the cases of that rate run.
+//! Partitions are real state machines with simulated time and store. A write takes 4 to 8 ms plus
+//! 10 ms per megabyte, and a read takes half of that. A granted request runs for 500 ms on average
+//! and has an answer of 64 bytes. The write interval of a partition is long enough that all
+//! partitions together stay below the store's rate limit. With a number as argument, only the cases
+//! of that rate run.
 
 use std::{
     cmp::Reverse,
@@ -43,7 +44,7 @@
     }
 }
 
-/// One writer for each partition, as with home gateways.
+/// One gateway writes each partition, as with home gateways.
 const HOME_CASES: &[LoadCase] = &[
     load(5.0, 4, 1),
     load(43.0, 4, 1),
@@ -60,7 +61,7 @@
     load(43_000.0, 150, 1),
 ];
 
-/// Claims of a partition arrive at several gateways, and each writes it.
+/// Claims of a partition arrive at several gateways, all of which write it.
 const SPREAD_CASES: &[LoadCase] = &[
     load(40.0, 1, 1),
     load(40.0, 1, 2),
@@ -255,7 +256,7 @@
                 let time = self.call_time(0);
                 self.push(self.now + time, Step::Event(machine, event));
             }
-            other => panic!("{other:?} does not happen here"),
+            other => panic!("unexpected action: {other:?}"),
         }
     }
 
@@ -270,7 +271,7 @@
                 ClaimEvent::StoreReadEnded { object, outcome }
             }
             ClaimAction::Write { object, nonce, .. } if object.contains("answers") => {
-                // An answer that found no room in its partition.
+                // The answer did not fit into its partition.
                 let outcome = WriteOutcome::Applied(1);
                 ClaimEvent::StoreWriteEnded { nonce, outcome }
             }
@@ -295,7 +296,7 @@
                 };
                 ClaimEvent::StoreWriteEnded { nonce, outcome }
             }
-            other => panic!("{other:?} is no call"),
+            other => panic!("not a store call: {other:?}"),
         };
         self.handle(machine, event);
     }
--- a/lovagedock/examples/relay_capacity.rs
+++ b/lovagedock/examples/relay_capacity.rs
@@ -1,9 +1,9 @@
-//! Measures how a change of the configuration reaches every process: `cargo run --release
-//! --example relay_capacity`.
+//! Measures how a configuration change reaches every process: `cargo run --release --example
+//! relay_capacity`.
 //!
-//! Every process is an instance of the pure decision; time, network and store are virtual. Latency
-//! one way: 0.3 to 0.6 ms within a failure domain, 1.5 to 3 ms within a region, 60 to 120 ms
-//! between regions, 3 to 15 ms to the store. A lost message is noticed after 400 ms.
+//! Every process is a real state machine with simulated time, network and store. One-way latency is
+//! 0.3 to 0.6 ms within a failure domain, 1.5 to 3 ms within a region, 60 to 120 ms between
+//! regions, and 3 to 15 ms to the store. A lost message is detected after 400 ms.
 
 #[allow(dead_code)]
 #[path = "../tests/support/relay_world/mod.rs"]
@@ -175,7 +175,8 @@
     );
 }
 
-/// Accepts changes one after the other; a process that is late beyond the next counts in full.
+/// Accepts changes one after another. A process that has not adopted a change before the next one
+/// counts with the full interval.
 fn run_changes(world: &mut RelayWorld, delays: &mut Vec<Duration>, hops: &mut usize) {
     for _ in 0..CHANGES {
         let accepted_at = world.now;
--- a/lovagedock/tests/adoption_first.rs
+++ b/lovagedock/tests/adoption_first.rs
@@ -1,4 +1,4 @@
-//! The first acceptance of all, when there is neither a plan nor a peer to hear from.
+//! Adoption of the first accepted configuration, without a plan or a peer that has one.
 
 use std::time::Duration;
 
@@ -30,7 +30,7 @@
     },
 ];
 
-/// A process with its clock; goes from wake to wake.
+/// A process with its clock, which is advanced from one wake-up to the next.
 struct Driven {
     state: AdoptionState,
     now: Timestamp,
@@ -56,7 +56,7 @@
         actions
     }
 
-    /// Ticks until `limit` has passed and returns the first store call; peers do not answer.
+    /// Ticks until `limit` has passed and returns the first store call. Peers do not answer.
     fn next_store_call(
         &mut self,
         mut actions: Vec<AdoptionAction>,
@@ -82,10 +82,10 @@
     }
 }
 
-/// A fleet is installed: its gateways run before the operator applies anything. The store says
-/// that nothing was accepted yet. Each of them has to wait for the first acceptance at the store,
-/// since nobody can push to it; with the pace of a poll the first configuration would come into
-/// force minutes after it was accepted. Once it has one, it stops watching unless the plan says so.
+/// The gateways of a new fleet run before the operator applies a configuration, and the store has
+/// none. Each gateway must watch the store for the first one, since no peer can push it. With a
+/// poll the first configuration would come into force minutes after it was accepted. Once a process
+/// has a configuration, it stops watching unless the plan makes it a watcher.
 #[test]
 fn a_process_with_nothing_in_force_watches_an_empty_store() {
     for case in CASES {
--- a/lovagedock/tests/adoption_properties.rs
+++ b/lovagedock/tests/adoption_properties.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: never back, never unaccepted, soon everywhere.
+//! The configuration in force never reverts, is always an accepted one and reaches all processes.
 
 mod support;
 
@@ -13,7 +13,7 @@
 const CASES: u32 = 60;
 const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Changes, crashes, restarts, outages and cut regions, one after the other.
+/// Runs a random sequence of changes, crashes, restarts, store outages and region partitions.
 fn run_with_faults(setup: RelaySetup) -> RelayWorld {
     let mut rng = ChaCha8Rng::seed_from_u64(setup.seed);
     let regions = setup.regions;
@@ -38,7 +38,7 @@
     world
 }
 
-/// Everything works again; the next change is in force everywhere in time.
+/// Ends all faults, accepts a change and runs until it must be in force everywhere.
 fn repair_and_accept(world: &mut RelayWorld) {
     world.store_up = true;
     world.cut.clear();
@@ -80,8 +80,9 @@
     })]
 
     // Operators apply changes while processes die, messages are lost and damaged, the store goes
-    // down and regions are cut off. No process ever goes back a generation or adopts anything but
-    // an accepted configuration; once all works again, a change is in force everywhere within 6 s.
+    // down and regions are cut off. No process ever reverts to an older generation or adopts a
+    // configuration that was not accepted. After the faults, a change is in force everywhere within
+    // 6 s.
     #[test]
     fn a_generation_never_goes_back(setup in setups()) {
         let mut world = run_with_faults(setup);
@@ -108,11 +109,11 @@
     SafeguardCase {
         name: "digests not verified",
         switch_off: |safeguards| safeguards.digests_verified = false,
-        symptom: "what nobody accepted",
+        symptom: "a configuration that was not accepted",
     },
 ];
 
-// With a safeguard off, some schedule shows the symptom that the safeguard prevents.
+// With a safeguard off, at least one schedule shows the failure that the safeguard prevents.
 #[test]
 fn each_safeguard_prevents_its_failure() {
     for case in SAFEGUARD_CASES {
@@ -131,6 +132,6 @@
             });
             world.violations.iter().any(|v| v.contains(case.symptom))
         });
-        assert!(seen, "{}: no schedule shows it", case.name);
+        assert!(seen, "{}: no schedule shows the failure", case.name);
     }
 }
--- a/lovagedock/tests/adoption_scenarios.rs
+++ b/lovagedock/tests/adoption_scenarios.rs
@@ -1,7 +1,7 @@
 //! Scripted scenarios of the configuration in force, with all processes of a small fleet.
 //!
 //! `fleet relays=N leaves=N domains=N regions=N` starts processes and accepts generation 1.
-//! `steps` plays one step a line: `accept`, `run MS`, `store down|up`, `cut REGION`, `heal`,
+//! `steps` runs one step per line: `accept`, `run MS`, `store down|up`, `cut REGION`, `heal`,
 //! `kill NAME`, `restart NAME`, `status`.
 
 mod support;
@@ -81,7 +81,7 @@
     format!("{line}\n{shown}")
 }
 
-/// What `status` tells the operator: the counter sees only processes that answer.
+/// Formats the output of `status`. The counter includes only processes that answer.
 fn status(world: &RelayWorld) -> String {
     assert!(world.violations.is_empty(), "{:?}", world.violations);
     let names = (0..world.len()).map(|position| world.name(position));
--- a/lovagedock/tests/claim_damage.rs
+++ b/lovagedock/tests/claim_damage.rs
@@ -1,4 +1,4 @@
-//! Objects of the store that are damaged or of a newer format.
+//! Claims with stored objects that are damaged or have a newer format.
 
 mod support;
 
@@ -31,7 +31,7 @@
     })
 }
 
-/// Handles an event and all calls that follow from it; returns what else was asked for.
+/// Handles an event and all resulting store calls. Returns the remaining actions.
 fn run(store: &mut FakeStore, machine: &mut ClaimPartition, event: ClaimEvent) -> Vec<ClaimAction> {
     let mut events = vec![event];
     let mut ends = Vec::new();
@@ -60,7 +60,7 @@
     ends
 }
 
-/// A store in which request 1 has the recorded answer, and the name of the answer's object.
+/// Returns a store with the recorded answer of request 1, and the name of the answer's object.
 fn recorded() -> (FakeStore, lovagedock::ObjectName) {
     let mut store = FakeStore::default();
     let mut machine = partition(1, DurableSafeguards::default());
@@ -85,9 +85,9 @@
     expected: ClaimAction,
 }
 
-// A lawyer asks for an ownership trace again, and the object that holds it was overwritten with
-// other bytes of the same length. The caller sees an error with its own code, never other bytes
-// with a clean end; with the safeguard off it would get them.
+// A request is repeated, and the object with its recorded answer was overwritten with other bytes
+// of the same length. The caller gets an error with its own code instead of other bytes with a
+// clean end. With the safeguard off, it gets the other bytes.
 #[test]
 fn damaged_answers_are_not_replayed() {
     let cases = [
@@ -122,8 +122,8 @@
     }
 }
 
-// The partition's object has a format that this version does not know, or is cut short. Any key may
-// be claimed in it, so nothing is granted; the request is refused as not run at its deadline.
+// The partition's object has an unknown format or is truncated. Any key may be claimed in it, so no
+// claim is granted. The request is refused as not run at its deadline.
 #[test]
 fn nothing_is_granted_from_an_unreadable_partition() {
     for bytes in [&b""[..], &b"\x02newer"[..], &b"\x01\x01"[..]] {
--- a/lovagedock/tests/claim_properties.rs
+++ b/lovagedock/tests/claim_properties.rs
@@ -1,4 +1,5 @@
-//! At most once and the same bytes, over random schedules of several gateways and a faulty store.
+//! A key runs at most once and always returns the same bytes, over random schedules of several
+//! gateways and a faulty store.
 
 mod support;
 
@@ -58,9 +59,9 @@
         ..ProptestConfig::default()
     })]
 
-    // Callers repeat keyed requests through several gateways while confirmations get lost, the
-    // store refuses calls, gateways crash and pause. No key runs twice, every delivery of a key has
-    // the same bytes, each request ends exactly once, and no object outgrows its limit.
+    // Callers repeat keyed requests through several gateways. Meanwhile confirmations are lost, the
+    // store refuses calls, and gateways crash and pause. No key runs twice, every delivery of a key
+    // has the same bytes, each request ends exactly once, and no object exceeds its size limit.
     #[test]
     fn a_key_runs_at_most_once(seed in any::<u64>(), faults in fault_rates()) {
         let report = World::new(schedule(seed, faults)).run();
@@ -68,8 +69,8 @@
     }
 }
 
-// The schedules above reach every outcome; a world in which nothing is granted or replayed would
-// prove nothing.
+// The schedules above reach every outcome. Without grants and replays the property would be
+// trivially true.
 #[test]
 fn the_schedules_reach_every_outcome() {
     let mut total = WorldReport::default();
@@ -114,7 +115,7 @@
     },
 ];
 
-// With a safeguard off, some schedule shows the symptom that the safeguard prevents.
+// With a safeguard off, at least one schedule shows the failure that the safeguard prevents.
 #[test]
 fn each_safeguard_prevents_its_failure() {
     for case in SAFEGUARD_CASES {
@@ -126,6 +127,6 @@
             let report = World::new(schedule).run();
             report.violations.iter().any(|v| v.contains(case.symptom))
         });
-        assert!(seen, "{}: no schedule shows it", case.name);
+        assert!(seen, "{}: no schedule shows the failure", case.name);
     }
 }
--- a/lovagedock/tests/claim_scenarios.rs
+++ b/lovagedock/tests/claim_scenarios.rs
@@ -1,10 +1,11 @@
-//! Scripted scenarios of claims: callers repeat keyed calls through gateways while things fail.
+//! Scripted scenarios of claims: callers repeat keyed calls through gateways during failures.
 //!
-//! `steps` plays one step a line. `GATEWAY claim KEY request=N [body=TEXT] [within=MS]`,
+//! `steps` runs one step per line. `GATEWAY claim KEY request=N [body=TEXT] [within=MS]`,
 //! `GATEWAY record KEY request=N answer=TEXT`, `GATEWAY abandon KEY request=N` and `GATEWAY
-//! withdraw request=N` are events; `GATEWAY store ok|down|limited|lost|lost-applied` ends the calls
-//! that the gateway has in flight; `GATEWAY settle` ends all calls well until there are none;
-//! `GATEWAY crash` starts it anew; `wait MS` lets time pass. `limits` sets sizes for the file.
+//! withdraw request=N` are events. `GATEWAY store ok|down|limited|lost|lost-applied` ends the calls
+//! that the gateway has in flight. `GATEWAY settle` completes calls successfully until there are
+//! none. `GATEWAY crash` restarts the gateway. `wait MS` advances the time. `limits` sets sizes for
+//! the file.
 
 mod support;
 
@@ -199,7 +200,7 @@
         }
     }
 
-    /// Lets time pass from one wake-up to the next; calls stay in flight.
+    /// Advances the time from one wake-up to the next. Calls stay in flight.
     fn wait(&mut self, time: Duration, shown: &mut Vec<String>) {
         let end = self.now + time;
         loop {
--- a/lovagedock/tests/fence_gate.rs
+++ b/lovagedock/tests/fence_gate.rs
@@ -1,4 +1,4 @@
-//! Orders of former lease holders, of two holders, and after a restart.
+//! Scripted scenarios of the fence gate: former lease holders, two holders, and restarts.
 
 use datadriven::walk;
 use lovagedock::{FenceAction, FenceEvent, FenceGate, FencedOrder};
--- a/lovagedock/tests/lease_properties.rs
+++ b/lovagedock/tests/lease_properties.rs
@@ -1,4 +1,5 @@
-//! One holder at a time and orders in the order of their epochs, over random schedules.
+//! A lease has one holder at a time, and orders take effect in the order of their epochs, over
+//! random schedules.
 
 mod support;
 
@@ -33,10 +34,10 @@
         ..ProptestConfig::default()
     })]
 
-    // Three processes whose clocks run up to 2% fast or slow contend for a lease while the store
-    // is slow, down or loses confirmations, and holders are paused past their lapse. At no moment
-    // do two of them have a fence, no epoch has two holders, and the receiver's orders take effect
-    // in the order of their epochs, also those that left their sender long ago.
+    // Three processes whose clocks run up to 2% fast or slow contend for a lease. Meanwhile the
+    // store is slow, down or loses confirmations, and holders are paused beyond the end of their
+    // lease. Two processes never have a fence at the same time, no epoch has two holders, and
+    // orders take effect at the receiver in the order of their epochs, including long-delayed ones.
     #[test]
     fn one_holder_at_a_time(seed in any::<u64>(), faults in faults()) {
         let report = LeaseWorld::new(seed, faults, DurableSafeguards::default()).run();
@@ -44,7 +45,8 @@
     }
 }
 
-// The schedules reach hand-overs, and orders that come too late; else the property proves nothing.
+// The schedules reach changes of the holder and late orders. Without them the property would be
+// trivially true.
 #[test]
 fn the_schedules_reach_late_orders() {
     let reports = (0..20)
@@ -68,12 +70,12 @@
     SafeguardCase {
         name: "lease counted from the confirmation",
         switch_off: |safeguards| safeguards.lease_from_request = false,
-        symptom: "hold at once",
+        symptom: "hold the lease at the same time",
     },
     SafeguardCase {
         name: "taken over before the lapse",
         switch_off: |safeguards| safeguards.lease_waits_lapse = false,
-        symptom: "hold at once",
+        symptom: "hold the lease at the same time",
     },
     SafeguardCase {
         name: "writes without a condition",
@@ -82,7 +84,7 @@
     },
 ];
 
-// With a safeguard off, some schedule shows the symptom that the safeguard prevents.
+// With a safeguard off, at least one schedule shows the failure that the safeguard prevents.
 #[test]
 fn each_safeguard_prevents_its_failure() {
     for case in SAFEGUARD_CASES {
@@ -92,6 +94,6 @@
             let report = LeaseWorld::new(seed, HIGH_FAULT_RATES, safeguards).run();
             report.violations.iter().any(|v| v.contains(case.symptom))
         });
-        assert!(seen, "{}: no schedule shows it", case.name);
+        assert!(seen, "{}: no schedule shows the failure", case.name);
     }
 }
--- a/lovagedock/tests/lease_scenarios.rs
+++ b/lovagedock/tests/lease_scenarios.rs
@@ -1,9 +1,9 @@
 //! Scripted scenarios of leases.
 //!
-//! `steps` plays one step a line: `NAME want|release|pause|resume`, `NAME store
-//! ok|down|lost|lost-applied` ends the calls that it has in flight, `NAME settle` ends them well
-//! until there are none, `NAME order` sends an order with the fence that the process has now or
-//! had when it was paused, `wait MS` lets time pass.
+//! `steps` runs one step per line. `NAME want|release|pause|resume` are events. `NAME store
+//! ok|down|lost|lost-applied` ends the calls that the process has in flight. `NAME settle`
+//! completes them successfully until there are none. `NAME order` sends an order with the fence
+//! that the process has now or had when it was paused. `wait MS` advances the time.
 
 mod support;
 
@@ -46,7 +46,7 @@
     calls: Vec<LeaseAction>,
     wake_at: Option<Timestamp>,
     paused: bool,
-    /// The fence that it read just before it was paused.
+    /// The fence that it read immediately before it was paused.
     last_fence: Option<Epoch>,
 }
 
@@ -158,11 +158,11 @@
                 };
                 LeaseEvent::StoreWriteEnded { nonce, outcome }
             }
-            other => panic!("{other:?} is no call"),
+            other => panic!("not a store call: {other:?}"),
         }
     }
 
-    /// Lets time pass from one wake-up to the next; paused processes miss theirs.
+    /// Advances the time from one wake-up to the next. Paused processes miss their wake-ups.
     fn wait(&mut self, time: Duration, shown: &mut Vec<String>) {
         let end = self.now + time;
         loop {
--- a/lovagedock/tests/order_scenarios.rs
+++ b/lovagedock/tests/order_scenarios.rs
@@ -1,10 +1,11 @@
 //! Scripted scenarios of orders to the engines of one pool.
 //!
-//! `steps` plays one step a line: `configure MODEL=VERSION ADAPTER=VERSION ... on ENDPOINT ...`,
-//! `lease EPOCH MS` holds the lease for so long, `lease lost`, `wait MS`, and the end of the call
-//! that an endpoint has in flight: `ENDPOINT ok`, `busy`, `blank` (its sidecar knows nothing yet),
-//! `fails` (while it loads), `refuses`, `gone` (out of reach), `lost` (the session broke),
-//! `stale EPOCH`. `all WORD` ends the calls of all endpoints. `ENDPOINT restarts` empties an engine.
+//! `steps` runs one step per line: `configure MODEL=VERSION ADAPTER=VERSION ... on ENDPOINT ...`,
+//! `lease EPOCH MS` (holds the lease for MS milliseconds), `lease lost`, `wait MS`, and the result
+//! of the call that an endpoint has in flight: `ENDPOINT ok`, `busy`, `blank` (its sidecar has no
+//! report yet), `fails` (during the load), `refuses`, `gone` (unreachable), `lost` (the session
+//! broke), `stale EPOCH`. `all WORD` ends the calls of all endpoints. `ENDPOINT restarts` unloads
+//! everything from an engine.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -27,8 +28,8 @@
     });
 }
 
-/// Which gateways compete must be the same at all of them, and must move little: a gateway that
-/// joins may take a place, and no two others change theirs because of it.
+/// All gateways must select the same contenders, independently of their order. A new gateway may
+/// replace at most one contender of a pool.
 #[test]
 fn contenders_are_few_and_stable() {
     let gateways: Vec<_> = (0..9).map(|n| format!("g{n}").into()).collect();
@@ -103,7 +104,7 @@
             "fails" => {
                 if replaces {
                     self.unsettled = true;
-                    // The sidecar no longer vouches for a version.
+                    // The sidecar no longer reports a version.
                     self.loaded.model.version.clear();
                 }
                 (ResultCode::EngineFailed, Some(self.report()))
--- a/lovagedock/tests/relay_plan.rs
+++ b/lovagedock/tests/relay_plan.rs
@@ -1,4 +1,4 @@
-//! The relay's plan and the count of adoption.
+//! The relay plan and the adoption counter.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -66,7 +66,7 @@
     relays.chain(leaves).collect()
 }
 
-/// Processes that pushes from the watchers reach, and in how many steps.
+/// Returns the processes that pushes from the watchers reach, and the number of steps to each.
 fn reached(plan: &RelayPlan) -> BTreeMap<ProcessId, usize> {
     let mut steps = BTreeMap::new();
     let mut next: Vec<ProcessId> = plan.watchers().to_vec();
@@ -76,7 +76,7 @@
         for process in next {
             assert!(
                 steps.insert(process.clone(), step).is_none(),
-                "{process} is fed twice"
+                "{process} has two parents"
             );
             children.extend(plan.role_of(&process).children);
         }
@@ -86,8 +86,8 @@
     steps
 }
 
-// Pushes reach every process exactly once, few processes watch the store whatever the fleet's size,
-// no relay feeds more than its bound, and peers are on other hosts.
+// Pushes reach every process exactly once, the number of watchers does not grow with the fleet, no
+// relay pushes to more processes than its bound, and peers are on other hosts.
 #[test]
 fn the_plan_reaches_all_and_stays_bounded() {
     let limits = RelayLimits::default();
@@ -104,13 +104,13 @@
         );
         assert!(steps.values().max() <= Some(&8), "{} relays", fleet.relays);
         let edges = (fleet.relays + fleet.leaves).div_ceil(fleet.relays);
-        // Two places in the tree, or a quarter above the mean with all leaves.
+        // Children at two positions in the tree, or a quarter more than the mean with all leaves.
         let bound = (2 * limits.fanout).max(edges * 5 / 4 + 3);
         for member in &members {
             let role = plan.role_of(&member.process);
             assert!(
                 role.children.len() <= bound,
-                "{} feeds {:?}",
+                "{} has children {:?}",
                 member.process,
                 role.children
             );
@@ -119,7 +119,8 @@
     }
 }
 
-// One relay leaves: only what it fed, and what shifts up in the heaps of its domain, moves.
+// When one relay leaves, only its children and the relays that move up in the heaps of its domain
+// get another parent. In particular, the watchers stay the same.
 #[test]
 fn watchers_stay_when_another_process_leaves() {
     let fleet = &FLEETS[3];
@@ -134,7 +135,7 @@
     assert_eq!(before.watchers(), after.watchers());
 }
 
-// The operator asks who has generation 5: reports come late and out of order.
+// The progress of generation 5 is correct even if reports arrive late and out of order.
 #[test]
 fn the_counter_lists_lagging_processes() {
     let mut counter = AdoptionCounter::new(["a", "b", "c"].map(ProcessId::from));
--- a/lovagedock/tests/request_properties.rs
+++ b/lovagedock/tests/request_properties.rs
@@ -1,4 +1,4 @@
-//! Properties of a request under random faults, and what each safeguard is for.
+//! Properties of a request under random faults, and the failure that each safeguard prevents.
 
 mod request_support;
 
@@ -23,16 +23,16 @@
     TestRunner::new_with_rng(config, rng)
 }
 
-// The caller sends one request; connections go silent, sidecars restart, frames are lost, repeated,
-// late or damaged, the caller leaves, the gateway stops, in any order and several times. It gets
-// one truthful final answer by its deadline, a clean end only on a whole answer, and a
+// Faults in any order and number: connections go silent, sidecars restart, frames are lost,
+// repeated, delayed or damaged, the caller disconnects, the gateway stops. The caller gets exactly
+// one correct final answer by its deadline and a clean end only after a complete answer. A
 // non-idempotent request never starts twice.
 #[test]
 fn guarantees_hold_under_any_schedule() {
     guarantees_hold(false);
 }
 
-// The same with the sidecar's real decisions on the other end of the links.
+// The same with the sidecar's real state machine at the other end of the links.
 #[test]
 fn guarantees_hold_with_the_real_sidecar() {
     guarantees_hold(true);
@@ -54,7 +54,7 @@
     violation: Violation,
 }
 
-// The same schedules with one safeguard off: the promise that it keeps is broken.
+// With one safeguard off, the same schedules violate the guarantee that it protects.
 #[test]
 fn each_safeguard_is_needed() {
     guarantees_break_without_each_safeguard(false);
@@ -127,7 +127,7 @@
                     _ => Ok(()),
                 }
             });
-        assert!(outcome.is_err(), "without {} nothing went wrong", case.name);
+        assert!(outcome.is_err(), "no violation found without {}", case.name);
     }
 }
 
--- a/lovagedock/tests/request_scenarios.rs
+++ b/lovagedock/tests/request_scenarios.rs
@@ -1,8 +1,8 @@
-//! Scripted scenarios of one request: what happens, what the gateway does, what the caller sees.
+//! Scripted scenarios of one request: events, actions of the gateway, and results for the caller.
 //!
-//! `request [deadline=MS] [non-idempotent]` admits a request; `steps` plays one event a line, each
-//! with its time in milliseconds. The expected output repeats each event with the actions that
-//! answer it; wake-up times are left out unless `wakes` is given.
+//! `request [deadline=MS] [non-idempotent]` admits a request. `steps` handles one event per line,
+//! each with its time in milliseconds. The expected output repeats each event with the resulting
+//! actions. Wake-up times are omitted unless `wakes` is given.
 
 use std::time::Duration;
 
--- a/lovagedock/tests/request_support/checks.rs
+++ b/lovagedock/tests/request_support/checks.rs
@@ -1,4 +1,4 @@
-//! Judges a played schedule by what ran and what the caller read.
+//! Checks a completed schedule: which attempts ran and what the caller read.
 
 use lovagedock::prelude::*;
 
--- a/lovagedock/tests/request_support/core_engine.rs
+++ b/lovagedock/tests/request_support/core_engine.rs
@@ -1,4 +1,4 @@
-//! An engine beside a sidecar that decides by the real kernel.
+//! Model of an engine for a sidecar that uses the real state machine.
 
 use lovagedock::{EndpointEvent, EngineAnswer, EngineResult, RequestEvent, prelude::*};
 
@@ -9,7 +9,7 @@
 };
 
 impl World {
-    /// The engine starts, or goes on with, what the sidecar gave it.
+    /// Starts an attempt on the engine.
     pub(super) fn begin_core(
         &mut self,
         endpoint: usize,
--- a/lovagedock/tests/request_support/core_sidecar.rs
+++ b/lovagedock/tests/request_support/core_sidecar.rs
@@ -1,4 +1,4 @@
-//! The same links and faults with the sidecar's real decisions in place of the model's.
+//! Sidecars that use the real state machine in place of the model, with the same links and faults.
 
 use std::time::Duration;
 
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Tells the sidecar something and carries out what it asks for; `link` asked.
+    /// Passes an event to the sidecar and carries out its actions. Replies go to `link`.
     pub(super) fn send_to_core(&mut self, endpoint: usize, link: usize, event: EndpointEvent) {
         let now = Duration::from_millis(self.now);
         let Some(core) = self.sidecars[endpoint].core.as_mut() else {
@@ -198,7 +198,7 @@
         }
     }
 
-    /// The sidecar sees the loss of a session as well.
+    /// Reports the loss of a session to the sidecar.
     pub(super) fn lose_sinks(&mut self, endpoint: usize, link: usize) {
         let incarnation = self.sidecars[endpoint].incarnation;
         let works = self.sidecars[endpoint].work.iter();
--- a/lovagedock/tests/request_support/gateway.rs
+++ b/lovagedock/tests/request_support/gateway.rs
@@ -1,4 +1,4 @@
-//! Carries out what the request machine asks for, over the modelled links.
+//! Carries out the actions of the request machine over the modelled links.
 
 use std::time::Duration;
 
--- a/lovagedock/tests/request_support/mod.rs
+++ b/lovagedock/tests/request_support/mod.rs
@@ -1,4 +1,4 @@
-//! A model of sidecars and links that plays a schedule of faults against a request machine.
+//! A model of sidecars and links that runs a schedule of faults against a request machine.
 
 mod checks;
 mod core_engine;
@@ -13,15 +13,15 @@
 
 pub(crate) use world::run_schedule;
 
-/// One request and the faults that meet it.
+/// One request and the faults that occur while it runs.
 #[derive(Clone, Debug)]
 pub(crate) struct FaultSchedule {
-    /// Whether the sidecars decide by the real kernel or by the model.
+    /// Whether the sidecars use the real state machine or the model.
     pub(crate) real_sidecars: bool,
     pub(crate) non_idempotent: bool,
     pub(crate) deadline_ms: u64,
     pub(crate) faults: Vec<Fault>,
-    /// Delays of messages in milliseconds, used in turn.
+    /// Message delays in milliseconds, used cyclically.
     pub(crate) delays: Vec<u64>,
 }
 
@@ -30,23 +30,23 @@
     pub(crate) at_ms: u64,
     pub(crate) endpoint: usize,
     pub(crate) kind: FaultKind,
-    /// How long a silence or a partition lasts.
+    /// Duration of a silence or a partition.
     pub(crate) length_ms: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FaultKind {
-    /// The open connections stop to carry anything until much later; new ones work.
+    /// Open connections carry no messages for a long time. New connections work.
     Silence,
     /// No connection reaches the sidecar for a while.
     Partition,
-    /// The sidecar restarts and knows nothing of its former life.
+    /// The sidecar restarts and has no state of its former incarnation.
     Restart,
-    /// The engine fails what it runs.
+    /// The engine fails all running attempts.
     EngineFails,
     /// The sidecar refuses new work.
     Leaves,
-    /// The next frame is lost, sent twice, late or damaged.
+    /// The next frame is lost, sent twice, delayed or damaged.
     DropFrame,
     RepeatFrame,
     DelayFrame,
@@ -55,7 +55,7 @@
     Stopping,
 }
 
-/// What must never be seen.
+/// Violations of the guarantees of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Violation {
     RanTwice,
@@ -63,9 +63,9 @@
     NoFinalAnswer,
     LateFinalAnswer,
     SecondFinalAnswer,
-    /// A clean end on anything but one whole answer.
+    /// A clean end without exactly one complete answer.
     WrongAnswer,
-    /// Undamaged frames, and yet the caller read something that no attempt answered.
+    /// The caller read bytes that no attempt sent, although no frame was damaged.
     MixedAnswer,
 }
 
--- a/lovagedock/tests/request_support/sidecar.rs
+++ b/lovagedock/tests/request_support/sidecar.rs
@@ -1,4 +1,4 @@
-//! Model of a sidecar: one life after another, work by attempt, answers that differ by attempt.
+//! Model of a sidecar with successive incarnations. Each attempt has different answer bytes.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
     Queued,
     Running,
     Ended,
-    /// Started and stopped without a whole answer.
+    /// Started and stopped without a complete answer.
     Failed,
     Tombstone,
 }
@@ -20,13 +20,13 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Work {
     pub(crate) state: WorkState,
-    /// Link that frames go to.
+    /// Link on which frames are sent.
     pub(crate) link: usize,
     pub(crate) produced: u64,
 }
 
 pub(crate) struct SidecarModel {
-    /// The real decisions, where they take the model's place.
+    /// The real state machine, if it replaces the model.
     pub(crate) core: Option<EndpointCore>,
     pub(crate) incarnation: Incarnation,
     pub(crate) leaving: bool,
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Work that a resume may read on, now bound to the new link.
+    /// Returns the work that a resume may continue, and moves it to the new link.
     pub(crate) fn resume(
         &mut self,
         attempt: AttemptNumber,
@@ -123,7 +123,7 @@
     }
 }
 
-/// The bytes that an attempt answers; sampling makes each attempt's different.
+/// Returns answer bytes of an attempt. They differ by attempt, as sampling makes them differ.
 pub(crate) fn answer_bytes(attempt: AttemptNumber, from: u64, to: u64) -> Vec<u8> {
     (from..to)
         .map(|at| (at as u8).wrapping_mul(7) ^ (attempt as u8) << 5)
--- a/lovagedock/tests/request_support/work.rs
+++ b/lovagedock/tests/request_support/work.rs
@@ -1,4 +1,4 @@
-//! The sidecars' side of a played schedule: work starts, answers, fails.
+//! The sidecars' side of a schedule: attempts start, send answers and fail.
 
 use lovagedock::{RequestEvent, prelude::*};
 
--- a/lovagedock/tests/request_support/world.rs
+++ b/lovagedock/tests/request_support/world.rs
@@ -1,4 +1,4 @@
-//! Plays one schedule: links, late messages, restarts, and what the caller sees.
+//! Runs one schedule: links, delayed messages, restarts, and the bytes that the caller reads.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -63,7 +63,7 @@
     pub(super) finishes: Vec<(u64, RequestOutcome)>,
 }
 
-/// Plays a schedule to its end and tells what was violated.
+/// Runs a schedule to its end and returns the violations.
 pub(crate) fn run_schedule(
     schedule: &FaultSchedule,
     safeguards: RequestSafeguards,
@@ -146,7 +146,7 @@
         debug_assert!(link < self.links.len());
     }
 
-    /// Whether a message passes now; one that does not is held on a silent link or lost.
+    /// Whether a message passes now. If not, it is delayed on a silent link, or lost.
     pub(super) fn passes(&mut self, link: usize, step: Step) -> bool {
         let (endpoint, incarnation, until) = {
             let link = &self.links[link];
--- a/lovagedock/tests/span_contention.rs
+++ b/lovagedock/tests/span_contention.rs
@@ -1,4 +1,4 @@
-//! Compares ways to reserve several engines, at rising load, in virtual time.
+//! Compares strategies for reserving several engines at increasing load, in virtual time.
 
 mod span_support;
 
@@ -44,8 +44,8 @@
     figures.iter().map(field).sum::<f64>() / figures.len() as f64
 }
 
-// Spans of 2, 3, 4 and 6 of 12 engines, each engine whole, prefill and decode of 2 to 8 s, a minute
-// of patience. Means over three seeds; times in ms of virtual time.
+// Spans reserve 2, 3, 4 or 6 of 12 whole engines, run for 2 to 8 s and give up after a minute of
+// waiting. The table shows means over three seeds, with times in ms of virtual time.
 #[test]
 fn aged_back_off_gives_up_least() {
     let mut table = String::from(
--- a/lovagedock/tests/span_model/mod.rs
+++ b/lovagedock/tests/span_model/mod.rs
@@ -1,4 +1,4 @@
-//! Engines that grant, forget and lose reservations, for one span.
+//! Model of engines that grant, expire and lose the reservations of one span.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -12,20 +12,20 @@
 
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Fault {
-    /// The engine has no memory to reserve for a while.
+    /// The engine has no free memory for a while.
     Busy,
-    /// The connection goes silent; reservations last.
+    /// The connection goes silent. Reservations stay until they expire.
     Silent,
-    /// The session is up again, to the same life.
+    /// A new session to the same incarnation is established.
     Back,
-    /// The sidecar restarts and has forgotten its reservations.
+    /// The sidecar restarts and loses its reservations.
     Restart,
-    /// The engine fails the segment that it prefills.
+    /// The prefill of the current segment fails.
     SegmentFails,
     Released,
 }
 
-/// Engines that grant, lapse and forget reservations, and answer at once.
+/// Engines that grant, expire and lose reservations, and answer at once.
 pub(crate) struct Engines {
     pub(crate) now: Duration,
     pub(crate) lives: [Incarnation; ENGINES],
@@ -36,7 +36,7 @@
     pub(crate) answers: Vec<SpanEvent>,
     pub(crate) wake_at: Option<Duration>,
     pub(crate) prefilled: TokenCount,
-    /// The lead, once the request runs there and has taken the reservation over.
+    /// The lead, once the request runs on it and has taken over the reservation.
     pub(crate) runs_on: Option<usize>,
     pub(crate) decoded: u32,
     pub(crate) failed: Vec<AnswerEnd>,
@@ -187,7 +187,7 @@
             return;
         }
         let held = self.held_until.contains_key(&at);
-        // A reservation that the running request took over is not renewed.
+        // A reservation that the running request has taken over is not renewed.
         let granted = (held || self.busy_until[at] <= self.now) && self.runs_on != Some(at);
         if granted {
             self.held_until.insert(at, self.now + hold);
--- a/lovagedock/tests/span_properties.rs
+++ b/lovagedock/tests/span_properties.rs
@@ -1,4 +1,4 @@
-//! A span takes all its engines or none, and gives every one back whatever dies.
+//! A span reserves all its engines or none, and releases all of them after any failure.
 
 mod span_model;
 
@@ -22,7 +22,7 @@
         engines.now = Duration::from_millis(step * STEP_MS);
         engines.expire_reservations();
         let mut events = Vec::new();
-        // One answer a step, so that faults fall between the segments.
+        // One answer per step, so that faults can occur between the segments.
         if !engines.answers.is_empty() {
             events.push(engines.answers.remove(0));
         }
@@ -33,7 +33,7 @@
         if let Some((_, at, fault)) = faults.next_if(|(at_step, _, _)| *at_step <= step) {
             events.extend(engines.inject_fault(*at, *fault));
         }
-        // The answer is read and the engines are not needed any more.
+        // The answer is complete, and the engines are no longer needed.
         if step == 800 {
             events.push(SpanEvent::Released);
         }
@@ -55,15 +55,15 @@
         let computed = engines.prefilled > 0;
         prop_assert!(
             !computed || end.ran != RanState::No,
-            "not run, yet it was prefilled"
+            "reported as not run after a prefill"
         );
     }
     Ok(())
 }
 
-// Engines are busy, restart, fail or cannot be reached, and the caller may leave, at any step of
-// reserve, prefill and decode. The span ends in time, never works on memory that it does not hold,
-// and holds nothing afterwards: what cannot be released lapses.
+// At any step of reserving, prefill and decode, engines are busy, restart, fail or are unreachable,
+// and the caller may disconnect. The span ends in time, never uses memory that it does not hold,
+// and holds no memory afterwards: reservations that cannot be released expire.
 #[test]
 fn every_reservation_of_a_span_is_released() {
     let fault = prop_oneof![
@@ -101,7 +101,7 @@
     failed: Option<(ResultCode, RanState)>,
 }
 
-// One failure at a time: what the request is told.
+// Single failures and the resulting end of the span.
 #[test]
 fn each_failure_ends_as_expected() {
     let cases = [
@@ -124,7 +124,7 @@
             failed: None,
         },
         EndCase {
-            name: "a member stays away during the prefill",
+            name: "a member stays disconnected during the prefill",
             faults: &[(5, 1, Fault::Silent)],
             decoded: 0,
             failed: Some((ResultCode::EndpointLost, RanState::Yes)),
@@ -188,7 +188,8 @@
     }
 }
 
-// Nobody has room: the span gives up after its share of the time, as not run, and holds nothing.
+// No engine has free memory. The span fails as not run after its share of the remaining time and
+// holds no memory.
 #[test]
 fn a_span_without_capacity_fails_within_its_time_limit() {
     let mut engines = Engines::new();
--- a/lovagedock/tests/span_support/arbiter.rs
+++ b/lovagedock/tests/span_support/arbiter.rs
@@ -1,10 +1,10 @@
-//! One engine's side: who holds its memory and who waits for it.
+//! State of one engine: the span that holds its memory and the spans that wait for it.
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Verdict {
     Granted,
     Refused,
-    /// An older span needs the engine; give everything free.
+    /// An older span needs the engine, so the span must release all its engines.
     Wounded,
 }
 
@@ -21,7 +21,8 @@
         self.holder.map(|(span, _)| span)
     }
 
-    /// Answers to send; an answer that waits comes with a later [`EngineArbiter::free`].
+    /// Returns the answers to send. A span that has to wait gets its answer from a later
+    /// [`EngineArbiter::free`].
     pub(super) fn ask(
         &mut self,
         span: usize,
@@ -46,7 +47,7 @@
         vec![(holder, holder_round, Verdict::Wounded)]
     }
 
-    /// Frees what the span holds or waits for; tells who holds the engine next.
+    /// Releases the reservation or the waiting entry of the span. Returns the next holder.
     pub(super) fn free(&mut self, key: (usize, u32), by_age: bool) -> Option<(usize, u32)> {
         self.waiting.retain(|waiting| *waiting != key);
         if self.holder != Some(key) {
--- a/lovagedock/tests/span_support/figures.rs
+++ b/lovagedock/tests/span_support/figures.rs
@@ -1,4 +1,4 @@
-//! Which spans arrive, and what became of them.
+//! Arrivals of spans and statistics of their results.
 
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -14,7 +14,7 @@
     pub(crate) wait_p50_ms: u64,
     pub(crate) wait_p95_ms: u64,
     pub(crate) widest_p95_ms: u64,
-    /// Engine time that was reserved for spans that could not begin yet, in percent.
+    /// Share of engine time reserved for spans that could not begin yet, in percent.
     pub(crate) held_idle_percent: f64,
     pub(crate) messages_per_span: f64,
 }
@@ -53,7 +53,7 @@
     pub(super) fn figures(&self) -> ContentionFigures {
         let mut waits: Vec<u64> = self.spans.iter().filter_map(|span| span.wait_ms).collect();
         let widest = self.spans.iter().filter(|span| span.size == SIZES[3].0);
-        // One that gave up waited at least this long.
+        // A span that gave up waited at least this long.
         let mut widest: Vec<u64> = widest
             .map(|span| span.wait_ms.unwrap_or(GIVE_UP_MS))
             .collect();
--- a/lovagedock/tests/span_support/mod.rs
+++ b/lovagedock/tests/span_support/mod.rs
@@ -1,4 +1,4 @@
-//! Spans of several gateways contend for engines, in virtual time, by three ways of reserving.
+//! Spans of several gateways contend for engines in virtual time, with different strategies.
 
 mod arbiter;
 mod figures;
@@ -19,13 +19,13 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReserveStrategy {
-    /// One engine after the other in the order of their names, waiting for each.
+    /// One engine after another in the order of their names, waiting for each.
     Ordered,
-    /// All at once; an older span takes an engine from a younger one that has not begun.
+    /// All at once. An older span preempts a younger one that has not begun.
     WoundWait,
-    /// All at once; any refusal frees all, and another choice is tried after a pause.
+    /// All at once. A refusal releases all, and another choice is tried after a pause.
     BackOff,
-    /// As `BackOff`, and the longer a span waits, the sooner it tries again.
+    /// As `BackOff`, with pauses that shrink the longer a span waits.
     AgedBackOff,
 }
 
@@ -81,7 +81,7 @@
     steps: BinaryHeap<Reverse<(u64, u64, Step)>>,
     sequence: u64,
     engines: Vec<EngineArbiter>,
-    /// What placement sees: which engines were free at the last report.
+    /// Time and contents of the last report to placement: which engines were free.
     reported_at: u64,
     reported_free: Vec<bool>,
     spans: Vec<Span>,
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Plays `hours` of arrivals at this share of the engines' time.
+    /// Runs `hours` of arrivals that need the share `load` of the engines' time.
     pub(crate) fn run_arrivals(mut self, load: f64, hours: u64) -> ContentionFigures {
         self.add_arrivals(load, hours * 3_600_000);
         while let Some(Reverse((at, _, step))) = self.steps.pop() {
@@ -203,7 +203,8 @@
         }
     }
 
-    /// Engines that were free at the last report first, at random among equals, then in order.
+    /// Chooses engines, preferring those that were free at the last report and at random among
+    /// equals. The result is sorted by engine.
     fn place(&mut self, size: usize) -> Vec<usize> {
         if self.now >= self.reported_at + REPORT_AGE_MS {
             self.reported_at = self.now;
--- a/lovagedock/tests/support/claim_world/calls.rs
+++ b/lovagedock/tests/support/claim_world/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of the store and how they end.
+//! Store calls and their results.
 
 use lovagedock::{ClaimAction, ClaimEvent, ReadOutcome, WriteOutcome};
 
@@ -16,7 +16,7 @@
         let lands = !down && (!lost || self.chance(60));
         let lands_at = self.now + self.millis(1..30);
         let reports_at = match lost {
-            // The write may still be under way when the daemon gives up on its answer.
+            // The write may still take effect after the daemon's call has timed out.
             true => self.now + self.millis(1..60),
             false => lands_at + self.millis(1..10),
         };
@@ -65,7 +65,7 @@
                 let nonce = *nonce;
                 ClaimEvent::StoreWriteEnded { nonce, outcome }
             }
-            other => panic!("{other:?} is no call"),
+            other => panic!("not a store call: {other:?}"),
         };
         call.outcome = Some(event);
     }
--- a/lovagedock/tests/support/claim_world/endpoint.rs
+++ b/lovagedock/tests/support/claim_world/endpoint.rs
@@ -1,4 +1,4 @@
-//! What runs, what callers get, and whether that may be.
+//! Executions and deliveries, and checks of both.
 
 use std::time::Duration;
 
--- a/lovagedock/tests/support/claim_world/mod.rs
+++ b/lovagedock/tests/support/claim_world/mod.rs
@@ -1,4 +1,4 @@
-//! Several gateways, one faulty store and an endpoint that counts what runs, in virtual time.
+//! Several gateways, one faulty store and an endpoint that counts executions, in virtual time.
 
 use std::{
     cmp::Reverse,
@@ -19,7 +19,7 @@
 mod calls;
 mod endpoint;
 
-/// How often things go wrong, in percent.
+/// Fault rates in percent.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FaultRates {
     pub(crate) lost_confirmation: u32,
@@ -30,7 +30,7 @@
     pub(crate) abandon: u32,
 }
 
-/// One schedule.
+/// Parameters of a schedule.
 #[derive(Clone, Debug)]
 pub(crate) struct Schedule {
     pub(crate) seed: u64,
@@ -42,7 +42,7 @@
     pub(crate) limits: ClaimLimits,
 }
 
-/// What the callers and the endpoint saw.
+/// Results of a schedule.
 #[derive(Debug, Default)]
 pub(crate) struct WorldReport {
     pub(crate) violations: Vec<String>,
@@ -93,7 +93,7 @@
     ran: bool,
 }
 
-/// The whole world of one schedule.
+/// Simulation of one schedule.
 pub(crate) struct World {
     schedule: Schedule,
     rng: ChaCha8Rng,
@@ -159,7 +159,7 @@
         Gateway {
             machine,
             incarnation,
-            // No two processes have the same clock.
+            // Each process has a different clock.
             started: self.now - Duration::from_secs(17 * (index as u64 + 1)),
             paused: false,
             held: Vec::new(),
--- a/lovagedock/tests/support/lease_world.rs
+++ b/lovagedock/tests/support/lease_world.rs
@@ -1,4 +1,4 @@
-//! Contenders with clocks of their own, one faulty store and one receiver of orders.
+//! Contenders with separate clocks, one faulty store and one receiver of orders.
 
 use std::{
     cmp::Reverse,
@@ -20,17 +20,17 @@
 const RELEASE_PAUSE: Duration = Duration::from_secs(3);
 const ORDER_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How often things go wrong, in percent.
+/// Fault rates in percent.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LeaseFaults {
     pub(crate) lost_confirmation: u32,
     pub(crate) unavailable: u32,
-    /// Per order interval, in one tenth of a percent.
+    /// Rate per order interval, in tenths of a percent.
     pub(crate) pause: u32,
     pub(crate) release: u32,
 }
 
-/// What was seen.
+/// Results of a schedule.
 #[derive(Debug, Default)]
 pub(crate) struct LeaseReport {
     pub(crate) violations: Vec<String>,
@@ -57,7 +57,7 @@
     held: Vec<LeaseEvent>,
 }
 
-/// One schedule.
+/// Simulation of one schedule.
 pub(crate) struct LeaseWorld {
     rng: ChaCha8Rng,
     faults: LeaseFaults,
@@ -177,7 +177,7 @@
             LeaseAction::Read { .. } | LeaseAction::Write { .. } => {
                 let lands = !self.chance(self.faults.unavailable);
                 let confirmed = !self.chance(self.faults.lost_confirmation);
-                // Some calls are slow: the answer comes long after the write took effect.
+                // Some calls are slow, and the reply arrives long after the write took effect.
                 let delay = match self.chance(10) {
                     true => self.millis(500..4_000),
                     false => self.millis(1..30),
@@ -187,7 +187,7 @@
                         nonce: *nonce,
                         outcome: WriteOutcome::Unknown,
                     };
-                    // The write may still be under way when the daemon gives up on it.
+                    // The write may still take effect after the daemon's call has timed out.
                     let at = self.now + self.millis(1..60);
                     self.push(at, Step::Event(index, event));
                 }
@@ -218,7 +218,7 @@
                 }
                 LeaseEvent::StoreWriteEnded { nonce, outcome }
             }
-            other => panic!("{other:?} is no call"),
+            other => panic!("not a store call: {other:?}"),
         };
         let delay = match self.chance(10) {
             true => self.millis(500..6_000),
@@ -234,7 +234,8 @@
         }
         let fence = self.contenders[index].machine.fence(self.local(index));
         if let Some(epoch) = fence {
-            // The process may be paused between the check and the order's leaving.
+            // The process may be paused between the check of its fence and the sending of the
+            // order.
             let delay = match self.chance(3) {
                 true => self.millis(5_000..40_000),
                 false => self.millis(1..20),
@@ -278,7 +279,10 @@
         });
         let holders: Vec<usize> = holders.collect();
         if holders.len() > 1 {
-            let text = format!("{holders:?} hold at once at {:?}", self.now);
+            let text = format!(
+                "{holders:?} hold the lease at the same time at {:?}",
+                self.now
+            );
             self.report.violations.push(text);
         }
     }
--- a/lovagedock/tests/support/relay_world/lifecycle.rs
+++ b/lovagedock/tests/support/relay_world/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Starts and ends of processes, and acceptances.
+//! Starts and ends of processes, and accepted changes.
 
 use lovagedock::{
     AdoptionEvent, AdoptionState, ConfigManifest, Generation, RelayKind, RelayMember, chunk_hash,
@@ -8,7 +8,7 @@
 use super::{Process, RelayWorld, Step, setup::chunk_text};
 
 impl RelayWorld {
-    /// The store accepts a change of one chunk; watchers learn of it.
+    /// Accepts a change of one chunk in the store and notifies the processes that watch it.
     pub(crate) fn accept(&mut self) -> Generation {
         let generation = self.accepted.generation + 1;
         let chunk = self.rng.random_range(0..self.texts.len());
@@ -35,7 +35,7 @@
         self.processes[position].watching = false;
     }
 
-    /// Starts a process anew, with nothing in force.
+    /// Restarts a process without a configuration in force.
     pub(crate) fn restart(&mut self, position: usize) {
         self.kill(position);
         let seed = self.rng.random();
--- a/lovagedock/tests/support/relay_world/mod.rs
+++ b/lovagedock/tests/support/relay_world/mod.rs
@@ -1,4 +1,4 @@
-//! Many processes that adopt configurations over a lossy network, in virtual time.
+//! Simulation of many processes that adopt configurations over a lossy network, in virtual time.
 
 use std::{
     cmp::Reverse,
@@ -27,7 +27,7 @@
 const HEARTBEAT: Duration = Duration::from_secs(1);
 const CONTROL_BYTES: usize = 64;
 
-/// What one process saw and sent.
+/// Counters of one process.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ProcessTally {
     pub(crate) messages: usize,
@@ -80,7 +80,7 @@
 }
 
 impl RelayWorld {
-    /// Starts all processes; nothing is accepted yet.
+    /// Starts all processes before any configuration is accepted.
     pub(crate) fn new(setup: RelaySetup) -> Self {
         let members = members(&setup);
         let plan = RelayPlan::new(&members, &setup.relay);
@@ -155,7 +155,7 @@
         self.accepted.generation
     }
 
-    /// Forgets what was counted.
+    /// Resets the counters.
     pub(crate) fn reset_tallies(&mut self) {
         for tally in &mut self.tallies {
             let adopted_at = std::mem::take(&mut tally.adopted_at);
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Lets time pass.
+    /// Advances the time.
     pub(crate) fn run(&mut self, duration: Duration) {
         let end = self.now + duration;
         while let Some(Reverse((at, id))) = self.queue.peek().copied() {
--- a/lovagedock/tests/support/relay_world/setup.rs
+++ b/lovagedock/tests/support/relay_world/setup.rs
@@ -1,11 +1,11 @@
-//! Size and members of a world.
+//! Size and members of a simulation.
 
 use bytes::Bytes;
 use lovagedock::{
     AdoptionLimits, DurableSafeguards, Generation, RelayKind, RelayLimits, RelayMember,
 };
 
-/// Size and faults of a world.
+/// Size and faults of a simulation.
 #[derive(Clone, Debug)]
 pub(crate) struct RelaySetup {
     pub(crate) seed: u64,
@@ -15,9 +15,9 @@
     pub(crate) leaves: usize,
     pub(crate) chunks: usize,
     pub(crate) chunk_bytes: usize,
-    /// Share of messages that get lost, in percent.
+    /// Share of lost messages, in percent.
     pub(crate) loss: u32,
-    /// Share of bundles that arrive damaged, in percent.
+    /// Share of damaged bundles, in percent.
     pub(crate) damage: u32,
     pub(crate) relay: RelayLimits,
     pub(crate) limits: AdoptionLimits,
--- a/lovagedock/tests/support/relay_world/store.rs
+++ b/lovagedock/tests/support/relay_world/store.rs
@@ -1,4 +1,4 @@
-//! The store as the processes see it.
+//! Store calls of the processes.
 
 use std::time::Duration;
 
@@ -31,7 +31,7 @@
             );
             return;
         }
-        // The store notices a broken watch as slowly as a caller does.
+        // A watch checks for a change every 100 ms, so a broken watch is not noticed at once.
         let at = self.now + Duration::from_millis(100);
         self.push(at, Step::Watch(position, incarnation, above, since));
     }
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The store is in region 0.
+    /// Whether a process can reach the store.
     pub(super) fn reaches_store(&self, position: usize) -> bool {
         self.store_up && !self.cut.contains(&self.processes[position].region)
     }
--- a/lovagedock/tests/support/relay_world/traffic.rs
+++ b/lovagedock/tests/support/relay_world/traffic.rs
@@ -18,7 +18,8 @@
                 let text = self.processes[from].state.text().expect("has a text");
                 let accepted: Vec<u8> = self.text_of(from);
                 if self.digests.get(&generation) != Some(&digest) || text != accepted {
-                    let text = format!("process {from} adopted what nobody accepted");
+                    let text =
+                        format!("process {from} adopted a configuration that was not accepted");
                     self.violations.push(text);
                 }
                 self.tallies[from].adopted_at.insert(generation, self.now);
@@ -54,7 +55,7 @@
         }
     }
 
-    /// The text as the accepted chunks of the manifest in force make it.
+    /// Returns the configuration that consists of the accepted chunks in the manifest in force.
     pub(super) fn text_of(&self, position: usize) -> Vec<u8> {
         let manifest = self.processes[position].state.manifest().expect("has one");
         let chunks = manifest.chunks.iter();
--- a/lovagedock/tests/wake.rs
+++ b/lovagedock/tests/wake.rs
@@ -1,4 +1,4 @@
-//! Times to wake are taken once.
+//! A wake-up time is cleared once it is due.
 
 use std::time::Duration;
 
@@ -6,9 +6,9 @@
 
 const LONGEST: Duration = Duration::from_secs(60);
 
-/// A partition of claims had named a time, the time came, and nothing was due any more. Its task
-/// kept the time and woke at once for ever: 33 s of processor time where 2 s were needed. A time
-/// that was taken must not come again.
+/// A task of a claim partition kept a wake-up time after it was due, although nothing else was to
+/// do. It woke up in a busy loop and used 33 s of processor time where 2 s were needed. A due time
+/// must be returned only once.
 #[test]
 fn a_due_time_is_cleared() {
     let mut timer = WakeTimer::new();
