--- a/lovagedock/src/adoption/plan.rs
+++ b/lovagedock/src/adoption/plan.rs
@@ -85,12 +85,14 @@
 
     fn add_standbys(&mut self, ranked: &MemberList<'_>, wanted: usize) {
         let watchers = ranked.iter().take(wanted);
-        let fed: BTreeSet<ProcessId> = watchers
+        let watcher_children: BTreeSet<ProcessId> = watchers
             .flat_map(|watcher| self.role_of(&watcher.process).children)
             .collect();
         for (rank, member) in ranked.iter().enumerate().skip(wanted) {
             let higher_ranked = ranked[..rank].iter().map(|m| m.process.clone()).collect();
-            let others = fed.iter().filter(|child| **child != member.process);
+            let others = watcher_children
+                .iter()
+                .filter(|child| **child != member.process);
             let others = others.cloned().collect();
             let role = self.role(member);
             role.higher_ranked = higher_ranked;
@@ -139,13 +141,10 @@
     fn add_peers(&mut self, relays: &MemberList<'_>, limits: &RelayLimits) {
         let mut ring = relays.clone();
         ring.sort_by_key(|member| score(&member.process, PEER_SEED));
-        let spread = spread_steps(ring.len(), limits.peers);
+        let steps = spread_steps(ring.len(), limits.peers);
         for (index, member) in ring.iter().enumerate() {
             let at = |step: &usize| ring[(index + step) % ring.len()];
-            let others = spread
-                .iter()
-                .map(at)
-                .filter(|peer| peer.host != member.host);
+            let others = steps.iter().map(at).filter(|peer| peer.host != member.host);
             let others: Vec<ProcessId> = others.map(|peer| peer.process.clone()).collect();
             self.role(member).peers.extend(others);
         }
--- a/lovagedock/src/adoption/push.rs
+++ b/lovagedock/src/adoption/push.rs
@@ -45,8 +45,12 @@
     /// Returns the children in the plan and, if this process is an active standby, those of the
     /// watchers.
     fn receivers(&self) -> Vec<ProcessId> {
-        let is_standing_in = self.upstream.watching && !self.role.watches;
-        let others = self.role.standby_children.iter().filter(|_| is_standing_in);
+        let is_active_standby = self.upstream.watching && !self.role.watches;
+        let others = self
+            .role
+            .standby_children
+            .iter()
+            .filter(|_| is_active_standby);
         self.role.children.iter().chain(others).cloned().collect()
     }
 
@@ -78,10 +82,10 @@
     }
 
     pub(super) fn on_push_answered(&mut self, now: Timestamp, to: ProcessId, has: Generation) {
-        self.note_generation(has);
+        self.record_generation(has);
         let generation = self.generation();
         if has > generation {
-            self.repair.pull_at(to.clone(), now);
+            self.repair.schedule_pull(to.clone(), now);
         }
         let Some(progress) = self.pushes.get_mut(&to) else {
             return;
@@ -103,7 +107,7 @@
 
     /// Records the generation that a receiver reported on its own. A receiver that is behind gets a
     /// push again, also from a process that only sends it offers, because its parent may be gone.
-    pub(super) fn note_receiver(&mut self, now: Timestamp, peer: &ProcessId, has: Generation) {
+    pub(super) fn record_receiver(&mut self, now: Timestamp, peer: &ProcessId, has: Generation) {
         let generation = self.generation();
         let retry = self.limits.push_retry;
         if self.role.offers.contains(peer) && has < generation {
--- a/lovagedock/src/adoption/repair.rs
+++ b/lovagedock/src/adoption/repair.rs
@@ -21,7 +21,7 @@
 }
 
 impl RepairState {
-    pub(super) fn pull_at(&mut self, peer: ProcessId, at: Timestamp) {
+    pub(super) fn schedule_pull(&mut self, peer: ProcessId, at: Timestamp) {
         let due = self.due.entry(peer).or_insert(at);
         *due = at.min(*due);
     }
@@ -42,18 +42,18 @@
         from: ProcessId,
         generation: Generation,
     ) {
-        self.note_generation(generation);
-        self.note_contact(now, &from);
+        self.record_generation(generation);
+        self.record_contact(now, &from);
         if generation > self.generation() {
             let delay = self.jitter(self.limits.offer_delay);
-            self.repair.pull_at(from, now + delay);
+            self.repair.schedule_pull(from, now + delay);
             return;
         }
-        self.note_receiver(now, &from, generation);
+        self.record_receiver(now, &from, generation);
     }
 
     pub(super) fn drive_repair(&mut self, now: Timestamp, actions: &mut Vec<AdoptionAction>) {
-        self.plan_comparison(now);
+        self.schedule_comparison(now);
         if self.repair.in_flight.is_some() {
             return;
         }
@@ -73,7 +73,7 @@
 
     /// Schedules a comparison with a random peer. Failures never raise the rate of comparisons, so
     /// there is no burst when regions reconnect or the store recovers.
-    fn plan_comparison(&mut self, now: Timestamp) {
+    fn schedule_comparison(&mut self, now: Timestamp) {
         if self.role.peers.is_empty() || self.generation() == 0 {
             self.repair.compare_at = None;
             return;
@@ -84,7 +84,7 @@
             Some(_) => {
                 let index = self.rng.random_range(0..self.role.peers.len());
                 let peer = self.role.peers[index].clone();
-                self.repair.pull_at(peer, now);
+                self.repair.schedule_pull(peer, now);
             }
         }
         let pause = self.jitter(self.limits.compare_interval);
@@ -102,13 +102,13 @@
             self.repair.in_flight = None;
         }
         let Some(answer) = answer else {
-            self.note_startup_answer(&from, None);
+            self.record_startup_answer(&from, None);
             return;
         };
-        self.note_contact(now, &from);
-        self.note_generation(answer.generation);
-        self.note_receiver(now, &from, answer.generation);
-        if self.note_startup_answer(&from, Some(&answer)) {
+        self.record_contact(now, &from);
+        self.record_generation(answer.generation);
+        self.record_receiver(now, &from, answer.generation);
+        if self.record_startup_answer(&from, Some(&answer)) {
             return;
         }
         let Some(bundle) = answer.bundle else {
--- a/lovagedock/src/adoption/standby.rs
+++ b/lovagedock/src/adoption/standby.rs
@@ -31,7 +31,7 @@
         self.standby.check_at = (!self.role.higher_ranked.is_empty()).then_some(now);
     }
 
-    pub(super) fn note_contact(&mut self, now: Timestamp, peer: &ProcessId) {
+    pub(super) fn record_contact(&mut self, now: Timestamp, peer: &ProcessId) {
         if let Some(at) = self.standby.last_contact.get_mut(peer) {
             *at = now;
         }
@@ -49,9 +49,9 @@
         let timeout = self.limits.standby_timeout;
         let heard = self.standby.last_contact.values();
         let alive = heard.filter(|at| **at + timeout > now).count();
-        let is_standing_in =
+        let is_active_standby =
             !self.role.higher_ranked.is_empty() && alive < self.role.required_watchers;
-        self.set_watching(now, self.role.watches || is_standing_in);
+        self.set_watching(now, self.role.watches || is_active_standby);
     }
 
     fn check_higher_ranked(&mut self, now: Timestamp) {
@@ -60,7 +60,7 @@
         let quiet = heard.filter(|(_, at)| **at + interval / 2 <= now);
         let quiet: Vec<ProcessId> = quiet.map(|(senior, _)| senior.clone()).collect();
         for senior in quiet {
-            self.repair.pull_at(senior, now);
+            self.repair.schedule_pull(senior, now);
         }
         self.standby.check_at = Some(now + interval);
     }
--- a/lovagedock/src/adoption/startup.rs
+++ b/lovagedock/src/adoption/startup.rs
@@ -72,7 +72,7 @@
     }
 
     /// Stores an answer of a peer. Returns `false` if the peer was not asked at startup.
-    pub(super) fn note_startup_answer(
+    pub(super) fn record_startup_answer(
         &mut self,
         from: &ProcessId,
         answer: Option<&PullAnswer>,
--- a/lovagedock/src/adoption/state.rs
+++ b/lovagedock/src/adoption/state.rs
@@ -123,7 +123,7 @@
         self.drive_upstream(now, &mut actions);
         self.drive_repair(now, &mut actions);
         self.drive_pushes(now, &mut actions);
-        self.wake(now, &mut actions);
+        self.schedule_wake(now, &mut actions);
         actions
     }
 
@@ -144,8 +144,8 @@
             AdoptionEvent::RootRead(outcome) => self.on_root(now, outcome, actions),
             AdoptionEvent::ChunkRead { hash, bytes } => self.on_chunk(now, hash, bytes, actions),
             AdoptionEvent::Pushed { from, bundle } => {
-                self.note_generation(bundle.generation);
-                self.note_contact(now, &from);
+                self.record_generation(bundle.generation);
+                self.record_contact(now, &from);
                 let source = AdoptionSource::Push(from.clone());
                 self.apply_bundle(now, from, &bundle, source, actions);
             }
@@ -158,14 +158,14 @@
             AdoptionEvent::PushFailed { to } => self.on_push_failed(now, &to),
             AdoptionEvent::Pulled { from, answer } => self.on_pulled(now, from, answer, actions),
             AdoptionEvent::Accepted { generation } => {
-                self.note_generation(generation);
+                self.record_generation(generation);
                 self.upstream.poll_soon(generation > self.generation());
             }
             AdoptionEvent::Tick => {}
         }
     }
 
-    pub(super) fn note_generation(&mut self, generation: Generation) {
+    pub(super) fn record_generation(&mut self, generation: Generation) {
         self.highest_seen = self.highest_seen.max(generation);
     }
 
@@ -217,10 +217,10 @@
         while self.history.len() > self.limits.history {
             self.history.pop_front();
         }
-        self.note_generation(generation);
+        self.record_generation(generation);
         self.repair.needs_full_bundle = false;
         self.source = Some(source.clone());
-        self.note_adopted(now);
+        self.record_adopted(now);
         actions.push(AdoptionAction::Adopt {
             generation,
             digest,
@@ -236,7 +236,7 @@
         Some(current.bundle(base))
     }
 
-    fn wake(&mut self, now: Timestamp, actions: &mut Vec<AdoptionAction>) {
+    fn schedule_wake(&mut self, now: Timestamp, actions: &mut Vec<AdoptionAction>) {
         let times = [
             self.upstream.next_wake(),
             self.repair.next_wake(),
--- a/lovagedock/src/adoption/upstream.rs
+++ b/lovagedock/src/adoption/upstream.rs
@@ -131,7 +131,7 @@
         let RootOutcome::Found(manifest) = outcome else {
             return;
         };
-        self.note_generation(manifest.generation);
+        self.record_generation(manifest.generation);
         if self.is_newer(manifest.generation) {
             self.fetch(now, manifest, actions);
         }
@@ -144,7 +144,7 @@
     }
 
     /// Stops reads that are superseded by a configuration from a peer.
-    pub(super) fn note_adopted(&mut self, now: Timestamp) {
+    pub(super) fn record_adopted(&mut self, now: Timestamp) {
         let generation = self.generation();
         let is_superseded = |fetch: &mut ChunkFetch| fetch.manifest.generation <= generation;
         self.upstream.fetch.take_if(is_superseded);
--- a/lovagedock/src/claim/batch.rs
+++ b/lovagedock/src/claim/batch.rs
@@ -71,7 +71,7 @@
         let Some(entry) = self.object.entries.get(&abandon.key) else {
             return;
         };
-        if !entry.is_of(input.owner, abandon.request) || entry.is_answered() {
+        if !entry.is_held_by(input.owner, abandon.request) || entry.is_answered() {
             return;
         }
         self.object.entries.remove(&abandon.key);
@@ -87,7 +87,7 @@
         let Some(entry) = self.object.entries.get_mut(&record.key) else {
             return;
         };
-        if !entry.is_of(input.owner, record.request) || entry.is_answered() {
+        if !entry.is_held_by(input.owner, record.request) || entry.is_answered() {
             return;
         }
         let inline = record.answer.len();
--- a/lovagedock/src/claim/entry.rs
+++ b/lovagedock/src/claim/entry.rs
@@ -46,7 +46,7 @@
 }
 
 impl ClaimEntry {
-    pub(crate) fn is_of(&self, owner: Incarnation, request: RequestId) -> bool {
+    pub(crate) fn is_held_by(&self, owner: Incarnation, request: RequestId) -> bool {
         self.owner == owner && self.request == request
     }
 
--- a/lovagedock/src/claim/keys.rs
+++ b/lovagedock/src/claim/keys.rs
@@ -24,7 +24,7 @@
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part.as_bytes());
         }
-        first_half(hasher.finalize())
+        truncate_hash(hasher.finalize())
     }
 
     /// Hashes the request, so that the use of one key for two different requests is detected.
@@ -34,7 +34,7 @@
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part);
         }
-        first_half(hasher.finalize())
+        truncate_hash(hasher.finalize())
     }
 }
 
@@ -108,7 +108,7 @@
     }
 }
 
-fn first_half(hash: blake3::Hash) -> [u8; 16] {
+fn truncate_hash(hash: blake3::Hash) -> [u8; 16] {
     let mut half = [0; 16];
     half.copy_from_slice(&hash.as_bytes()[..16]);
     half
--- a/lovagedock/src/claim/settle.rs
+++ b/lovagedock/src/claim/settle.rs
@@ -128,7 +128,7 @@
         let Some((known, entry)) = self.live_entry(now, &claim.key) else {
             return ClaimVerdict::Free;
         };
-        if entry.is_of(self.owner, claim.request) {
+        if entry.is_held_by(self.owner, claim.request) {
             return ClaimVerdict::Granted;
         }
         let is_current = known.as_of >= waiting.arrived || entry.owner == self.owner;
@@ -199,7 +199,7 @@
     ) {
         let request = record.request;
         let entry = self.live_entry(now, &record.key).map(|(_, entry)| entry);
-        let entry = entry.filter(|entry| entry.is_of(self.owner, request));
+        let entry = entry.filter(|entry| entry.is_held_by(self.owner, request));
         let end = match entry {
             Some(entry) if !entry.is_answered() => {
                 self.records.push(record);
@@ -224,7 +224,9 @@
         let owner = self.owner;
         self.abandons.retain(|abandon| {
             let entry = known.value.entries.get(&abandon.key);
-            entry.is_some_and(|entry| entry.is_of(owner, abandon.request) && !entry.is_answered())
+            entry.is_some_and(|entry| {
+                entry.is_held_by(owner, abandon.request) && !entry.is_answered()
+            })
         });
     }
 
--- a/lovagedock/src/claim/store.rs
+++ b/lovagedock/src/claim/store.rs
@@ -180,7 +180,7 @@
         self.unsettled = None;
         let is_removed = |request: &RequestId| !value.strays.iter().any(|s| s.request == *request);
         self.deleted.retain(|request| !is_removed(request));
-        self.note_own_strays(&value);
+        self.record_own_strays(&value);
         self.install(sent_at, sent_at, Some(version), value);
     }
 
--- a/lovagedock/src/claim/sweep.rs
+++ b/lovagedock/src/claim/sweep.rs
@@ -92,7 +92,7 @@
     }
 
     /// Stores the requests whose entries this gateway's write removed as expired.
-    pub(super) fn note_own_strays(&mut self, value: &PartitionObject) {
+    pub(super) fn record_own_strays(&mut self, value: &PartitionObject) {
         let before = self.known.as_ref().map(|known| &known.value.strays);
         for stray in &value.strays {
             let is_new = before.is_none_or(|strays| !strays.contains(stray));
--- a/lovagedock/src/lease/holder.rs
+++ b/lovagedock/src/lease/holder.rs
@@ -91,7 +91,7 @@
     /// Handles an event and returns the actions to carry out.
     pub fn handle(&mut self, now: Timestamp, event: LeaseEvent) -> Vec<LeaseAction> {
         let mut actions = Vec::new();
-        self.lapse(now, &mut actions);
+        self.drop_if_lapsed(now, &mut actions);
         match event {
             LeaseEvent::Want => self.wanted = true,
             LeaseEvent::Release => self.release(now, &mut actions),
@@ -102,12 +102,12 @@
             LeaseEvent::Tick => {}
         }
         self.drive(now, &mut actions);
-        self.wake(now, &mut actions);
+        self.schedule_wake(now, &mut actions);
         actions
     }
 
     /// Drops the lease if its time is over, which may be noticed late after a pause of the process.
-    fn lapse(&mut self, now: Timestamp, actions: &mut Vec<LeaseAction>) {
+    fn drop_if_lapsed(&mut self, now: Timestamp, actions: &mut Vec<LeaseAction>) {
         let over = |held: &mut HeldLease| held.until <= now;
         if let Some(held) = self.held.take_if(over) {
             let epoch = held.epoch;
@@ -133,7 +133,12 @@
     /// A successor counts the duration from when it sees the write, so the holder must count from
     /// before it sent the write. If it counted from the confirmation, a slow reply would let both
     /// hold the lease at once.
-    pub(super) fn hold(&mut self, now: Timestamp, sent: SentWrite, actions: &mut Vec<LeaseAction>) {
+    pub(super) fn hold_lease(
+        &mut self,
+        now: Timestamp,
+        sent: SentWrite,
+        actions: &mut Vec<LeaseAction>,
+    ) {
         let from = match self.safeguards.lease_from_request {
             true => sent.requested_at,
             false => now,
@@ -156,7 +161,7 @@
         });
     }
 
-    pub(super) fn lose(&mut self, actions: &mut Vec<LeaseAction>) {
+    pub(super) fn drop_lease(&mut self, actions: &mut Vec<LeaseAction>) {
         if let Some(held) = self.held.take() {
             let epoch = held.epoch;
             actions.push(LeaseAction::Lost { epoch });
@@ -173,7 +178,7 @@
         known.first_seen + percent(record.duration(), 100 + margin)
     }
 
-    fn wake(&mut self, now: Timestamp, actions: &mut Vec<LeaseAction>) {
+    fn schedule_wake(&mut self, now: Timestamp, actions: &mut Vec<LeaseAction>) {
         let held = self.held.as_ref();
         let until = held.map(|held| held.until);
         let idle = matches!(self.call, LeaseCall::Idle) && self.wanted;
--- a/lovagedock/src/lease/store.rs
+++ b/lovagedock/src/lease/store.rs
@@ -158,7 +158,7 @@
             checked: now,
         });
         if sent.holder.is_some() {
-            self.hold(now, sent, actions);
+            self.hold_lease(now, sent, actions);
         }
     }
 
@@ -219,8 +219,8 @@
         let settled = settled.copied();
         self.unsettled.clear();
         match settled.filter(|sent| sent.holder.is_some()) {
-            Some(sent) => self.hold(now, sent, actions),
-            None if !is_own => self.lose(actions),
+            Some(sent) => self.hold_lease(now, sent, actions),
+            None if !is_own => self.drop_lease(actions),
             None => {}
         }
     }
--- a/lovagedock/src/orders/planner.rs
+++ b/lovagedock/src/orders/planner.rs
@@ -66,7 +66,7 @@
         }
         let mut actions = Vec::new();
         self.drive(now, &mut actions);
-        self.wake(now, &mut actions);
+        self.schedule_wake(now, &mut actions);
         actions
     }
 
@@ -219,7 +219,7 @@
         replacing.count() < share.max(1)
     }
 
-    fn wake(&mut self, now: Timestamp, actions: &mut Vec<OrderAction>) {
+    fn schedule_wake(&mut self, now: Timestamp, actions: &mut Vec<OrderAction>) {
         let held = self.lease.filter(|lease| now < lease.until);
         let idle = self.endpoints.values().filter(|it| it.call.is_none());
         let due =
--- a/lovagedock/src/request/finish.rs
+++ b/lovagedock/src/request/finish.rs
@@ -68,7 +68,7 @@
         if end.code == ResultCode::Revoked && self.caller_gone {
             end.code = ResultCode::CallerGone;
         }
-        if !self.may_try_again(&end, prefilling, only_prefilled) {
+        if !self.may_retry(&end, prefilling, only_prefilled) {
             self.abandon_attempt_unless(end.ran == RanState::No || frees_endpoint(&end));
             self.conclude(end);
             return;
@@ -89,7 +89,7 @@
         self.actions.push(RequestAction::AskRetry);
     }
 
-    fn may_try_again(&self, end: &AnswerEnd, prefilling: bool, only_prefilled: bool) -> bool {
+    fn may_retry(&self, end: &AnswerEnd, prefilling: bool, only_prefilled: bool) -> bool {
         let given_up = self.caller_gone || self.stopping;
         let spent = self.attempts >= self.spec.timing.max_attempts;
         if given_up || spent || self.answer.delivered > 0 {
--- a/lovagedock/tests/adoption_first.rs
+++ b/lovagedock/tests/adoption_first.rs
@@ -31,13 +31,13 @@
 ];
 
 /// A process with its clock, which is advanced from one wake-up to the next.
-struct Driven {
+struct ProcessDriver {
     state: AdoptionState,
     now: Timestamp,
     wake_at: Option<Timestamp>,
 }
 
-impl Driven {
+impl ProcessDriver {
     fn new() -> Self {
         Self {
             state: AdoptionState::new(AdoptionLimits::default(), 7),
@@ -89,21 +89,21 @@
 #[test]
 fn a_process_with_nothing_in_force_watches_an_empty_store() {
     for case in CASES {
-        let mut driven = Driven::new();
-        let actions = driven.take(AdoptionEvent::Role((case.role)()));
+        let mut driver = ProcessDriver::new();
+        let actions = driver.take(AdoptionEvent::Role((case.role)()));
         let soon = Duration::from_secs(1);
-        let first = driven.next_store_call(actions, soon);
+        let first = driver.next_store_call(actions, soon);
         assert_eq!(first, Some(AdoptionAction::ReadRoot), "{}", case.name);
-        let actions = driven.take(AdoptionEvent::RootRead(RootOutcome::Unchanged));
-        let second = driven.next_store_call(actions, soon);
+        let actions = driver.take(AdoptionEvent::RootRead(RootOutcome::Unchanged));
+        let second = driver.next_store_call(actions, soon);
         let watch = AdoptionAction::WatchRoot { above: 0 };
         assert_eq!(second, Some(watch), "{}", case.name);
 
         let chunk = Bytes::from_static(b"{}");
         let manifest = ConfigManifest::new(1, std::slice::from_ref(&chunk));
-        let actions = driven.take(AdoptionEvent::RootRead(RootOutcome::Found(manifest)));
+        let actions = driver.take(AdoptionEvent::RootRead(RootOutcome::Found(manifest)));
         let hash = chunk_hash(&chunk);
-        let third = driven.next_store_call(actions, soon * 2);
+        let third = driver.next_store_call(actions, soon * 2);
         assert_eq!(
             third,
             Some(AdoptionAction::ReadChunk { hash }),
@@ -111,8 +111,8 @@
             case.name
         );
         let bytes = Some(chunk);
-        driven.now += soon;
-        let actions = driven.take(AdoptionEvent::ChunkRead { hash, bytes });
+        driver.now += soon;
+        let actions = driver.take(AdoptionEvent::ChunkRead { hash, bytes });
         let is_call = |action: &AdoptionAction| {
             matches!(
                 action,
@@ -120,17 +120,17 @@
             )
         };
         assert!(!actions.iter().any(is_call), "{}: {actions:?}", case.name);
-        assert_eq!(driven.state.generation(), 1, "{}", case.name);
-        let actions = driven.take(AdoptionEvent::Role(RelayRole::default()));
+        assert_eq!(driver.state.generation(), 1, "{}", case.name);
+        let actions = driver.take(AdoptionEvent::Role(RelayRole::default()));
         let early = AdoptionLimits::default().poll_interval / 4;
         assert_eq!(
-            driven.next_store_call(actions, early),
+            driver.next_store_call(actions, early),
             None,
             "{}",
             case.name
         );
-        let actions = driven.take(AdoptionEvent::Tick);
-        let fourth = driven.next_store_call(actions, early * 8);
+        let actions = driver.take(AdoptionEvent::Tick);
+        let fourth = driver.next_store_call(actions, early * 8);
         assert_eq!(fourth, Some(AdoptionAction::ReadRoot), "{}", case.name);
     }
 }
--- a/lovagedock/tests/lease_scenarios.rs
+++ b/lovagedock/tests/lease_scenarios.rs
@@ -138,9 +138,9 @@
     }
 
     fn end_call(&mut self, call: LeaseAction, fault: &str) -> LeaseEvent {
-        let lands = matches!(fault, "ok" | "lost-applied");
+        let takes_effect = matches!(fault, "ok" | "lost-applied");
         match call {
-            LeaseAction::Read { object } => LeaseEvent::StoreReadEnded(match lands {
+            LeaseAction::Read { object } => LeaseEvent::StoreReadEnded(match takes_effect {
                 true => self.store.read(&object),
                 false => ReadOutcome::Unavailable,
             }),
@@ -150,7 +150,7 @@
                 bytes,
                 nonce,
             } => {
-                let applied = lands.then(|| self.store.write(&object, condition, bytes));
+                let applied = takes_effect.then(|| self.store.write(&object, condition, bytes));
                 let outcome = match (fault, applied) {
                     ("ok", Some(outcome)) => outcome,
                     ("down", _) => WriteOutcome::Unavailable,
--- a/lovagedock/tests/support/claim_world/calls.rs
+++ b/lovagedock/tests/support/claim_world/calls.rs
@@ -13,23 +13,23 @@
         let is_write = !matches!(action, ClaimAction::Read { .. });
         let down = self.chance(self.schedule.faults.unavailable);
         let lost = is_write && self.chance(self.schedule.faults.lost_confirmation);
-        let lands = !down && (!lost || self.chance(60));
-        let lands_at = self.now + self.millis(1..30);
+        let takes_effect = !down && (!lost || self.chance(60));
+        let applied_at = self.now + self.millis(1..30);
         let reports_at = match lost {
             // The write may still take effect after the daemon's call has timed out.
             true => self.now + self.millis(1..60),
-            false => lands_at + self.millis(1..10),
+            false => applied_at + self.millis(1..10),
         };
         let call = Call {
             gateway,
             incarnation,
             action,
             outcome: None,
-            lands,
+            takes_effect,
             confirmed: !lost,
         };
         self.calls.insert(id, call);
-        self.push(lands_at, Step::Land(id));
+        self.push(applied_at, Step::ApplyCall(id));
         self.push(reports_at, Step::Report(id));
     }
 
@@ -37,7 +37,7 @@
         let call = self.calls.get_mut(&id).expect("call is known");
         let event = match &call.action {
             ClaimAction::Read { object } => {
-                let outcome = match call.lands {
+                let outcome = match call.takes_effect {
                     true => self.store.read(object),
                     false => ReadOutcome::Unavailable,
                 };
@@ -50,7 +50,7 @@
                 bytes,
                 nonce,
             } => {
-                let outcome = match call.lands {
+                let outcome = match call.takes_effect {
                     true => self.store.write(object, *condition, bytes.clone()),
                     false => WriteOutcome::Unavailable,
                 };
@@ -58,7 +58,7 @@
                 ClaimEvent::StoreWriteEnded { nonce, outcome }
             }
             ClaimAction::Delete { object, nonce } => {
-                let outcome = match call.lands {
+                let outcome = match call.takes_effect {
                     true => self.store.delete(object),
                     false => WriteOutcome::Unavailable,
                 };
--- a/lovagedock/tests/support/claim_world/mod.rs
+++ b/lovagedock/tests/support/claim_world/mod.rs
@@ -56,7 +56,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Step {
     Arrive(usize),
-    Land(u64),
+    ApplyCall(u64),
     Report(u64),
     Tick(usize, u32),
     Finish(RequestId),
@@ -70,7 +70,7 @@
     incarnation: u32,
     action: ClaimAction,
     outcome: Option<ClaimEvent>,
-    lands: bool,
+    takes_effect: bool,
     confirmed: bool,
 }
 
@@ -169,7 +169,7 @@
     fn step(&mut self, step: Step) {
         match step {
             Step::Arrive(index) => self.arrive(index),
-            Step::Land(call) => self.apply_call(call),
+            Step::ApplyCall(call) => self.apply_call(call),
             Step::Report(call) => self.answer(call),
             Step::Tick(gateway, incarnation) => {
                 self.deliver(gateway, incarnation, ClaimEvent::Tick)
--- a/lovagedock/tests/support/lease_world.rs
+++ b/lovagedock/tests/support/lease_world.rs
@@ -41,7 +41,7 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Land(usize, LeaseAction, bool, bool),
+    ApplyCall(usize, LeaseAction, bool, bool),
     Event(usize, LeaseEvent),
     GiveOrder(usize),
     Order(usize, Epoch),
@@ -134,8 +134,8 @@
     fn step(&mut self, step: Step) {
         match step {
             Step::Event(index, event) => self.deliver(index, event),
-            Step::Land(index, action, lands, confirmed) => {
-                self.apply_call(index, action, lands, confirmed);
+            Step::ApplyCall(index, action, takes_effect, confirmed) => {
+                self.apply_call(index, action, takes_effect, confirmed);
             }
             Step::GiveOrder(index) => self.give_order(index),
             Step::Order(index, epoch) => self.order(index, epoch),
@@ -175,7 +175,7 @@
             }
             LeaseAction::Renewed { .. } | LeaseAction::Lost { .. } => {}
             LeaseAction::Read { .. } | LeaseAction::Write { .. } => {
-                let lands = !self.chance(self.faults.unavailable);
+                let takes_effect = !self.chance(self.faults.unavailable);
                 let confirmed = !self.chance(self.faults.lost_confirmation);
                 // Some calls are slow, and the reply arrives long after the write took effect.
                 let delay = match self.chance(10) {
@@ -192,14 +192,20 @@
                     self.push(at, Step::Event(index, event));
                 }
                 let at = self.now + delay;
-                self.push(at, Step::Land(index, action, lands, confirmed));
+                self.push(at, Step::ApplyCall(index, action, takes_effect, confirmed));
             }
         }
     }
 
-    fn apply_call(&mut self, index: usize, action: LeaseAction, lands: bool, confirmed: bool) {
+    fn apply_call(
+        &mut self,
+        index: usize,
+        action: LeaseAction,
+        takes_effect: bool,
+        confirmed: bool,
+    ) {
         let event = match action {
-            LeaseAction::Read { object } => LeaseEvent::StoreReadEnded(match lands {
+            LeaseAction::Read { object } => LeaseEvent::StoreReadEnded(match takes_effect {
                 true => self.store.read(&object),
                 false => ReadOutcome::Unavailable,
             }),
@@ -209,7 +215,7 @@
                 bytes,
                 nonce,
             } => {
-                let outcome = match lands {
+                let outcome = match takes_effect {
                     true => self.store.write(&object, condition, bytes),
                     false => WriteOutcome::Unavailable,
                 };
--- a/lovagedock/tests/support/relay_world/lifecycle.rs
+++ b/lovagedock/tests/support/relay_world/lifecycle.rs
@@ -58,7 +58,7 @@
             incarnation: 0,
             alive: true,
             watching: false,
-            feeders: Vec::new(),
+            parents: Vec::new(),
         });
     }
 
@@ -68,12 +68,12 @@
             for fed in role.children.iter().chain(&role.offers) {
                 let fed = self.index[fed];
                 if self.processes[fed].member.kind == RelayKind::Leaf {
-                    self.processes[fed].feeders.push(position);
+                    self.processes[fed].parents.push(position);
                 }
             }
         }
         for position in 0..self.processes.len() {
-            if !self.processes[position].feeders.is_empty() {
+            if !self.processes[position].parents.is_empty() {
                 let at = self.now + self.millis(0..1_000);
                 self.push(at, Step::Heartbeat(position));
             }
--- a/lovagedock/tests/support/relay_world/mod.rs
+++ b/lovagedock/tests/support/relay_world/mod.rs
@@ -55,7 +55,7 @@
     incarnation: u32,
     alive: bool,
     watching: bool,
-    feeders: Vec<usize>,
+    parents: Vec<usize>,
 }
 
 /// All processes, the store and the network.
--- a/lovagedock/tests/support/relay_world/traffic.rs
+++ b/lovagedock/tests/support/relay_world/traffic.rs
@@ -199,7 +199,7 @@
     }
 
     pub(super) fn heartbeat(&mut self, leaf: usize) {
-        for feeder in self.processes[leaf].feeders.clone() {
+        for feeder in self.processes[leaf].parents.clone() {
             let both = self.processes[leaf].alive && self.processes[feeder].alive;
             if !both || !self.is_passed(feeder, leaf) {
                 continue;
--- a/lovagedock/tests/wake.rs
+++ b/lovagedock/tests/wake.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn the_last_time_counts_and_no_sleep_is_longer_than_the_longest() {
+fn the_last_time_is_used_and_capped_at_the_longest_sleep() {
     let mut timer = WakeTimer::new();
     timer.set(Duration::from_secs(500));
     assert_eq!(timer.next(Duration::ZERO, LONGEST), LONGEST);
