--- a/lovagedock/examples/relay_capacity.rs
+++ b/lovagedock/examples/relay_capacity.rs
@@ -71,7 +71,7 @@
         }
     }
     println!(
-        "\nA region is cut off for 60 s while 13 changes are accepted, then heals; loss 2%.\n"
+        "\nA region is cut off for 60 s while 13 changes are accepted, then reconnects; loss 2%.\n"
     );
     println!(
         "| relays | leaves | regions | all in force after ms | store calls/s before | worst second \
--- a/lovagedock/src/adoption/bundle.rs
+++ b/lovagedock/src/adoption/bundle.rs
@@ -53,7 +53,8 @@
 impl ConfigBundle {
     /// Encodes the bundle for the `config` field of the protocol.
     pub fn encode(&self) -> Bytes {
-        let bytes = postcard::to_stdvec(self).expect("a vector takes every bundle");
+        let bytes =
+            postcard::to_stdvec(self).expect("serializing a bundle to a vector does not fail");
         Bytes::from(bytes)
     }
 
--- a/lovagedock/src/claim/object.rs
+++ b/lovagedock/src/claim/object.rs
@@ -50,8 +50,8 @@
 
     pub(crate) fn encode(&self) -> Bytes {
         let buffer = Vec::with_capacity(self.bytes());
-        let buffer =
-            postcard::to_extend(&(FORMAT, self), buffer).expect("a vector takes every partition");
+        let buffer = postcard::to_extend(&(FORMAT, self), buffer)
+            .expect("serializing a partition to a vector does not fail");
         Bytes::from(buffer)
     }
 
--- a/lovagedock/src/lease/record.rs
+++ b/lovagedock/src/lease/record.rs
@@ -30,7 +30,8 @@
     }
 
     pub(crate) fn encode(&self) -> Bytes {
-        let bytes = postcard::to_stdvec(&(FORMAT, self)).expect("a vector takes every record");
+        let bytes = postcard::to_stdvec(&(FORMAT, self))
+            .expect("serializing a record to a vector does not fail");
         Bytes::from(bytes)
     }
 
--- a/lovagedock/tests/adoption_first.rs
+++ b/lovagedock/tests/adoption_first.rs
@@ -15,7 +15,7 @@
 
 const CASES: &[FirstCase] = &[
     FirstCase {
-        name: "no peer is known and the role says that it watches",
+        name: "no peer is known and the role makes it a watcher",
         role: || RelayRole {
             watches: true,
             ..RelayRole::default()
--- a/lovagedock/tests/adoption_scenarios.rs
+++ b/lovagedock/tests/adoption_scenarios.rs
@@ -25,7 +25,7 @@
                 )
             }
             "steps" => {
-                let world = world.as_mut().expect("a fleet comes first");
+                let world = world.as_mut().expect("`fleet` precedes `steps`");
                 case.input
                     .lines()
                     .map(|line| run_line(world, line))
--- a/lovagedock/tests/claim_scenarios.rs
+++ b/lovagedock/tests/claim_scenarios.rs
@@ -196,7 +196,7 @@
                 let outcome = refused.unwrap_or_else(|| self.store.delete(&object));
                 ClaimEvent::StoreWriteEnded { nonce, outcome }
             }
-            other => panic!("{other:?} is no call"),
+            other => panic!("not a store call: {other:?}"),
         }
     }
 
--- a/lovagedock/tests/order_scenarios.rs
+++ b/lovagedock/tests/order_scenarios.rs
@@ -237,7 +237,7 @@
 fn show(order: &Option<LoadOrder>) -> String {
     let name = |it: &Artifact| format!("{}={}", it.id, it.version);
     match order {
-        None => "is looked at".to_owned(),
+        None => "is polled".to_owned(),
         Some(LoadOrder::Model(model)) => format!("loads model {}", name(model)),
         Some(LoadOrder::Adapter(adapter)) => format!("loads adapter {}", name(adapter)),
     }
--- a/lovagedock/tests/relay_plan.rs
+++ b/lovagedock/tests/relay_plan.rs
@@ -130,7 +130,7 @@
     let leaving_index = members
         .iter()
         .position(|member| !watching.contains(&member.process));
-    members.remove(leaving_index.expect("most do not watch"));
+    members.remove(leaving_index.expect("a member that does not watch"));
     let after = RelayPlan::new(&members, &RelayLimits::default());
     assert_eq!(before.watchers(), after.watchers());
 }
--- a/lovagedock/tests/request_scenarios.rs
+++ b/lovagedock/tests/request_scenarios.rs
@@ -18,7 +18,7 @@
         let mut machine = None;
         file.run(|case| match case.directive.as_str() {
             "request" => admit(case, &mut machine),
-            "steps" => run_steps(case, machine.as_mut().expect("a request comes first")),
+            "steps" => run_steps(case, machine.as_mut().expect("`request` precedes `steps`")),
             other => panic!("unknown directive {other}"),
         });
     });
@@ -198,7 +198,7 @@
     let digits = text.strip_suffix("ms").unwrap_or(text);
     digits
         .parse()
-        .unwrap_or_else(|_| panic!("{text} is no number"))
+        .unwrap_or_else(|_| panic!("not a number: {text}"))
 }
 
 fn show(action: &RequestAction) -> String {
--- a/lovagedock/tests/span_contention.rs
+++ b/lovagedock/tests/span_contention.rs
@@ -66,7 +66,7 @@
                 mean(&figures, |f| f.held_idle_percent),
                 mean(&figures, |f| f.messages_per_span),
             )
-            .expect("a string takes all");
+            .expect("writing to a string does not fail");
         }
     }
     expect![[r#"
--- a/lovagedock/tests/span_properties.rs
+++ b/lovagedock/tests/span_properties.rs
@@ -47,7 +47,7 @@
     prop_assert!(span.is_finished(), "the span never ended");
     prop_assert!(
         engines.held_until.is_empty(),
-        "memory was kept: {:?}",
+        "memory is still reserved: {:?}",
         engines.held_until
     );
     prop_assert!(engines.decoded <= 1 && engines.failed.len() <= 1);
--- a/lovagedock/tests/support/claim_world/calls.rs
+++ b/lovagedock/tests/support/claim_world/calls.rs
@@ -80,7 +80,7 @@
                     outcome: WriteOutcome::Unknown,
                 }
             }
-            _ => call.outcome.clone().expect("the call has landed"),
+            _ => call.outcome.clone().expect("the call has taken effect"),
         };
         self.deliver(gateway, incarnation, event);
     }
