--- a/lovagedock/tests/request_support/core_sidecar.rs
+++ b/lovagedock/tests/request_support/core_sidecar.rs
@@ -81,7 +81,7 @@
     }
 
     fn act_on_core(&mut self, endpoint: usize, origin: usize, action: EndpointAction) {
-        let incarnation = self.sidecars[endpoint].incarnation;
+        let sidecar_incarnation = self.sidecars[endpoint].incarnation;
         match action {
             EndpointAction::Accept(key) => {
                 let (attempt, incarnation) = (key.attempt, key.incarnation);
@@ -104,7 +104,10 @@
             }
             EndpointAction::Start(key) => {
                 let delay = 2 * self.delay();
-                self.after(delay, Step::Begin(endpoint, incarnation, key.attempt));
+                self.after(
+                    delay,
+                    Step::Begin(endpoint, sidecar_incarnation, key.attempt),
+                );
             }
             EndpointAction::CancelOnEngine(_) => {
                 let works = self.sidecars[endpoint].work.values_mut();
@@ -132,7 +135,7 @@
                 let attempt = key.attempt;
                 let event = RequestEvent::RevokeAnswered {
                     attempt,
-                    incarnation,
+                    incarnation: sidecar_incarnation,
                     verdict,
                 };
                 self.answer(origin, event);
@@ -154,7 +157,7 @@
                 let at = at.as_micros().div_ceil(1000) as u64;
                 self.after(
                     at.saturating_sub(self.now),
-                    Step::Wake(endpoint, incarnation),
+                    Step::Wake(endpoint, sidecar_incarnation),
                 );
             }
             EndpointAction::ForgetAnswer(_)
--- a/lovagedock/tests/request_support/work.rs
+++ b/lovagedock/tests/request_support/work.rs
@@ -34,10 +34,10 @@
             }
             Message::Revoke(attempt, incarnation) => {
                 let verdict = self.sidecars[endpoint].revoke(attempt, incarnation);
-                let incarnation = self.sidecars[endpoint].incarnation;
+                let sidecar_incarnation = self.sidecars[endpoint].incarnation;
                 let event = RequestEvent::RevokeAnswered {
                     attempt,
-                    incarnation,
+                    incarnation: sidecar_incarnation,
                     verdict,
                 };
                 self.send(link, Step::ToGateway(link, event, Vec::new()));
--- a/lovagedock/tests/support/relay_world/store.rs
+++ b/lovagedock/tests/support/relay_world/store.rs
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Whether a process can reach the store.
+    /// Whether a process can reach the store. The store is in region 0.
     pub(super) fn reaches_store(&self, position: usize) -> bool {
         self.store_up && !self.cut.contains(&self.processes[position].region)
     }
