--- a/lovagedock-gateway/src/orders/pool.rs
+++ b/lovagedock-gateway/src/orders/pool.rs
@@ -157,12 +157,12 @@
         let pool = &*self.parts.pool;
         match action {
             LeaseAction::WakeAt(at) => self.lease_wake = at,
-            LeaseAction::Acquired { epoch, until } => {
+            LeaseAction::Acquired { epoch, expires_at } => {
                 info!(self.parts.log, "lease acquired"; "pool" => pool, "epoch" => epoch);
-                self.order(OrderEvent::Lease { epoch, until });
+                self.order(OrderEvent::Lease { epoch, expires_at });
             }
-            LeaseAction::Renewed { epoch, until } => {
-                self.order(OrderEvent::Lease { epoch, until });
+            LeaseAction::Renewed { epoch, expires_at } => {
+                self.order(OrderEvent::Lease { epoch, expires_at });
             }
             LeaseAction::Lost { epoch } => {
                 info!(self.parts.log, "lease lost"; "pool" => pool, "epoch" => epoch);
--- a/lovagedock/examples/claims_capacity.rs
+++ b/lovagedock/examples/claims_capacity.rs
@@ -85,7 +85,7 @@
         if only.is_some_and(|rate| rate != case.claims_per_second) {
             continue;
         }
-        World::new(case).run().print(case);
+        CapacitySimulation::new(case).run().print(case);
     }
 }
 
@@ -109,7 +109,7 @@
     record: Vec<Duration>,
 }
 
-struct World<'a> {
+struct CapacitySimulation<'a> {
     case: &'a LoadCase,
     rng: ChaCha8Rng,
     now: Timestamp,
@@ -123,19 +123,20 @@
     report: Report,
 }
 
-impl<'a> World<'a> {
+impl<'a> CapacitySimulation<'a> {
     fn new(case: &'a LoadCase) -> Self {
-        let pace = Duration::from_secs(case.partitions as u64) / STORE_WRITES_PER_SECOND as u32;
+        let write_interval =
+            Duration::from_secs(case.partitions as u64) / STORE_WRITES_PER_SECOND as u32;
         let limits = ClaimLimits {
             window: WINDOW,
-            write_interval: pace,
+            write_interval,
             ..ClaimLimits::default()
         };
         let machines = (0..case.partitions * case.gateways).map(|index| {
             let partition = (index / case.gateways) as u32;
             ClaimPartition::new(partition, index as u64 + 1, limits.clone())
         });
-        let mut world = Self {
+        let mut simulation = Self {
             case,
             rng: ChaCha8Rng::seed_from_u64(1),
             now: Duration::ZERO,
@@ -148,8 +149,8 @@
             recorded: BTreeMap::new(),
             report: Report::default(),
         };
-        world.plan_arrival();
-        world
+        simulation.plan_arrival();
+        simulation
     }
 
     fn run(mut self) -> Report {
--- a/lovagedock/examples/relay_capacity.rs
+++ b/lovagedock/examples/relay_capacity.rs
@@ -6,12 +6,12 @@
 //! regions, and 3 to 15 ms to the store. A lost message is detected after 400 ms.
 
 #[allow(dead_code)]
-#[path = "../tests/support/relay_world/mod.rs"]
-mod relay_world;
+#[path = "../tests/support/relay_simulation/mod.rs"]
+mod relay_simulation;
 
 use std::time::Duration;
 
-use relay_world::{RelaySetup, RelayWorld};
+use relay_simulation::{RelaySetup, RelaySimulation};
 
 const CHANGES: usize = 8;
 const CHANGE_INTERVAL: Duration = Duration::from_secs(8);
@@ -104,9 +104,9 @@
     store_calls: usize,
 }
 
-fn totals(world: &RelayWorld) -> Totals {
+fn totals(simulation: &RelaySimulation) -> Totals {
     let mut totals = Totals::default();
-    for tally in &world.tallies {
+    for tally in &simulation.tallies {
         totals.messages += tally.messages;
         totals.bytes += tally.bytes;
         totals.store_calls += tally.store_reads;
@@ -121,15 +121,15 @@
     let (mut messages, mut bytes) = (Vec::new(), Vec::new());
     let mut watchers = 0;
     for seed in 1..=SEEDS {
-        let mut world = RelayWorld::new(setup(size, loss, seed));
-        watchers = world.watcher_names().len();
-        world.run(Duration::from_secs(15));
-        world.reset_tallies();
+        let mut simulation = RelaySimulation::new(setup(size, loss, seed));
+        watchers = simulation.watcher_names().len();
+        simulation.run(Duration::from_secs(15));
+        simulation.reset_tallies();
         let idle_time = Duration::from_secs(20);
-        world.run(idle_time);
+        simulation.run(idle_time);
         let seconds = idle_time.as_secs_f64();
-        store_rate += totals(&world).store_calls as f64 / seconds / SEEDS as f64;
-        let idle: Vec<(f64, f64)> = world
+        store_rate += totals(&simulation).store_calls as f64 / seconds / SEEDS as f64;
+        let idle: Vec<(f64, f64)> = simulation
             .tallies
             .iter()
             .map(|tally| {
@@ -139,10 +139,10 @@
                 )
             })
             .collect();
-        world.reset_tallies();
-        run_changes(&mut world, &mut delays, &mut hops);
+        simulation.reset_tallies();
+        run_changes(&mut simulation, &mut delays, &mut hops);
         let time = CHANGE_INTERVAL.as_secs_f64() * CHANGES as f64;
-        for (tally, idle) in world.tallies.iter().zip(&idle) {
+        for (tally, idle) in simulation.tallies.iter().zip(&idle) {
             idle_messages.push(idle.0);
             idle_rates.push(idle.1);
             messages.push((tally.messages as f64 - idle.0 * time) / CHANGES as f64);
@@ -177,14 +177,14 @@
 
 /// Accepts changes one after another. A process that has not adopted a change before the next one
 /// counts with the full interval.
-fn run_changes(world: &mut RelayWorld, delays: &mut Vec<Duration>, hops: &mut usize) {
+fn run_changes(simulation: &mut RelaySimulation, delays: &mut Vec<Duration>, hops: &mut usize) {
     for _ in 0..CHANGES {
-        let accepted_at = world.now;
-        let generation = world.accept();
-        world.run(CHANGE_INTERVAL);
-        for tally in &world.tallies {
+        let accepted_at = simulation.now;
+        let generation = simulation.accept();
+        simulation.run(CHANGE_INTERVAL);
+        for tally in &simulation.tallies {
             let mut later = tally.adopted_at.range(generation..);
-            let at = later.next().map_or(world.now, |(_, at)| *at);
+            let at = later.next().map_or(simulation.now, |(_, at)| *at);
             delays.push(at - accepted_at);
             *hops = (*hops).max(tally.hops);
         }
@@ -192,28 +192,29 @@
 }
 
 fn print_cut(size: &SizeRow) {
-    let mut world = RelayWorld::new(setup(size, 2, 1));
-    world.run(Duration::from_secs(15));
-    let before = per_second(&mut world, 10);
-    world.cut.insert(size.regions - 1);
+    let mut simulation = RelaySimulation::new(setup(size, 2, 1));
+    simulation.run(Duration::from_secs(15));
+    let before = per_second(&mut simulation, 10);
+    simulation.cut.insert(size.regions - 1);
     for _ in 0..13 {
-        world.accept();
-        world.run(Duration::from_millis(4_600));
+        simulation.accept();
+        simulation.run(Duration::from_millis(4_600));
     }
-    world.cut.clear();
-    let healed_at = world.now;
+    simulation.cut.clear();
+    let healed_at = simulation.now;
     let mut settled_at = None;
     let mut worst = Totals::default();
     for _ in 0..20 {
-        let start = totals(&world);
+        let start = totals(&simulation);
         for _ in 0..20 {
-            world.run(Duration::from_millis(50));
-            let behind = (0..world.len()).any(|p| world.generation(p) < world.accepted());
+            simulation.run(Duration::from_millis(50));
+            let behind =
+                (0..simulation.len()).any(|p| simulation.generation(p) < simulation.accepted());
             if !behind {
-                settled_at.get_or_insert(world.now);
+                settled_at.get_or_insert(simulation.now);
             }
         }
-        let end = totals(&world);
+        let end = totals(&simulation);
         worst.messages = worst.messages.max(end.messages - start.messages);
         worst.store_calls = worst.store_calls.max(end.store_calls - start.store_calls);
     }
@@ -232,10 +233,10 @@
     );
 }
 
-fn per_second(world: &mut RelayWorld, seconds: u64) -> Totals {
-    let start = totals(world);
-    world.run(Duration::from_secs(seconds));
-    let end = totals(world);
+fn per_second(simulation: &mut RelaySimulation, seconds: u64) -> Totals {
+    let start = totals(simulation);
+    simulation.run(Duration::from_secs(seconds));
+    let end = totals(simulation);
     Totals {
         messages: end.messages - start.messages,
         bytes: end.bytes - start.bytes,
--- a/lovagedock/src/adoption/standby.rs
+++ b/lovagedock/src/adoption/standby.rs
@@ -23,9 +23,9 @@
     pub(super) fn set_higher_ranked(&mut self, now: Timestamp) {
         let old = std::mem::take(&mut self.standby.last_contact);
         let higher_ranked = self.role.higher_ranked.iter();
-        let last_contact = higher_ranked.map(|senior| {
-            let at = old.get(senior).copied().unwrap_or(now);
-            (senior.clone(), at)
+        let last_contact = higher_ranked.map(|peer| {
+            let at = old.get(peer).copied().unwrap_or(now);
+            (peer.clone(), at)
         });
         self.standby.last_contact = last_contact.collect();
         self.standby.check_at = (!self.role.higher_ranked.is_empty()).then_some(now);
@@ -47,8 +47,8 @@
             self.check_higher_ranked(now);
         }
         let timeout = self.limits.standby_timeout;
-        let heard = self.standby.last_contact.values();
-        let alive = heard.filter(|at| **at + timeout > now).count();
+        let contacts = self.standby.last_contact.values();
+        let alive = contacts.filter(|at| **at + timeout > now).count();
         let is_active_standby =
             !self.role.higher_ranked.is_empty() && alive < self.role.required_watchers;
         self.set_watching(now, self.role.watches || is_active_standby);
@@ -56,11 +56,11 @@
 
     fn check_higher_ranked(&mut self, now: Timestamp) {
         let interval = self.limits.standby_check_interval;
-        let heard = self.standby.last_contact.iter();
-        let quiet = heard.filter(|(_, at)| **at + interval / 2 <= now);
-        let quiet: Vec<ProcessId> = quiet.map(|(senior, _)| senior.clone()).collect();
-        for senior in quiet {
-            self.repair.schedule_pull(senior, now);
+        let contacts = self.standby.last_contact.iter();
+        let quiet = contacts.filter(|(_, at)| **at + interval / 2 <= now);
+        let quiet: Vec<ProcessId> = quiet.map(|(peer, _)| peer.clone()).collect();
+        for peer in quiet {
+            self.repair.schedule_pull(peer, now);
         }
         self.standby.check_at = Some(now + interval);
     }
--- a/lovagedock/src/lease/holder.rs
+++ b/lovagedock/src/lease/holder.rs
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct HeldLease {
     pub(super) epoch: Epoch,
-    pub(super) until: Timestamp,
+    pub(super) expires_at: Timestamp,
     pub(super) renew_at: Timestamp,
 }
 
@@ -72,7 +72,7 @@
 
     /// Returns the fencing number if the lease is held at `now`. Call this before each order.
     pub fn fence(&self, now: Timestamp) -> Option<Epoch> {
-        let held = self.held.filter(|held| now < held.until)?;
+        let held = self.held.filter(|held| now < held.expires_at)?;
         Some(held.epoch)
     }
 
@@ -108,7 +108,7 @@
 
     /// Drops the lease if its time is over, which may be noticed late after a pause of the process.
     fn drop_if_lapsed(&mut self, now: Timestamp, actions: &mut Vec<LeaseAction>) {
-        let over = |held: &mut HeldLease| held.until <= now;
+        let over = |held: &mut HeldLease| held.expires_at <= now;
         if let Some(held) = self.held.take_if(over) {
             let epoch = held.epoch;
             actions.push(LeaseAction::Lost { epoch });
@@ -144,20 +144,20 @@
             false => now,
         };
         let margin = self.limits.clock_margin_percent.min(90);
-        let until = from + percent(self.limits.duration, 100 - margin);
+        let expires_at = from + percent(self.limits.duration, 100 - margin);
         let epoch = sent.epoch;
-        if until <= now || !self.wanted {
+        if expires_at <= now || !self.wanted {
             return;
         }
         let renewed = self.held.is_some_and(|held| held.epoch == epoch);
         self.held = Some(HeldLease {
             epoch,
-            until,
+            expires_at,
             renew_at: from + percent(self.limits.duration, self.limits.renew_percent),
         });
         actions.push(match renewed {
-            true => LeaseAction::Renewed { epoch, until },
-            false => LeaseAction::Acquired { epoch, until },
+            true => LeaseAction::Renewed { epoch, expires_at },
+            false => LeaseAction::Acquired { epoch, expires_at },
         });
     }
 
@@ -180,10 +180,10 @@
 
     fn schedule_wake(&mut self, now: Timestamp, actions: &mut Vec<LeaseAction>) {
         let held = self.held.as_ref();
-        let until = held.map(|held| held.until);
+        let expires_at = held.map(|held| held.expires_at);
         let idle = matches!(self.call, LeaseCall::Idle) && self.wanted;
         let next = self.next_call(now).filter(|_| idle);
-        let wake_at = until.into_iter().chain(next).min();
+        let wake_at = expires_at.into_iter().chain(next).min();
         if wake_at != self.wake_at {
             self.wake_at = wake_at;
             actions.extend(wake_at.map(LeaseAction::WakeAt));
--- a/lovagedock/src/lease/types.rs
+++ b/lovagedock/src/lease/types.rs
@@ -53,14 +53,14 @@
         /// Fencing number of all orders.
         epoch: Epoch,
         /// When the lease lapses unless it is renewed.
-        until: Timestamp,
+        expires_at: Timestamp,
     },
     /// The lease was extended.
     Renewed {
         /// Fencing number, unchanged.
         epoch: Epoch,
         /// When the lease lapses unless it is renewed again.
-        until: Timestamp,
+        expires_at: Timestamp,
     },
     /// The lease is no longer held. Give no more orders.
     Lost {
--- a/lovagedock/src/orders/planner.rs
+++ b/lovagedock/src/orders/planner.rs
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug)]
 struct PlannerLease {
     epoch: Epoch,
-    until: Timestamp,
+    expires_at: Timestamp,
 }
 
 impl OrderPlanner {
@@ -54,7 +54,7 @@
     /// Handles an event and returns the actions to carry out.
     pub fn handle(&mut self, now: Timestamp, event: OrderEvent) -> Vec<OrderAction> {
         match event {
-            OrderEvent::Lease { epoch, until } => self.set_lease(epoch, until),
+            OrderEvent::Lease { epoch, expires_at } => self.set_lease(epoch, expires_at),
             OrderEvent::LeaseLost => self.lease = None,
             OrderEvent::Configure { wanted, endpoints } => self.configure(wanted, endpoints),
             OrderEvent::Answered {
@@ -85,12 +85,12 @@
         })
     }
 
-    fn set_lease(&mut self, epoch: Epoch, until: Timestamp) {
+    fn set_lease(&mut self, epoch: Epoch, expires_at: Timestamp) {
         if epoch <= self.superseded {
             return;
         }
         let is_new = self.lease.is_none_or(|lease| lease.epoch != epoch);
-        self.lease = Some(PlannerLease { epoch, until });
+        self.lease = Some(PlannerLease { epoch, expires_at });
         if is_new {
             // Another holder may have changed the engines since the last reports.
             self.endpoints.values_mut().for_each(PoolEndpoint::reset);
@@ -139,7 +139,7 @@
 
     fn drive(&mut self, now: Timestamp, actions: &mut Vec<OrderAction>) {
         // The process may have been paused beyond the end of the lease.
-        let Some(lease) = self.lease.filter(|lease| now < lease.until) else {
+        let Some(lease) = self.lease.filter(|lease| now < lease.expires_at) else {
             return;
         };
         let names: Vec<EndpointId> = self.endpoints.keys().cloned().collect();
@@ -220,7 +220,7 @@
     }
 
     fn schedule_wake(&mut self, now: Timestamp, actions: &mut Vec<OrderAction>) {
-        let held = self.lease.filter(|lease| now < lease.until);
+        let held = self.lease.filter(|lease| now < lease.expires_at);
         let idle = self.endpoints.values().filter(|it| it.call.is_none());
         let due =
             idle.map(
--- a/lovagedock/src/orders/types.rs
+++ b/lovagedock/src/orders/types.rs
@@ -41,7 +41,7 @@
         /// Fencing number.
         epoch: Epoch,
         /// When the lease lapses.
-        until: Timestamp,
+        expires_at: Timestamp,
     },
     /// This process no longer holds the lease.
     LeaseLost,
--- a/lovagedock/tests/adoption_properties.rs
+++ b/lovagedock/tests/adoption_properties.rs
@@ -8,50 +8,50 @@
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use support::relay_world::{RelaySetup, RelayWorld};
+use support::relay_simulation::{RelaySetup, RelaySimulation};
 
 const CASES: u32 = 60;
 const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// Runs a random sequence of changes, crashes, restarts, store outages and region partitions.
-fn run_with_faults(setup: RelaySetup) -> RelayWorld {
+fn run_with_faults(setup: RelaySetup) -> RelaySimulation {
     let mut rng = ChaCha8Rng::seed_from_u64(setup.seed);
     let regions = setup.regions;
-    let mut world = RelayWorld::new(setup);
+    let mut simulation = RelaySimulation::new(setup);
     for _ in 0..40 {
-        world.run(Duration::from_millis(rng.random_range(1..900)));
-        let position = rng.random_range(0..world.len());
+        simulation.run(Duration::from_millis(rng.random_range(1..900)));
+        let position = rng.random_range(0..simulation.len());
         match rng.random_range(0..9) {
             0..3 => {
-                world.accept();
+                simulation.accept();
             }
-            3 => world.kill(position),
-            4 => world.restart(position),
-            5 => world.store_up = false,
-            6 => world.store_up = true,
+            3 => simulation.kill(position),
+            4 => simulation.restart(position),
+            5 => simulation.store_up = false,
+            6 => simulation.store_up = true,
             7 => {
-                world.cut.insert(rng.random_range(0..regions));
+                simulation.cut.insert(rng.random_range(0..regions));
             }
-            _ => world.cut.clear(),
+            _ => simulation.cut.clear(),
         }
     }
-    world
+    simulation
 }
 
 /// Ends all faults, accepts a change and runs until it must be in force everywhere.
-fn repair_and_accept(world: &mut RelayWorld) {
-    world.store_up = true;
-    world.cut.clear();
-    world.setup.loss = 0;
-    world.setup.damage = 0;
-    for position in 0..world.len() {
-        if !world.is_alive(position) {
-            world.restart(position);
+fn repair_and_accept(simulation: &mut RelaySimulation) {
+    simulation.store_up = true;
+    simulation.cut.clear();
+    simulation.setup.loss = 0;
+    simulation.setup.damage = 0;
+    for position in 0..simulation.len() {
+        if !simulation.is_alive(position) {
+            simulation.restart(position);
         }
     }
-    world.run(Duration::from_secs(12));
-    world.accept();
-    world.run(IN_FORCE_TIMEOUT);
+    simulation.run(Duration::from_secs(12));
+    simulation.accept();
+    simulation.run(IN_FORCE_TIMEOUT);
 }
 
 fn setups() -> impl Strategy<Value = RelaySetup> {
@@ -85,11 +85,11 @@
     // 6 s.
     #[test]
     fn a_generation_never_goes_back(setup in setups()) {
-        let mut world = run_with_faults(setup);
-        repair_and_accept(&mut world);
-        prop_assert!(world.violations.is_empty(), "{:?}", world.violations);
-        for position in 0..world.len() {
-            prop_assert_eq!(world.generation(position), world.accepted(), "process {}", position);
+        let mut simulation = run_with_faults(setup);
+        repair_and_accept(&mut simulation);
+        prop_assert!(simulation.violations.is_empty(), "{:?}", simulation.violations);
+        for position in 0..simulation.len() {
+            prop_assert_eq!(simulation.generation(position), simulation.accepted(), "process {}", position);
         }
     }
 }
@@ -120,7 +120,7 @@
         let mut safeguards = DurableSafeguards::default();
         (case.switch_off)(&mut safeguards);
         let seen = (0..20).any(|seed| {
-            let world = run_with_faults(RelaySetup {
+            let simulation = run_with_faults(RelaySetup {
                 seed,
                 regions: 2,
                 domains: 4,
@@ -130,7 +130,10 @@
                 safeguards,
                 ..RelaySetup::default()
             });
-            world.violations.iter().any(|v| v.contains(case.symptom))
+            simulation
+                .violations
+                .iter()
+                .any(|v| v.contains(case.symptom))
         });
         assert!(seen, "{}: no schedule shows the failure", case.name);
     }
--- a/lovagedock/tests/adoption_scenarios.rs
+++ b/lovagedock/tests/adoption_scenarios.rs
@@ -10,25 +10,25 @@
 
 use datadriven::TestCase;
 use lovagedock::AdoptionCounter;
-use support::relay_world::{RelaySetup, RelayWorld};
+use support::relay_simulation::{RelaySetup, RelaySimulation};
 
 #[test]
 fn scenarios() {
     datadriven::walk("tests/scenarios/adoption", |file| {
-        let mut world = None;
+        let mut simulation = None;
         file.run(|case| match case.directive.as_str() {
             "fleet" => {
-                let started = world.insert(RelayWorld::new(setup(case)));
+                let started = simulation.insert(RelaySimulation::new(setup(case)));
                 format!(
                     "watching the store: {}\n",
                     started.watcher_names().join(" ")
                 )
             }
             "steps" => {
-                let world = world.as_mut().expect("`fleet` precedes `steps`");
+                let simulation = simulation.as_mut().expect("`fleet` precedes `steps`");
                 case.input
                     .lines()
-                    .map(|line| run_line(world, line))
+                    .map(|line| run_line(simulation, line))
                     .collect()
             }
             other => panic!("unknown directive {other}"),
@@ -51,50 +51,54 @@
     }
 }
 
-fn run_line(world: &mut RelayWorld, line: &str) -> String {
+fn run_line(simulation: &mut RelaySimulation, line: &str) -> String {
     let words: Vec<&str> = line.split_whitespace().collect();
     let mut shown = String::new();
     match words[0] {
         "accept" => {
-            let generation = world.accept();
+            let generation = simulation.accept();
             shown = format!("    generation {generation} is accepted\n");
         }
-        "run" => world.run(Duration::from_millis(
+        "run" => simulation.run(Duration::from_millis(
             words[1].parse().expect("milliseconds"),
         )),
-        "store" => world.store_up = words[1] == "up",
+        "store" => simulation.store_up = words[1] == "up",
         "cut" => {
-            world.cut.insert(words[1].parse().expect("a region"));
+            simulation.cut.insert(words[1].parse().expect("a region"));
         }
-        "heal" => world.cut.clear(),
+        "heal" => simulation.cut.clear(),
         "kill" => {
-            let position = world.position(words[1]);
-            world.kill(position);
+            let position = simulation.position(words[1]);
+            simulation.kill(position);
         }
         "restart" => {
-            let position = world.position(words[1]);
-            world.restart(position);
+            let position = simulation.position(words[1]);
+            simulation.restart(position);
         }
-        "status" => shown = status(world),
+        "status" => shown = status(simulation),
         other => panic!("unknown step {other}"),
     }
     format!("{line}\n{shown}")
 }
 
 /// Formats the output of `status`. The counter includes only processes that answer.
-fn status(world: &RelayWorld) -> String {
-    assert!(world.violations.is_empty(), "{:?}", world.violations);
-    let names = (0..world.len()).map(|position| world.name(position));
+fn status(simulation: &RelaySimulation) -> String {
+    assert!(
+        simulation.violations.is_empty(),
+        "{:?}",
+        simulation.violations
+    );
+    let names = (0..simulation.len()).map(|position| simulation.name(position));
     let mut counter = AdoptionCounter::new(names);
-    for position in (0..world.len()).filter(|position| world.is_alive(*position)) {
-        counter.report(world.name(position), world.generation(position));
+    for position in (0..simulation.len()).filter(|position| simulation.is_alive(*position)) {
+        counter.report(simulation.name(position), simulation.generation(position));
     }
-    let count = counter.count(world.accepted());
+    let count = counter.count(simulation.accepted());
     let mut text = format!(
         "    generation {} in force at {} of {}\n",
-        world.accepted(),
+        simulation.accepted(),
         count.in_force,
-        world.len()
+        simulation.len()
     );
     for (title, names) in [("behind", &count.behind), ("silent", &count.silent)] {
         if !names.is_empty() {
--- a/lovagedock/tests/claim_properties.rs
+++ b/lovagedock/tests/claim_properties.rs
@@ -5,7 +5,7 @@
 
 use lovagedock::{ClaimLimits, DurableSafeguards};
 use proptest::prelude::*;
-use support::claim_world::{FaultRates, Schedule, World, WorldReport};
+use support::claim_simulation::{ClaimSimulation, FaultRates, Schedule, SimulationReport};
 
 const CASES: u32 = 300;
 
@@ -64,7 +64,7 @@
     // has the same bytes, each request ends exactly once, and no object exceeds its size limit.
     #[test]
     fn a_key_runs_at_most_once(seed in any::<u64>(), faults in fault_rates()) {
-        let report = World::new(schedule(seed, faults)).run();
+        let report = ClaimSimulation::new(schedule(seed, faults)).run();
         prop_assert!(report.violations.is_empty(), "{:?}", report.violations);
     }
 }
@@ -73,9 +73,9 @@
 // trivially true.
 #[test]
 fn the_schedules_reach_every_outcome() {
-    let mut total = WorldReport::default();
+    let mut total = SimulationReport::default();
     for seed in 0..40 {
-        let report = World::new(schedule(seed, HIGH_FAULT_RATES)).run();
+        let report = ClaimSimulation::new(schedule(seed, HIGH_FAULT_RATES)).run();
         total.granted += report.granted;
         total.replayed += report.replayed;
         total.recorded += report.recorded;
@@ -124,7 +124,7 @@
         let seen = (0..60).any(|seed| {
             let mut schedule = schedule(seed, HIGH_FAULT_RATES);
             schedule.safeguards = safeguards;
-            let report = World::new(schedule).run();
+            let report = ClaimSimulation::new(schedule).run();
             report.violations.iter().any(|v| v.contains(case.symptom))
         });
         assert!(seen, "{}: no schedule shows the failure", case.name);
--- a/lovagedock/tests/lease_properties.rs
+++ b/lovagedock/tests/lease_properties.rs
@@ -5,7 +5,7 @@
 
 use lovagedock::DurableSafeguards;
 use proptest::prelude::*;
-use support::lease_world::{LeaseFaults, LeaseWorld};
+use support::lease_simulation::{LeaseFaults, LeaseSimulation};
 
 const CASES: u32 = 150;
 
@@ -40,7 +40,7 @@
     // orders take effect at the receiver in the order of their epochs, including long-delayed ones.
     #[test]
     fn one_holder_at_a_time(seed in any::<u64>(), faults in faults()) {
-        let report = LeaseWorld::new(seed, faults, DurableSafeguards::default()).run();
+        let report = LeaseSimulation::new(seed, faults, DurableSafeguards::default()).run();
         prop_assert!(report.violations.is_empty(), "{:?}", report.violations);
     }
 }
@@ -49,8 +49,9 @@
 // trivially true.
 #[test]
 fn the_schedules_reach_late_orders() {
-    let reports = (0..20)
-        .map(|seed| LeaseWorld::new(seed, HIGH_FAULT_RATES, DurableSafeguards::default()).run());
+    let reports = (0..20).map(|seed| {
+        LeaseSimulation::new(seed, HIGH_FAULT_RATES, DurableSafeguards::default()).run()
+    });
     let reports: Vec<_> = reports.collect();
     let epochs: usize = reports.iter().map(|report| report.epochs.len()).sum();
     let orders: usize = reports.iter().map(|report| report.orders).sum();
@@ -91,7 +92,7 @@
         let mut safeguards = DurableSafeguards::default();
         (case.switch_off)(&mut safeguards);
         let seen = (0..40).any(|seed| {
-            let report = LeaseWorld::new(seed, HIGH_FAULT_RATES, safeguards).run();
+            let report = LeaseSimulation::new(seed, HIGH_FAULT_RATES, safeguards).run();
             report.violations.iter().any(|v| v.contains(case.symptom))
         });
         assert!(seen, "{}: no schedule shows the failure", case.name);
--- a/lovagedock/tests/lease_scenarios.rs
+++ b/lovagedock/tests/lease_scenarios.rs
@@ -185,11 +185,11 @@
     match action {
         LeaseAction::Read { .. } => "reads the lease".to_owned(),
         LeaseAction::Write { condition, .. } => format!("writes the lease if {condition:?}"),
-        LeaseAction::Acquired { epoch, until } => {
-            format!("holds the lease with fence {epoch} until {until:?}")
+        LeaseAction::Acquired { epoch, expires_at } => {
+            format!("holds the lease with fence {epoch} until {expires_at:?}")
         }
-        LeaseAction::Renewed { epoch, until } => {
-            format!("keeps the lease with fence {epoch} until {until:?}")
+        LeaseAction::Renewed { epoch, expires_at } => {
+            format!("keeps the lease with fence {epoch} until {expires_at:?}")
         }
         LeaseAction::Lost { epoch } => format!("no longer holds fence {epoch}"),
         LeaseAction::WakeAt(at) => format!("wakes at {at:?}"),
--- a/lovagedock/tests/order_scenarios.rs
+++ b/lovagedock/tests/order_scenarios.rs
@@ -144,8 +144,8 @@
             "lease" if words[1] == "lost" => self.handle(OrderEvent::LeaseLost, &mut shown),
             "lease" => {
                 let epoch = words[1].parse().expect("an epoch");
-                let until = self.now + millis(words[2]);
-                self.handle(OrderEvent::Lease { epoch, until }, &mut shown);
+                let expires_at = self.now + millis(words[2]);
+                self.handle(OrderEvent::Lease { epoch, expires_at }, &mut shown);
             }
             "wait" => self.wait(millis(words[1]), &mut shown),
             "all" => {
--- a/lovagedock/tests/request_support/checks.rs
+++ b/lovagedock/tests/request_support/checks.rs
@@ -5,10 +5,10 @@
 use super::{
     FaultSchedule, Violation,
     sidecar::{ANSWER_BYTES, answer_bytes},
-    world::World,
+    simulation::RequestSimulation,
 };
 
-impl World {
+impl RequestSimulation {
     pub(super) fn violations(&self, schedule: &FaultSchedule) -> Vec<Violation> {
         let mut found = Vec::new();
         if schedule.non_idempotent && self.starts.len() > 1 {
--- a/lovagedock/tests/request_support/core_engine.rs
+++ b/lovagedock/tests/request_support/core_engine.rs
@@ -5,10 +5,10 @@
 use super::{
     core_sidecar::key,
     sidecar::{ANSWER_BYTES, FRAME_BYTES, WorkState, answer_bytes, clean_end},
-    world::{Step, World},
+    simulation::{RequestSimulation, Step},
 };
 
-impl World {
+impl RequestSimulation {
     /// Starts an attempt on the engine.
     pub(super) fn begin_core(
         &mut self,
--- a/lovagedock/tests/request_support/core_sidecar.rs
+++ b/lovagedock/tests/request_support/core_sidecar.rs
@@ -9,8 +9,8 @@
 
 use super::{
     sidecar::{Work, WorkState},
+    simulation::{Message, RequestSimulation, Step},
     work::chunk,
-    world::{Message, Step, World},
 };
 
 const REQUEST: RequestId = 1;
@@ -19,7 +19,7 @@
     EndpointCore::new(incarnation, EndpointLimits::default())
 }
 
-impl World {
+impl RequestSimulation {
     pub(super) fn receive_core(&mut self, link: usize, message: Message) {
         let endpoint = self.links[link].endpoint;
         let (attempt, event) = match message {
--- a/lovagedock/tests/request_support/gateway.rs
+++ b/lovagedock/tests/request_support/gateway.rs
@@ -6,12 +6,12 @@
 
 use super::{
     ENDPOINTS,
-    world::{Message, Step, World, index, name},
+    simulation::{Message, RequestSimulation, Step, index, name},
 };
 
 const CONNECT_TIMEOUT_MS: u64 = 60;
 
-impl World {
+impl RequestSimulation {
     pub(super) fn carry_out(&mut self, actions: Vec<RequestAction>) {
         for action in actions {
             self.act(action);
--- a/lovagedock/tests/request_support/mod.rs
+++ b/lovagedock/tests/request_support/mod.rs
@@ -5,13 +5,13 @@
 mod core_sidecar;
 mod gateway;
 mod sidecar;
+mod simulation;
 mod work;
-mod world;
 
 use lovagedock::RequestSafeguards;
 use proptest::prelude::*;
 
-pub(crate) use world::run_schedule;
+pub(crate) use simulation::run_schedule;
 
 /// One request and the faults that occur while it runs.
 #[derive(Clone, Debug)]
--- a/lovagedock/tests/request_support/world.rs
+++ b/lovagedock/tests/request_support/simulation.rs
@@ -43,7 +43,7 @@
     pub(super) silent_until: u64,
 }
 
-pub(super) struct World {
+pub(super) struct RequestSimulation {
     pub(super) now: u64,
     pub(super) steps: BTreeMap<(u64, u64), Step>,
     pub(super) sequence: u64,
@@ -68,29 +68,29 @@
     schedule: &FaultSchedule,
     safeguards: RequestSafeguards,
 ) -> Vec<Violation> {
-    let mut world = World::new(schedule);
+    let mut simulation = RequestSimulation::new(schedule);
     let deadline = Duration::from_millis(schedule.deadline_ms);
     let spec =
         RequestSpec::new(1, "registry", deadline).with_non_idempotent(schedule.non_idempotent);
     let mut machine = RequestMachine::new(Duration::ZERO, spec).with_safeguards(safeguards);
     let first = machine.start();
-    world.carry_out(first);
-    while let Some(((at, _), step)) = world.steps.pop_first() {
+    simulation.carry_out(first);
+    while let Some(((at, _), step)) = simulation.steps.pop_first() {
         if at > END_OF_SCHEDULE_MS {
             break;
         }
-        world.now = at;
-        if let Some(event) = world.process_step(step) {
+        simulation.now = at;
+        if let Some(event) = simulation.process_step(step) {
             let actions = machine.handle(Duration::from_millis(at), event);
-            world.carry_out(actions);
+            simulation.carry_out(actions);
         }
     }
-    world.violations(schedule)
+    simulation.violations(schedule)
 }
 
-impl World {
+impl RequestSimulation {
     pub(super) fn new(schedule: &FaultSchedule) -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             now: 0,
             steps: BTreeMap::new(),
             sequence: 0,
@@ -112,12 +112,12 @@
             finishes: Vec::new(),
         };
         for endpoint in 0..ENDPOINTS {
-            world.sessions[endpoint] = Some(world.connect(endpoint));
+            simulation.sessions[endpoint] = Some(simulation.connect(endpoint));
         }
         for fault in &schedule.faults {
-            world.after(fault.at_ms, Step::InjectFault(fault.clone()));
+            simulation.after(fault.at_ms, Step::InjectFault(fault.clone()));
         }
-        world
+        simulation
     }
 
     pub(super) fn connect(&mut self, endpoint: usize) -> usize {
--- a/lovagedock/tests/request_support/work.rs
+++ b/lovagedock/tests/request_support/work.rs
@@ -5,10 +5,10 @@
 use super::{
     FaultKind,
     sidecar::{ANSWER_BYTES, FRAME_BYTES, WorkState, answer_bytes, clean_end},
-    world::{Message, Step, World},
+    simulation::{Message, RequestSimulation, Step},
 };
 
-impl World {
+impl RequestSimulation {
     pub(super) fn receive(&mut self, link: usize, message: Message) {
         if self.real_sidecars {
             return self.receive_core(link, message);
--- a/lovagedock/tests/support/claim_world/calls.rs
+++ b/lovagedock/tests/support/claim_simulation/calls.rs
@@ -2,9 +2,9 @@
 
 use lovagedock::{ClaimAction, ClaimEvent, ReadOutcome, WriteOutcome};
 
-use super::{Call, Step, World};
+use super::{Call, ClaimSimulation, Step};
 
-impl World {
+impl ClaimSimulation {
     pub(super) fn call(&mut self, gateway: usize, incarnation: u32, action: ClaimAction) {
         if matches!(&action, ClaimAction::Write { object, .. } if object.contains("partitions")) {
             self.report.partition_writes += 1;
--- a/lovagedock/tests/support/claim_world/endpoint.rs
+++ b/lovagedock/tests/support/claim_simulation/endpoint.rs
@@ -6,9 +6,9 @@
 use lovagedock::{ClaimEvent, RequestId};
 use rand::{Rng, RngExt};
 
-use super::{Step, World};
+use super::{ClaimSimulation, Step};
 
-impl World {
+impl ClaimSimulation {
     pub(super) fn grant(&mut self, request: RequestId) {
         self.report.granted += 1;
         self.end(request);
--- a/lovagedock/tests/support/claim_world/mod.rs
+++ b/lovagedock/tests/support/claim_simulation/mod.rs
@@ -44,7 +44,7 @@
 
 /// Results of a schedule.
 #[derive(Debug, Default)]
-pub(crate) struct WorldReport {
+pub(crate) struct SimulationReport {
     pub(crate) violations: Vec<String>,
     pub(crate) granted: usize,
     pub(crate) replayed: usize,
@@ -94,7 +94,7 @@
 }
 
 /// Simulation of one schedule.
-pub(crate) struct World {
+pub(crate) struct ClaimSimulation {
     schedule: Schedule,
     rng: ChaCha8Rng,
     now: Timestamp,
@@ -107,13 +107,13 @@
     runs: BTreeMap<KeyHash, Vec<RequestId>>,
     answers: BTreeMap<KeyHash, BTreeSet<Bytes>>,
     made: BTreeMap<RequestId, Bytes>,
-    report: WorldReport,
+    report: SimulationReport,
 }
 
-impl World {
+impl ClaimSimulation {
     pub(crate) fn new(schedule: Schedule) -> Self {
         let rng = ChaCha8Rng::seed_from_u64(schedule.seed);
-        let mut world = Self {
+        let mut simulation = Self {
             rng,
             now: Duration::from_secs(1_000),
             queue: BinaryHeap::new(),
@@ -125,22 +125,22 @@
             runs: BTreeMap::new(),
             answers: BTreeMap::new(),
             made: BTreeMap::new(),
-            report: WorldReport::default(),
+            report: SimulationReport::default(),
             schedule,
         };
-        for index in 0..world.schedule.gateways {
-            let gateway = world.start_gateway(index, 0);
-            world.gateways.push(gateway);
+        for index in 0..simulation.schedule.gateways {
+            let gateway = simulation.start_gateway(index, 0);
+            simulation.gateways.push(gateway);
         }
-        for index in 0..world.schedule.requests {
-            let at = world.now + world.millis(0..3_000);
-            world.push(at, Step::Arrive(index));
+        for index in 0..simulation.schedule.requests {
+            let at = simulation.now + simulation.millis(0..3_000);
+            simulation.push(at, Step::Arrive(index));
         }
-        world
+        simulation
     }
 
     /// Runs the schedule to its end.
-    pub(crate) fn run(mut self) -> WorldReport {
+    pub(crate) fn run(mut self) -> SimulationReport {
         while let Some(Reverse((at, _, step))) = self.queue.pop() {
             self.now = at;
             if at > Duration::from_secs(1_000 + 120) {
--- a/lovagedock/tests/support/lease_world.rs
+++ b/lovagedock/tests/support/lease_simulation.rs
@@ -58,7 +58,7 @@
 }
 
 /// Simulation of one schedule.
-pub(crate) struct LeaseWorld {
+pub(crate) struct LeaseSimulation {
     rng: ChaCha8Rng,
     faults: LeaseFaults,
     now: Timestamp,
@@ -72,7 +72,7 @@
     report: LeaseReport,
 }
 
-impl LeaseWorld {
+impl LeaseSimulation {
     pub(crate) fn new(seed: u64, faults: LeaseFaults, safeguards: DurableSafeguards) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let contenders = (0..CONTENDERS).map(|index| Contender {
@@ -88,7 +88,7 @@
             held: Vec::new(),
         });
         let contenders = contenders.collect();
-        let mut world = Self {
+        let mut simulation = Self {
             rng,
             faults,
             now: Duration::ZERO,
@@ -102,10 +102,10 @@
             report: LeaseReport::default(),
         };
         for index in 0..CONTENDERS {
-            world.push(Duration::ZERO, Step::Event(index, LeaseEvent::Want));
-            world.push(ORDER_INTERVAL, Step::GiveOrder(index));
+            simulation.push(Duration::ZERO, Step::Event(index, LeaseEvent::Want));
+            simulation.push(ORDER_INTERVAL, Step::GiveOrder(index));
         }
-        world
+        simulation
     }
 
     pub(crate) fn run(mut self) -> LeaseReport {
--- a/lovagedock/tests/support/relay_world/lifecycle.rs
+++ b/lovagedock/tests/support/relay_simulation/lifecycle.rs
@@ -5,9 +5,9 @@
 };
 use rand::RngExt;
 
-use super::{Process, RelayWorld, Step, setup::chunk_text};
+use super::{Process, RelaySimulation, Step, setup::chunk_text};
 
-impl RelayWorld {
+impl RelaySimulation {
     /// Accepts a change of one chunk in the store and notifies the processes that watch it.
     pub(crate) fn accept(&mut self) -> Generation {
         let generation = self.accepted.generation + 1;
--- a/lovagedock/tests/support/relay_world/mod.rs
+++ b/lovagedock/tests/support/relay_simulation/mod.rs
@@ -59,7 +59,7 @@
 }
 
 /// All processes, the store and the network.
-pub(crate) struct RelayWorld {
+pub(crate) struct RelaySimulation {
     pub(crate) setup: RelaySetup,
     pub(crate) now: Timestamp,
     pub(crate) tallies: Vec<ProcessTally>,
@@ -79,7 +79,7 @@
     digests: BTreeMap<Generation, [u8; 32]>,
 }
 
-impl RelayWorld {
+impl RelaySimulation {
     /// Starts all processes before any configuration is accepted.
     pub(crate) fn new(setup: RelaySetup) -> Self {
         let members = members(&setup);
@@ -92,7 +92,7 @@
         let texts = (0..setup.chunks)
             .map(|chunk| chunk_text(0, chunk, setup.chunk_bytes))
             .collect();
-        let mut world = Self {
+        let mut simulation = Self {
             now: Duration::from_secs(10),
             tallies: vec![ProcessTally::default(); members.len()],
             violations: Vec::new(),
@@ -112,14 +112,14 @@
             setup,
         };
         for (position, member) in members.into_iter().enumerate() {
-            world.add(position, member);
+            simulation.add(position, member);
         }
-        world.link_leaves();
-        world.accept();
-        for position in 0..world.processes.len() {
-            world.start(position);
+        simulation.link_leaves();
+        simulation.accept();
+        for position in 0..simulation.processes.len() {
+            simulation.start(position);
         }
-        world
+        simulation
     }
 
     pub(crate) fn len(&self) -> usize {
--- a/lovagedock/tests/support/relay_world/store.rs
+++ b/lovagedock/tests/support/relay_simulation/store.rs
@@ -4,9 +4,9 @@
 
 use lovagedock::{AdoptionEvent, Generation, RootOutcome, Timestamp};
 
-use super::{RelayWorld, Step, WATCH_TIME};
+use super::{RelaySimulation, Step, WATCH_TIME};
 
-impl RelayWorld {
+impl RelaySimulation {
     pub(super) fn watch(
         &mut self,
         position: usize,
--- a/lovagedock/tests/support/relay_world/traffic.rs
+++ b/lovagedock/tests/support/relay_simulation/traffic.rs
@@ -6,9 +6,9 @@
 use lovagedock::{AdoptionAction, AdoptionEvent, ConfigBundle, Generation, ProcessId, chunk_hash};
 use rand::RngExt;
 
-use super::{CALL_TIMEOUT, CONTROL_BYTES, HEARTBEAT, RelayWorld, Step, setup::damaged};
+use super::{CALL_TIMEOUT, CONTROL_BYTES, HEARTBEAT, RelaySimulation, Step, setup::damaged};
 
-impl RelayWorld {
+impl RelaySimulation {
     pub(super) fn act(&mut self, from: usize, action: AdoptionAction) {
         let incarnation = self.processes[from].incarnation;
         match action {
