--- a/lovagedock/src/claim/settle.rs
+++ b/lovagedock/src/claim/settle.rs
@@ -1,4 +1,4 @@
-//! What the last known value means for each request that waits.
+//! Decides pending operations from the last known value of the partition.
 
 use super::{
     answer::ReplayRead,
@@ -11,7 +11,8 @@
 use crate::{codes::ResultCode, ids::Timestamp};
 use bytes::{Bytes, BytesMut};
 
-/// What an event can have changed; an arrival says nothing about those that wait already.
+/// The pending operations that an event can decide. The arrival of an operation does not affect
+/// those that already wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SettleScope {
     All,
@@ -19,32 +20,32 @@
     LastRecord,
 }
 
-/// What the last known value says about a waiting claim.
-enum Verdict {
-    /// The key is free; the claim goes into the next write.
+/// The decision on a waiting claim from the last known value.
+enum ClaimVerdict {
+    /// The key is free, and the claim goes into the next write.
     Free,
     /// The claim is in the store.
     Granted,
-    /// The recorded answer.
+    /// The answer is recorded inline.
     Answer(Bytes),
-    /// The recorded answer is in other objects.
+    /// The answer is recorded in separate objects.
     Split(Box<ReplayRead>),
     /// Another request holds the key.
     Running { due: Timestamp },
-    /// The end of the request.
+    /// The request is refused.
     Refused(ResultCode),
-    /// The value is older than the claim; it has to be read again.
+    /// The value is older than the claim and must be read again.
     Reread,
 }
 
 impl ClaimPartition {
-    /// Ends what ran out of time.
+    /// Ends all operations whose deadline has passed.
     pub(super) fn expire(&mut self, now: Timestamp, actions: &mut Vec<ClaimAction>) {
-        let is_over = |waiting: &mut WaitingClaim| waiting.claim.deadline <= now;
-        let over: Vec<WaitingClaim> = self.claims.extract_if(.., is_over).collect();
+        let is_expired = |waiting: &mut WaitingClaim| waiting.claim.deadline <= now;
+        let over: Vec<WaitingClaim> = self.claims.extract_if(.., is_expired).collect();
         for waiting in over {
-            self.take_back(&waiting);
-            let code = match waiting.announced {
+            self.abandon_if_sent(&waiting);
+            let code = match waiting.in_progress_reported {
                 true => ResultCode::KeyInProgress,
                 false => ResultCode::ClaimUnavailable,
             };
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Ends what the last known value decides.
+    /// Ends the operations that the last known value decides.
     pub(super) fn settle(
         &mut self,
         now: Timestamp,
@@ -102,44 +103,44 @@
         waiting.read_due = None;
         waiting.free = false;
         match self.verdict(now, &waiting) {
-            Verdict::Free => {
+            ClaimVerdict::Free => {
                 waiting.free = true;
                 self.claims.push(waiting);
             }
-            Verdict::Granted => actions.push(ClaimAction::Grant { request }),
-            Verdict::Answer(answer) => actions.push(ClaimAction::Replay { request, answer }),
-            Verdict::Split(replay) => self.replays.push(*replay),
-            Verdict::Refused(code) => actions.push(refuse(&waiting, code)),
-            Verdict::Reread => {
+            ClaimVerdict::Granted => actions.push(ClaimAction::Grant { request }),
+            ClaimVerdict::Answer(answer) => actions.push(ClaimAction::Replay { request, answer }),
+            ClaimVerdict::Split(replay) => self.replays.push(*replay),
+            ClaimVerdict::Refused(code) => actions.push(refuse(&waiting, code)),
+            ClaimVerdict::Reread => {
                 waiting.read_due = Some(now);
                 self.claims.push(waiting);
             }
-            Verdict::Running { due } => {
+            ClaimVerdict::Running { due } => {
                 waiting.read_due = Some(due);
-                self.announce(&mut waiting, actions);
+                self.report_in_progress(&mut waiting, actions);
                 self.claims.push(waiting);
             }
         }
     }
 
-    fn verdict(&self, now: Timestamp, waiting: &WaitingClaim) -> Verdict {
+    fn verdict(&self, now: Timestamp, waiting: &WaitingClaim) -> ClaimVerdict {
         let claim = &waiting.claim;
         let Some((known, entry)) = self.live_entry(now, &claim.key) else {
-            return Verdict::Free;
+            return ClaimVerdict::Free;
         };
-        if entry.is_of(self.owner, claim.request) {
-            return Verdict::Granted;
+        if entry.is_held_by(self.owner, claim.request) {
+            return ClaimVerdict::Granted;
         }
         let is_current = known.as_of >= waiting.arrived || entry.owner == self.owner;
         if !is_current && !entry.is_answered() {
-            return Verdict::Reread;
+            return ClaimVerdict::Reread;
         }
         if entry.body != claim.body {
-            return Verdict::Refused(ResultCode::KeyReused);
+            return ClaimVerdict::Refused(ResultCode::KeyReused);
         }
         match &entry.run {
-            RunState::Inline(answer) => Verdict::Answer(answer.clone()),
-            RunState::Split(split) => Verdict::Split(Box::new(ReplayRead {
+            RunState::Inline(answer) => ClaimVerdict::Answer(answer.clone()),
+            RunState::Split(split) => ClaimVerdict::Split(Box::new(ReplayRead {
                 request: claim.request,
                 deadline: claim.deadline,
                 source: entry.request,
@@ -152,30 +153,37 @@
         }
     }
 
-    /// A lapsed claim is never taken over: its owner may be paused or cut off, and its request may
-    /// have run. The caller of the repeat sees that the answer is lost and that the run is unknown;
-    /// that is enough, since whoever knows better abandons the claim or records the answer.
-    fn running_verdict(&self, now: Timestamp, known: &KnownObject, entry: &ClaimEntry) -> Verdict {
+    /// Decides on a claim whose key is held by another request without an answer.
+    ///
+    /// A lapsed claim is never taken over. Its owner may be paused or cut off, and its request may
+    /// have run. The caller of the repeat gets `AnswerLost`, which leaves open whether the request
+    /// ran. If the owner is still running, it abandons the claim or records the answer later.
+    fn running_verdict(
+        &self,
+        now: Timestamp,
+        known: &KnownObject,
+        entry: &ClaimEntry,
+    ) -> ClaimVerdict {
         if entry.has_lapsed(known.clock.read(now)) {
             return match self.safeguards.lapsed_claims_stay {
-                true => Verdict::Refused(ResultCode::AnswerLost),
-                false => Verdict::Free,
+                true => ClaimVerdict::Refused(ResultCode::AnswerLost),
+                false => ClaimVerdict::Free,
             };
         }
         let due = match entry.owner == self.owner {
             true => now + entry.time_to_lapse(known.clock.read(now)),
             false => now.max(known.as_of + self.limits.poll_interval),
         };
-        Verdict::Running { due }
+        ClaimVerdict::Running { due }
     }
 
-    fn announce(&self, waiting: &mut WaitingClaim, actions: &mut Vec<ClaimAction>) {
+    fn report_in_progress(&self, waiting: &mut WaitingClaim, actions: &mut Vec<ClaimAction>) {
         let known = self.known.as_ref();
         let entry = known.and_then(|known| known.value.entries.get(&waiting.claim.key));
-        let Some(entry) = entry.filter(|_| !waiting.announced) else {
+        let Some(entry) = entry.filter(|_| !waiting.in_progress_reported) else {
             return;
         };
-        waiting.announced = true;
+        waiting.in_progress_reported = true;
         actions.push(ClaimAction::InProgress {
             request: waiting.claim.request,
             owner: entry.owner,
@@ -191,7 +199,7 @@
     ) {
         let request = record.request;
         let entry = self.live_entry(now, &record.key).map(|(_, entry)| entry);
-        let entry = entry.filter(|entry| entry.is_of(self.owner, request));
+        let entry = entry.filter(|entry| entry.is_held_by(self.owner, request));
         let end = match entry {
             Some(entry) if !entry.is_answered() => {
                 self.records.push(record);
@@ -205,7 +213,7 @@
         }
     }
 
-    /// Drops what is no longer in the store and cannot come into it by a write that is under way.
+    /// Drops abandons whose claim is not in the store and cannot get there by a write in flight.
     fn settle_abandons(&mut self) {
         if self.unsettled.is_some() || self.is_writing() {
             return;
@@ -216,11 +224,13 @@
         let owner = self.owner;
         self.abandons.retain(|abandon| {
             let entry = known.value.entries.get(&abandon.key);
-            entry.is_some_and(|entry| entry.is_of(owner, abandon.request) && !entry.is_answered())
+            entry.is_some_and(|entry| {
+                entry.is_held_by(owner, abandon.request) && !entry.is_answered()
+            })
         });
     }
 
-    /// The entry of a key, unless its window is over.
+    /// Returns the entry of a key, unless its window is over.
     fn live_entry(&self, now: Timestamp, key: &KeyHash) -> Option<(&KnownObject, &ClaimEntry)> {
         let known = self.known.as_ref()?;
         let entry = known.value.entries.get(key)?;
--- a/lovagedock/src/claim/sweep.rs
+++ b/lovagedock/src/claim/sweep.rs
@@ -1,4 +1,4 @@
-//! Deletes the objects of expired answers.
+//! Deletes the parts of expired answers.
 
 use std::time::Duration;
 
@@ -14,10 +14,10 @@
     store_call::{WriteNonce, WriteOutcome},
 };
 
-/// Time after which any gateway deletes what the one that found it has not.
-const STRAY_PATIENCE: Duration = Duration::from_secs(120);
+/// Time after which any gateway may delete parts that the gateway that found them has not deleted.
+const STRAY_DELETE_DELAY: Duration = Duration::from_secs(120);
 
-/// A deletion that is under way, one part at a time.
+/// A deletion in progress, one part at a time.
 #[derive(Debug)]
 pub(super) struct StrayDeletion {
     request: RequestId,
@@ -51,7 +51,7 @@
         let is_due = |stray: &&StrayParts| {
             let age_ms = clock_ms.saturating_sub(stray.found_ms);
             let own = self.own_strays.contains(&stray.request);
-            let due = own || age_ms >= whole_ms(STRAY_PATIENCE);
+            let due = own || age_ms >= whole_ms(STRAY_DELETE_DELAY);
             due && !self.deleted.contains(&stray.request)
         };
         let stray = known.value.strays.iter().find(is_due)?;
@@ -63,8 +63,8 @@
         })
     }
 
-    /// Whether the nonce was a deletion's.
-    pub(super) fn on_deletion_answered(
+    /// Handles the result of a deletion. Returns `false` if the nonce does not belong to one.
+    pub(super) fn on_deletion_ended(
         &mut self,
         now: Timestamp,
         nonce: WriteNonce,
@@ -91,8 +91,8 @@
         true
     }
 
-    /// Remembers what this gateway's write took out of the window.
-    pub(super) fn note_own_strays(&mut self, value: &PartitionObject) {
+    /// Stores the requests whose entries this gateway's write removed as expired.
+    pub(super) fn record_own_strays(&mut self, value: &PartitionObject) {
         let before = self.known.as_ref().map(|known| &known.value.strays);
         for stray in &value.strays {
             let is_new = before.is_none_or(|strays| !strays.contains(stray));
--- a/lovagedock/src/lease/holder.rs
+++ b/lovagedock/src/lease/holder.rs
@@ -1,4 +1,4 @@
-//! The machine by which a process gets, keeps and loses a lease.
+//! State machine by which a process acquires, renews and loses a lease.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
     store_call::{NonceSource, ObjectName},
 };
 
-/// One process that contends for one lease.
+/// A process that contends for a lease.
 #[derive(Debug)]
 pub struct LeaseHolder {
     pub(super) object: ObjectName,
@@ -27,7 +27,7 @@
     pub(super) held: Option<HeldLease>,
     pub(super) known: Option<KnownRecord>,
     pub(super) call: LeaseCall,
-    /// Writes whose confirmation was lost, until the store shows what became of them.
+    /// Writes whose confirmation was lost, until a read shows whether they took effect.
     pub(super) unsettled: Vec<SentWrite>,
     pub(super) stale: bool,
     pub(super) damaged: bool,
@@ -39,12 +39,12 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct HeldLease {
     pub(super) epoch: Epoch,
-    pub(super) until: Timestamp,
+    pub(super) expires_at: Timestamp,
     pub(super) renew_at: Timestamp,
 }
 
 impl LeaseHolder {
-    /// A process that wants nothing yet; `owner` is the random id of its life.
+    /// Creates a process that does not contend yet. `owner` is the random id of its incarnation.
     pub fn new(object: ObjectName, owner: Incarnation, limits: LeaseLimits) -> Self {
         Self {
             object,
@@ -70,13 +70,13 @@
         self
     }
 
-    /// The fencing number, if the lease is held at this moment; ask before each order.
+    /// Returns the fencing number if the lease is held at `now`. Call this before each order.
     pub fn fence(&self, now: Timestamp) -> Option<Epoch> {
-        let held = self.held.filter(|held| now < held.until)?;
+        let held = self.held.filter(|held| now < held.expires_at)?;
         Some(held.epoch)
     }
 
-    /// What a dump shows.
+    /// Returns the state for a dump.
     pub fn status(&self, now: Timestamp) -> LeaseStatus {
         let record = self.known.as_ref().and_then(|known| known.record.as_ref());
         LeaseStatus {
@@ -88,27 +88,27 @@
         }
     }
 
-    /// Takes an event and returns what to do.
+    /// Handles an event and returns the actions to carry out.
     pub fn handle(&mut self, now: Timestamp, event: LeaseEvent) -> Vec<LeaseAction> {
         let mut actions = Vec::new();
-        self.lapse(now, &mut actions);
+        self.drop_if_lapsed(now, &mut actions);
         match event {
             LeaseEvent::Want => self.wanted = true,
             LeaseEvent::Release => self.release(now, &mut actions),
-            LeaseEvent::StoreRead(outcome) => self.on_read(now, outcome, &mut actions),
-            LeaseEvent::StoreAnswered { nonce, outcome } => {
-                self.on_answered(now, nonce, outcome, &mut actions);
+            LeaseEvent::StoreReadEnded(outcome) => self.on_read(now, outcome, &mut actions),
+            LeaseEvent::StoreWriteEnded { nonce, outcome } => {
+                self.on_write_ended(now, nonce, outcome, &mut actions);
             }
             LeaseEvent::Tick => {}
         }
         self.drive(now, &mut actions);
-        self.wake(now, &mut actions);
+        self.schedule_wake(now, &mut actions);
         actions
     }
 
-    /// Notices that the time is over, also after a pause of the process.
-    fn lapse(&mut self, now: Timestamp, actions: &mut Vec<LeaseAction>) {
-        let over = |held: &mut HeldLease| held.until <= now;
+    /// Drops the lease if its time is over, which may be noticed late after a pause of the process.
+    fn drop_if_lapsed(&mut self, now: Timestamp, actions: &mut Vec<LeaseAction>) {
+        let over = |held: &mut HeldLease| held.expires_at <= now;
         if let Some(held) = self.held.take_if(over) {
             let epoch = held.epoch;
             actions.push(LeaseAction::Lost { epoch });
@@ -122,47 +122,53 @@
         };
         let epoch = held.epoch;
         actions.push(LeaseAction::Lost { epoch });
-        // Lets the next holder start at once; if the write is lost, it waits for the lapse.
+        // The next holder can then start at once. If the write is lost, it waits for the lapse.
         if matches!(self.call, LeaseCall::Idle) {
             self.write(now, None, epoch, actions);
         }
     }
 
-    /// Holds from a write that took effect.
+    /// Starts or extends the lease after a write that took effect.
     ///
-    /// A successor counts from when it sees the write, so the holder must count from before it
-    /// asked: counted from the confirmation, a slow answer would let both hold at once.
-    pub(super) fn hold(&mut self, now: Timestamp, sent: SentWrite, actions: &mut Vec<LeaseAction>) {
+    /// A successor counts the duration from when it sees the write, so the holder must count from
+    /// before it sent the write. If it counted from the confirmation, a slow reply would let both
+    /// hold the lease at once.
+    pub(super) fn hold_lease(
+        &mut self,
+        now: Timestamp,
+        sent: SentWrite,
+        actions: &mut Vec<LeaseAction>,
+    ) {
         let from = match self.safeguards.lease_from_request {
-            true => sent.asked_at,
+            true => sent.requested_at,
             false => now,
         };
         let margin = self.limits.clock_margin_percent.min(90);
-        let until = from + percent(self.limits.duration, 100 - margin);
+        let expires_at = from + percent(self.limits.duration, 100 - margin);
         let epoch = sent.epoch;
-        if until <= now || !self.wanted {
+        if expires_at <= now || !self.wanted {
             return;
         }
         let renewed = self.held.is_some_and(|held| held.epoch == epoch);
         self.held = Some(HeldLease {
             epoch,
-            until,
+            expires_at,
             renew_at: from + percent(self.limits.duration, self.limits.renew_percent),
         });
         actions.push(match renewed {
-            true => LeaseAction::Renewed { epoch, until },
-            false => LeaseAction::Acquired { epoch, until },
+            true => LeaseAction::Renewed { epoch, expires_at },
+            false => LeaseAction::Acquired { epoch, expires_at },
         });
     }
 
-    pub(super) fn lose(&mut self, actions: &mut Vec<LeaseAction>) {
+    pub(super) fn drop_lease(&mut self, actions: &mut Vec<LeaseAction>) {
         if let Some(held) = self.held.take() {
             let epoch = held.epoch;
             actions.push(LeaseAction::Lost { epoch });
         }
     }
 
-    /// When the lease of another holder has lapsed by this process's clock.
+    /// Returns when the lease of another holder lapses by this process's clock.
     pub(super) fn lapse_of(&self, known: &KnownRecord, record: &LeaseRecord) -> Timestamp {
         let is_free = record.holder.is_none_or(|holder| holder == self.owner);
         if !self.safeguards.lease_waits_lapse || is_free {
@@ -172,22 +178,22 @@
         known.first_seen + percent(record.duration(), 100 + margin)
     }
 
-    fn wake(&mut self, now: Timestamp, actions: &mut Vec<LeaseAction>) {
+    fn schedule_wake(&mut self, now: Timestamp, actions: &mut Vec<LeaseAction>) {
         let held = self.held.as_ref();
-        let until = held.map(|held| held.until);
+        let expires_at = held.map(|held| held.expires_at);
         let idle = matches!(self.call, LeaseCall::Idle) && self.wanted;
         let next = self.next_call(now).filter(|_| idle);
-        let wake_at = until.into_iter().chain(next).min();
+        let wake_at = expires_at.into_iter().chain(next).min();
         if wake_at != self.wake_at {
             self.wake_at = wake_at;
             actions.extend(wake_at.map(LeaseAction::WakeAt));
         }
     }
 
-    /// Spreads contenders over half of a pause, each in its own way.
+    /// Spreads the retries of the contenders over the second half of a pause.
     pub(super) fn jitter(&self, pause: Duration) -> Duration {
-        let drawn = xxh3_64(&self.owner.to_le_bytes()) % 1024;
-        pause / 2 + pause / 2 * drawn as u32 / 1024
+        let hash = xxh3_64(&self.owner.to_le_bytes()) % 1024;
+        pause / 2 + pause / 2 * hash as u32 / 1024
     }
 }
 
--- a/lovagedock/src/orders/planner.rs
+++ b/lovagedock/src/orders/planner.rs
@@ -1,4 +1,4 @@
-//! The machine that gives the orders of one pool.
+//! State machine that gives the orders of one pool.
 
 use std::collections::BTreeMap;
 
@@ -12,17 +12,18 @@
     ids::{EndpointId, Epoch, Timestamp},
 };
 
-/// Compares what the engines of a pool have loaded with what the configuration wants and orders
-/// the difference, a few engines at a time.
+/// Compares the artifacts that the engines of a pool have loaded with the configuration and orders
+/// the missing ones, a few engines at a time.
 ///
-/// Every call needs the pool's lease. A new holder looks at each engine before it orders anything
-/// there: the look announces its fencing number, so that what it sees stays true of all former
-/// holders.
+/// Every call requires the pool's lease. A new holder polls each engine before it gives it an
+/// order. The poll announces the fencing number, so that no former holder can change the engine
+/// after the reported state.
 #[derive(Debug)]
 pub struct OrderPlanner {
     limits: OrderLimits,
     lease: Option<PlannerLease>,
-    /// Another holder has a number above this process's, whatever its clock says.
+    /// Highest fencing number of another holder that a sidecar has reported. Leases of this process
+    /// up to this number are not used, even if they are valid by its own clock.
     superseded: Epoch,
     wanted: Option<ArtifactSet>,
     endpoints: BTreeMap<EndpointId, PoolEndpoint>,
@@ -33,11 +34,11 @@
 #[derive(Clone, Copy, Debug)]
 struct PlannerLease {
     epoch: Epoch,
-    until: Timestamp,
+    expires_at: Timestamp,
 }
 
 impl OrderPlanner {
-    /// A planner without a lease or a configuration.
+    /// Creates a planner without a lease or a configuration.
     pub fn new(limits: OrderLimits) -> Self {
         Self {
             limits,
@@ -50,26 +51,26 @@
         }
     }
 
-    /// Takes an event and returns what to do.
+    /// Handles an event and returns the actions to carry out.
     pub fn handle(&mut self, now: Timestamp, event: OrderEvent) -> Vec<OrderAction> {
         match event {
-            OrderEvent::Lease { epoch, until } => self.hold(epoch, until),
+            OrderEvent::Lease { epoch, expires_at } => self.set_lease(epoch, expires_at),
             OrderEvent::LeaseLost => self.lease = None,
             OrderEvent::Configure { wanted, endpoints } => self.configure(wanted, endpoints),
             OrderEvent::Answered {
                 endpoint,
                 sequence,
                 answer,
-            } => self.take_answer(now, &endpoint, sequence, answer),
+            } => self.on_answered(now, &endpoint, sequence, answer),
             OrderEvent::Tick => {}
         }
         let mut actions = Vec::new();
         self.drive(now, &mut actions);
-        self.wake(now, &mut actions);
+        self.schedule_wake(now, &mut actions);
         actions
     }
 
-    /// What a dump shows; `None` before a configuration.
+    /// Returns the state for a dump, or `None` before the first configuration.
     pub fn status(&self) -> Option<OrderStatus> {
         let wanted = self.wanted.clone()?;
         let endpoints = self.endpoints.values();
@@ -84,14 +85,14 @@
         })
     }
 
-    fn hold(&mut self, epoch: Epoch, until: Timestamp) {
+    fn set_lease(&mut self, epoch: Epoch, expires_at: Timestamp) {
         if epoch <= self.superseded {
             return;
         }
         let is_new = self.lease.is_none_or(|lease| lease.epoch != epoch);
-        self.lease = Some(PlannerLease { epoch, until });
+        self.lease = Some(PlannerLease { epoch, expires_at });
         if is_new {
-            // What was seen before may be another holder's past.
+            // Another holder may have changed the engines since the last reports.
             self.endpoints.values_mut().for_each(PoolEndpoint::reset);
         }
     }
@@ -107,7 +108,7 @@
         }
     }
 
-    fn take_answer(
+    fn on_answered(
         &mut self,
         now: Timestamp,
         endpoint: &EndpointId,
@@ -123,11 +124,11 @@
         let Some(sent) = endpoint.call.take_if(|call| call.sequence == sequence) else {
             return;
         };
-        endpoint.take_answer(now, &sent, answer, &self.limits);
+        endpoint.apply_answer(now, &sent, answer, &self.limits);
     }
 
-    /// A sidecar has seen a later holder: this process's clock or store is wrong, so it gives no
-    /// more orders under this lease.
+    /// Stops using the lease because a sidecar has seen a later holder. The clock or the store of
+    /// this process is wrong, so it gives no more orders under this lease.
     fn yield_lease(&mut self, answer: &OrderAnswer) {
         let highest = answer.report.as_ref().map_or(0, |report| report.highest);
         if self.lease.is_some_and(|lease| lease.epoch < highest) {
@@ -137,8 +138,8 @@
     }
 
     fn drive(&mut self, now: Timestamp, actions: &mut Vec<OrderAction>) {
-        // The process may have been paused past the lapse since it was told of the lease.
-        let Some(lease) = self.lease.filter(|lease| now < lease.until) else {
+        // The process may have been paused beyond the end of the lease.
+        let Some(lease) = self.lease.filter(|lease| now < lease.expires_at) else {
             return;
         };
         let names: Vec<EndpointId> = self.endpoints.keys().cloned().collect();
@@ -147,12 +148,12 @@
             if endpoint.call.is_some() || now < endpoint.retry_at {
                 continue;
             }
-            let looks = endpoint.loaded.is_none() || now >= endpoint.look_at;
-            let order = self.missing(endpoint).filter(|_| !looks);
+            let needs_poll = endpoint.loaded.is_none() || now >= endpoint.poll_at;
+            let order = self.missing(endpoint).filter(|_| !needs_poll);
             let may_load = order
                 .as_ref()
-                .is_some_and(|order| self.has_room(&name, order));
-            if looks || may_load {
+                .is_some_and(|order| self.within_limits(&name, order));
+            if needs_poll || may_load {
                 self.send(lease.epoch, name, order, actions);
             }
         }
@@ -194,36 +195,37 @@
         endpoint.model_failed && !is_met
     }
 
-    fn is_taken_out(&self, endpoint: &PoolEndpoint) -> bool {
+    fn is_out_of_service(&self, endpoint: &PoolEndpoint) -> bool {
         endpoint.is_replacing() || self.has_failed(endpoint)
     }
 
-    /// Whether one more load keeps the limits.
+    /// Whether one more load stays within the limits.
     ///
-    /// Every engine of a pool lacks a new version at the same moment. Without the first limit all
-    /// would ask the weight store at once and be refused by its rate; without the second none
-    /// would be left to serve, and weights that do not load would take the whole pool down. An
-    /// engine that failed counts as taken out until it has loaded, so a bad version stops there.
-    fn has_room(&self, name: &EndpointId, order: &LoadOrder) -> bool {
-        if self.endpoints[name].busy || self.loading() >= self.limits.loads {
+    /// All engines of a pool lack a new version at the same time. Without the limit on loads, all
+    /// of them would read from the weight store at once and be refused by its rate limit. Without
+    /// the limit on replaced models, no engine would be left to serve, and weights that do not load
+    /// would take down the whole pool. A failed engine counts as out of service until it has loaded
+    /// its model, so a bad version does not spread to further engines.
+    fn within_limits(&self, name: &EndpointId, order: &LoadOrder) -> bool {
+        if self.endpoints[name].busy || self.loading() >= self.limits.max_loads {
             return false;
         }
         if !order.replaces_model() {
             return true;
         }
         let others = self.endpoints.iter().filter(|(id, _)| *id != name);
-        let replacing = others.filter(|(_, endpoint)| self.is_taken_out(endpoint));
-        let share = self.endpoints.len() * self.limits.replaced_percent / 100;
+        let replacing = others.filter(|(_, endpoint)| self.is_out_of_service(endpoint));
+        let share = self.endpoints.len() * self.limits.max_replaced_percent / 100;
         replacing.count() < share.max(1)
     }
 
-    fn wake(&mut self, now: Timestamp, actions: &mut Vec<OrderAction>) {
-        let held = self.lease.filter(|lease| now < lease.until);
+    fn schedule_wake(&mut self, now: Timestamp, actions: &mut Vec<OrderAction>) {
+        let held = self.lease.filter(|lease| now < lease.expires_at);
         let idle = self.endpoints.values().filter(|it| it.call.is_none());
         let due =
             idle.map(
                 |endpoint| match endpoint.loaded.is_some() && endpoint.retry_at <= now {
-                    true => endpoint.look_at,
+                    true => endpoint.poll_at,
                     false => endpoint.retry_at,
                 },
             );
--- a/lovagedock/src/request/machine.rs
+++ b/lovagedock/src/request/machine.rs
@@ -5,9 +5,9 @@
 use super::{
     answer::AnswerProgress,
     attempt::Attempt,
-    event::{PlacedOn, RequestAction, RequestEvent, SpanPart},
+    event::{PlacementOutcome, RequestAction, RequestEvent, SpanPart},
     phase::RequestPhase,
-    safeguards::Safeguards,
+    safeguards::RequestSafeguards,
     spec::RequestSpec,
 };
 use crate::{
@@ -16,22 +16,22 @@
     outcome::AnswerEnd,
 };
 
-/// Decides everything about one caller's request from its admission to its final answer.
+/// Makes all decisions about one caller's request from its admission to its final answer.
 ///
-/// Each event is answered with actions, which the daemon carries out in order. Exactly one
-/// [`RequestAction::Finish`] comes, by the deadline at the latest, provided that the daemon sends
-/// the ticks that it is asked for.
+/// Each event returns actions, which the daemon carries out in order. The machine returns exactly
+/// one [`RequestAction::Finish`], by the deadline at the latest, provided that the daemon sends the
+/// requested ticks.
 #[derive(Debug)]
 pub struct RequestMachine {
     pub(super) spec: RequestSpec,
-    pub(super) safeguards: Safeguards,
+    pub(super) safeguards: RequestSafeguards,
     pub(super) deadline: Timestamp,
     pub(super) phase: RequestPhase,
     pub(super) attempt: Option<Attempt>,
     pub(super) attempts: AttemptNumber,
     pub(super) excluded: Vec<EndpointId>,
     pub(super) answer: AnswerProgress,
-    /// What the attempts before the current one did, and the failure that goes with it.
+    /// Whether an attempt before the current one ran, and the failure of that attempt.
     pub(super) earlier_ran: RanState,
     pub(super) earlier_failure: Option<AnswerEnd>,
     pub(super) caller_gone: bool,
@@ -41,12 +41,13 @@
 }
 
 impl RequestMachine {
-    /// A request that was admitted now; [`RequestMachine::start`] begins it.
+    /// Creates the machine of a request that is admitted at `now`. Call [`RequestMachine::start`]
+    /// to begin it.
     pub fn new(now: Timestamp, spec: RequestSpec) -> Self {
         Self {
             deadline: now.saturating_add(spec.deadline),
             spec,
-            safeguards: Safeguards::ALL,
+            safeguards: RequestSafeguards::ALL,
             phase: RequestPhase::Placing,
             attempt: None,
             attempts: 0,
@@ -61,19 +62,19 @@
         }
     }
 
-    /// Turns safeguards off, for tests that show what each of them is for.
-    pub fn with_safeguards(mut self, safeguards: Safeguards) -> Self {
+    /// Replaces the safeguards, for tests that show what each of them prevents.
+    pub fn with_safeguards(mut self, safeguards: RequestSafeguards) -> Self {
         self.safeguards = safeguards;
         self
     }
 
-    /// The first actions.
+    /// Begins the request and returns the first actions.
     pub fn start(&mut self) -> Vec<RequestAction> {
         self.place();
         self.take_actions()
     }
 
-    /// Answers an event with actions.
+    /// Handles an event and returns the actions to carry out.
     pub fn handle(&mut self, now: Timestamp, event: RequestEvent) -> Vec<RequestAction> {
         if self.is_finished() {
             return Vec::new();
@@ -87,7 +88,7 @@
         self.take_actions()
     }
 
-    /// The request.
+    /// Returns the specification of the request.
     pub fn spec(&self) -> &RequestSpec {
         &self.spec
     }
@@ -97,7 +98,7 @@
         matches!(self.phase, RequestPhase::Finished)
     }
 
-    /// Bytes of the answer that were delivered in order.
+    /// Number of answer bytes delivered in order.
     pub fn delivered(&self) -> u64 {
         self.answer.delivered
     }
@@ -107,65 +108,67 @@
         self.attempt.as_ref().map(|attempt| &attempt.endpoint)
     }
 
-    /// What the request waits for, in a word, for dumps.
+    /// Name of the current phase, for dumps.
     pub fn state_name(&self) -> &'static str {
         self.phase.name()
     }
 
     fn dispatch(&mut self, now: Timestamp, event: RequestEvent) {
         match event {
-            RequestEvent::Placed(placed) => self.placed(now, placed),
+            RequestEvent::Placed(placed) => self.on_placed(now, placed),
             RequestEvent::RetryAnswered {
                 granted,
                 jitter_permille,
             } => {
-                self.retry_answered(now, granted, jitter_permille);
+                self.on_retry_answered(now, granted, jitter_permille);
             }
-            RequestEvent::SpanReady { attempt } => self.span_ready(now, attempt),
-            RequestEvent::SpanFailed { attempt, end } => self.span_failed(now, attempt, end),
+            RequestEvent::SpanReady { attempt } => self.on_span_ready(now, attempt),
+            RequestEvent::SpanFailed { attempt, end } => self.on_span_failed(now, attempt, end),
             RequestEvent::SubmitAccepted {
                 attempt,
                 incarnation,
             } => {
-                self.submit_accepted(attempt, incarnation);
+                self.on_submit_accepted(attempt, incarnation);
+            }
+            RequestEvent::SubmitRefused { attempt, end } => {
+                self.on_submit_refused(now, attempt, end)
             }
-            RequestEvent::SubmitRefused { attempt, end } => self.submit_refused(now, attempt, end),
             RequestEvent::SessionLost {
                 endpoint,
                 incarnation,
             } => {
-                self.session_lost(now, &endpoint, incarnation);
+                self.on_session_lost(now, &endpoint, incarnation);
             }
-            RequestEvent::SessionBack {
+            RequestEvent::SessionReconnected {
                 endpoint,
                 incarnation,
             } => {
-                self.session_back(now, &endpoint, incarnation);
+                self.on_session_reconnected(now, &endpoint, incarnation);
             }
             RequestEvent::RevokeAnswered {
                 attempt,
                 incarnation,
                 verdict,
             } => {
-                self.revoke_answered(now, attempt, incarnation, verdict);
+                self.on_revoke_answered(now, attempt, incarnation, verdict);
             }
-            RequestEvent::RevokeFailed { attempt } => self.revoke_failed(now, attempt),
+            RequestEvent::RevokeFailed { attempt } => self.on_revoke_failed(now, attempt),
             RequestEvent::ResumeAnswered { attempt, found } => {
-                self.resume_answered(now, attempt, found);
+                self.on_resume_answered(now, attempt, found);
             }
-            RequestEvent::ResumeFailed { attempt } => self.resume_failed(now, attempt),
-            RequestEvent::Head { attempt } => self.head(attempt),
+            RequestEvent::ResumeFailed { attempt } => self.on_resume_failed(now, attempt),
+            RequestEvent::Head { attempt } => self.on_head(attempt),
             RequestEvent::Chunk {
                 attempt,
                 offset,
                 length,
             } => {
-                self.chunk(now, attempt, offset, length);
+                self.on_chunk(now, attempt, offset, length);
             }
-            RequestEvent::End { attempt, end } => self.end(now, attempt, end),
-            RequestEvent::DigestChecked { matches } => self.digest_checked(now, matches),
-            RequestEvent::CallerGone => self.caller_left(),
-            RequestEvent::Stopping { grace } => self.stop(now, grace),
+            RequestEvent::End { attempt, end } => self.on_end(now, attempt, end),
+            RequestEvent::DigestChecked { matches } => self.on_digest_checked(now, matches),
+            RequestEvent::CallerGone => self.on_caller_gone(),
+            RequestEvent::Stopping { grace } => self.on_stopping(now, grace),
             RequestEvent::Tick => self.tick(now),
         }
     }
@@ -176,20 +179,20 @@
         self.actions.push(RequestAction::Place { excluded });
     }
 
-    fn placed(&mut self, now: Timestamp, placed: PlacedOn) {
+    fn on_placed(&mut self, now: Timestamp, placed: PlacementOutcome) {
         if !matches!(self.phase, RequestPhase::Placing) {
             return;
         }
         match placed {
-            PlacedOn::One {
+            PlacementOutcome::One {
                 endpoint,
                 incarnation,
             } => {
                 self.begin_attempt(endpoint, incarnation);
                 self.submit(now);
             }
-            PlacedOn::Span(members) => self.begin_span(now, members),
-            PlacedOn::Refused { code, retry_after } => {
+            PlacementOutcome::Span(members) => self.begin_span(now, members),
+            PlacementOutcome::Refused { code, retry_after } => {
                 self.conclude(AnswerEnd::new(code).with_retry_after(retry_after));
             }
         }
@@ -222,7 +225,7 @@
         });
     }
 
-    fn span_ready(&mut self, now: Timestamp, attempt: AttemptNumber) {
+    fn on_span_ready(&mut self, now: Timestamp, attempt: AttemptNumber) {
         if matches!(self.phase, RequestPhase::Spanning) && attempt == self.attempts {
             self.submit(now);
         }
@@ -244,7 +247,7 @@
         });
     }
 
-    fn submit_accepted(&mut self, number: AttemptNumber, incarnation: Incarnation) {
+    fn on_submit_accepted(&mut self, number: AttemptNumber, incarnation: Incarnation) {
         let Some(attempt) = self
             .attempt
             .as_mut()
@@ -259,7 +262,8 @@
         }
     }
 
-    /// Time that a sidecar gets: less than what is left, so that its last word comes in time.
+    /// Time limit for a sidecar. It is shorter than the remaining time, so that the sidecar's final
+    /// message arrives before the deadline.
     fn remaining(&self, now: Timestamp) -> Duration {
         let margin = self.spec.timing.answer_margin;
         self.deadline.saturating_sub(now).saturating_sub(margin)
--- a/lovagedock/src/span/coordinator.rs
+++ b/lovagedock/src/span/coordinator.rs
@@ -1,4 +1,4 @@
-//! The state machine of one span.
+//! State machine of one span.
 
 use std::{collections::VecDeque, mem, time::Duration};
 
@@ -20,12 +20,12 @@
 /// Reserves several engines, all or none, prefills a prompt over them and keeps them reserved
 /// until the answer is decoded.
 ///
-/// While it lacks one engine it holds none: a refusal frees all the others, so spans can neither
-/// deadlock nor keep memory idle. Each reservation lapses by itself when this process dies.
+/// A refusal by one engine releases all the others, so spans can neither deadlock nor keep memory
+/// idle while they wait. Each reservation expires at the sidecar if this process dies.
 #[derive(Debug)]
 pub struct SpanCoordinator {
     pub(super) plan: SpanPlan,
-    began: Timestamp,
+    began_at: Timestamp,
     rng: ChaCha8Rng,
     pub(super) state: SpanState,
     pub(super) round: u32,
@@ -45,16 +45,16 @@
     BackingOff { until: Timestamp },
     Prefilling,
     Decoding,
-    Over,
+    Finished,
 }
 
 impl SpanCoordinator {
-    /// A span whose first choice of engines is given to [`SpanCoordinator::start`]; `seed` spreads
-    /// its pauses.
+    /// Creates a span. Its first choice of engines is passed to [`SpanCoordinator::start`]. `seed`
+    /// determines the jitter of its pauses.
     pub fn new(now: Timestamp, plan: SpanPlan, seed: u64) -> Self {
         Self {
             plan,
-            began: now,
+            began_at: now,
             rng: ChaCha8Rng::seed_from_u64(seed),
             state: SpanState::Choosing,
             round: 0,
@@ -69,45 +69,45 @@
 
     /// Reserves the engines of the first choice.
     pub fn start(&mut self, now: Timestamp, parts: Vec<SpanPart>) -> Vec<SpanAction> {
-        self.handle(now, SpanEvent::Chosen(parts))
+        self.handle(now, SpanEvent::EnginesChosen(parts))
     }
 
-    /// Answers an event with actions.
+    /// Handles an event and returns the actions to carry out.
     pub fn handle(&mut self, now: Timestamp, event: SpanEvent) -> Vec<SpanAction> {
-        if self.is_over() {
+        if self.is_finished() {
             return Vec::new();
         }
         if event != SpanEvent::Released && self.has_lapsed(now) {
-            self.fail_lost();
+            self.fail_endpoint_lost();
             return self.take_actions();
         }
         match event {
-            SpanEvent::Chosen(parts) => self.chosen(now, parts),
-            SpanEvent::Reserved {
+            SpanEvent::EnginesChosen(parts) => self.on_engines_chosen(now, parts),
+            SpanEvent::ReserveAnswered {
                 endpoint,
                 round,
                 granted,
             } => {
-                self.reserved(now, &endpoint, round, granted);
+                self.on_reserve_answered(now, &endpoint, round, granted);
             }
             SpanEvent::SegmentDone {
                 endpoint,
                 start,
                 end,
             } => {
-                self.segment_done(&endpoint, start, end);
+                self.on_segment_done(&endpoint, start, end);
             }
             SpanEvent::MemberLost {
                 endpoint,
                 incarnation,
             } => {
-                self.member_lost(now, &endpoint, incarnation);
+                self.on_member_lost(now, &endpoint, incarnation);
             }
-            SpanEvent::MemberBack {
+            SpanEvent::MemberReconnected {
                 endpoint,
                 incarnation,
             } => {
-                self.member_back(now, &endpoint, incarnation);
+                self.on_member_reconnected(now, &endpoint, incarnation);
             }
             SpanEvent::Released => self.finish(),
             SpanEvent::Tick => self.tick(now),
@@ -115,12 +115,12 @@
         self.take_actions()
     }
 
-    /// Whether the span holds nothing any more.
-    pub fn is_over(&self) -> bool {
-        self.state == SpanState::Over
+    /// Whether the span has ended and released its engines.
+    pub fn is_finished(&self) -> bool {
+        self.state == SpanState::Finished
     }
 
-    fn chosen(&mut self, now: Timestamp, parts: Vec<SpanPart>) {
+    fn on_engines_chosen(&mut self, now: Timestamp, parts: Vec<SpanPart>) {
         if self.state != SpanState::Choosing {
             return;
         }
@@ -132,13 +132,19 @@
         self.round += 1;
         self.members = parts.into_iter().map(SpanMember::new).collect();
         self.state = SpanState::Reserving {
-            until: now + self.plan.timing.answer_limit,
+            until: now + self.plan.timing.answer_timeout,
         };
-        self.renew_at = now + self.renew_pause();
-        self.reserve_missing(now);
+        self.renew_at = now + self.renew_interval();
+        self.request_reservations(now);
     }
 
-    fn reserved(&mut self, now: Timestamp, endpoint: &EndpointId, round: u32, granted: bool) {
+    fn on_reserve_answered(
+        &mut self,
+        now: Timestamp,
+        endpoint: &EndpointId,
+        round: u32,
+        granted: bool,
+    ) {
         if round != self.round {
             return;
         }
@@ -151,24 +157,24 @@
         else {
             return;
         };
-        // Its reservation belongs to the running request now; a late answer says nothing.
+        // The running request has taken over the reservation, so a late reply is ignored.
         if member.is_submitted() {
             return;
         }
         if !granted && reserving {
-            self.step_back(now);
+            self.release_and_back_off(now);
             return;
         }
-        // The sidecar gave the memory to others because a renewal came too late; the KV blocks of
-        // this part are gone.
+        // A renewal arrived too late, and the sidecar gave the memory to others. The KV blocks of
+        // this part are lost.
         if !granted {
-            self.fail_lost();
+            self.fail_endpoint_lost();
             return;
         }
-        let came_back = member.grant(hold);
+        let reconnected = member.grant(hold);
         if reserving && self.members.iter().all(SpanMember::is_granted) {
             self.begin_prefill();
-        } else if came_back
+        } else if reconnected
             && self
                 .segments
                 .front()
@@ -180,24 +186,27 @@
 
     fn tick(&mut self, now: Timestamp) {
         match self.state {
-            SpanState::Reserving { until } if now >= until => self.step_back(now),
+            SpanState::Reserving { until } if now >= until => self.release_and_back_off(now),
             SpanState::BackingOff { until } if now >= until => {
                 self.state = SpanState::Choosing;
-                self.actions.push(SpanAction::Choose);
+                self.actions.push(SpanAction::ChooseEngines);
             }
             SpanState::Prefilling | SpanState::Decoding => self.renew(now),
             _ => {}
         }
     }
 
-    pub(super) fn step_back(&mut self, now: Timestamp) {
+    pub(super) fn release_and_back_off(&mut self, now: Timestamp) {
         self.release_all();
         self.back_off(now);
     }
 
     fn back_off(&mut self, now: Timestamp) {
-        let (waited, patience) = (now.saturating_sub(self.began), self.plan.patience());
-        if waited >= patience {
+        let (waited, time_limit) = (
+            now.saturating_sub(self.began_at),
+            self.plan.reserve_time_limit(),
+        );
+        if waited >= time_limit {
             self.fail(AnswerEnd::new(ResultCode::NoCapacity));
             return;
         }
@@ -206,11 +215,11 @@
             .plan
             .timing
             .backoff
-            .delay(self.round.max(1), waited, patience, jitter);
+            .delay(self.round.max(1), waited, time_limit, jitter);
         self.state = SpanState::BackingOff { until: now + pause };
     }
 
-    pub(super) fn fail_lost(&mut self) {
+    pub(super) fn fail_endpoint_lost(&mut self) {
         let ran = if self.computed {
             RanState::Yes
         } else {
@@ -219,7 +228,7 @@
         self.fail(AnswerEnd::new(ResultCode::EndpointLost).with_ran(ran));
     }
 
-    /// Frees all members: blocks of a span are worth nothing once one part is gone.
+    /// Releases all members, since the blocks of a span are useless once one part is lost.
     pub(super) fn fail(&mut self, end: AnswerEnd) {
         self.finish();
         self.actions.push(SpanAction::Fail(end));
@@ -227,7 +236,7 @@
 
     fn finish(&mut self) {
         self.release_all();
-        self.state = SpanState::Over;
+        self.state = SpanState::Finished;
     }
 
     fn release_all(&mut self) {
@@ -242,13 +251,13 @@
             .collect()
     }
 
-    pub(super) fn renew_pause(&self) -> Duration {
+    pub(super) fn renew_interval(&self) -> Duration {
         self.plan.timing.hold / 3
     }
 
     fn take_actions(&mut self) -> Vec<SpanAction> {
         let wake_at = match self.state {
-            SpanState::Choosing | SpanState::Over => None,
+            SpanState::Choosing | SpanState::Finished => None,
             SpanState::Reserving { until } | SpanState::BackingOff { until } => Some(until),
             SpanState::Prefilling | SpanState::Decoding => Some(self.next_check()),
         };
--- a/lovagedock/tests/lease_properties.rs
+++ b/lovagedock/tests/lease_properties.rs
@@ -1,14 +1,15 @@
-//! One holder at a time and orders in the order of their epochs, over random schedules.
+//! A lease has one holder at a time, and orders take effect in the order of their epochs, over
+//! random schedules.
 
 mod support;
 
 use lovagedock::DurableSafeguards;
 use proptest::prelude::*;
-use support::lease_world::{LeaseFaults, LeaseWorld};
+use support::lease_simulation::{LeaseFaults, LeaseSimulation};
 
 const CASES: u32 = 150;
 
-const STORMY: LeaseFaults = LeaseFaults {
+const HIGH_FAULT_RATES: LeaseFaults = LeaseFaults {
     lost_confirmation: 25,
     unavailable: 20,
     pause: 10,
@@ -33,22 +34,24 @@
         ..ProptestConfig::default()
     })]
 
-    // Three processes whose clocks run up to 2% fast or slow contend for a lease while the store
-    // is slow, down or loses confirmations, and holders are paused past their lapse. At no moment
-    // do two of them have a fence, no epoch has two holders, and the receiver's orders take effect
-    // in the order of their epochs, also those that left their sender long ago.
+    // Three processes whose clocks run up to 2% fast or slow contend for a lease. Meanwhile the
+    // store is slow, down or loses confirmations, and holders are paused beyond the end of their
+    // lease. Two processes never have a fence at the same time, no epoch has two holders, and
+    // orders take effect at the receiver in the order of their epochs, including long-delayed ones.
     #[test]
     fn one_holder_at_a_time(seed in any::<u64>(), faults in faults()) {
-        let report = LeaseWorld::new(seed, faults, DurableSafeguards::default()).run();
+        let report = LeaseSimulation::new(seed, faults, DurableSafeguards::default()).run();
         prop_assert!(report.violations.is_empty(), "{:?}", report.violations);
     }
 }
 
-// The schedules reach hand-overs, and orders that come too late; else the property proves nothing.
+// The schedules reach changes of the holder and late orders. Without them the property would be
+// trivially true.
 #[test]
 fn the_schedules_reach_late_orders() {
-    let reports =
-        (0..20).map(|seed| LeaseWorld::new(seed, STORMY, DurableSafeguards::default()).run());
+    let reports = (0..20).map(|seed| {
+        LeaseSimulation::new(seed, HIGH_FAULT_RATES, DurableSafeguards::default()).run()
+    });
     let reports: Vec<_> = reports.collect();
     let epochs: usize = reports.iter().map(|report| report.epochs.len()).sum();
     let orders: usize = reports.iter().map(|report| report.orders).sum();
@@ -68,12 +71,12 @@
     SafeguardCase {
         name: "lease counted from the confirmation",
         switch_off: |safeguards| safeguards.lease_from_request = false,
-        symptom: "hold at once",
+        symptom: "hold the lease at the same time",
     },
     SafeguardCase {
         name: "taken over before the lapse",
         switch_off: |safeguards| safeguards.lease_waits_lapse = false,
-        symptom: "hold at once",
+        symptom: "hold the lease at the same time",
     },
     SafeguardCase {
         name: "writes without a condition",
@@ -82,16 +85,16 @@
     },
 ];
 
-// With a safeguard off, some schedule shows the symptom that the safeguard prevents.
+// With a safeguard off, at least one schedule shows the failure that the safeguard prevents.
 #[test]
 fn each_safeguard_prevents_its_failure() {
     for case in SAFEGUARD_CASES {
         let mut safeguards = DurableSafeguards::default();
         (case.switch_off)(&mut safeguards);
         let seen = (0..40).any(|seed| {
-            let report = LeaseWorld::new(seed, STORMY, safeguards).run();
+            let report = LeaseSimulation::new(seed, HIGH_FAULT_RATES, safeguards).run();
             report.violations.iter().any(|v| v.contains(case.symptom))
         });
-        assert!(seen, "{}: no schedule shows it", case.name);
+        assert!(seen, "{}: no schedule shows the failure", case.name);
     }
 }
--- a/lovagedock/tests/request_properties.rs
+++ b/lovagedock/tests/request_properties.rs
@@ -1,16 +1,16 @@
-//! Properties of a request under random faults, and what each safeguard is for.
+//! Properties of a request under random faults, and the failure that each safeguard prevents.
 
 mod request_support;
 
-use lovagedock::Safeguards;
+use lovagedock::RequestSafeguards;
 use proptest::{
     prelude::*,
     test_runner::{RngAlgorithm, TestCaseError, TestRng, TestRunner},
 };
-use request_support::{FaultSchedule, Violation, schedules, verdict};
+use request_support::{FaultSchedule, Violation, check_schedule, schedules};
 
 const CASES: u32 = 2000;
-const CASES_TO_FAIL: u32 = 20_000;
+const MAX_CASES_UNTIL_VIOLATION: u32 = 20_000;
 
 fn runner(cases: u32, shrinks: u32) -> TestRunner {
     let config = ProptestConfig {
@@ -23,24 +23,25 @@
     TestRunner::new_with_rng(config, rng)
 }
 
-// The caller sends one request; connections go silent, sidecars restart, frames are lost, repeated,
-// late or damaged, the caller leaves, the gateway stops, in any order and several times. It gets
-// one truthful final answer by its deadline, a clean end only on a whole answer, and a
+// Faults in any order and number: connections go silent, sidecars restart, frames are lost,
+// repeated, delayed or damaged, the caller disconnects, the gateway stops. The caller gets exactly
+// one correct final answer by its deadline and a clean end only after a complete answer. A
 // non-idempotent request never starts twice.
 #[test]
-fn promises_hold_under_any_schedule() {
-    promises_hold(false);
+fn guarantees_hold_under_any_schedule() {
+    guarantees_hold(false);
 }
 
-// The same with the sidecar's real decisions on the other end of the links.
+// The same with the sidecar's real state machine at the other end of the links.
 #[test]
-fn promises_hold_with_the_real_sidecar() {
-    promises_hold(true);
+fn guarantees_hold_with_the_real_sidecar() {
+    guarantees_hold(true);
 }
 
-fn promises_hold(real_sidecars: bool) {
+fn guarantees_hold(real_sidecars: bool) {
     let outcome = runner(CASES, 500).run(&schedules(real_sidecars, 0), |schedule| {
-        verdict(&schedule, Safeguards::ALL).map_err(|violation| fail(violation, &schedule))
+        check_schedule(&schedule, RequestSafeguards::ALL)
+            .map_err(|violation| fail(violation, &schedule))
     });
     if let Err(error) = outcome {
         panic!("{error}");
@@ -49,43 +50,43 @@
 
 struct SafeguardCase {
     name: &'static str,
-    safeguards: Safeguards,
+    safeguards: RequestSafeguards,
     violation: Violation,
 }
 
-// The same schedules with one safeguard off: the promise that it keeps is broken.
+// With one safeguard off, the same schedules violate the guarantee that it protects.
 #[test]
 fn each_safeguard_is_needed() {
-    promises_break_without_each_safeguard(false);
+    guarantees_break_without_each_safeguard(false);
 }
 
 #[test]
 fn each_safeguard_is_needed_with_the_real_sidecar() {
-    promises_break_without_each_safeguard(true);
+    guarantees_break_without_each_safeguard(true);
 }
 
-fn promises_break_without_each_safeguard(real_sidecars: bool) {
-    let all = Safeguards::ALL;
+fn guarantees_break_without_each_safeguard(real_sidecars: bool) {
+    let all = RequestSafeguards::ALL;
     let cases = [
         SafeguardCase {
             name: "revoke_before_retry",
-            safeguards: Safeguards {
+            safeguards: RequestSafeguards {
                 revoke_before_retry: false,
                 ..all
             },
             violation: Violation::RanTwice,
         },
         SafeguardCase {
-            name: "check_verdict_life",
-            safeguards: Safeguards {
-                check_verdict_life: false,
+            name: "check_verdict_incarnation",
+            safeguards: RequestSafeguards {
+                check_verdict_incarnation: false,
                 ..all
             },
             violation: Violation::RanTwice,
         },
         SafeguardCase {
             name: "drop_old_attempts",
-            safeguards: Safeguards {
+            safeguards: RequestSafeguards {
                 drop_old_attempts: false,
                 ..all
             },
@@ -93,7 +94,7 @@
         },
         SafeguardCase {
             name: "check_offsets",
-            safeguards: Safeguards {
+            safeguards: RequestSafeguards {
                 check_offsets: false,
                 ..all
             },
@@ -101,7 +102,7 @@
         },
         SafeguardCase {
             name: "check_end",
-            safeguards: Safeguards {
+            safeguards: RequestSafeguards {
                 check_end: false,
                 ..all
             },
@@ -109,7 +110,7 @@
         },
         SafeguardCase {
             name: "remember_ran",
-            safeguards: Safeguards {
+            safeguards: RequestSafeguards {
                 remember_ran: false,
                 ..all
             },
@@ -117,13 +118,16 @@
         },
     ];
     for case in cases {
-        let outcome = runner(CASES_TO_FAIL, 0).run(&schedules(real_sidecars, 4), |schedule| {
-            match verdict(&schedule, case.safeguards) {
-                Err(violation) if violation == case.violation => Err(fail(violation, &schedule)),
-                _ => Ok(()),
-            }
-        });
-        assert!(outcome.is_err(), "without {} nothing went wrong", case.name);
+        let outcome =
+            runner(MAX_CASES_UNTIL_VIOLATION, 0).run(&schedules(real_sidecars, 4), |schedule| {
+                match check_schedule(&schedule, case.safeguards) {
+                    Err(violation) if violation == case.violation => {
+                        Err(fail(violation, &schedule))
+                    }
+                    _ => Ok(()),
+                }
+            });
+        assert!(outcome.is_err(), "no violation found without {}", case.name);
     }
 }
 
--- a/lovagedock/tests/request_support/journal.rs
+++ b/lovagedock/tests/request_support/checks.rs
@@ -1,14 +1,14 @@
-//! Judges a played schedule by what ran and what the caller read.
+//! Checks a completed schedule: which attempts ran and what the caller read.
 
 use lovagedock::prelude::*;
 
 use super::{
     FaultSchedule, Violation,
     sidecar::{ANSWER_BYTES, answer_bytes},
-    world::World,
+    simulation::RequestSimulation,
 };
 
-impl World {
+impl RequestSimulation {
     pub(super) fn violations(&self, schedule: &FaultSchedule) -> Vec<Violation> {
         let mut found = Vec::new();
         if schedule.non_idempotent && self.starts.len() > 1 {
--- a/lovagedock/tests/support/claim_world/endpoint.rs
+++ b/lovagedock/tests/support/claim_simulation/endpoint.rs
@@ -1,4 +1,4 @@
-//! What runs, what callers get, and whether that may be.
+//! Executions and deliveries, and checks of both.
 
 use std::time::Duration;
 
@@ -6,9 +6,9 @@
 use lovagedock::{ClaimEvent, RequestId};
 use rand::{Rng, RngExt};
 
-use super::{Step, World};
+use super::{ClaimSimulation, Step};
 
-impl World {
+impl ClaimSimulation {
     pub(super) fn grant(&mut self, request: RequestId) {
         self.report.granted += 1;
         self.end(request);
@@ -17,9 +17,9 @@
             let text = format!("request {request} granted after its deadline");
             self.report.violations.push(text);
         }
-        let (key, gateway, life) = (delivery.key, delivery.gateway, delivery.life);
+        let (key, gateway, incarnation) = (delivery.key, delivery.gateway, delivery.incarnation);
         if self.chance(self.schedule.faults.abandon) {
-            self.deliver(gateway, life, ClaimEvent::Abandon { key, request });
+            self.deliver(gateway, incarnation, ClaimEvent::Abandon { key, request });
             return;
         }
         self.deliveries.get_mut(&request).expect("known").ran = true;
@@ -45,7 +45,7 @@
         let answer = Bytes::from(bytes);
         self.made.insert(request, answer.clone());
         let delivery = &self.deliveries[&request];
-        let (key, gateway, life) = (delivery.key, delivery.gateway, delivery.life);
+        let (key, gateway, incarnation) = (delivery.key, delivery.gateway, delivery.incarnation);
         let local = self.now - self.gateways[gateway].started;
         let event = ClaimEvent::Record {
             key,
@@ -53,7 +53,7 @@
             answer,
             deadline: local + Duration::from_secs(5),
         };
-        self.deliver(gateway, life, event);
+        self.deliver(gateway, incarnation, event);
     }
 
     pub(super) fn end(&mut self, request: RequestId) {
--- a/lovagedock/tests/support/lease_world.rs
+++ b/lovagedock/tests/support/lease_simulation.rs
@@ -1,4 +1,4 @@
-//! Contenders with clocks of their own, one faulty store and one receiver of orders.
+//! Contenders with separate clocks, one faulty store and one receiver of orders.
 
 use std::{
     cmp::Reverse,
@@ -20,17 +20,17 @@
 const RELEASE_PAUSE: Duration = Duration::from_secs(3);
 const ORDER_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How often things go wrong, in percent.
+/// Fault rates in percent.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LeaseFaults {
     pub(crate) lost_confirmation: u32,
     pub(crate) unavailable: u32,
-    /// Per order interval, in one tenth of a percent.
+    /// Rate per order interval, in tenths of a percent.
     pub(crate) pause: u32,
     pub(crate) release: u32,
 }
 
-/// What was seen.
+/// Results of a schedule.
 #[derive(Debug, Default)]
 pub(crate) struct LeaseReport {
     pub(crate) violations: Vec<String>,
@@ -41,9 +41,9 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Land(usize, LeaseAction, bool, bool),
+    ApplyCall(usize, LeaseAction, bool, bool),
     Event(usize, LeaseEvent),
-    Work(usize),
+    GiveOrder(usize),
     Order(usize, Epoch),
     Resume(usize),
 }
@@ -57,8 +57,8 @@
     held: Vec<LeaseEvent>,
 }
 
-/// One schedule.
-pub(crate) struct LeaseWorld {
+/// Simulation of one schedule.
+pub(crate) struct LeaseSimulation {
     rng: ChaCha8Rng,
     faults: LeaseFaults,
     now: Timestamp,
@@ -72,7 +72,7 @@
     report: LeaseReport,
 }
 
-impl LeaseWorld {
+impl LeaseSimulation {
     pub(crate) fn new(seed: u64, faults: LeaseFaults, safeguards: DurableSafeguards) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let contenders = (0..CONTENDERS).map(|index| Contender {
@@ -88,7 +88,7 @@
             held: Vec::new(),
         });
         let contenders = contenders.collect();
-        let mut world = Self {
+        let mut simulation = Self {
             rng,
             faults,
             now: Duration::ZERO,
@@ -102,10 +102,10 @@
             report: LeaseReport::default(),
         };
         for index in 0..CONTENDERS {
-            world.push(Duration::ZERO, Step::Event(index, LeaseEvent::Want));
-            world.push(ORDER_INTERVAL, Step::Work(index));
+            simulation.push(Duration::ZERO, Step::Event(index, LeaseEvent::Want));
+            simulation.push(ORDER_INTERVAL, Step::GiveOrder(index));
         }
-        world
+        simulation
     }
 
     pub(crate) fn run(mut self) -> LeaseReport {
@@ -134,10 +134,10 @@
     fn step(&mut self, step: Step) {
         match step {
             Step::Event(index, event) => self.deliver(index, event),
-            Step::Land(index, action, lands, confirmed) => {
-                self.land(index, action, lands, confirmed);
+            Step::ApplyCall(index, action, takes_effect, confirmed) => {
+                self.apply_call(index, action, takes_effect, confirmed);
             }
-            Step::Work(index) => self.work(index),
+            Step::GiveOrder(index) => self.give_order(index),
             Step::Order(index, epoch) => self.order(index, epoch),
             Step::Resume(index) => {
                 self.contenders[index].paused = false;
@@ -175,31 +175,37 @@
             }
             LeaseAction::Renewed { .. } | LeaseAction::Lost { .. } => {}
             LeaseAction::Read { .. } | LeaseAction::Write { .. } => {
-                let lands = !self.chance(self.faults.unavailable);
+                let takes_effect = !self.chance(self.faults.unavailable);
                 let confirmed = !self.chance(self.faults.lost_confirmation);
-                // Some calls are slow: the answer comes long after the write took effect.
+                // Some calls are slow, and the reply arrives long after the write took effect.
                 let delay = match self.chance(10) {
                     true => self.millis(500..4_000),
                     false => self.millis(1..30),
                 };
                 if let (LeaseAction::Write { nonce, .. }, false) = (&action, confirmed) {
-                    let event = LeaseEvent::StoreAnswered {
+                    let event = LeaseEvent::StoreWriteEnded {
                         nonce: *nonce,
                         outcome: WriteOutcome::Unknown,
                     };
-                    // The write may still be under way when the daemon gives up on it.
+                    // The write may still take effect after the daemon's call has timed out.
                     let at = self.now + self.millis(1..60);
                     self.push(at, Step::Event(index, event));
                 }
                 let at = self.now + delay;
-                self.push(at, Step::Land(index, action, lands, confirmed));
+                self.push(at, Step::ApplyCall(index, action, takes_effect, confirmed));
             }
         }
     }
 
-    fn land(&mut self, index: usize, action: LeaseAction, lands: bool, confirmed: bool) {
+    fn apply_call(
+        &mut self,
+        index: usize,
+        action: LeaseAction,
+        takes_effect: bool,
+        confirmed: bool,
+    ) {
         let event = match action {
-            LeaseAction::Read { object } => LeaseEvent::StoreRead(match lands {
+            LeaseAction::Read { object } => LeaseEvent::StoreReadEnded(match takes_effect {
                 true => self.store.read(&object),
                 false => ReadOutcome::Unavailable,
             }),
@@ -209,16 +215,16 @@
                 bytes,
                 nonce,
             } => {
-                let outcome = match lands {
+                let outcome = match takes_effect {
                     true => self.store.write(&object, condition, bytes),
                     false => WriteOutcome::Unavailable,
                 };
                 if !confirmed {
                     return;
                 }
-                LeaseEvent::StoreAnswered { nonce, outcome }
+                LeaseEvent::StoreWriteEnded { nonce, outcome }
             }
-            other => panic!("{other:?} is no call"),
+            other => panic!("not a store call: {other:?}"),
         };
         let delay = match self.chance(10) {
             true => self.millis(500..6_000),
@@ -227,14 +233,15 @@
         self.push(self.now + delay, Step::Event(index, event));
     }
 
-    fn work(&mut self, index: usize) {
-        self.push(self.now + ORDER_INTERVAL, Step::Work(index));
+    fn give_order(&mut self, index: usize) {
+        self.push(self.now + ORDER_INTERVAL, Step::GiveOrder(index));
         if self.contenders[index].paused {
             return;
         }
         let fence = self.contenders[index].machine.fence(self.local(index));
         if let Some(epoch) = fence {
-            // The process may be paused between the check and the order's leaving.
+            // The process may be paused between the check of its fence and the sending of the
+            // order.
             let delay = match self.chance(3) {
                 true => self.millis(5_000..40_000),
                 false => self.millis(1..20),
@@ -272,13 +279,16 @@
     }
 
     fn check_holders(&mut self) {
-        let believe = (0..CONTENDERS).filter(|index| {
+        let holders = (0..CONTENDERS).filter(|index| {
             let now = self.local(*index);
             self.contenders[*index].machine.fence(now).is_some()
         });
-        let believe: Vec<usize> = believe.collect();
-        if believe.len() > 1 {
-            let text = format!("{believe:?} hold at once at {:?}", self.now);
+        let holders: Vec<usize> = holders.collect();
+        if holders.len() > 1 {
+            let text = format!(
+                "{holders:?} hold the lease at the same time at {:?}",
+                self.now
+            );
             self.report.violations.push(text);
         }
     }
--- a/lovagedock/tests/support/relay_world/mod.rs
+++ b/lovagedock/tests/support/relay_simulation/mod.rs
@@ -1,4 +1,4 @@
-//! Many processes that adopt configurations over a lossy network, in virtual time.
+//! Simulation of many processes that adopt configurations over a lossy network, in virtual time.
 
 use std::{
     cmp::Reverse,
@@ -27,7 +27,7 @@
 const HEARTBEAT: Duration = Duration::from_secs(1);
 const CONTROL_BYTES: usize = 64;
 
-/// What one process saw and sent.
+/// Counters of one process.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ProcessTally {
     pub(crate) messages: usize,
@@ -52,14 +52,14 @@
     member: RelayMember,
     region: usize,
     state: AdoptionState,
-    life: u32,
+    incarnation: u32,
     alive: bool,
     watching: bool,
-    feeders: Vec<usize>,
+    parents: Vec<usize>,
 }
 
 /// All processes, the store and the network.
-pub(crate) struct RelayWorld {
+pub(crate) struct RelaySimulation {
     pub(crate) setup: RelaySetup,
     pub(crate) now: Timestamp,
     pub(crate) tallies: Vec<ProcessTally>,
@@ -79,8 +79,8 @@
     digests: BTreeMap<Generation, [u8; 32]>,
 }
 
-impl RelayWorld {
-    /// Starts all processes; nothing is accepted yet.
+impl RelaySimulation {
+    /// Starts all processes before any configuration is accepted.
     pub(crate) fn new(setup: RelaySetup) -> Self {
         let members = members(&setup);
         let plan = RelayPlan::new(&members, &setup.relay);
@@ -92,7 +92,7 @@
         let texts = (0..setup.chunks)
             .map(|chunk| chunk_text(0, chunk, setup.chunk_bytes))
             .collect();
-        let mut world = Self {
+        let mut simulation = Self {
             now: Duration::from_secs(10),
             tallies: vec![ProcessTally::default(); members.len()],
             violations: Vec::new(),
@@ -112,14 +112,14 @@
             setup,
         };
         for (position, member) in members.into_iter().enumerate() {
-            world.add(position, member);
+            simulation.add(position, member);
         }
-        world.link_leaves();
-        world.accept();
-        for position in 0..world.processes.len() {
-            world.start(position);
+        simulation.link_leaves();
+        simulation.accept();
+        for position in 0..simulation.processes.len() {
+            simulation.start(position);
         }
-        world
+        simulation
     }
 
     pub(crate) fn len(&self) -> usize {
@@ -155,7 +155,7 @@
         self.accepted.generation
     }
 
-    /// Forgets what was counted.
+    /// Resets the counters.
     pub(crate) fn reset_tallies(&mut self) {
         for tally in &mut self.tallies {
             let adopted_at = std::mem::take(&mut tally.adopted_at);
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Lets time pass.
+    /// Advances the time.
     pub(crate) fn run(&mut self, duration: Duration) {
         let end = self.now + duration;
         while let Some(Reverse((at, id))) = self.queue.peek().copied() {
@@ -183,27 +183,31 @@
 
     fn step(&mut self, step: Step) {
         match step {
-            Step::Event(to, life, event, hops) => {
-                if self.lives(to, life) {
+            Step::Event(to, incarnation, event, hops) => {
+                if self.is_current(to, incarnation) {
                     self.deliver(to, event, hops);
                 }
             }
-            Step::Push(from, life, to, bundle, hops) => self.arrive(from, life, to, bundle, hops),
-            Step::Pull(from, life, to, above) => self.pulled(from, life, to, above),
-            Step::Root(position, life) => {
+            Step::Push(from, incarnation, to, bundle, hops) => {
+                self.arrive(from, incarnation, to, bundle, hops)
+            }
+            Step::Pull(from, incarnation, to, above) => self.pulled(from, incarnation, to, above),
+            Step::Root(position, incarnation) => {
                 let event = AdoptionEvent::RootRead(self.root_of(position));
-                self.push(self.now, Step::Event(position, life, event, 0));
+                self.push(self.now, Step::Event(position, incarnation, event, 0));
+            }
+            Step::Watch(position, incarnation, above, since) => {
+                self.watch(position, incarnation, above, since)
             }
-            Step::Watch(position, life, above, since) => self.watch(position, life, above, since),
-            Step::Chunk(position, life, hash) => {
+            Step::Chunk(position, incarnation, hash) => {
                 let bytes = self.chunks.get(&hash).cloned();
                 let bytes = bytes.filter(|_| self.reaches_store(position));
                 let event = AdoptionEvent::ChunkRead { hash, bytes };
-                self.push(self.now, Step::Event(position, life, event, 0));
+                self.push(self.now, Step::Event(position, incarnation, event, 0));
             }
             Step::Heartbeat(position) => self.heartbeat(position),
-            Step::Tick(position, life) => {
-                if self.lives(position, life) {
+            Step::Tick(position, incarnation) => {
+                if self.is_current(position, incarnation) {
                     let hops = self.tallies[position].hops;
                     self.deliver(position, AdoptionEvent::Tick, hops);
                 }
@@ -211,8 +215,8 @@
         }
     }
 
-    fn lives(&self, position: usize, life: u32) -> bool {
-        self.processes[position].alive && self.processes[position].life == life
+    fn is_current(&self, position: usize, incarnation: u32) -> bool {
+        self.processes[position].alive && self.processes[position].incarnation == incarnation
     }
 
     fn deliver(&mut self, position: usize, event: AdoptionEvent, hops: usize) {
--- a/lovagedock/tests/support/relay_world/store.rs
+++ b/lovagedock/tests/support/relay_simulation/store.rs
@@ -1,20 +1,20 @@
-//! The store as the processes see it.
+//! Store calls of the processes.
 
 use std::time::Duration;
 
 use lovagedock::{AdoptionEvent, Generation, RootOutcome, Timestamp};
 
-use super::{RelayWorld, Step, WATCH_TIME};
+use super::{RelaySimulation, Step, WATCH_TIME};
 
-impl RelayWorld {
+impl RelaySimulation {
     pub(super) fn watch(
         &mut self,
         position: usize,
-        life: u32,
+        incarnation: u32,
         above: Generation,
         since: Timestamp,
     ) {
-        if !self.lives(position, life) {
+        if !self.is_current(position, incarnation) {
             return;
         }
         let outcome = self.root_of(position);
@@ -27,13 +27,13 @@
             };
             self.push(
                 self.now,
-                Step::Event(position, life, AdoptionEvent::RootRead(outcome), 0),
+                Step::Event(position, incarnation, AdoptionEvent::RootRead(outcome), 0),
             );
             return;
         }
-        // The store notices a broken watch as slowly as a caller does.
+        // A watch checks for a change every 100 ms, so a broken watch is not noticed at once.
         let at = self.now + Duration::from_millis(100);
-        self.push(at, Step::Watch(position, life, above, since));
+        self.push(at, Step::Watch(position, incarnation, above, since));
     }
 
     pub(super) fn root_of(&self, position: usize) -> RootOutcome {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The store is in region 0.
+    /// Whether a process can reach the store. The store is in region 0.
     pub(super) fn reaches_store(&self, position: usize) -> bool {
         self.store_up && !self.cut.contains(&self.processes[position].region)
     }
