--- a/lovagedock-gateway/src/direct/call/mod.rs
+++ b/lovagedock-gateway/src/direct/call/mod.rs
@@ -125,7 +125,7 @@
             code = self.run_steps() => Some(code),
             () = state.stop_ended() => None,
         };
-        let code = ended.unwrap_or_else(|| self.end_with_gateway());
+        let code = ended.unwrap_or_else(|| self.end_at_stop());
         self.log_end(code);
     }
 
@@ -295,18 +295,18 @@
                 }
             };
         }
-        let Some(whole) = collect_response(response.message, limit).await else {
+        let Some(buffered) = collect_response(response.message, limit).await else {
             self.log_failure(&endpoint, "incomplete response body");
             self.record_outlier_event(&endpoint, OutlierEvent::Failed);
             return Some(AttemptEnd::Lost);
         };
         if status.is_server_error() {
             self.log_failure(&endpoint, status.as_str());
-            self.failed_response = Some(whole);
+            self.failed_response = Some(buffered);
             return Some(AttemptEnd::Failed);
         }
         self.record_outlier_event(&endpoint, OutlierEvent::Succeeded);
-        self.sender.send_buffered(whole).ok()?;
+        self.sender.send_buffered(buffered).ok()?;
         Some(AttemptEnd::Complete)
     }
 
@@ -400,7 +400,7 @@
 
     /// Ends the request because the gateway stops. A caller that has received no part of the
     /// response is told whether the request may have run.
-    fn end_with_gateway(&mut self) -> ResultCode {
+    fn end_at_stop(&mut self) -> ResultCode {
         self.log_cut();
         let code = self.machine.stopped();
         self.respond(code)
--- a/lovagedock-gateway/src/direct/call/placement.rs
+++ b/lovagedock-gateway/src/direct/call/placement.rs
@@ -6,7 +6,7 @@
 use tokio::time::{sleep, sleep_until, timeout};
 
 use super::DirectCall;
-use crate::direct::state::{GatewayState, PlacedRequest, PlacementBar, PlacementResult};
+use crate::direct::state::{GatewayState, PlacedRequest, PlacementResult, PlacementThreshold};
 
 /// Maximum and minimum time between two placement attempts. Peers send updates up to 800 times a
 /// second, and an attempt takes 19 us of a full core with 70 endpoints (`examples/direct_cost`).
@@ -61,7 +61,7 @@
             let mut available_at = None;
             if may_search {
                 let waited = queued.as_ref().map_or(0.0, |entry| entry.waited(now));
-                match self.search(now, self.placement_bar(waited)) {
+                match self.search(now, self.threshold(waited)) {
                     PlacementResult::Placed(placed) => return Ok(*placed),
                     PlacementResult::Full | PlacementResult::NoEndpoint if is_last_search => {
                         return Err(self.refuse_full(now));
@@ -116,13 +116,13 @@
 
     /// Returns how good a placement has to be, given the fraction of the waiting time that has
     /// passed.
-    fn placement_bar(&self, waited: f64) -> PlacementBar {
+    fn threshold(&self, waited: f64) -> PlacementThreshold {
         if self.machine.sent() > 0 {
-            return PlacementBar::Any;
+            return PlacementThreshold::Any;
         }
         match waited < 1.0 {
-            true => PlacementBar::Selective { waited },
-            false => PlacementBar::WorthStarting,
+            true => PlacementThreshold::Selective { waited },
+            false => PlacementThreshold::WorthStarting,
         }
     }
 
@@ -136,7 +136,7 @@
         plan.is_none_or(|plan| plan.may_send(now, &self.parts.outlook()))
     }
 
-    fn search(&self, now: Timestamp, placement_bar: PlacementBar) -> PlacementResult {
+    fn search(&self, now: Timestamp, threshold: PlacementThreshold) -> PlacementResult {
         let head = &self.parts.head;
         let is_return = self.queue.is_return();
         let gap = self.parts.route.gap_objective;
@@ -157,7 +157,7 @@
             &request,
             self.machine.excluded(),
             self.queue,
-            placement_bar,
+            threshold,
         )
     }
 
@@ -165,17 +165,17 @@
         let time_left = self.deadline.saturating_sub(now);
         let late_at = self.late_at + PRIORITY_OFFSET * u32::from(self.parts.priority);
         let objective_at = self.late_at;
-        let (decision, ticket) = self
-            .state
-            .with_queue(&self.parts.service, self.queue, |queue| {
-                let decision = queue.decide(now, objective_at, time_left, rand::random());
-                (decision, queue.enqueue(late_at))
-            });
+        let (decision, position) =
+            self.state
+                .with_queue(&self.parts.service, self.queue, |queue| {
+                    let decision = queue.decide(now, objective_at, time_left, rand::random());
+                    (decision, queue.enqueue(late_at))
+                });
         let mut entry = QueueEntry {
             state: Arc::clone(&self.state),
             service: self.parts.service.clone(),
             queue: self.queue,
-            ticket,
+            position,
             joined: now,
             until: now,
         };
@@ -228,7 +228,7 @@
     state: Arc<GatewayState>,
     service: ServiceId,
     queue: QueueKind,
-    ticket: (Timestamp, u64),
+    position: (Timestamp, u64),
     joined: Timestamp,
     until: Timestamp,
 }
@@ -242,14 +242,14 @@
     }
 
     fn is_first(&self) -> bool {
-        let is_first = |queue: &mut lovagedock::WaitingQueue| queue.is_first(&self.ticket);
+        let is_first = |queue: &mut lovagedock::WaitingQueue| queue.is_first(&self.position);
         self.state.with_queue(&self.service, self.queue, is_first)
     }
 }
 
 impl Drop for QueueEntry {
     fn drop(&mut self) {
-        let leave = |queue: &mut lovagedock::WaitingQueue| queue.remove(&self.ticket);
+        let leave = |queue: &mut lovagedock::WaitingQueue| queue.remove(&self.position);
         self.state.with_queue(&self.service, self.queue, leave);
         self.state.notify_queue_advanced();
     }
--- a/lovagedock-gateway/src/direct/caller_server.rs
+++ b/lovagedock-gateway/src/direct/caller_server.rs
@@ -248,8 +248,8 @@
         };
         let now = self.state.clock.now();
         let outlook = call.outlook();
-        let is_taken = plan.admits(now, &outlook);
-        let outcome = if is_taken { "taken" } else { "refused" };
+        let is_admitted = plan.admits(now, &outlook);
+        let outcome = if is_admitted { "taken" } else { "refused" };
         metrics::counter!("lovagedock_requests_while_stopping_total", "outcome" => outcome)
             .increment(1);
         if let Some(left_out) = self.state.log_limiter.admit(now) {
@@ -267,7 +267,7 @@
                 "config" => call.config.version,
                 "left_out" => left_out);
         }
-        is_taken
+        is_admitted
     }
 
     fn reject(&self, request: &str, code: ResultCode) -> Response<AnswerBody> {
--- a/lovagedock-gateway/src/direct/exchange.rs
+++ b/lovagedock-gateway/src/direct/exchange.rs
@@ -98,18 +98,19 @@
     pub(crate) async fn send(
         mut self,
         request: Request<Full<Bytes>>,
-        given_up: impl Future<Output = ()>,
+        cancelled: impl Future<Output = ()>,
     ) -> Result<EndpointResponse, ExchangeError> {
         let response = self.sender.send_request(request);
         tokio::select! {
             biased;
             response = response => match response {
-                Ok(message) => Ok(EndpointResponse { message,
+                Ok(message) => Ok(EndpointResponse {
+                    message,
                     connection: self.task,
                 }),
                 Err(error) => Err(ExchangeError::new(error)),
             },
-            () = given_up => Err(ExchangeError::new("abandoned while waiting for the response")),
+            () = cancelled => Err(ExchangeError::new("abandoned while waiting for the response")),
         }
     }
 }
--- a/lovagedock-gateway/src/direct/feed.rs
+++ b/lovagedock-gateway/src/direct/feed.rs
@@ -19,7 +19,7 @@
 
 /// Maximum delay of a gateway that watches only because the watchers cannot reach the store.
 /// Watchers detect its return within 0.4 s and report it.
-const MAX_DEPUTY_BACKOFF: Duration = Duration::from_millis(1500);
+const MAX_FALLBACK_BACKOFF: Duration = Duration::from_millis(1500);
 
 /// Range of the random factor of a delay. Gateways lose the store at the same moment and must not
 /// all retry at the same moment.
@@ -144,7 +144,7 @@
         }
         sleep(self.backoff.mul_f64(rand::random_range(BACKOFF_JITTER))).await;
         let longest = match self.state.watch_role() {
-            WatchRole::Fallback => MAX_DEPUTY_BACKOFF,
+            WatchRole::Fallback => MAX_FALLBACK_BACKOFF,
             WatchRole::Watcher | WatchRole::Follower => MAX_BACKOFF,
         };
         self.backoff = (self.backoff * 2).min(longest);
--- a/lovagedock-gateway/src/direct/gateway.rs
+++ b/lovagedock-gateway/src/direct/gateway.rs
@@ -30,7 +30,7 @@
     callers: SocketAddr,
     health: SocketAddr,
     peers: SocketAddr,
-    front: tokio::task::JoinHandle<()>,
+    server: tokio::task::JoinHandle<()>,
     state: Arc<GatewayState>,
     _admin: AdminServer,
     // Aborts the tasks when the gateway is dropped.
@@ -56,18 +56,23 @@
             log.clone(),
         ));
         let listener = listen(settings.callers).await?;
-        let probes = bind_health_checks(settings.health)
+        let health_listener = bind_health_checks(settings.health)
             .await
             .change_context(GatewayError)?;
         let peers = PeerExchange::bind(Arc::clone(&state), settings.peers);
-        let (peers, relay) = peers.await.change_context(GatewayError)?;
+        let (peers, peer_listener) = peers.await.change_context(GatewayError)?;
         let peers = Arc::new(peers);
-        let surface = Arc::new(GatewayAdmin(Arc::clone(&state)));
-        let admin = AdminServer::start("lovagedock-gateway", &settings.admin, surface, &daemon)
-            .await
-            .change_context(GatewayError)?;
+        let gateway_admin = Arc::new(GatewayAdmin(Arc::clone(&state)));
+        let admin = AdminServer::start(
+            "lovagedock-gateway",
+            &settings.admin,
+            gateway_admin,
+            &daemon,
+        )
+        .await
+        .change_context(GatewayError)?;
         let callers = listener.local_addr().change_context(GatewayError)?;
-        let health = probes.local_addr().change_context(GatewayError)?;
+        let health = health_listener.local_addr().change_context(GatewayError)?;
         let peers_address = peers.address();
         let entry = GatewayEntry {
             name: settings.name.clone(),
@@ -81,24 +86,28 @@
         tasks.spawn(SuspectSync::new(Arc::clone(&state), Arc::clone(&feed)).run());
         tasks.spawn(consult_peers(Arc::clone(&state)));
         tasks.spawn(discover_gateways(Arc::clone(&state), feed, entry));
-        tasks.spawn(serve_peers(relay, Arc::clone(&state), log.clone()));
+        tasks.spawn(serve_peers(peer_listener, Arc::clone(&state), log.clone()));
         tasks.spawn(Arc::clone(&peers).run_sender());
         tasks.spawn(Arc::clone(&peers).run_ticks());
         tasks.spawn(peers.run_receiver());
-        tasks.spawn(serve_health_checks(probes, Arc::clone(&state), log.clone()));
+        tasks.spawn(serve_health_checks(
+            health_listener,
+            Arc::clone(&state),
+            log.clone(),
+        ));
         tasks.spawn(follow_settings(
             Arc::clone(&state),
             settings.clone(),
             daemon.clone(),
         ));
-        let front = CallerServer::new(Arc::clone(&state), dialect, daemon.shutdown, log.clone());
-        let front = tokio::spawn(front.run(listener, settings.bounds.stop_grace()));
+        let server = CallerServer::new(Arc::clone(&state), dialect, daemon.shutdown, log.clone());
+        let server = tokio::spawn(server.run(listener, settings.bounds.stop_grace()));
         info!(log, "serving"; "callers" => %callers, "health" => %health);
         Ok(Self {
             callers,
             health,
             peers: peers_address,
-            front,
+            server,
             state,
             _admin: admin,
             _tasks: tasks,
@@ -127,7 +136,7 @@
 
     /// Waits until shutdown was requested and all connections have ended.
     pub async fn wait(self) -> Result<(), Report<GatewayError>> {
-        self.front.await.change_context(GatewayError)
+        self.server.await.change_context(GatewayError)
     }
 }
 
--- a/lovagedock-gateway/src/direct/response.rs
+++ b/lovagedock-gateway/src/direct/response.rs
@@ -67,11 +67,11 @@
     /// Sends a complete response.
     pub(crate) fn send_buffered(
         &mut self,
-        answer: BufferedResponse,
+        buffered: BufferedResponse,
     ) -> Result<(), CallerDisconnected> {
-        let mut response = Response::new(whole_body(answer.body));
-        *response.status_mut() = answer.status;
-        *response.headers_mut() = answer.headers;
+        let mut response = Response::new(whole_body(buffered.body));
+        *response.status_mut() = buffered.status;
+        *response.headers_mut() = buffered.headers;
         response.headers_mut().remove(CONTENT_LENGTH);
         self.send_head(response)
     }
--- a/lovagedock-gateway/src/direct/settings.rs
+++ b/lovagedock-gateway/src/direct/settings.rs
@@ -108,16 +108,16 @@
         if self.name.is_empty() {
             problems.push("name: found nothing, expected a name".to_owned());
         }
-        let figures = [
+        let limits = [
             ("bounds.retry_ratio", self.bounds.retry_ratio, 0.0),
             ("bounds.retry_slack", self.bounds.retry_slack, 0.0),
             ("bounds.retry_window_s", self.bounds.retry_window_s, 1.0),
             ("bounds.stop_grace_s", self.bounds.stop_grace_s, 1.0),
         ];
-        for (path, found, least) in figures {
-            if !(least..=MAX_BOUND).contains(&found) {
+        for (path, found, min) in limits {
+            if !(min..=MAX_BOUND).contains(&found) {
                 problems.push(format!(
-                    "{path}: found {found}, expected {least} to {MAX_BOUND}"
+                    "{path}: found {found}, expected {min} to {MAX_BOUND}"
                 ));
             }
         }
--- a/lovagedock-gateway/src/direct/state/era.rs
+++ b/lovagedock-gateway/src/direct/state/era.rs
@@ -20,7 +20,7 @@
             metrics::counter!("lovagedock_store_returns_total").increment(1);
             info!(self.log, "store came back from an older copy";
                 "era" => era, "before" => before, "source" => source);
-            self.store_returned.notify_waiters();
+            self.store_restored.notify_waiters();
         }
     }
 
@@ -30,7 +30,7 @@
     }
 
     /// Waits until the store was restored from an earlier copy.
-    pub(crate) fn store_returned(&self) -> Notified<'_> {
-        self.store_returned.notified()
+    pub(crate) fn store_restored(&self) -> Notified<'_> {
+        self.store_restored.notified()
     }
 }
--- a/lovagedock-gateway/src/direct/state/mod.rs
+++ b/lovagedock-gateway/src/direct/state/mod.rs
@@ -37,7 +37,7 @@
 use super::{fleet_tag::FleetTag, log_limiter::LogLimiter};
 
 pub(crate) use listing::EndpointsSnapshot;
-pub(crate) use placement::{PlacedRequest, PlacementBar, PlacementResult};
+pub(crate) use placement::{PlacedRequest, PlacementResult, PlacementThreshold};
 
 /// Steps of the delay after which a gateway uses slots that a peer has freed. A step is longer than
 /// it takes to receive a peer's update about a new request.
@@ -78,7 +78,7 @@
     /// Wakes requests that may be in quarantine now.
     quarantined: Notify,
     /// Wakes the tasks that have to write this gateway's objects to the store again.
-    store_returned: Notify,
+    store_restored: Notify,
     /// Wakes the task that writes suspects to the store.
     pub(crate) suspects_changed: Notify,
     /// Wakes the same task to read the suspects that other gateways have written.
@@ -138,7 +138,7 @@
             queue_advanced: Notify::new(),
             restarted: Notify::new(),
             quarantined: Notify::new(),
-            store_returned: Notify::new(),
+            store_restored: Notify::new(),
             suspects_changed: Notify::new(),
             suspects_read_requested: Notify::new(),
             suspects_read: Notify::new(),
--- a/lovagedock-gateway/src/direct/state/placement.rs
+++ b/lovagedock-gateway/src/direct/state/placement.rs
@@ -63,7 +63,7 @@
 
 /// Minimum quality of a placement.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum PlacementBar {
+pub(crate) enum PlacementThreshold {
     /// With a small lost value only, since the request can wait for a better placement.
     Selective {
         /// Fraction of the waiting time that has passed, from 0 to 1.
@@ -199,7 +199,7 @@
         request: &DirectRequest,
         excluded: &[EndpointProcess],
         kind: QueueKind,
-        bar: PlacementBar,
+        threshold: PlacementThreshold,
     ) -> PlacementResult {
         let now = self.clock.now();
         let mut fleet = self.fleet.lock();
@@ -220,10 +220,10 @@
         let Some(choice) = placer.place(request, &search) else {
             return PlacementResult::Full;
         };
-        let acceptable = match bar {
-            PlacementBar::Selective { waited } => choice.is_acceptable(request, waited),
-            PlacementBar::WorthStarting => placer.is_worth_starting(request, &choice),
-            PlacementBar::Any => true,
+        let acceptable = match threshold {
+            PlacementThreshold::Selective { waited } => choice.is_acceptable(request, waited),
+            PlacementThreshold::WorthStarting => placer.is_worth_starting(request, &choice),
+            PlacementThreshold::Any => true,
         };
         if !acceptable {
             return PlacementResult::Full;
--- a/lovagedock-gateway/src/direct/state/suspects.rs
+++ b/lovagedock-gateway/src/direct/state/suspects.rs
@@ -73,10 +73,10 @@
     pub(crate) fn record_served(&self, fingerprint: RequestFingerprint) {
         let now = self.clock.now();
         let mut fleet = self.fleet.lock();
-        let left = fleet.suspects.quarantined_for(now, fingerprint);
+        let remaining = fleet.suspects.quarantined_for(now, fingerprint);
         fleet.suspects.record_served(now, fingerprint);
         drop(fleet);
-        if left.is_some() {
+        if remaining.is_some() {
             info!(self.log, "quarantine ended, the request was served";
                 "fingerprint" => format_fingerprint(fingerprint));
         }
@@ -132,7 +132,7 @@
     fn report_quarantine(&self, fingerprint: RequestFingerprint, source: QuarantineSource) {
         let now = self.clock.now();
         let fleet = self.fleet.lock();
-        let left = fleet.suspects.quarantined_for(now, fingerprint);
+        let remaining = fleet.suspects.quarantined_for(now, fingerprint);
         let ends = fleet.suspects.ends(fingerprint);
         let count = fleet.suspects.quarantines(now).count();
         drop(fleet);
@@ -140,7 +140,7 @@
         metrics::gauge!("lovagedock_quarantined_requests").set(count as f64);
         info!(self.log, "request in quarantine";
             "fingerprint" => format_fingerprint(fingerprint), "source" => source.as_str(),
-            "ended_processes" => ends, "for_s" => left.map(|left| left.as_secs()));
+            "ended_processes" => ends, "for_s" => remaining.map(|remaining| remaining.as_secs()));
         self.quarantined.notify_waiters();
     }
 }
--- a/lovagedock-gateway/src/direct/suspect_sync.rs
+++ b/lovagedock-gateway/src/direct/suspect_sync.rs
@@ -69,7 +69,7 @@
         }
         loop {
             let is_read_requested = tokio::select! {
-                () = self.state.store_returned() => {
+                () = self.state.store_restored() => {
                     sleep(rewrite_delay()).await;
                     false
                 }
--- a/lovagedock-gateway/tests/direct_answers.rs
+++ b/lovagedock-gateway/tests/direct_answers.rs
@@ -237,19 +237,19 @@
         EndpointScript::Write(script::events(4..6, true)),
     ])
     .await;
-    let breaks =
+    let breaking =
         ScriptedEndpoint::start(vec![EndpointScript::Write(script::events(1..4, false))]).await;
-    let mut entries = vec![entry("i-0", full.address), entry("i-1", breaks.address)];
+    let mut entries = vec![entry("i-0", full.address), entry("i-1", breaking.address)];
     entries[0].slots = 1;
     let feed = TestFeed::new(config_with_objective(1, Duration::from_millis(1)), entries);
     let gateway = TestGateway::start("gateway", &feed).await.ready().await;
-    let holder = open_call(gateway.address(), "/safe/x", "1", "secret").await;
+    let occupant = open_call(gateway.address(), "/safe/x", "1", "secret").await;
     wait_until(|| full.requests().len() == 1).await;
     let stream = open_call(gateway.address(), "/stream/x", "2", "secret").await;
-    wait_until(|| breaks.requests().len() == 1).await;
+    wait_until(|| breaking.requests().len() == 1).await;
     // The engine may reset before or after the slot of the other engine is free.
     sleep(Duration::from_millis(50)).await;
-    drop(holder);
+    drop(occupant);
     let response = read_response(stream).await;
     assert_eq!(response.event_ids(), ["1", "2", "3", "4", "5"]);
     assert!(response.is_complete(), "{}", response.text);
--- a/lovagedock-gateway/tests/direct_notices.rs
+++ b/lovagedock-gateway/tests/direct_notices.rs
@@ -65,10 +65,10 @@
     let response = call(fleet.gateways[0].address(), "/safe/x", "1").await;
     assert_eq!(response.status(), 200, "{}", response.text);
     wait_until(|| fleet.lines.with_message("endpoint is leaving").len() == 2).await;
-    let told = Instant::now();
+    let notified_at = Instant::now();
     let response = call(fleet.gateways[1].address(), "/safe/x", "2").await;
     assert_eq!(response.status(), 503, "{}", response.text);
-    assert_eq!(leaving.arrivals_between(told, Instant::now()), 0);
+    assert_eq!(leaving.arrivals_between(notified_at, Instant::now()), 0);
 }
 
 struct BackoffCase {
--- a/lovagedock-gateway/tests/direct_restarts.rs
+++ b/lovagedock-gateway/tests/direct_restarts.rs
@@ -54,10 +54,10 @@
     let first = entry("i-0", silent.address);
     let feed = TestFeed::new(config(1), vec![first.clone()]);
     let gateway = TestGateway::start("gateway", &feed).await.ready().await;
-    let asked = open_call(gateway.address(), "/once/x", "1", "secret").await;
+    let stream = open_call(gateway.address(), "/once/x", "1", "secret").await;
     wait_until(|| silent.requests().len() == 1).await;
     feed.set_endpoints(vec![restarted(first)]);
-    let response = read_response(asked).await;
+    let response = read_response(stream).await;
     assert_eq!(response.status(), 502, "{}", response.text);
     assert_eq!(silent.requests().len(), 1);
 }
--- a/lovagedock-gateway/tests/direct_stop_phases.rs
+++ b/lovagedock-gateway/tests/direct_stop_phases.rs
@@ -144,8 +144,8 @@
     drop(process);
     let wait = |call: JoinHandle<u16>| outer.block_on(call).expect("the caller ends");
     let statuses: Vec<u16> = calls.into_iter().map(wait).collect();
-    let is_told = |status: &u16| matches!(status, 502 | 503);
-    assert!(statuses.iter().all(is_told), "{statuses:?}");
+    let is_answered = |status: &u16| matches!(status, 502 | 503);
+    assert!(statuses.iter().all(is_answered), "{statuses:?}");
 }
 
 /// Guards against a queued request that is sent as the stop ends, runs, and is lost.
@@ -217,8 +217,8 @@
             status: 503,
         },
     ];
-    let plays = cases.into_iter().map(NonStreamingCase::run);
-    futures::future::join_all(plays).await;
+    let runs = cases.into_iter().map(NonStreamingCase::run);
+    futures::future::join_all(runs).await;
 }
 
 impl NonStreamingCase {
