--- a/lovagedock-gateway/src/direct/caller_server.rs
+++ b/lovagedock-gateway/src/direct/caller_server.rs
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Returns whether idle connections are closed.
+    /// Returns whether the notice period of a stop has ended. After it, idle connections are closed.
     fn is_past_notice(&self) -> bool {
         let now = self.state.clock.now();
         let plan = self.state.stop_plan();
--- a/lovagedock-gateway/src/direct/exchange.rs
+++ b/lovagedock-gateway/src/direct/exchange.rs
@@ -94,7 +94,7 @@
         })
     }
 
-    /// Sends the request and waits for the head of the response, or until `given_up` completes.
+    /// Sends the request and waits for the head of the response, or until `cancelled` completes.
     pub(crate) async fn send(
         mut self,
         request: Request<Full<Bytes>>,
--- a/lovagedock-gateway/src/direct/peers.rs
+++ b/lovagedock-gateway/src/direct/peers.rs
@@ -44,7 +44,7 @@
 /// packet size.
 const LOADS_PER_DATAGRAM: usize = 24;
 
-/// Size of the receive buffer for datagrams, in bytes.
+/// Maximum size of a received datagram, in bytes.
 const MAX_DATAGRAM: usize = 4096;
 
 /// Number of ports that are tried if the settings allow any free port.
--- a/lovagedock-gateway/src/direct/state/fleet_state.rs
+++ b/lovagedock-gateway/src/direct/state/fleet_state.rs
@@ -248,7 +248,7 @@
     Found(Vec<PlacerCandidate<'a>>),
     /// All endpoints are rate limited or in backoff, at least until this time.
     Unavailable { until: Timestamp },
-    /// The service has no endpoint that takes work.
+    /// The service has no endpoint that accepts work.
     NoEndpoint,
 }
 
--- a/lovagedock-gateway/tests/direct_crashes.rs
+++ b/lovagedock-gateway/tests/direct_crashes.rs
@@ -80,7 +80,8 @@
     }
 }
 
-/// Does the same with gateways that lose each other's messages but reach the store.
+/// Guards against a crashing request that is not quarantined by gateways that lose each other's
+/// messages but reach the store.
 #[tokio::test]
 async fn a_crashing_request_is_quarantined_without_peer_contact() {
     let fleet = CrashingFleet::start(HOSTS).await;
