--- a/lovagedock-gateway/src/direct/call/placement.rs
+++ b/lovagedock-gateway/src/direct/call/placement.rs
@@ -48,12 +48,12 @@
                 return Err(self.machine.expired());
             }
             if !self.may_send(now) {
-                self.log_refused("the gateway is stopping");
+                self.log_refused("the gateway stops");
                 return Err(DirectStep::Answer(self.machine.stopped()));
             }
             if let Some(remaining) = self.state.quarantined_for(self.fingerprint) {
                 self.retry_after = Some(remaining);
-                self.log_refused("the request is in quarantine");
+                self.log_refused("engines end under it");
                 return Err(self.machine.quarantined(now));
             }
             let is_last_search = queued.as_ref().is_some_and(|entry| now >= entry.until);
@@ -190,7 +190,7 @@
             }
             QueueDecision::Refuse { retry_after } => {
                 self.retry_after = Some(retry_after);
-                self.log_refused("the expected wait is too long");
+                self.log_refused("it would wait too long");
                 Err(self.machine.no_place(now))
             }
         }
@@ -218,7 +218,7 @@
                 queue.retry_after(Duration::ZERO, time_left, rand::random())
             });
         self.retry_after = Some(retry_after);
-        self.log_refused("no capacity became free in time");
+        self.log_refused("no place came free in time");
         self.machine.no_place(now)
     }
 }
