--- a/lovagedock-gateway/src/direct/delivery.rs
+++ b/lovagedock-gateway/src/direct/delivery.rs
@@ -1,4 +1,4 @@
-//! Takes an endpoint's answer and hands it to the caller.
+//! Delivers an endpoint's response to the caller.
 
 use std::time::Duration;
 
@@ -14,15 +14,16 @@
 use tokio::time::{Instant, timeout_at};
 
 use super::{
-    answer::{CallerWay, WholeAnswer},
     dialect::EndpointHead,
     liveness::LivenessWatch,
+    response::{BufferedResponse, ResponseSender},
 };
 
-/// Largest body of an answer that is not a stream, in bytes; the store's largest value.
-const MAX_ANSWER_BYTES: usize = 16 << 20;
+/// Maximum body size of a response that is not a stream, in bytes; the size of the
+/// largest value in the store.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers.
 const CONNECTION_HEADERS: [HeaderName; 6] = [
     CONNECTION,
     TE,
@@ -32,8 +33,9 @@
     HeaderName::from_static("keep-alive"),
 ];
 
-/// Returns how the attempt ended, or `None` if the head is that of a valid answer to `request`.
-pub(crate) fn judge_head(
+/// Classifies a response by its head. Returns how the attempt ended, or `None` if this is a valid
+/// response to `request`.
+pub(crate) fn classify_response(
     head: &EndpointHead,
     request: &str,
     response: &Response<Incoming>,
@@ -45,18 +47,18 @@
     if head.not_run {
         return Some(AttemptEnd::NotRun);
     }
-    // A crossed answer bears another request's id. Delivered, a caller would read what belongs to
-    // another.
-    let crossed = head.request.as_deref().is_some_and(|id| id != request);
+    // A mismatched request id means that this is the response to another request, which the caller
+    // must not read.
+    let is_mismatched = head.request.as_deref().is_some_and(|id| id != request);
     let encoded = response.headers().contains_key(CONTENT_ENCODING);
-    if crossed || encoded || (status.is_success() && !head.sealed) {
+    if is_mismatched || encoded || (status.is_success() && !head.sealed) {
         return Some(AttemptEnd::Lost);
     }
     None
 }
 
-/// Headers for the caller.
-pub(crate) fn answer_headers(headers: &HeaderMap) -> HeaderMap {
+/// Returns the headers to forward to the caller.
+pub(crate) fn response_headers(headers: &HeaderMap) -> HeaderMap {
     let mut kept = headers.clone();
     for name in &CONNECTION_HEADERS {
         kept.remove(name);
@@ -64,22 +66,22 @@
     kept
 }
 
-/// Collects an answer that is not a stream; `None` if it did not come whole.
-pub(crate) async fn collect_whole(
+/// Reads a response that is not a stream. Returns `None` if it is incomplete.
+pub(crate) async fn collect_response(
     response: Response<Incoming>,
     until: Instant,
-) -> Option<WholeAnswer> {
+) -> Option<BufferedResponse> {
     let (head, body) = response.into_parts();
-    let body = Limited::new(body, MAX_ANSWER_BYTES).collect();
+    let body = Limited::new(body, MAX_RESPONSE_BYTES).collect();
     let body = timeout_at(until, body).await.ok()?.ok()?.to_bytes();
-    Some(WholeAnswer {
+    Some(BufferedResponse {
         status: head.status,
-        headers: answer_headers(&head.headers),
+        headers: response_headers(&head.headers),
         body,
     })
 }
 
-/// A stream on its way from an endpoint to the caller.
+/// Delivers a stream from one or more endpoints to the caller.
 pub(crate) struct StreamDelivery {
     splitter: EventSplitter,
     last_id: Option<String>,
@@ -87,11 +89,11 @@
     first_at: Option<Instant>,
     last_at: Option<Instant>,
     longest_gap: Duration,
-    /// First event of the present attempt.
+    /// When the first event of the current attempt arrived.
     attempt_first_at: Option<Instant>,
 }
 
-/// What reading the next piece of a stream gave.
+/// Result of reading from a stream.
 enum StreamPiece {
     Bytes(Bytes),
     End,
@@ -103,28 +105,28 @@
 pub(crate) enum StreamEnd {
     /// The attempt ended.
     Attempt(AttemptEnd),
-    /// The caller has gone.
-    CallerLost,
+    /// The caller has disconnected.
+    CallerDisconnected,
 }
 
-/// How long a stream may stay silent.
+/// Limits on the silence of a stream.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct StreamPatience {
-    /// Until the first event.
-    pub(crate) first: Instant,
-    /// Between events.
+pub(crate) struct StreamTimeouts {
+    /// Time of the first probe if no event arrives.
+    pub(crate) first_probe_at: Instant,
+    /// Silence between two events after which the endpoint is probed.
     pub(crate) gap: Duration,
-    /// Whether another endpoint may continue the answer. If none may, giving up one that is there
-    /// only cuts it.
+    /// Whether another endpoint may resume the response. If none may, abandoning a live endpoint
+    /// only cuts the response.
     pub(crate) may_resume: bool,
-    /// Until when a silent endpoint that is there may go on.
+    /// Time until which a live endpoint may stay silent.
     pub(crate) limit: Instant,
-    /// End of the request's time.
-    pub(crate) cutoff: Instant,
+    /// Deadline of the request.
+    pub(crate) deadline: Instant,
 }
 
 impl StreamDelivery {
-    /// A stream that has not begun; `resume_after` is the event that the caller has already.
+    /// Creates a delivery. `resume_after` is the last event that the caller already has.
     pub(crate) fn new(resume_after: Option<String>) -> Self {
         Self {
             splitter: EventSplitter::new(),
@@ -137,114 +139,115 @@
         }
     }
 
-    /// Says that another endpoint is about to answer.
+    /// Resets the state of the previous attempt.
     pub(crate) fn begin_attempt(&mut self) {
         self.attempt_first_at = None;
     }
 
-    /// Time since the first event of the present attempt.
-    pub(crate) fn streamed_for(&self) -> Duration {
+    /// Returns the time since the first event of the current attempt.
+    pub(crate) fn attempt_stream_time(&self) -> Duration {
         let first_at = self.attempt_first_at;
         first_at.map_or(Duration::ZERO, |first_at| first_at.elapsed())
     }
 
-    /// The last event that the caller has.
+    /// Returns the id of the last event that the caller has.
     pub(crate) fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
 
-    /// Events that were delivered.
+    /// Returns the number of delivered events.
     pub(crate) fn events(&self) -> u64 {
         self.events
     }
 
-    /// When the first event was delivered.
+    /// Returns when the first event was delivered.
     pub(crate) fn first_at(&self) -> Option<Instant> {
         self.first_at
     }
 
-    /// When the last event was delivered.
+    /// Returns when the last event was delivered.
     pub(crate) fn last_at(&self) -> Option<Instant> {
         self.last_at
     }
 
-    /// Longest pause between two events that were delivered.
+    /// Returns the longest time between two delivered events.
     pub(crate) fn longest_gap(&self) -> Duration {
         self.longest_gap
     }
 
-    /// Delivers an answer until it ends; `on_event` is called for each event of this answer with the
-    /// first one's time, if an earlier one was delivered, and the longest pause so far.
+    /// Delivers a response until it ends. Calls `on_event` for each event with the time of the
+    /// first delivered event, or the current time if there is none, and the longest gap so far.
     pub(crate) async fn run(
         &mut self,
         response: Response<Incoming>,
-        way: &mut CallerWay,
-        patience: StreamPatience,
+        sender: &mut ResponseSender,
+        timeouts: StreamTimeouts,
         watch: &LivenessWatch,
         mut on_event: impl FnMut(Instant, Duration),
     ) -> StreamEnd {
         let (head, mut body) = response.into_parts();
         self.splitter = EventSplitter::new();
-        let mut until = patience.first;
-        let mut limit = patience.limit.min(patience.cutoff);
+        let mut until = timeouts.first_probe_at;
+        let mut limit = timeouts.limit.min(timeouts.deadline);
         let mut read_at: Option<Instant> = None;
         loop {
             let piece = tokio::select! {
                 biased;
                 piece = next_piece(&mut body) => piece,
-                () = watch.silent(until, limit) => StreamPiece::Broken,
+                () = watch.wait_until_unresponsive(until, limit) => StreamPiece::Broken,
             };
             match piece {
                 StreamPiece::Bytes(bytes) => {
-                    watch.note_heard();
+                    watch.record_activity();
                     self.splitter.push(&bytes);
                 }
                 StreamPiece::End if !self.splitter.has_partial() => {
-                    return self.finish(way, &head).await;
+                    return self.finish(sender, &head).await;
                 }
-                StreamPiece::End | StreamPiece::Broken => return self.broken(way),
+                StreamPiece::End | StreamPiece::Broken => return self.broken_end(sender),
             }
             while let Some(event) = self.splitter.next_event() {
                 let now = Instant::now();
                 if let Some(before) = read_at.replace(now) {
-                    watch.note_gap(now - before);
+                    watch.record_event_gap(now - before);
                 }
                 self.attempt_first_at.get_or_insert(now);
                 on_event(self.first_at.unwrap_or(now), self.longest_gap);
                 if self.is_repeated(event.id.as_deref()) {
                     continue;
                 }
-                if !way.has_begun() {
-                    let headers = answer_headers(&head.headers);
-                    if way.begin_stream(head.status, headers).is_err() {
-                        return StreamEnd::CallerLost;
+                if !sender.has_begun() {
+                    let headers = response_headers(&head.headers);
+                    if sender.begin_stream(head.status, headers).is_err() {
+                        return StreamEnd::CallerDisconnected;
                     }
                 }
-                if way.send_piece(event.bytes).await.is_err() {
-                    return StreamEnd::CallerLost;
+                if sender.send_chunk(event.bytes).await.is_err() {
+                    return StreamEnd::CallerDisconnected;
                 }
                 self.events += 1;
-                self.note_time(Instant::now());
+                self.record_delivery(Instant::now());
                 if event.id.is_some() {
                     self.last_id = event.id;
                 }
-                until = Instant::now() + patience.gap;
-                limit = match patience.may_resume {
-                    true => (until + patience.gap * 2).min(patience.cutoff),
-                    false => patience.cutoff,
+                until = Instant::now() + timeouts.gap;
+                limit = match timeouts.may_resume {
+                    true => (until + timeouts.gap * 2).min(timeouts.deadline),
+                    false => timeouts.deadline,
                 };
             }
         }
     }
 
-    fn note_time(&mut self, now: Instant) {
+    fn record_delivery(&mut self, now: Instant) {
         self.first_at.get_or_insert(now);
         if let Some(last) = self.last_at.replace(now) {
             self.longest_gap = self.longest_gap.max(now - last);
         }
     }
 
-    /// An engine that continues a stream may begin with events that the caller has.
+    /// Returns whether the caller already has the event. An engine that resumes a stream may repeat
+    /// events.
     fn is_repeated(&self, id: Option<&str>) -> bool {
         let number = |id: &str| id.parse::<u64>().ok();
         let last = self.last_id.as_deref().and_then(number);
@@ -254,19 +257,19 @@
         }
     }
 
-    async fn finish(&self, way: &mut CallerWay, head: &Parts) -> StreamEnd {
-        if !way.has_begun() {
-            let headers = answer_headers(&head.headers);
-            if way.begin_stream(head.status, headers).is_err() {
-                return StreamEnd::CallerLost;
+    async fn finish(&self, sender: &mut ResponseSender, head: &Parts) -> StreamEnd {
+        if !sender.has_begun() {
+            let headers = response_headers(&head.headers);
+            if sender.begin_stream(head.status, headers).is_err() {
+                return StreamEnd::CallerDisconnected;
             }
         }
-        way.finish().await;
+        sender.finish().await;
         StreamEnd::Attempt(AttemptEnd::Complete)
     }
 
-    fn broken(&self, way: &CallerWay) -> StreamEnd {
-        StreamEnd::Attempt(match way.has_begun() {
+    fn broken_end(&self, sender: &ResponseSender) -> StreamEnd {
+        StreamEnd::Attempt(match sender.has_begun() {
             true => AttemptEnd::Broken,
             false => AttemptEnd::Lost,
         })
--- a/lovagedock-gateway/src/direct/liveness.rs
+++ b/lovagedock-gateway/src/direct/liveness.rs
@@ -1,4 +1,4 @@
-//! Tells an endpoint that is gone from one that is slow.
+//! Distinguishes an endpoint that is gone from one that is slow.
 
 use std::{io::ErrorKind, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -8,46 +8,47 @@
     time::{Instant, sleep_until, timeout},
 };
 
-use super::{board::FleetBoard, exchange::EndpointConnection};
+use super::{exchange::EndpointConnection, state::GatewayState};
 
-/// An endpoint that sent anything to anybody within this time is there.
-const HEARD_LATELY: Duration = Duration::from_millis(600);
+/// An endpoint that sent anything for any request within this time is alive.
+const RECENT_ACTIVITY: Duration = Duration::from_millis(600);
 
-/// Time between two looks at an endpoint that is there but silent to this request.
-const LOOK_AGAIN: Duration = Duration::from_millis(400);
+/// Time between two probes of an endpoint that is alive but silent for this request.
+const RECHECK_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Time for a look at a process after a connection to it broke. One that has ended is known at once,
-/// since its host refuses the connection.
-const LOOK_TIME: Duration = Duration::from_millis(120);
+/// Time limit for probing a process after a connection to it broke. A process that has ended is
+/// detected immediately, since its host refuses the connection.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(120);
 
-/// What a look at an endpoint's address says of its process.
+/// State of the process at an endpoint's address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ProcessState {
-    /// It takes connections.
+    /// It accepts connections.
     Running,
-    /// Its host is there and nobody listens.
+    /// Its host responds, but no process listens at the address.
     Ended,
-    /// Nobody answers: host or path may be at fault.
-    OutOfReach,
+    /// There is no response; the host or the path may be at fault.
+    Unreachable,
 }
 
-/// Looks whether the process at an address is there.
-pub(crate) async fn process_state(address: SocketAddr) -> ProcessState {
-    match timeout(LOOK_TIME, TcpStream::connect(address)).await {
+/// Probes the process at an address.
+pub(crate) async fn probe_process(address: SocketAddr) -> ProcessState {
+    match timeout(PROBE_TIMEOUT, TcpStream::connect(address)).await {
         Ok(Ok(_)) => ProcessState::Running,
         Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => ProcessState::Ended,
-        Ok(Err(_)) | Err(_) => ProcessState::OutOfReach,
+        Ok(Err(_)) | Err(_) => ProcessState::Unreachable,
     }
 }
 
-/// Waits for endpoints' silence to mean something.
+/// Watches an endpoint that has a request and detects when it is gone.
 ///
-/// An engine under load is silent to one request for seconds while it reads prompts of others. Given
-/// up, all that it has read is lost, and reading it again elsewhere makes the load worse. An engine
-/// that is gone neither sends to others nor takes a connection.
+/// An engine under load may be silent for one request for seconds while it prefills the prompts of
+/// others. If it were abandoned, its work would be lost and repeating the prefill elsewhere would
+/// increase the load. An engine that is gone neither sends events for other requests nor accepts
+/// connections.
 #[derive(Clone)]
 pub(crate) struct LivenessWatch {
-    board: Arc<FleetBoard>,
+    state: Arc<GatewayState>,
     service: ServiceId,
     endpoint: EndpointProcess,
     address: SocketAddr,
@@ -55,15 +56,15 @@
 }
 
 impl LivenessWatch {
-    /// A watch of an endpoint that has a request.
+    /// Creates a watch of an endpoint that has a request.
     pub(crate) fn new(
-        board: Arc<FleetBoard>,
+        state: Arc<GatewayState>,
         service: ServiceId,
         endpoint: DirectEndpoint,
         fingerprint: RequestFingerprint,
     ) -> Self {
         Self {
-            board,
+            state,
             service,
             endpoint: endpoint.process,
             address: endpoint.address,
@@ -72,89 +73,92 @@
     }
 
     /// Records that the endpoint sent something.
-    pub(crate) fn note_heard(&self) {
-        self.board.note_heard(&self.service, &self.endpoint);
+    pub(crate) fn record_activity(&self) {
+        self.state.record_activity(&self.service, &self.endpoint);
     }
 
-    /// Records the gap between two events of the endpoint's answer.
-    pub(crate) fn note_gap(&self, gap: Duration) {
-        self.board.note_gap(&self.service, &self.endpoint, gap);
+    /// Records the time between two events of the endpoint's response.
+    pub(crate) fn record_event_gap(&self, gap: Duration) {
+        self.state
+            .record_event_gap(&self.service, &self.endpoint, gap);
     }
 
-    /// Ends when the endpoint, silent to this request until `patience`, is found to be gone, and at
-    /// `limit` at the latest; at once when another process has taken its place.
+    /// Waits until the endpoint is found to be gone. It is probed from `recheck_at` on, and the
+    /// wait ends at `limit` at the latest.
     ///
-    /// A process that lost power ends no connection, and the next one at its address takes new ones:
-    /// asked whether it is there, it says yes, and the request would wait for nobody until `limit`.
+    /// Ends at once when another process has replaced the endpoint's process. A process that lost
+    /// power closes no connection, and the next process at its address accepts new ones. Without
+    /// this check the probe would succeed and the request would wait until `limit`.
     ///
-    /// Ends as well when the request is put into quarantine: an engine that has not begun to run it is
-    /// spared when its connection ends.
-    pub(crate) async fn silent(&self, patience: Instant, limit: Instant) {
+    /// Ends as well when the request is put into quarantine. An engine that has not begun to run
+    /// the request drops it when its connection is closed.
+    pub(crate) async fn wait_until_unresponsive(&self, recheck_at: Instant, limit: Instant) {
         tokio::select! {
-            () = self.gone(patience, limit) => {}
-            () = self.replaced() => {}
-            () = self.quarantined() => {}
+            () = self.wait_until_gone(recheck_at, limit) => {}
+            () = self.wait_until_replaced() => {}
+            () = self.wait_until_quarantined() => {}
         }
     }
 
-    async fn quarantined(&self) {
+    async fn wait_until_quarantined(&self) {
         loop {
-            let mut quarantined = std::pin::pin!(self.board.quarantined());
+            let mut quarantined = std::pin::pin!(self.state.quarantined());
             quarantined.as_mut().enable();
-            if self.board.quarantined_for(self.fingerprint).is_some() {
+            if self.state.quarantined_for(self.fingerprint).is_some() {
                 return;
             }
             quarantined.await;
         }
     }
 
-    async fn replaced(&self) {
+    async fn wait_until_replaced(&self) {
         loop {
-            let mut restarted = std::pin::pin!(self.board.restarted());
+            let mut restarted = std::pin::pin!(self.state.restarted());
             restarted.as_mut().enable();
-            if self.board.is_replaced(&self.endpoint) {
+            if self.state.is_replaced(&self.endpoint) {
                 return;
             }
             restarted.await;
         }
     }
 
-    async fn gone(&self, patience: Instant, limit: Instant) {
-        let mut until = patience.min(limit);
+    async fn wait_until_gone(&self, recheck_at: Instant, limit: Instant) {
+        let mut until = recheck_at.min(limit);
         loop {
             sleep_until(until).await;
-            if until >= limit || !self.is_there().await {
+            if until >= limit || !self.is_alive().await {
                 return;
             }
-            until = (Instant::now() + LOOK_AGAIN).min(limit);
+            until = (Instant::now() + RECHECK_INTERVAL).min(limit);
         }
     }
 
-    /// The process that is watched.
+    /// Returns the watched process.
     pub(crate) fn endpoint(&self) -> &EndpointProcess {
         &self.endpoint
     }
 
-    /// The time by which [`heard_since`](Self::heard_since) goes.
+    /// Returns the current time of the clock that [`was_active_since`](Self::was_active_since)
+    /// uses.
     pub(crate) fn now(&self) -> Timestamp {
-        self.board.clock.now()
+        self.state.clock.now()
     }
 
-    /// Whether the process sent anything to this gateway after `since`.
-    pub(crate) fn heard_since(&self, since: Timestamp) -> bool {
-        let heard = self.board.heard_at(&self.service, &self.endpoint.id);
-        heard > since && !self.board.is_replaced(&self.endpoint)
+    /// Returns whether the process sent anything to this gateway after `since`.
+    pub(crate) fn was_active_since(&self, since: Timestamp) -> bool {
+        let last_activity = self.state.last_activity(&self.service, &self.endpoint.id);
+        last_activity > since && !self.state.is_replaced(&self.endpoint)
     }
 
-    /// Whether the process was heard a moment ago or somebody takes a connection at its address; not
-    /// if another one is known to have its place.
-    pub(crate) async fn is_there(&self) -> bool {
-        if self.board.is_replaced(&self.endpoint) {
+    /// Returns whether the process was active recently or its address accepts connections. Returns
+    /// false if another process is known to have replaced it.
+    pub(crate) async fn is_alive(&self) -> bool {
+        if self.state.is_replaced(&self.endpoint) {
             return false;
         }
-        let now = self.board.clock.now();
-        let heard = self.board.heard_at(&self.service, &self.endpoint.id);
-        if heard > Timestamp::ZERO && now.saturating_sub(heard) < HEARD_LATELY {
+        let now = self.state.clock.now();
+        let last_activity = self.state.last_activity(&self.service, &self.endpoint.id);
+        if last_activity > Timestamp::ZERO && now.saturating_sub(last_activity) < RECENT_ACTIVITY {
             return true;
         }
         EndpointConnection::open(self.address).await.is_ok()
--- a/lovagedock-gateway/src/direct/board/mod.rs
+++ b/lovagedock-gateway/src/direct/state/mod.rs
@@ -1,12 +1,12 @@
-//! What a gateway knows and has decided, shared by all its requests.
+//! State of a gateway, shared by all its requests.
 
 mod era;
+mod fleet_state;
 mod limits;
 mod listing;
 mod notices;
 mod peers;
-mod place;
-mod state;
+mod placement;
 mod suspects;
 
 use std::{
@@ -33,21 +33,21 @@
     time::sleep_until,
 };
 
-use self::state::FleetState;
-use super::{fleet_tag::FleetTag, journal::LineBudget};
+use self::fleet_state::FleetState;
+use super::{fleet_tag::FleetTag, log_limiter::LogLimiter};
 
-pub(crate) use listing::EndpointsState;
-pub(crate) use place::{PlaceEffort, PlaceResult, PlacedRequest};
+pub(crate) use listing::EndpointsSnapshot;
+pub(crate) use placement::{PlacedRequest, PlacementResult, PlacementThreshold};
 
-/// Steps of the delay after which a gateway takes slots that a peer has freed; a step is longer than
-/// it takes to hear of a peer's request.
+/// Steps of the delay after which a gateway uses slots that a peer has freed. A step is longer than
+/// it takes to receive a peer's update about a new request.
 const SLOT_DELAY_STEP: Duration = Duration::from_millis(20);
 const SLOT_DELAY_STEPS: u32 = 5;
 
-/// Time between two ticks, which look for peers that are gone and for endpoints that may be tried again.
+/// Time between two ticks, which look for silent peers and for endpoints that may be tried again.
 pub(crate) const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The delay of this gateway; it differs between gateways.
+/// Returns a random slot delay for this gateway, so that gateways differ.
 fn slot_delay() -> Duration {
     SLOT_DELAY_STEP * rand::random_range(1..=SLOT_DELAY_STEPS)
 }
@@ -55,52 +55,52 @@
 /// Shared state of a gateway.
 ///
 /// Lock order: `fleet` is the only lock and is never held across a wait.
-pub(crate) struct FleetBoard {
+pub(crate) struct GatewayState {
     /// Name of the gateway.
     pub(crate) name: GatewayId,
-    /// The fleet that it belongs to.
+    /// The fleet to which it belongs.
     pub(crate) fleet_tag: FleetTag,
     /// Clock of the process.
     pub(crate) clock: ProcessClock,
-    /// Configuration in force.
+    /// The current configuration.
     config: ArcSwapOption<TrafficConfig>,
     fleet: Mutex<FleetState>,
-    /// Wakes requests that wait for a place.
-    changed: Notify,
-    /// Wakes the task that tells peers at once.
-    pub(crate) placed: Notify,
-    /// Wakes it for what can wait a moment.
-    pub(crate) ended: Notify,
-    /// Wakes requests that wait behind others.
-    line_moved: Notify,
-    /// Wakes requests whose endpoint may have started again.
+    /// Wakes requests that wait for a placement.
+    capacity_changed: Notify,
+    /// Wakes the task that sends updates to peers, to send at once.
+    pub(crate) urgent_update: Notify,
+    /// Wakes the same task, to send after a short delay.
+    pub(crate) deferred_update: Notify,
+    /// Wakes requests that wait behind others in a queue.
+    queue_advanced: Notify,
+    /// Wakes requests whose endpoint may have restarted.
     restarted: Notify,
     /// Wakes requests that may be in quarantine now.
     quarantined: Notify,
-    /// Wakes those who have to write their own objects of the store again.
-    store_returned: Notify,
-    /// Wakes the task that keeps suspects in the store.
+    /// Wakes the tasks that have to write this gateway's objects to the store again.
+    store_restored: Notify,
+    /// Wakes the task that writes suspects to the store.
     pub(crate) suspects_changed: Notify,
-    /// Wakes it to read what other gateways have kept.
-    pub(crate) suspects_wanted: Notify,
-    /// Wakes those who wait for that.
+    /// Wakes the same task to read the suspects that other gateways have written.
+    pub(crate) suspects_read_requested: Notify,
+    /// Wakes requests that wait for this read.
     pub(crate) suspects_read: Notify,
-    listed: AtomicBool,
-    suspects_asked: AtomicBool,
-    peers_asked: AtomicBool,
-    greeting: AtomicBool,
+    endpoints_listed: AtomicBool,
+    suspects_requested: AtomicBool,
+    peers_consulted: AtomicBool,
+    announce_pending: AtomicBool,
     gateways_listed: AtomicBool,
-    hears_serving: AtomicBool,
+    serving_peer_heard: AtomicBool,
     store_reachable: AtomicBool,
     stopping: watch::Sender<Option<StopPlan>>,
-    /// Bounds lines about requests.
-    pub(crate) lines: LineBudget,
-    /// Log of the process.
+    /// Limits the number of log lines about requests.
+    pub(crate) log_limiter: LogLimiter,
+    /// Logger of the process.
     pub(crate) log: Logger,
 }
 
-impl FleetBoard {
-    /// A board of a gateway that knows nothing yet.
+impl GatewayState {
+    /// Creates the state of a gateway that knows no configuration and no endpoints.
     pub(crate) fn new(
         name: GatewayId,
         fleet_tag: FleetTag,
@@ -117,59 +117,60 @@
             fleet: Mutex::new(FleetState {
                 endpoints: EndpointTable::new(),
                 ledger: WorkLedger::new().with_slot_delay(slot_delay()),
-                paces: SlowdownTracker::new(),
+                slowdowns: SlowdownTracker::new(),
                 services: HashMap::new(),
                 peers: HashMap::new(),
                 retries,
                 refusals: RefusalLog::new(),
                 suspects: SuspectLedger::new(),
-                sight: PeerLiveness::new(),
-                duty: WatcherSelection::new(),
-                stoppage: PauseDetector::new(),
+                peer_liveness: PeerLiveness::new(),
+                watcher_selection: WatcherSelection::new(),
+                pause_detector: PauseDetector::new(),
                 listing: EndpointListing::new(),
                 rate_limits,
                 backoffs: EndpointBackoffs::new(),
-                leaving_news: LeavingQueue::new(),
+                leaving_queue: LeavingQueue::new(),
                 store_era: None,
             }),
-            changed: Notify::new(),
-            placed: Notify::new(),
-            ended: Notify::new(),
-            line_moved: Notify::new(),
+            capacity_changed: Notify::new(),
+            urgent_update: Notify::new(),
+            deferred_update: Notify::new(),
+            queue_advanced: Notify::new(),
             restarted: Notify::new(),
             quarantined: Notify::new(),
-            store_returned: Notify::new(),
+            store_restored: Notify::new(),
             suspects_changed: Notify::new(),
-            suspects_wanted: Notify::new(),
+            suspects_read_requested: Notify::new(),
             suspects_read: Notify::new(),
-            listed: AtomicBool::new(false),
-            suspects_asked: AtomicBool::new(false),
-            peers_asked: AtomicBool::new(false),
-            greeting: AtomicBool::new(false),
+            endpoints_listed: AtomicBool::new(false),
+            suspects_requested: AtomicBool::new(false),
+            peers_consulted: AtomicBool::new(false),
+            announce_pending: AtomicBool::new(false),
             gateways_listed: AtomicBool::new(false),
-            hears_serving: AtomicBool::new(false),
+            serving_peer_heard: AtomicBool::new(false),
             store_reachable: AtomicBool::new(false),
             stopping: watch::Sender::new(None),
-            lines: LineBudget::new(),
+            log_limiter: LogLimiter::new(),
             log,
         }
     }
 
-    /// The configuration in force, if any is known.
+    /// Returns the current configuration, if any.
     pub(crate) fn config(&self) -> Option<Arc<TrafficConfig>> {
         self.config.load_full()
     }
 
-    /// The configuration that callers may be served by, see [`set_peers_asked`](Self::set_peers_asked).
+    /// Returns the configuration for serving callers. It is available after
+    /// [`set_peers_consulted`](Self::set_peers_consulted).
     pub(crate) fn trusted_config(&self) -> Option<Arc<TrafficConfig>> {
-        let is_trusted = self.peers_asked.load(Ordering::Relaxed);
+        let is_trusted = self.peers_consulted.load(Ordering::Relaxed);
         self.config().filter(|_| is_trusted)
     }
 
-    /// Takes a configuration in force unless a newer one is; tells whether it was.
+    /// Applies a configuration if it is newer than the current one, and returns whether it was.
     ///
-    /// A version never goes back: a read that was answered late, or by a peer, may be an older one.
-    pub(crate) fn adopt(&self, config: Arc<TrafficConfig>, source: &str) -> bool {
+    /// Versions never decrease: a delayed read, or a peer, may return an older one.
+    pub(crate) fn apply_config(&self, config: Arc<TrafficConfig>, source: &str) -> bool {
         let known = self.config().map_or(0, |known| known.version);
         if self.config.load().is_some() && config.version <= known {
             return false;
@@ -178,36 +179,36 @@
             "version" => config.version, "before" => known, "source" => source,
             "routes" => config.route_count(), "services" => config.services.len());
         self.config.store(Some(config));
-        self.placed.notify_one();
+        self.urgent_update.notify_one();
         true
     }
 
-    /// Says that endpoints have been listed once.
-    pub(crate) fn set_listed(&self) {
-        self.listed.store(true, Ordering::Relaxed);
+    /// Records that endpoints have been listed once.
+    pub(crate) fn set_endpoints_listed(&self) {
+        self.endpoints_listed.store(true, Ordering::Relaxed);
     }
 
-    /// Says that what gateways have kept of suspects was asked for once, with or without an answer.
-    pub(crate) fn set_suspects_asked(&self) {
-        self.suspects_asked.store(true, Ordering::Relaxed);
+    /// Records that the suspects in the store were requested once, with or without a response.
+    pub(crate) fn set_suspects_requested(&self) {
+        self.suspects_requested.store(true, Ordering::Relaxed);
     }
 
-    /// Says that peers had the time to tell of a newer configuration than the store has.
-    pub(crate) fn set_peers_asked(&self) {
-        self.peers_asked.store(true, Ordering::Relaxed);
+    /// Records that peers had time to report a newer configuration than the store has.
+    pub(crate) fn set_peers_consulted(&self) {
+        self.peers_consulted.store(true, Ordering::Relaxed);
     }
 
-    /// Records whether the last call of the store succeeded.
+    /// Records whether the last call to the store succeeded.
     pub(crate) fn set_store_reachable(&self, reachable: bool) {
         self.store_reachable.store(reachable, Ordering::Relaxed);
     }
 
-    /// Whether the last call of the store succeeded.
+    /// Returns whether the last call to the store succeeded.
     pub(crate) fn is_store_reachable(&self) -> bool {
         self.store_reachable.load(Ordering::Relaxed)
     }
 
-    /// Says that the gateway stops; a second request to stop changes nothing.
+    /// Starts the stop of the gateway. Further calls have no effect.
     pub(crate) fn set_stopping(&self, plan: StopPlan) {
         self.stopping.send_if_modified(|stopping| {
             let is_first = stopping.is_none();
@@ -216,12 +217,12 @@
         });
     }
 
-    /// How the gateway stops, if it does.
+    /// Returns the stop plan if the gateway is stopping.
     pub(crate) fn stop_plan(&self) -> Option<StopPlan> {
         *self.stopping.borrow()
     }
 
-    /// Whether the gateway drains.
+    /// Returns whether the gateway is stopping.
     pub(crate) fn is_stopping(&self) -> bool {
         self.stop_plan().is_some()
     }
@@ -233,67 +234,68 @@
             if let Some(plan) = *plans.borrow_and_update() {
                 return plan;
             }
-            // The sender lives in `self`, so the channel cannot close meanwhile.
+            // The sender is a field of `self`, so the channel cannot close meanwhile.
             let _ = plans.changed().await;
         }
     }
 
-    /// Waits until the gateway has been asked to stop and the time of its requests is over.
+    /// Waits until the gateway has been asked to stop and the time for its requests has passed.
     pub(crate) async fn stop_ended(&self) {
         let plan = self.stop_requested().await;
         sleep_until(self.clock.instant_at(plan.ends_at()).into()).await;
     }
 
-    /// Whether the gateway takes new connections.
+    /// Returns whether the gateway accepts new connections.
     pub(crate) fn is_ready(&self) -> bool {
-        let is_listed = self.listed.load(Ordering::Relaxed);
-        // A gateway that started anew would send a request that ends engines to some more of them.
-        let has_asked =
-            self.suspects_asked.load(Ordering::Relaxed) && self.peers_asked.load(Ordering::Relaxed);
-        self.config.load().is_some() && is_listed && has_asked && !self.is_stopping()
+        let is_listed = self.endpoints_listed.load(Ordering::Relaxed);
+        // A restarted gateway without this knowledge would send a crashing request to further
+        // engines.
+        let has_requested_state = self.suspects_requested.load(Ordering::Relaxed)
+            && self.peers_consulted.load(Ordering::Relaxed);
+        self.config.load().is_some() && is_listed && has_requested_state && !self.is_stopping()
     }
 
-    /// Waits for a change that may free a place.
-    pub(crate) fn changed(&self) -> Notified<'_> {
-        self.changed.notified()
+    /// Waits for a change that may free capacity.
+    pub(crate) fn capacity_changed(&self) -> Notified<'_> {
+        self.capacity_changed.notified()
     }
 
-    /// Waits until a request leaves a waiting line.
-    pub(crate) fn line_moved(&self) -> Notified<'_> {
-        self.line_moved.notified()
+    /// Waits until a request leaves a waiting queue.
+    pub(crate) fn queue_advanced(&self) -> Notified<'_> {
+        self.queue_advanced.notified()
     }
 
-    /// Says that a request has left a waiting line.
-    pub(crate) fn note_line_moved(&self) {
-        self.line_moved.notify_waiters();
+    /// Notifies waiting requests that a request has left a waiting queue.
+    pub(crate) fn notify_queue_advanced(&self) {
+        self.queue_advanced.notify_waiters();
     }
 
-    fn note_ended(&self) {
-        self.changed.notify_waiters();
-        self.ended.notify_one();
+    fn notify_work_ended(&self) {
+        self.capacity_changed.notify_waiters();
+        self.deferred_update.notify_one();
     }
 
     /// Records that a request was refused.
     pub(crate) fn record_refusal(&self, fingerprint: RequestFingerprint) {
         let now = self.clock.now();
         self.fleet.lock().refusals.record(now, fingerprint);
-        self.placed.notify_one();
+        self.urgent_update.notify_one();
     }
 
-    /// Whether a request was refused lately, here or at a peer.
+    /// Returns whether a request was refused recently, by this gateway or a peer.
     pub(crate) fn is_return(&self, fingerprint: RequestFingerprint) -> bool {
         let now = self.clock.now();
         self.fleet.lock().refusals.is_return(now, fingerprint)
     }
 
-    /// Forgets silent peers and lets ejected endpoints back whose time is over.
+    /// Drops silent peers and readmits ejected endpoints whose ejection has ended.
     pub(crate) fn tick(&self) {
         let now = self.clock.now();
         let mut fleet = self.fleet.lock();
-        if let Some(stopped) = fleet.stoppage.record_tick(now, TICK_INTERVAL) {
+        if let Some(pause) = fleet.pause_detector.record_tick(now, TICK_INTERVAL) {
             drop(fleet);
             metrics::counter!("lovagedock_stoppages_total").increment(1);
-            info!(self.log, "the process was stopped"; "ms" => stopped.as_millis() as u64);
+            info!(self.log, "the process was stopped"; "ms" => pause.as_millis() as u64);
             return;
         }
         let silent = fleet.ledger.forget_silent(now);
@@ -304,9 +306,9 @@
         let ended_backoffs = fleet.backoffs.take_ended(now);
         fleet.ledger.forget_unlisted(now);
         fleet.suspects.forget_old(now);
-        let settled = fleet.endpoints.apply_deferred(now);
-        for (endpoint, news) in &settled {
-            fleet.apply_news(now, &endpoint.service, endpoint.process.id.clone(), news);
+        let applied = fleet.endpoints.apply_deferred(now);
+        for (endpoint, change) in &applied {
+            fleet.apply_change(now, &endpoint.service, endpoint.process.id.clone(), change);
         }
         let gateways = fleet.ledger.peer_count() + 1;
         for service in fleet.services.values_mut() {
@@ -315,26 +317,27 @@
             service.apply(actions, &self.log);
         }
         drop(fleet);
-        for (endpoint, news) in &settled {
-            self.note_entry(endpoint, news);
+        for (endpoint, change) in &applied {
+            self.log_entry_change(endpoint, change);
         }
         self.settle_listing();
-        self.note_backoffs_ended(&ended_backoffs);
+        self.log_ended_backoffs(&ended_backoffs);
         for peer in silent {
             info!(self.log, "peer silent"; "peer" => &*peer);
         }
     }
 
-    /// How much longer placements have to wait for news, since the process was stopped.
-    pub(crate) fn news_wait(&self) -> Option<Duration> {
+    /// Returns how much longer placements have to wait for peer updates after a pause of the
+    /// process.
+    pub(crate) fn placement_delay(&self) -> Option<Duration> {
         let now = self.clock.now();
         self.fleet
             .lock()
-            .stoppage
+            .pause_detector
             .remaining_wait(now, TICK_INTERVAL)
     }
 
-    /// Changes what all gateways together may retry.
+    /// Changes the retry limits that all gateways share.
     pub(crate) fn set_retries(&self, retries: RetryShareSettings) {
         let now = self.clock.now();
         let mut fleet = self.fleet.lock();
@@ -354,8 +357,8 @@
             .record_request(now);
     }
 
-    /// Takes a retry of a service.
-    pub(crate) fn take_retry(&self, service: &ServiceId) -> bool {
+    /// Consumes a retry of a service's share. Returns whether one was available.
+    pub(crate) fn try_take_retry(&self, service: &ServiceId) -> bool {
         let now = self.clock.now();
         self.fleet
             .lock()
@@ -365,23 +368,28 @@
     }
 
     /// Records that an endpoint sent something.
-    pub(crate) fn note_heard(&self, service: &ServiceId, endpoint: &EndpointProcess) {
+    pub(crate) fn record_activity(&self, service: &ServiceId, endpoint: &EndpointProcess) {
         let now = self.clock.now();
         let mut fleet = self.fleet.lock();
         if !fleet.endpoints.is_current(endpoint) {
             return;
         }
-        let heard = &mut fleet.service(now, service).heard;
-        match heard.get_mut(&endpoint.id) {
+        let last_activity = &mut fleet.service(now, service).last_activity;
+        match last_activity.get_mut(&endpoint.id) {
             Some(at) => *at = now,
             None => {
-                heard.insert(endpoint.id.clone(), now);
+                last_activity.insert(endpoint.id.clone(), now);
             }
         }
     }
 
-    /// Records the gap between two events of an engine's answer.
-    pub(crate) fn note_gap(&self, service: &ServiceId, endpoint: &EndpointProcess, gap: Duration) {
+    /// Records the time between two events of an engine's response.
+    pub(crate) fn record_event_gap(
+        &self,
+        service: &ServiceId,
+        endpoint: &EndpointProcess,
+        gap: Duration,
+    ) {
         let Some(config) = self.config() else {
             return;
         };
@@ -396,22 +404,23 @@
         }
         let load = fleet.ledger.load(now, endpoint);
         let expected = engine.pass_time(load.writer_count(), load.context);
-        fleet.paces.record(now, endpoint, gap, expected);
+        fleet.slowdowns.record(now, endpoint, gap, expected);
     }
 
-    /// When an endpoint last sent anything to this gateway.
-    pub(crate) fn heard_at(&self, service: &ServiceId, endpoint: &EndpointId) -> Timestamp {
+    /// Returns when an endpoint last sent anything to this gateway, or zero if it never did.
+    pub(crate) fn last_activity(&self, service: &ServiceId, endpoint: &EndpointId) -> Timestamp {
         let fleet = self.fleet.lock();
         let state = fleet.services.get(service);
-        let heard = state.and_then(|state| state.heard.get(endpoint));
-        heard.copied().unwrap_or_default()
+        let last_activity = state.and_then(|state| state.last_activity.get(endpoint));
+        last_activity.copied().unwrap_or_default()
     }
 
-    /// Records what an endpoint did.
+    /// Records an outlier event of an endpoint.
     ///
-    /// Requests that a former process took down with it end after the next one has started. Counted
-    /// against that one, they would eject an endpoint which has failed nobody.
-    pub(crate) fn watch(
+    /// Requests that failed with a former process may end after the next process has started. If
+    /// they were counted against the next process, they would eject an endpoint that has not
+    /// failed.
+    pub(crate) fn record_outlier_event(
         &self,
         service: &ServiceId,
         endpoint: &EndpointProcess,
@@ -428,14 +437,14 @@
         state.apply(actions, &self.log);
     }
 
-    /// Runs `work` on the waiting line of a service.
-    pub(crate) fn with_line<T>(
+    /// Calls `work` with the waiting queue of a service.
+    pub(crate) fn with_queue<T>(
         &self,
         service: &ServiceId,
         kind: QueueKind,
         work: impl FnOnce(&mut WaitingQueue) -> T,
     ) -> T {
         let now = self.clock.now();
-        work(&mut self.fleet.lock().service(now, service).lines[kind as usize])
+        work(&mut self.fleet.lock().service(now, service).queues[kind as usize])
     }
 }
--- a/lovagedock-gateway/src/direct/board/place.rs
+++ b/lovagedock-gateway/src/direct/state/placement.rs
@@ -1,4 +1,4 @@
-//! Places requests and counts them out again.
+//! Places requests and releases their work from the ledger.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,76 +9,77 @@
 };
 
 use super::{
-    FleetBoard,
-    state::{EndpointSearch, FleetState},
+    GatewayState,
+    fleet_state::{EndpointSearch, FleetState},
 };
 
-/// A request that has a place.
+/// A request that has been placed.
 pub(crate) struct PlacedRequest {
-    /// The endpoint that answers.
+    /// The endpoint that responds.
     pub(crate) lead: DirectEndpoint,
-    /// Endpoints that read parts of the prompt.
+    /// Endpoints that prefill parts of the prompt.
     pub(crate) helpers: Vec<PlacedHelper>,
     /// Predicted time to the first event.
     pub(crate) first_event: Duration,
-    /// Value that placement expects to lose.
+    /// Expected loss of the placement.
     pub(crate) loss: f64,
-    /// Requests on the endpoint before, over all gateways.
+    /// Requests that were on the endpoint before, from all gateways.
     pub(crate) occupied: u32,
-    /// Reading that was placed there before, over all gateways.
+    /// Prefill time that was placed there before, by all gateways.
     pub(crate) backlog: Duration,
     /// Whether the endpoint has a rate limit and the request has consumed a token.
     pub(crate) is_admitted: bool,
-    /// Keys of the work in the ledger.
-    pub(crate) hold: WorkHold,
+    /// Releases the work from the ledger when it is dropped.
+    pub(crate) work: WorkGuard,
 }
 
-/// An endpoint that reads a part of a placed prompt.
+/// An endpoint that prefills a part of a prompt.
 #[derive(Clone, Debug)]
 pub(crate) struct PlacedHelper {
     /// The endpoint.
     pub(crate) endpoint: DirectEndpoint,
-    /// Tokens that it keeps and that have to be reserved.
-    pub(crate) kept: TokenCount,
+    /// Tokens that it stores and that have to be reserved.
+    pub(crate) reserved_tokens: TokenCount,
 }
 
 /// State of a service's endpoints at one moment.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PoolSummary {
-    /// Endpoints that take work, ejected ones included.
+    /// Endpoints that accept work, including ejected ones.
     pub(crate) ready: usize,
-    /// Those of them that are ejected after failures.
+    /// Of these, endpoints that are ejected after failures.
     pub(crate) ejected: usize,
-    /// Those of them whose rate limit allows no request from this gateway now.
+    /// Of these, endpoints whose rate limit currently allows no request from this gateway.
     pub(crate) limited: usize,
-    /// Those of them in a backoff period; they are not counted in `limited`.
+    /// Of these, endpoints in a backoff period; they are not counted in `limited`.
     pub(crate) in_backoff: usize,
-    /// Slots that are free, over all gateways.
+    /// Free slots, counting the load of all gateways.
     pub(crate) free_slots: u32,
     /// Requests that wait at this gateway.
     pub(crate) waiting: usize,
-    /// Other gateways whose requests are counted; they were heard within 1.5 s.
+    /// Other gateways whose requests are counted; each sent a message within 1.5 s.
     pub(crate) peers: usize,
 }
 
-/// How good a place has to be.
+/// Minimum quality of a placement.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum PlaceEffort {
-    /// Without much harm; the request can wait for a better one.
-    Choosy {
-        /// Part of its patience that it has used, from 0 to 1.
-        waited: f64,
+pub(crate) enum PlacementThreshold {
+    /// With a small lost value only, since the request can wait for a better placement.
+    Selective {
+        /// Fraction of the waiting time that has passed, from 0 to 1.
+        waited_fraction: f64,
     },
-    /// Worth starting; the request cannot wait any longer.
-    Last,
-    /// Any: an engine has worked on the request already, and all of that is lost without a place.
+    /// Worth starting, since the request cannot wait any longer.
+    WorthStarting,
+    /// Any placement, since an engine has already worked on the request and that work is lost
+    /// otherwise.
     Any,
 }
 
 /// Why a placed request is not sent to its endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum WithheldReason {
-    /// The endpoint's rate limit, advertised since the placement, does not admit it.
+pub(crate) enum WithholdReason {
+    /// The endpoint's rate limit, advertised after the placement, does not admit the request.
     RateLimited,
     /// The endpoint is leaving.
     Leaving,
@@ -86,7 +87,7 @@
     Backoff,
 }
 
-impl WithheldReason {
+impl WithholdReason {
     /// Label value in metrics.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
@@ -97,74 +98,74 @@
     }
 }
 
-/// What a search for a place found.
-pub(crate) enum PlaceResult {
-    /// A place.
+/// Result of a placement attempt.
+pub(crate) enum PlacementResult {
+    /// The request was placed.
     Placed(Box<PlacedRequest>),
-    /// Every endpoint is full, or no place is good enough.
+    /// Every endpoint is full, or no placement is good enough.
     Full,
     /// All endpoints are rate limited or in backoff, at least until this time.
     Unavailable { until: Timestamp },
-    /// The service has no endpoint that takes work and was not tried.
+    /// The service has no endpoint that accepts work and was not tried already.
     NoEndpoint,
 }
 
-/// Counts a request's work out of the ledger when it is dropped, however the request ends.
-pub(crate) struct WorkHold {
-    board: Arc<FleetBoard>,
+/// Releases a request's work from the ledger when it is dropped, however the request ends.
+pub(crate) struct WorkGuard {
+    state: Arc<GatewayState>,
     lead: WorkKey,
     helpers: Vec<WorkKey>,
-    reading: bool,
-    missed: bool,
+    is_prefilling: bool,
+    has_missed: bool,
 }
 
-impl WorkHold {
-    /// Records that the prompt has been read; helpers are free then.
-    pub(crate) fn finish_reading(&mut self) {
-        if !std::mem::take(&mut self.reading) {
+impl WorkGuard {
+    /// Records that the prompt has been prefilled. This releases the helpers.
+    pub(crate) fn finish_prefill(&mut self) {
+        if !std::mem::take(&mut self.is_prefilling) {
             return;
         }
-        let now = self.board.clock.now();
-        let mut fleet = self.board.fleet.lock();
+        let now = self.state.clock.now();
+        let mut fleet = self.state.fleet.lock();
         fleet.ledger.finish_prefill(now, self.lead);
         for key in self.helpers.drain(..) {
             fleet.ledger.finish_prefill(now, key);
             fleet.ledger.finish(now, key);
         }
         drop(fleet);
-        self.board.note_ended();
+        self.state.notify_work_ended();
     }
 
-    /// Records that the request has missed an objective; further pauses cost its caller no more.
-    pub(crate) fn note_missed(&mut self) {
-        if std::mem::replace(&mut self.missed, true) {
+    /// Records that the request has missed an objective. Further gaps then cost no more value.
+    pub(crate) fn record_missed_objective(&mut self) {
+        if std::mem::replace(&mut self.has_missed, true) {
             return;
         }
-        self.board
+        self.state
             .fleet
             .lock()
             .ledger
             .record_missed_objective(self.lead);
-        self.board.note_ended();
+        self.state.notify_work_ended();
     }
 }
 
-impl Drop for WorkHold {
+impl Drop for WorkGuard {
     fn drop(&mut self) {
-        let now = self.board.clock.now();
-        let mut fleet = self.board.fleet.lock();
+        let now = self.state.clock.now();
+        let mut fleet = self.state.fleet.lock();
         fleet.ledger.finish(now, self.lead);
         for key in self.helpers.drain(..) {
             fleet.ledger.finish(now, key);
         }
         drop(fleet);
-        self.board.note_ended();
+        self.state.notify_work_ended();
     }
 }
 
-impl FleetBoard {
-    /// What a refusal follows from, for the log.
-    pub(crate) fn summary(&self, service: &ServiceId) -> PoolSummary {
+impl GatewayState {
+    /// Returns the state of the pool that led to a refusal, for the log.
+    pub(crate) fn pool_summary(&self, service: &ServiceId) -> PoolSummary {
         let now = self.clock.now();
         let mut fleet = self.fleet.lock();
         let mut summary = PoolSummary::default();
@@ -186,11 +187,11 @@
         summary.peers = fleet.ledger.peer_count();
         let state = fleet.service(now, service);
         summary.ejected = state.ejected.len();
-        summary.waiting = state.lines.iter().map(WaitingQueue::len).sum();
+        summary.waiting = state.queues.iter().map(WaitingQueue::len).sum();
         summary
     }
 
-    /// Looks for a place.
+    /// Tries to place a request.
     pub(crate) fn place(
         self: &Arc<Self>,
         config: &TrafficConfig,
@@ -198,49 +199,51 @@
         request: &DirectRequest,
         excluded: &[EndpointProcess],
         kind: QueueKind,
-        effort: PlaceEffort,
-    ) -> PlaceResult {
+        threshold: PlacementThreshold,
+    ) -> PlacementResult {
         let now = self.clock.now();
         let mut fleet = self.fleet.lock();
         let profile = config.services.get(service).and_then(|s| s.engine.as_ref());
-        if fleet.note_demand(now, service) {
-            self.placed.notify_one();
+        if fleet.record_demand(now, service) {
+            self.urgent_update.notify_one();
         }
-        let mut search = match fleet.search(now, service, excluded) {
+        let mut candidates = match fleet.search(now, service, excluded) {
             EndpointSearch::Found(candidates) => candidates,
-            EndpointSearch::Unavailable { until } => return PlaceResult::Unavailable { until },
-            EndpointSearch::NoEndpoint => return PlaceResult::NoEndpoint,
+            EndpointSearch::Unavailable { until } => return PlacementResult::Unavailable { until },
+            EndpointSearch::NoEndpoint => return PlacementResult::NoEndpoint,
         };
         if request.suspect {
-            isolate_suspects(&mut search);
+            isolate_suspects(&mut candidates);
         }
-        let unheard = fleet.ledger.concurrent_placements(now);
-        let placer = DirectPlacer::new(profile).with_concurrent_placements(unheard);
-        let Some(choice) = placer.place(request, &search) else {
-            return PlaceResult::Full;
+        let concurrent = fleet.ledger.concurrent_placements(now);
+        let placer = DirectPlacer::new(profile).with_concurrent_placements(concurrent);
+        let Some(choice) = placer.place(request, &candidates) else {
+            return PlacementResult::Full;
         };
-        let acceptable = match effort {
-            PlaceEffort::Choosy { waited } => choice.is_acceptable(request, waited),
-            PlaceEffort::Last => placer.is_worth_starting(request, &choice),
-            PlaceEffort::Any => true,
+        let acceptable = match threshold {
+            PlacementThreshold::Selective { waited_fraction } => {
+                choice.is_acceptable(request, waited_fraction)
+            }
+            PlacementThreshold::WorthStarting => placer.is_worth_starting(request, &choice),
+            PlacementThreshold::Any => true,
         };
         if !acceptable {
-            return PlaceResult::Full;
+            return PlacementResult::Full;
         }
-        let works = placer.works(request, &choice, &search);
-        let placed = PlacedParts::new(&choice, &search);
-        drop(search);
+        let works = placer.works(request, &choice, &candidates);
+        let placed = PlacementDetails::new(&choice, &candidates);
+        drop(candidates);
         let is_admitted =
             fleet.rate_limits.admit(now, &placed.lead.process) == RateVerdict::Admitted;
-        let hold = self.hold(now, &mut fleet, works);
+        let work = self.guard_work(now, &mut fleet, works);
         let state = fleet.service(now, service);
-        state.lines[kind as usize].record_start(now);
+        state.queues[kind as usize].record_start(now);
         let probe = OutlierEvent::ProbeSent(placed.lead.process.id.clone());
         let actions = state.outliers.handle(now, probe);
         state.apply(actions, &self.log);
         drop(fleet);
-        self.placed.notify_one();
-        PlaceResult::Placed(Box::new(PlacedRequest {
+        self.urgent_update.notify_one();
+        PlacementResult::Placed(Box::new(PlacedRequest {
             lead: placed.lead,
             helpers: placed.helpers,
             first_event: choice.first_event,
@@ -248,63 +251,64 @@
             occupied: placed.occupied,
             backlog: placed.backlog,
             is_admitted,
-            hold,
+            work,
         }))
     }
 
-    /// Returns why a placed request must not be sent, or `None` if it may be. Since the placement, the
-    /// endpoint may have advertised a limit, asked for a backoff, or announced that it is leaving.
-    pub(crate) fn withheld_reason(&self, placed: &PlacedRequest) -> Option<WithheldReason> {
+    /// Returns why a placed request must not be sent, or `None` if it may be. Since the placement,
+    /// the endpoint may have advertised a limit, asked for a backoff, or announced that it is
+    /// leaving.
+    pub(crate) fn withheld_reason(&self, placed: &PlacedRequest) -> Option<WithholdReason> {
         let now = self.clock.now();
-        let life = &placed.lead.process;
+        let process = &placed.lead.process;
         let mut fleet = self.fleet.lock();
-        if fleet.endpoints.is_leaving(life) {
-            return Some(WithheldReason::Leaving);
+        if fleet.endpoints.is_leaving(process) {
+            return Some(WithholdReason::Leaving);
         }
-        if fleet.backoffs.end(now, life).is_some() {
-            return Some(WithheldReason::Backoff);
+        if fleet.backoffs.end(now, process).is_some() {
+            return Some(WithholdReason::Backoff);
         }
         if placed.is_admitted {
             return None;
         }
-        match fleet.rate_limits.admit(now, life) {
-            RateVerdict::RateLimited { .. } => Some(WithheldReason::RateLimited),
+        match fleet.rate_limits.admit(now, process) {
+            RateVerdict::RateLimited { .. } => Some(WithholdReason::RateLimited),
             RateVerdict::Unlimited | RateVerdict::Admitted => None,
         }
     }
 
-    fn hold(
+    fn guard_work(
         self: &Arc<Self>,
         now: Timestamp,
         fleet: &mut FleetState,
         works: Vec<PlacedWork>,
-    ) -> WorkHold {
+    ) -> WorkGuard {
         let mut keys = works.into_iter().map(|work| fleet.ledger.place(now, work));
         let lead = keys.next().unwrap_or_default();
-        WorkHold {
-            board: Arc::clone(self),
+        WorkGuard {
+            state: Arc::clone(self),
             lead,
             helpers: keys.collect(),
-            reading: true,
-            missed: false,
+            is_prefilling: true,
+            has_missed: false,
         }
     }
 }
 
-/// What is told of a choice after the search that it was made from is gone.
-struct PlacedParts {
+/// The parts of a choice that outlive the search result from which it was made.
+struct PlacementDetails {
     lead: DirectEndpoint,
     helpers: Vec<PlacedHelper>,
     occupied: u32,
     backlog: Duration,
 }
 
-impl PlacedParts {
+impl PlacementDetails {
     fn new(choice: &DirectChoice, candidates: &[PlacerCandidate<'_>]) -> Self {
         let lead = &candidates[choice.lead];
         let helpers = choice.helpers.iter().map(|helper| PlacedHelper {
             endpoint: candidates[helper.index].endpoint.clone(),
-            kept: helper.kept,
+            reserved_tokens: helper.kept,
         });
         Self {
             lead: lead.endpoint.clone(),
--- /dev/null
+++ b/lovagedock-gateway/src/direct/suspect_sync.rs
@@ -0,0 +1,197 @@
+//! Keeps evidence against requests that crash engines in the platform's store.
+
+use std::{
+    sync::Arc,
+    time::{Duration, SystemTime, UNIX_EPOCH},
+};
+
+use lovagedock::{SuspectReport, prelude::*};
+use lovagedock_platform::{FeedChange, FeedError, FeedSubject, FleetFeed, SuspectSheet};
+use slog::{info, warn};
+use tokio::time::{sleep, timeout};
+
+use super::{discovery::rewrite_delay, state::GatewayState};
+
+/// Minimum and maximum delay after a call. It is the minimum after a success and doubles with each
+/// failure. A suspected request waits for a read slightly longer than the minimum.
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
+
+/// Time for which a starting gateway waits for the stored suspects before it accepts callers.
+/// Without the store it serves all the same.
+const FIRST_READ_TIMEOUT: Duration = Duration::from_millis(300);
+
+/// Time between two checks for changes that send no notification, such as a peer that became
+/// silent.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
+
+/// Writes this gateway's suspect sheet, its evidence against requests, to the store and reads the
+/// sheets of the others on request.
+///
+/// This is needed for two failures: all gateways end at once and lose their evidence, or gateways
+/// cannot reach each other. Each gateway has its own sheet, so that no two gateways write the same
+/// object. The sheet is written when a second process has ended under a request, or the first one
+/// while peers are silent. The sheets are read at startup, and for suspected requests while peers
+/// are silent. Without failures this costs one call for each start of a gateway.
+pub(crate) struct SuspectSync {
+    state: Arc<GatewayState>,
+    feed: Arc<dyn FleetFeed>,
+    stored: Vec<SuspectReport>,
+    /// Era of the store to which the reports were written, if any were.
+    stored_era: Option<StoreEra>,
+    is_failing: bool,
+    backoff: Duration,
+}
+
+impl SuspectSync {
+    /// Creates a sync that has stored nothing yet.
+    pub(crate) fn new(state: Arc<GatewayState>, feed: Arc<dyn FleetFeed>) -> Self {
+        Self {
+            state,
+            feed,
+            stored: Vec::new(),
+            stored_era: None,
+            is_failing: false,
+            backoff: MIN_BACKOFF,
+        }
+    }
+
+    /// Reads and writes for the lifetime of the gateway.
+    pub(crate) async fn run(mut self) {
+        let mut is_read = timeout(FIRST_READ_TIMEOUT, self.read())
+            .await
+            .unwrap_or(false);
+        self.state.set_suspects_requested();
+        // A write before the first read would overwrite the sheet of this gateway's former
+        // incarnation.
+        while !is_read {
+            self.back_off().await;
+            is_read = self.read().await;
+        }
+        loop {
+            let is_read_requested = tokio::select! {
+                () = self.state.store_restored() => {
+                    sleep(rewrite_delay()).await;
+                    false
+                }
+                () = self.state.suspects_read_requested.notified() => true,
+                () = self.state.suspects_changed.notified() => false,
+                () = sleep(POLL_INTERVAL) => false,
+            };
+            // The write comes before the read, so that of two gateways that do both at the same
+            // time, at least one reads the sheet of the other.
+            let is_done = self.write().await && (!is_read_requested || self.read().await);
+            if is_done {
+                sleep(MIN_BACKOFF).await;
+            } else {
+                self.back_off().await;
+            }
+        }
+    }
+
+    async fn read(&mut self) -> bool {
+        let snapshot = self.feed.snapshot(FeedSubject::Suspects).await;
+        let is_read = match snapshot {
+            Ok(snapshot) => {
+                let subject = FeedSubject::Suspects.as_str();
+                self.state.update_era(snapshot.position.era, subject);
+                for change in snapshot.changes {
+                    if let FeedChange::Suspects(sheet) = change {
+                        self.restore(sheet);
+                    }
+                }
+                self.record_success();
+                true
+            }
+            Err(error) => self.record_failure(&error),
+        };
+        self.state.suspects_read.notify_waiters();
+        is_read
+    }
+
+    /// Applies a sheet. Its quarantine times are relative to the time at which it was written.
+    fn restore(&self, sheet: SuspectSheet) {
+        // A sheet may appear to come from the future if a clock was set back.
+        let age = unix_time().saturating_sub(sheet.written_at);
+        let reports = sheet.reports.into_iter().filter_map(|report| {
+            let quarantined_for = report.quarantined_for.saturating_sub(age);
+            let is_kept = age < EVIDENCE_RETENTION || !quarantined_for.is_zero();
+            is_kept.then_some(SuspectReport {
+                quarantined_for,
+                ..report
+            })
+        });
+        self.state
+            .restore_suspects(&sheet.gateway, reports.collect());
+    }
+
+    async fn write(&mut self) -> bool {
+        let reports = self.state.suspect_reports();
+        // A store that was restored from an earlier copy lacks the sheet or has an outdated one.
+        let is_lost = self
+            .stored_era
+            .is_some_and(|era| era < self.state.store_era());
+        if is_same(&reports, &self.stored) && !is_lost {
+            return true;
+        }
+        let sheet = SuspectSheet {
+            gateway: self.state.name.clone(),
+            written_at: unix_time(),
+            reports: reports.clone(),
+        };
+        match self.feed.keep_suspects(&sheet).await {
+            Ok(era) => {
+                info!(self.state.log, "suspects kept in the store"; "requests" => reports.len(),
+                    "era" => era, "again" => is_lost);
+                self.state.update_era(era, FeedSubject::Suspects.as_str());
+                self.stored = reports;
+                self.stored_era = Some(era);
+                self.record_success();
+                true
+            }
+            Err(error) => self.record_failure(&error),
+        }
+    }
+
+    fn record_success(&mut self) {
+        self.backoff = MIN_BACKOFF;
+        if std::mem::take(&mut self.is_failing) {
+            info!(self.state.log, "store regained"; "subject" => FeedSubject::Suspects.as_str());
+        }
+    }
+
+    fn record_failure(&mut self, error: &FeedError) -> bool {
+        let subject = FeedSubject::Suspects.as_str();
+        metrics::counter!("lovagedock_feed_failures_total", "subject" => subject).increment(1);
+        if !std::mem::replace(&mut self.is_failing, true) {
+            warn!(self.state.log, "store lost"; "subject" => subject, "error" => %error);
+        }
+        false
+    }
+
+    async fn back_off(&mut self) {
+        sleep(self.backoff).await;
+        self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
+    }
+}
+
+/// Age after which the evidence in a sheet is ignored.
+const EVIDENCE_RETENTION: Duration = Duration::from_secs(600);
+
+/// Returns whether two lists of reports are equal apart from the remaining times.
+fn is_same(reports: &[SuspectReport], stored: &[SuspectReport]) -> bool {
+    let is_equal = |(report, stored): (&SuspectReport, &SuspectReport)| {
+        report.fingerprint == stored.fingerprint
+            && report.ends == stored.ends
+            && report.quarantined_for.is_zero() == stored.quarantined_for.is_zero()
+    };
+    reports.len() == stored.len() && reports.iter().zip(stored).all(is_equal)
+}
+
+/// Returns the wall-clock time in whole seconds. Sheets outlive the processes that wrote them, and
+/// clock adjustments of some seconds are negligible relative to their times of minutes.
+fn unix_time() -> Duration {
+    let now = SystemTime::now().duration_since(UNIX_EPOCH);
+    // A clock before 1970 was never set. Sheets then appear new.
+    Duration::from_secs(now.unwrap_or_default().as_secs())
+}
--- a/lovagedock-gateway/tests/direct_silence.rs
+++ b/lovagedock-gateway/tests/direct_silent_engines.rs
@@ -1,4 +1,4 @@
-//! Engines that fall silent with a request, over real sockets.
+//! Engines that become silent while they have a request, over real sockets.
 
 mod direct_support;
 
@@ -11,7 +11,7 @@
 
 use direct_support::{
     SERVICE, TestFeed, TestGateway, config, endpoint_scripts as script, entry, open_call_with,
-    read_answer, until,
+    read_response, wait_until,
 };
 use lovagedock::{EngineProfile, ServiceProfile, TrafficConfig};
 use tokio::{
@@ -23,36 +23,36 @@
 
 const ENGINES: usize = 16;
 
-/// Prompt that is larger than the memory of one engine.
+/// Prompt that exceeds the memory of one engine.
 const LARGE_PROMPT: &str = "x-prompt: 1500\r\n";
 
-/// What the engines do with requests, in the order in which these come.
+/// What the engines do with requests, in order of arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Treatment {
-    /// "Not run".
+enum EngineBehaviour {
+    /// Rejects the request as not run.
     Refuse,
-    /// The process ends: its port refuses, and the open connection stays silent.
+    /// The process ends: its port refuses connections, and the open connection stays silent.
     EndSilently,
-    /// The connection stays silent, and the process takes others.
+    /// The connection stays silent, and the process accepts others.
     StaySilent,
-    /// The whole answer.
+    /// Sends the complete response.
     Serve,
 }
 
-/// What all engines saw.
+/// Requests and commands that all engines received.
 #[derive(Default)]
 struct EngineLog {
-    treatments: Mutex<Vec<Treatment>>,
+    behaviours: Mutex<Vec<EngineBehaviour>>,
     requests: Mutex<Vec<SocketAddr>>,
-    /// Orders, with the number of requests before.
-    orders: Mutex<Vec<(usize, String)>>,
+    /// Memory commands, with the number of requests that arrived before.
+    commands: Mutex<Vec<(usize, String)>>,
 }
 
 impl EngineLog {
-    fn new(treatments: &[Treatment]) -> Arc<Self> {
-        let treatments = treatments.iter().rev().copied().collect();
+    fn new(behaviours: &[EngineBehaviour]) -> Arc<Self> {
+        let behaviours = behaviours.iter().rev().copied().collect();
         Arc::new(Self {
-            treatments: Mutex::new(treatments),
+            behaviours: Mutex::new(behaviours),
             ..Self::default()
         })
     }
@@ -60,29 +60,33 @@
     fn requests(&self) -> Vec<SocketAddr> {
         self.requests
             .lock()
-            .expect("no test panics with it")
+            .expect("the mutex is not poisoned")
             .clone()
     }
 
-    fn note_order(&self, order: String) {
+    fn record_command(&self, command: String) {
         let before = self.requests().len();
-        let mut orders = self.orders.lock().expect("no test panics with it");
-        orders.push((before, order));
+        let mut commands = self.commands.lock().expect("the mutex is not poisoned");
+        commands.push((before, command));
     }
 
-    /// Reservations that were ordered after so many requests.
+    /// Returns the number of reserve commands that arrived after exactly `requests` requests.
     fn reservations_after(&self, requests: usize) -> usize {
-        let orders = self.orders.lock().expect("no test panics with it");
-        let after = orders.iter().filter(|(before, _)| *before == requests);
-        after.filter(|(_, order)| order.contains("Reserve")).count()
+        let commands = self.commands.lock().expect("the mutex is not poisoned");
+        let after = commands.iter().filter(|(before, _)| *before == requests);
+        after
+            .filter(|(_, command)| command.contains("Reserve"))
+            .count()
     }
 }
 
-/// Starts an engine that treats requests by the log's list.
+/// Starts an engine that handles requests by the log's list of behaviours.
 async fn start_engine(log: Arc<EngineLog>) -> SocketAddr {
     let listener = TcpListener::bind(("127.0.0.1", 0)).await;
     let listener = listener.expect("a port is free");
-    let address = listener.local_addr().expect("it listens");
+    let address = listener
+        .local_addr()
+        .expect("the listener has a local address");
     let ended = Arc::new(Notify::new());
     tokio::spawn(async move {
         loop {
@@ -106,28 +110,32 @@
 ) -> Option<()> {
     let request = read_message(&mut stream).await?;
     if request.contains("/order") {
-        log.note_order(request);
+        log.record_command(request);
         let text = "HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
         return stream.write_all(text.as_bytes()).await.ok();
     }
     log.requests
         .lock()
-        .expect("no test panics with it")
+        .expect("the mutex is not poisoned")
         .push(address);
-    let treatment = log.treatments.lock().expect("no test panics with it").pop();
+    let behaviour = log
+        .behaviours
+        .lock()
+        .expect("the mutex is not poisoned")
+        .pop();
     let id = request
         .lines()
         .find_map(|line| line.strip_prefix("x-request: "));
-    let text = match treatment {
-        Some(Treatment::Refuse) => {
+    let text = match behaviour {
+        Some(EngineBehaviour::Refuse) => {
             "HTTP/1.1 503 Busy\r\nx-not-run: 1\r\ncontent-length: 0\r\n\r\n".to_owned()
         }
-        Some(Treatment::EndSilently) => {
+        Some(EngineBehaviour::EndSilently) => {
             ended.notify_one();
             std::future::pending().await
         }
-        Some(Treatment::StaySilent) | None => std::future::pending().await,
-        Some(Treatment::Serve) => script::events(1..4, true),
+        Some(EngineBehaviour::StaySilent) | None => std::future::pending().await,
+        Some(EngineBehaviour::Serve) => script::events(1..4, true),
     };
     let text = text.replace("REQUEST", id.unwrap_or_default());
     stream.write_all(text.as_bytes()).await.ok()
@@ -156,7 +164,7 @@
     }
 }
 
-/// Engines with memory for a thousand tokens each.
+/// A configuration whose engines have memory for a thousand tokens each.
 fn small_engines() -> TrafficConfig {
     config(1).with_service(ServiceProfile {
         id: SERVICE.into(),
@@ -174,8 +182,8 @@
     })
 }
 
-async fn start_fleet(treatments: &[Treatment]) -> (Arc<EngineLog>, TestGateway) {
-    let log = EngineLog::new(treatments);
+async fn start_fleet(behaviours: &[EngineBehaviour]) -> (Arc<EngineLog>, TestGateway) {
+    let log = EngineLog::new(behaviours);
     let mut entries = Vec::new();
     for index in 0..ENGINES {
         let address = start_engine(Arc::clone(&log)).await;
@@ -186,36 +194,42 @@
     (log, gateway)
 }
 
-/// A prompt larger than an engine is served though its engine ended with no attempt left.
+/// Guards against a large prompt that fails because its engine ended without closing the
+/// connection, with no attempt left.
 ///
-/// The first engine refuses it as not run. The second one takes it and ends; the connection stays open
-/// and silent. The caller is served by a third one, within its time, and memory that helpers had set
-/// aside is not kept for the process that is gone.
+/// The first engine rejects the request as not run. The second one accepts it and ends, and the
+/// connection stays open and silent. A third engine must serve the caller in time, and the memory
+/// of the helpers must not be kept for the process that is gone.
 #[tokio::test]
-async fn a_request_leaves_an_engine_that_ended_in_silence() {
-    let treatments = [Treatment::Refuse, Treatment::EndSilently, Treatment::Serve];
-    let (log, gateway) = start_fleet(&treatments).await;
+async fn a_request_is_retried_when_its_engine_ends_silently() {
+    let behaviours = [
+        EngineBehaviour::Refuse,
+        EngineBehaviour::EndSilently,
+        EngineBehaviour::Serve,
+    ];
+    let (log, gateway) = start_fleet(&behaviours).await;
     let stream = open_call_with(gateway.address(), "/stream/x", "1", "secret", LARGE_PROMPT).await;
-    let answer = read_answer(stream).await;
-    assert_eq!(answer.status(), 200, "{}", answer.text);
-    assert!(answer.is_complete(), "{}", answer.text);
+    let response = read_response(stream).await;
+    assert_eq!(response.status(), 200, "{}", response.text);
+    assert!(response.is_complete(), "{}", response.text);
     assert_eq!(log.requests().len(), 3);
-    // Those of the third attempt, and none for the second once its engine was gone.
+    // The reservations are those of the third attempt; none was renewed for the second one after
+    // its engine had ended.
     assert_eq!(log.reservations_after(2), log.reservations_after(0));
 }
 
-/// An open connection to an engine that says nothing is asked whether its other end is there.
+/// Guards against open connections to silent engines without keepalive probes.
 ///
-/// An engine's host loses power and comes back with another process under the same address. The old
-/// connection stays silent for ever, and new ones are taken; only the kernel of that host can tell that
-/// the old one is gone, when it is asked.
+/// An engine's host loses power and returns with another process under the same address. The old
+/// connection stays silent forever, while new ones are accepted. Only a probe makes the kernel of
+/// that host report that the old connection is gone.
 #[tokio::test]
 async fn silent_connections_are_probed() {
-    let (log, gateway) = start_fleet(&[Treatment::StaySilent]).await;
+    let (log, gateway) = start_fleet(&[EngineBehaviour::StaySilent]).await;
     let stream = open_call_with(gateway.address(), "/stream/x", "1", "secret", LARGE_PROMPT).await;
-    until(|| log.requests().len() == 1).await;
+    wait_until(|| log.requests().len() == 1).await;
     let port = log.requests()[0].port();
-    // The request is acknowledged a moment after it was read.
+    // The keepalive timer starts once the request is acknowledged, shortly after it was read.
     for _ in 0..200 {
         if has_keepalive(port) {
             return;
@@ -226,11 +240,11 @@
     panic!("no probes to port {port}");
 }
 
-/// Whether the kernel waits to probe a connection to a port of this machine.
+/// Returns whether a keepalive timer is active on a connection to a local port.
 fn has_keepalive(port: u16) -> bool {
     const KEEPALIVE_TIMER: &str = "02:";
     let remote = format!(":{port:04X}");
-    let table = fs::read_to_string("/proc/net/tcp").expect("the kernel tells its connections");
+    let table = fs::read_to_string("/proc/net/tcp").expect("/proc/net/tcp is readable");
     table.lines().any(|line| {
         let fields: Vec<&str> = line.split_whitespace().collect();
         fields.get(2).is_some_and(|to| to.ends_with(&remote))
--- a/lovagedock-gateway/tests/direct_stop_moments.rs
+++ b/lovagedock-gateway/tests/direct_stop_phases.rs
@@ -1,4 +1,5 @@
-//! What callers see at the moments of a stop: as it is asked for, as the notice ends, and at its end.
+//! What callers see in the phases of a stop: at its start, at the end of the notice, and at its
+//! end.
 
 mod direct_support;
 
@@ -6,7 +7,8 @@
 
 use direct_support::{
     EndpointScript, ScriptedEndpoint, TestFeed, TestGateway, config, config_with_objective, daemon,
-    endpoint_scripts as script, entry, open_call, open_upload, read_answer, stop_settings, until,
+    endpoint_scripts as script, entry, open_call, open_upload, read_response, stop_settings,
+    wait_until,
 };
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt},
@@ -16,17 +18,20 @@
     time::{sleep, timeout},
 };
 
-/// Kept connections of a test.
-const KEPT: usize = 64;
+/// Number of keep-alive connections in a test.
+const IDLE_CONNECTIONS: usize = 64;
 
-/// Opens a connection and has one answer on it.
-async fn open_kept(gateway: &TestGateway) -> TcpStream {
+/// Opens a connection and receives one response on it.
+async fn open_idle(gateway: &TestGateway) -> TcpStream {
     let stream = TcpStream::connect(gateway.address()).await;
     let mut stream = stream.expect("the gateway listens");
     let head = "GET /none/x HTTP/1.1\r\nhost: fleet.example\r\nx-request: 1\r\n\r\n";
-    stream.write_all(head.as_bytes()).await.expect("it reads");
+    stream
+        .write_all(head.as_bytes())
+        .await
+        .expect("the gateway reads");
     let mut piece = [0; 4096];
-    let length = stream.read(&mut piece).await.expect("it answers");
+    let length = stream.read(&mut piece).await.expect("the gateway responds");
     assert!(length > 0);
     stream
 }
@@ -37,36 +42,41 @@
     read.is_ok_and(|read| read.is_err() || read.is_ok_and(|length| length == 0))
 }
 
-/// Guards against kept connections that a stop closes before their callers can know of it.
+/// Guards against keep-alive connections that a stop closes before their callers can know of it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn kept_connections_stay_through_the_notice() {
+async fn idle_connections_stay_open_during_the_notice() {
     let endpoint = ScriptedEndpoint::start([]).await;
     let feed = TestFeed::new(config(1), vec![entry("i-0", endpoint.address)]);
     let gateway = TestGateway::start_with(stop_settings(8.0), &feed, daemon()).await;
     let gateway = gateway.ready().await;
-    let mut kept = Vec::new();
-    for _ in 0..KEPT {
-        kept.push(open_kept(&gateway).await);
+    let mut idle = Vec::new();
+    for _ in 0..IDLE_CONNECTIONS {
+        idle.push(open_idle(&gateway).await);
     }
     sleep(Duration::from_millis(100)).await;
     gateway.daemon.shutdown.trigger();
     sleep(Duration::from_millis(2_300)).await;
-    assert_eq!(count_closed(&mut kept).await, 0, "during the notice");
+    assert_eq!(count_closed(&mut idle).await, 0, "during the notice");
     gateway.gateway.wait().await.expect("the gateway stops");
-    assert_eq!(count_closed(&mut kept).await, KEPT, "after it");
+    assert_eq!(
+        count_closed(&mut idle).await,
+        IDLE_CONNECTIONS,
+        "after the stop"
+    );
 }
 
-async fn count_closed(kept: &mut [TcpStream]) -> usize {
+async fn count_closed(idle: &mut [TcpStream]) -> usize {
     let mut closed = 0;
-    for stream in kept {
+    for stream in idle {
         closed += usize::from(is_closed(stream).await);
     }
     closed
 }
 
-/// Guards against a caller whose body is still coming as the stop ends, and who is told nothing.
+/// Guards against a caller that gets no response because its body is still incomplete when the stop
+/// ends.
 #[tokio::test]
-async fn a_body_on_its_way_gets_a_word_as_the_stop_ends() {
+async fn an_incomplete_upload_is_answered_when_the_stop_ends() {
     let endpoint = ScriptedEndpoint::start([]).await;
     let feed = TestFeed::new(config(1), vec![entry("i-0", endpoint.address)]);
     let gateway = TestGateway::start_with(stop_settings(1.0), &feed, daemon()).await;
@@ -74,27 +84,34 @@
     let upload = open_upload(gateway.address()).await;
     sleep(Duration::from_millis(100)).await;
     gateway.daemon.shutdown.trigger();
-    let answer = read_answer(upload).await;
+    let response = read_response(upload).await;
     gateway.gateway.wait().await.expect("the gateway stops");
-    assert_eq!(answer.status(), 503, "{}", answer.text);
-    assert!(answer.text.contains("\"ran\":\"no\""), "{}", answer.text);
+    assert_eq!(response.status(), 503, "{}", response.text);
+    assert!(
+        response.text.contains("\"ran\":\"no\""),
+        "{}",
+        response.text
+    );
 }
 
-/// Callers of a test that a silent endpoint keeps waiting.
-const WAITING: usize = 300;
+/// Number of callers that wait for a silent endpoint in a test.
+const WAITING_CALLERS: usize = 300;
 
-/// Asks a gateway to stop and keeps its process from running as the time of its requests ends.
-async fn stop_late(feed: TestFeed, callers: &tokio::runtime::Handle) -> Vec<JoinHandle<u16>> {
+/// Asks a gateway to stop and blocks its process when the time for its requests ends.
+async fn stop_with_stalled_process(
+    feed: TestFeed,
+    callers: &tokio::runtime::Handle,
+) -> Vec<JoinHandle<u16>> {
     let gateway = TestGateway::start_with(stop_settings(1.0), &feed, daemon()).await;
     let gateway = gateway.ready().await;
     let address = gateway.address();
     let mut calls = Vec::new();
-    for number in 0..WAITING {
+    for number in 0..WAITING_CALLERS {
         let id = number.to_string();
         let stream =
             callers.spawn(async move { open_call(address, "/once/x", &id, "secret").await });
-        let stream = stream.await.expect("it is sent");
-        calls.push(callers.spawn(async { read_answer(stream).await.status() }));
+        let stream = stream.await.expect("the request is sent");
+        calls.push(callers.spawn(async { read_response(stream).await.status() }));
     }
     sleep(Duration::from_millis(300)).await;
     gateway.daemon.shutdown.trigger();
@@ -104,39 +121,39 @@
     calls
 }
 
-/// Guards against callers without an answer when a process does not run as its stop ends.
+/// Guards against callers without a response when a process is stalled at the end of its stop.
 #[test]
-fn a_process_that_is_late_at_the_end_of_its_stop_still_answers() {
-    let outer = Builder::new_multi_thread()
+fn a_process_stalled_at_the_end_of_its_stop_still_answers() {
+    let caller_runtime = Builder::new_multi_thread()
         .worker_threads(2)
         .enable_all()
         .build();
-    let outer = outer.expect("a runtime starts");
+    let caller_runtime = caller_runtime.expect("a runtime starts");
     let silent = std::iter::repeat_n(
-        script::slow_answer(Duration::from_secs(60), "whole"),
-        WAITING,
+        script::slow_response(Duration::from_secs(60), "whole"),
+        WAITING_CALLERS,
     );
-    let endpoint = outer.block_on(ScriptedEndpoint::start(silent));
+    let endpoint = caller_runtime.block_on(ScriptedEndpoint::start(silent));
     let mut entry = entry("i-0", endpoint.address);
-    entry.slots = WAITING as u32;
+    entry.slots = WAITING_CALLERS as u32;
     let feed = TestFeed::new(config(1), vec![entry]);
-    let process = Builder::new_current_thread().enable_all().build();
-    let process = process.expect("a runtime starts");
-    let calls = process.block_on(stop_late(feed, outer.handle()));
-    // Ends what is left, as the end of a process does.
-    drop(process);
-    let wait = |call: JoinHandle<u16>| outer.block_on(call).expect("the caller ends");
+    let gateway_runtime = Builder::new_current_thread().enable_all().build();
+    let gateway_runtime = gateway_runtime.expect("a runtime starts");
+    let calls = gateway_runtime.block_on(stop_with_stalled_process(feed, caller_runtime.handle()));
+    // Aborts the remaining tasks, as the end of a process does.
+    drop(gateway_runtime);
+    let wait = |call: JoinHandle<u16>| caller_runtime.block_on(call).expect("the caller ends");
     let statuses: Vec<u16> = calls.into_iter().map(wait).collect();
-    let is_told = |status: &u16| matches!(status, 502 | 503);
-    assert!(statuses.iter().all(is_told), "{statuses:?}");
+    let is_answered = |status: &u16| matches!(status, 502 | 503);
+    assert!(statuses.iter().all(is_answered), "{statuses:?}");
 }
 
-/// Guards against a request that waits, is sent as the stop ends, runs, and is lost with it.
+/// Guards against a queued request that is sent as the stop ends, runs, and is lost.
 #[tokio::test]
 async fn a_request_that_cannot_end_before_the_stop_is_not_sent() {
     let endpoint = ScriptedEndpoint::start([
-        script::slow_answer(Duration::from_millis(600), "whole"),
-        script::slow_answer(Duration::from_millis(500), "whole"),
+        script::slow_response(Duration::from_millis(600), "whole"),
+        script::slow_response(Duration::from_millis(500), "whole"),
     ])
     .await;
     let mut entry = entry("i-0", endpoint.address);
@@ -146,67 +163,70 @@
     let gateway = gateway.ready().await;
     let address = gateway.address();
     let first = open_call(address, "/once/x", "first", "secret").await;
-    until(|| endpoint.requests().len() == 1).await;
+    wait_until(|| endpoint.requests().len() == 1).await;
     gateway.daemon.shutdown.trigger();
     let second = open_call(address, "/once/x", "second", "secret").await;
-    let second = read_answer(second).await;
+    let second = read_response(second).await;
     drop(first);
     gateway.gateway.wait().await.expect("the gateway stops");
     assert_eq!(second.status(), 503, "{}", second.text);
     assert_eq!(endpoint.requests().len(), 1);
 }
 
-/// A plain call during a stop.
-struct PlainCase {
+/// A non-streaming request during a stop.
+struct NonStreamingCase {
     name: &'static str,
+    /// Time from the start of the stop to the request.
     after: Duration,
     deadline_ms: u64,
     script: EndpointScript,
     status: u16,
 }
 
-/// Guards against plain calls that are refused though they end in time, or that outlast the stop.
+/// Guards against non-streaming requests that are refused although they would end in time, or that
+/// outlast the stop.
 #[tokio::test]
-async fn plain_calls_are_served_while_their_time_ends_before_the_stop() {
+async fn non_streaming_requests_are_admitted_if_they_end_before_the_stop() {
     let ms = Duration::from_millis;
     let cases = [
-        PlainCase {
-            name: "during the notice, with all their time",
+        NonStreamingCase {
+            name: "during the notice, with a long deadline",
             after: ms(100),
             deadline_ms: 15_000,
             script: script::sealed("200 OK", "whole"),
             status: 200,
         },
-        PlainCase {
-            name: "after it, with a short time",
+        NonStreamingCase {
+            name: "after the notice, with a short deadline",
             after: ms(2_900),
             deadline_ms: 500,
             script: script::sealed("200 OK", "whole"),
             status: 200,
         },
-        PlainCase {
-            name: "after it, at a silent endpoint",
+        NonStreamingCase {
+            name: "after the notice, at a silent endpoint",
             after: ms(2_900),
             deadline_ms: 500,
-            script: script::slow_answer(ms(60_000), "whole"),
+            script: script::slow_response(ms(60_000), "whole"),
             status: 504,
         },
-        PlainCase {
-            name: "after it, with more time than the stop",
+        NonStreamingCase {
+            name: "after the notice, with a deadline beyond the stop",
             after: ms(2_900),
             deadline_ms: 15_000,
             script: script::sealed("200 OK", "whole"),
             status: 503,
         },
     ];
-    let plays = cases.into_iter().map(PlainCase::play);
-    futures::future::join_all(plays).await;
+    let runs = cases.into_iter().map(NonStreamingCase::run);
+    futures::future::join_all(runs).await;
 }
 
-impl PlainCase {
-    async fn play(self) {
+impl NonStreamingCase {
+    async fn run(self) {
         let endpoint = ScriptedEndpoint::start([self.script]).await;
-        // An objective longer than the stop says nothing of how long a call takes.
+        // The objective is longer than the stop, but it does not determine how long a request
+        // takes.
         let config = config_with_objective(1, Duration::from_secs(20));
         let feed = TestFeed::new(config, vec![entry("i-0", endpoint.address)]);
         let mut settings = stop_settings(4.0);
@@ -215,7 +235,7 @@
         let gateway = gateway.ready().await;
         let upload = open_upload(gateway.address()).await;
         gateway.daemon.shutdown.trigger();
-        until(|| !gateway.gateway.is_ready()).await;
+        wait_until(|| !gateway.gateway.is_ready()).await;
         sleep(self.after).await;
         let stream = TcpStream::connect(gateway.address()).await;
         let mut stream = stream.expect("the gateway listens");
@@ -224,14 +244,17 @@
              x-deadline-ms: {}\r\ncontent-length: 4\r\n\r\nbody",
             self.deadline_ms
         );
-        stream.write_all(head.as_bytes()).await.expect("it reads");
-        let answer = read_answer(stream).await;
+        stream
+            .write_all(head.as_bytes())
+            .await
+            .expect("the gateway reads");
+        let response = read_response(stream).await;
         assert_eq!(
-            answer.status(),
+            response.status(),
             self.status,
             "{}: {}",
             self.name,
-            answer.text
+            response.text
         );
         drop(upload);
         gateway.gateway.wait().await.expect("the gateway stops");
--- a/lovagedock-gateway/tests/direct_stops.rs
+++ b/lovagedock-gateway/tests/direct_stops.rs
@@ -1,4 +1,4 @@
-//! A gateway that is asked to stop while callers still come.
+//! Stops of a gateway while callers still send requests.
 
 mod direct_support;
 
@@ -7,16 +7,16 @@
 use direct_support::{
     EndpointScript, LogLines, ScriptedEndpoint, TestFeed, TestGateway, config,
     endpoint_scripts as script, engine_config, entry, open_call, open_call_with, open_upload,
-    read_answer, stop_settings, until,
+    read_response, stop_settings, wait_until,
 };
 use futures::future::join_all;
 use lovagedock::TrafficConfig;
 use lovagedock_daemon::DaemonContext;
 use tokio::time::sleep;
 
-/// Guards against a stop that cuts an answer of which the log says nothing.
+/// Guards against a response that is cut by a stop and missing from the log.
 #[tokio::test]
-async fn an_answer_cut_by_a_stop_is_named_in_the_log() {
+async fn a_response_cut_by_a_stop_is_logged() {
     let held = script::slow_events(Duration::ZERO, 1..3, Duration::from_secs(60));
     let endpoint = ScriptedEndpoint::start([held]).await;
     let feed = TestFeed::new(config(1), vec![entry("i-0", endpoint.address)]);
@@ -25,11 +25,11 @@
     let gateway = TestGateway::start_with(stop_settings(1.0), &feed, context).await;
     let gateway = gateway.ready().await;
     let stream = open_call(gateway.address(), "/stream/x", "1", "secret").await;
-    until(|| endpoint.requests().len() == 1).await;
+    wait_until(|| endpoint.requests().len() == 1).await;
     gateway.daemon.shutdown.trigger();
-    let answer = read_answer(stream).await;
+    let response = read_response(stream).await;
     gateway.gateway.wait().await.expect("the gateway stops");
-    assert!(!answer.is_complete(), "{}", answer.text);
+    assert!(!response.is_complete(), "{}", response.text);
     let cut = lines.with_message("cut by the stop");
     assert_eq!(cut.len(), 1, "{cut:?}");
     assert_eq!(cut[0]["request"], "1");
@@ -38,9 +38,9 @@
     assert_eq!(cut[0]["events"], 1);
 }
 
-/// Guards against a stop of which the log does not tell why a request was taken.
+/// Guards against a missing log line for the admission of a request while stopping.
 #[tokio::test]
-async fn a_request_taken_while_stopping_is_in_the_log_with_its_inputs() {
+async fn admission_while_stopping_is_logged_with_its_inputs() {
     let endpoint = ScriptedEndpoint::start([script::sealed("200 OK", "whole")]).await;
     let feed = TestFeed::new(config(1), vec![entry("i-0", endpoint.address)]);
     let lines = LogLines::default();
@@ -48,32 +48,36 @@
     let gateway = TestGateway::start_with(stop_settings(8.0), &feed, context).await;
     let gateway = gateway.ready().await;
     gateway.daemon.shutdown.trigger();
-    until(|| !gateway.gateway.is_ready()).await;
+    wait_until(|| !gateway.gateway.is_ready()).await;
     let stream = open_call(gateway.address(), "/safe/x", "1", "secret").await;
-    let answer = read_answer(stream).await;
-    assert_eq!(answer.status(), 200, "{}", answer.text);
-    let decided = lines.with_message("request while stopping");
-    assert_eq!(decided.len(), 1, "{decided:?}");
-    assert_eq!(decided[0]["outcome"], "taken");
-    assert!(decided[0]["left_ms"].as_u64().is_some_and(|left| left > 0));
+    let response = read_response(stream).await;
+    assert_eq!(response.status(), 200, "{}", response.text);
+    let decisions = lines.with_message("request while stopping");
+    assert_eq!(decisions.len(), 1, "{decisions:?}");
+    assert_eq!(decisions[0]["outcome"], "taken");
+    assert!(
+        decisions[0]["left_ms"]
+            .as_u64()
+            .is_some_and(|left| left > 0)
+    );
 }
 
-/// The grace of the late stops below. All requests have ended 3.7 s after the request to stop.
+/// Grace period of the late stops below. All requests have ended 3.7 s after the stop signal.
 const LATE_GRACE_S: f64 = 4.0;
 
-/// When callers come in the late stops, after the request to stop.
+/// Time from the stop signal to the late requests.
 const LATE_ARRIVAL: Duration = Duration::from_millis(2_900);
 
-/// What endpoints do with a request that comes late in a stop.
+/// A request that arrives late in a stop, and the behaviour of the endpoints.
 struct LateCase {
     name: &'static str,
     path: &'static str,
     config: TrafficConfig,
     endpoints: usize,
-    /// Played in the order in which requests come to any endpoint.
+    /// Scripts in the order in which requests arrive at any endpoint.
     scripts: Vec<EndpointScript>,
     slots: u32,
-    /// Requests that come just before the late one.
+    /// Number of requests that arrive just before the late one.
     before: usize,
 }
 
@@ -95,21 +99,21 @@
         self
     }
 
-    fn with_plain_path(mut self, path: &'static str) -> Self {
+    fn with_non_streaming_path(mut self, path: &'static str) -> Self {
         self.path = path;
         self.config = config(1);
         self
     }
 
-    /// Requests that take all slots of the endpoints before the late one comes.
-    fn with_before(mut self, before: usize, slots: u32) -> Self {
+    /// Sends requests first that occupy all slots of the endpoints.
+    fn with_preceding_requests(mut self, before: usize, slots: u32) -> Self {
         self.before = before;
         self.slots = slots;
         self
     }
 
-    /// Plays it; the problem if the late request's answer was cut.
-    async fn play(self) -> Option<String> {
+    /// Runs the case. Returns a description of the failure if the late response was cut.
+    async fn run(self) -> Option<String> {
         let pool = ScriptedEndpoint::start_pool(self.endpoints, self.scripts).await;
         let entries = pool.iter().enumerate().map(|(number, endpoint)| {
             let mut entry = entry(&format!("i-{number}"), endpoint.address);
@@ -123,44 +127,45 @@
         let context = direct_support::daemon();
         let gateway = TestGateway::start_with(settings, &feed, context).await;
         let gateway = gateway.ready().await;
-        // Without a request under way the process would end before the late one comes.
+        // Without a running request, the process would end before the late one arrives.
         let upload = open_upload(gateway.address()).await;
         gateway.daemon.shutdown.trigger();
-        until(|| !gateway.gateway.is_ready()).await;
+        wait_until(|| !gateway.gateway.is_ready()).await;
         sleep(LATE_ARRIVAL).await;
-        let lines = "x-prompt: 1000\r\nx-answer-hint: 70\r\nx-answer-limit: 322\r\n";
+        let header_lines = "x-prompt: 1000\r\nx-answer-hint: 70\r\nx-answer-limit: 322\r\n";
         let address = gateway.address();
         for number in 0..self.before {
             let id = format!("b{number}");
-            let stream = open_call_with(address, "/stream/b", &id, "secret", lines).await;
-            tokio::spawn(read_answer(stream));
+            let stream = open_call_with(address, "/stream/b", &id, "secret", header_lines).await;
+            tokio::spawn(read_response(stream));
             sleep(Duration::from_millis(20)).await;
         }
-        let stream = open_call_with(address, self.path, "late", "secret", lines).await;
-        let answer = read_answer(stream).await;
+        let stream = open_call_with(address, self.path, "late", "secret", header_lines).await;
+        let response = read_response(stream).await;
         drop(upload);
         gateway.gateway.wait().await.expect("the gateway stops");
-        let is_whole = match answer.status() {
+        let is_complete = match response.status() {
             0 => false,
-            200 => answer.is_complete() || answer.text.ends_with("whole"),
+            200 => response.is_complete() || response.text.ends_with("whole"),
             _ => true,
         };
-        (!is_whole).then(|| format!("{}: {:?}", self.name, answer.text))
+        (!is_complete).then(|| format!("{}: {:?}", self.name, response.text))
     }
 }
 
-/// Guards against a request that is taken late in a stop, since it should end in time, and cut.
+/// Guards against a request that is admitted late in a stop, because it should end in time, and
+/// then cut.
 #[tokio::test]
-async fn a_stopping_gateway_cuts_no_answer_that_it_took_late() {
+async fn requests_admitted_late_in_a_stop_are_not_cut() {
     let ms = Duration::from_millis;
     let pass = ms(60);
     let cases = vec![
         LateCase::new(
-            "passes of an engine that is full",
+            "slow passes of a full engine",
             vec![script::slow_events(ms(140), 1..8, ms(140))],
         ),
         LateCase::new(
-            "an engine that reads for others first",
+            "an engine that prefills other prompts first",
             vec![script::slow_events(ms(600), 1..8, pass)],
         ),
         LateCase::new(
@@ -172,48 +177,48 @@
         )
         .with_endpoints(2),
         LateCase::new(
-            "a wait for a place",
+            "a wait for a slot",
             vec![
                 script::slow_events(ms(300), 1..3, pass),
                 script::slow_events(ms(300), 1..8, pass),
             ],
         )
-        .with_before(1, 1),
+        .with_preceding_requests(1, 1),
         LateCase::new(
-            "an engine that is silent",
+            "a silent engine",
             vec![script::slow_events(ms(60_000), 1..8, pass)],
         ),
         LateCase::new(
-            "a plain call that takes long",
-            vec![script::slow_answer(ms(1_500), "whole")],
+            "a slow non-streaming request",
+            vec![script::slow_response(ms(1_500), "whole")],
         )
-        .with_plain_path("/once/x"),
+        .with_non_streaming_path("/once/x"),
     ];
-    let cut = join_all(cases.into_iter().map(LateCase::play)).await;
+    let cut = join_all(cases.into_iter().map(LateCase::run)).await;
     let cut: Vec<String> = cut.into_iter().flatten().collect();
     assert!(cut.is_empty(), "{cut:#?}");
 }
 
-/// How far a request is when the time of its gateway is over.
+/// A request that has no response when the stop of its gateway ends.
 struct UnansweredCase {
     name: &'static str,
     path: &'static str,
     scripts: Vec<EndpointScript>,
 }
 
-/// Guards against a stop after which a caller does not know whether its request may have run.
+/// Guards against a stop that leaves a caller not knowing whether its request may have run.
 #[tokio::test]
-async fn a_stop_tells_whether_a_request_without_an_answer_ran() {
+async fn unanswered_requests_report_whether_they_ran() {
     let long = Duration::from_secs(60);
-    let silent = || script::slow_answer(long, "whole");
+    let silent = || script::slow_response(long, "whole");
     let cases = vec![
         UnansweredCase {
-            name: "at a silent endpoint",
+            name: "an idempotent request at a silent endpoint",
             path: "/safe/x",
             scripts: vec![silent(), silent()],
         },
         UnansweredCase {
-            name: "the same, not to be repeated",
+            name: "a non-idempotent request at a silent endpoint",
             path: "/once/x",
             scripts: vec![silent()],
         },
@@ -233,11 +238,11 @@
         let gateway = gateway.ready().await;
         let address = gateway.address();
         let sent = open_call(address, case.path, "sent", "secret").await;
-        until(|| endpoint.requests().len() == 1).await;
+        wait_until(|| endpoint.requests().len() == 1).await;
         gateway.daemon.shutdown.trigger();
-        // The only slot is taken, so this one waits until the end.
+        // The only slot is taken, so this request waits until the stop ends.
         let waiting = open_call(address, case.path, "waiting", "secret").await;
-        let (sent, waiting) = tokio::join!(read_answer(sent), read_answer(waiting));
+        let (sent, waiting) = tokio::join!(read_response(sent), read_response(waiting));
         gateway.gateway.wait().await.expect("the gateway stops");
         assert_eq!(sent.status(), 502, "{}: {}", case.name, sent.text);
         assert!(sent.text.contains("\"ran\":\"unknown\""), "{}", sent.text);
--- a/lovagedock-gateway/tests/direct_support/notices.rs
+++ b/lovagedock-gateway/tests/direct_support/notices.rs
@@ -1,5 +1,5 @@
-//! Endpoints that send rate limit, leaving and backoff notices in their answers, and fleets of gateways that
-//! call them.
+//! Endpoints that send rate limit, leaving and backoff notices in their responses, and fleets of
+//! gateways that call them.
 
 use std::{
     net::SocketAddr,
@@ -23,24 +23,24 @@
 /// Simulated processing time of a request.
 const RUN_TIME: Duration = Duration::from_millis(10);
 
-/// Status and headers of an endpoint's answers.
+/// Status and headers of an endpoint's responses.
 #[derive(Clone, Debug)]
-struct NoticeAnswer {
+struct NoticeResponse {
     status: &'static str,
     /// Additional header lines, each terminated by CRLF.
     header_lines: String,
 }
 
-/// An endpoint that sends the configured answer to every request.
+/// An endpoint that sends the configured response to every request.
 #[derive(Clone)]
 pub(crate) struct NoticeEndpoint {
     pub(crate) address: SocketAddr,
-    answer: Arc<Mutex<NoticeAnswer>>,
+    response: Arc<Mutex<NoticeResponse>>,
     arrivals: Arc<Mutex<Vec<Instant>>>,
 }
 
 impl NoticeEndpoint {
-    /// Starts an endpoint that answers with status 200 and no notices.
+    /// Starts an endpoint that responds with status 200 and no notices.
     pub(crate) async fn start() -> Self {
         let listener = TcpListener::bind(any_port()).await;
         let listener = listener.expect("a free port is available");
@@ -48,7 +48,7 @@
             address: listener
                 .local_addr()
                 .expect("the listener has a local address"),
-            answer: Arc::new(Mutex::new(NoticeAnswer {
+            response: Arc::new(Mutex::new(NoticeResponse {
                 status: "200 OK",
                 header_lines: String::new(),
             })),
@@ -64,14 +64,14 @@
         endpoint
     }
 
-    /// Answers subsequent requests with status 200 and these header lines.
+    /// Responds to subsequent requests with status 200 and these header lines.
     pub(crate) fn serve_with(&self, header_lines: &str) {
-        self.set_answer("200 OK", header_lines);
+        self.set_response("200 OK", header_lines);
     }
 
     /// Rejects subsequent requests with status 503 and these header lines.
     pub(crate) fn reject_with(&self, header_lines: &str) {
-        self.set_answer("503 Busy", &format!("x-not-run: 1\r\n{header_lines}"));
+        self.set_response("503 Busy", &format!("x-not-run: 1\r\n{header_lines}"));
     }
 
     /// Returns the number of requests that arrived in `from..to`.
@@ -103,24 +103,24 @@
         arrivals.first().copied()
     }
 
-    fn set_answer(&self, status: &'static str, header_lines: &str) {
-        let mut answer = self.answer.lock().expect("the mutex is not poisoned");
-        *answer = NoticeAnswer {
+    fn set_response(&self, status: &'static str, header_lines: &str) {
+        let mut response = self.response.lock().expect("the mutex is not poisoned");
+        *response = NoticeResponse {
             status,
             header_lines: header_lines.to_owned(),
         };
     }
 
-    fn record_arrival(&self) -> NoticeAnswer {
+    fn record_arrival(&self) -> NoticeResponse {
         let mut arrivals = self.arrivals.lock().expect("the mutex is not poisoned");
         arrivals.push(Instant::now());
-        let answer = self.answer.lock().expect("the mutex is not poisoned");
-        answer.clone()
+        let response = self.response.lock().expect("the mutex is not poisoned");
+        response.clone()
     }
 
     async fn serve(&self, mut stream: TcpStream) -> Option<()> {
         let request = read_request(&mut stream).await?;
-        let NoticeAnswer {
+        let NoticeResponse {
             status,
             header_lines,
         } = self.record_arrival();
@@ -143,7 +143,7 @@
 }
 
 impl NoticeFleet {
-    /// Starts a fleet whose endpoints answer with status 200 and no notices.
+    /// Starts a fleet whose endpoints respond with status 200 and no notices.
     pub(crate) async fn start(gateways: usize, endpoints: usize) -> Self {
         let feed = TestFeed::new(config(1), Vec::new());
         let mut started = Vec::new();
@@ -169,8 +169,8 @@
         fleet
     }
 
-    /// Starts callers, spread over the gateways, that send requests to `route` until the fleet is dropped, with a
-    /// pause after each request.
+    /// Starts callers, spread over the gateways, that send requests to `route` until the fleet is
+    /// dropped, with a pause after each request.
     pub(crate) fn start_callers(&mut self, callers: usize, route: &'static str, pause: Duration) {
         for number in 0..callers {
             let gateway = self.gateways[number % self.gateways.len()].address();
