--- a/lovagedock-gateway/src/direct/front.rs
+++ b/lovagedock-gateway/src/direct/caller_server.rs
@@ -1,4 +1,4 @@
-//! Accepts callers and checks their requests.
+//! Accepts connections of callers and checks their requests.
 
 use std::{
     convert::Infallible,
@@ -30,123 +30,123 @@
 use tokio_util::task::TaskTracker;
 
 use super::{
-    answer::{CallerWay, problem_response},
-    board::FleetBoard,
     call::{CallParts, DEFAULT_RETRY_AFTER, DirectCall},
     dialect::{CallerHead, HttpDialect},
+    response::{ResponseSender, problem_response},
+    state::GatewayState,
 };
 use crate::front::{AnswerBody, RequestProblem};
 
-/// Pause after an accept that failed, since such errors repeat at once until files are closed.
-pub(crate) const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept. Such errors recur immediately until file descriptors are closed.
+pub(crate) const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Time before the process is killed at which all requests have ended.
+/// Time between the end of all requests and the time at which the process is killed.
 const EXIT_MARGIN: Duration = Duration::from_millis(300);
 
-/// Time after the end of all requests in which their last bytes and log lines go out.
-const LAST_ANSWERS_TIME: Duration = Duration::from_millis(200);
+/// Time after the end of all requests for their last bytes and log lines to be written.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-const _: () = assert!(LAST_ANSWERS_TIME.as_millis() < EXIT_MARGIN.as_millis());
+const _: () = assert!(FLUSH_TIMEOUT.as_millis() < EXIT_MARGIN.as_millis());
 
-/// Time for the request of a connection that is taken while the gateway stops.
-const LATE_REQUEST_TIME: Duration = Duration::from_millis(700);
+/// Time limit for the request on a connection that is accepted while the gateway stops.
+const LATE_REQUEST_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Beyond the declared idle time, so that a caller that uses a connection just in time finds it.
+/// Added to the declared idle timeout, so that a caller that uses a connection just in time finds
+/// it open.
 const IDLE_SLACK: Duration = Duration::from_secs(1);
 
-/// What each connection of a caller needs.
-pub(crate) struct CallerFront {
-    board: Arc<FleetBoard>,
+/// Accepts connections and serves the requests on them.
+pub(crate) struct CallerServer {
+    state: Arc<GatewayState>,
     dialect: Arc<dyn HttpDialect>,
     shutdown: ShutdownSignal,
     log: Logger,
 }
 
-/// Ends a request when its caller goes away: hyper drops the answer then.
-struct CallGuard(JoinHandle<()>);
+/// Aborts a request when its caller disconnects: hyper drops the response then.
+struct AbortOnDrop(JoinHandle<()>);
 
-impl Drop for CallGuard {
+impl Drop for AbortOnDrop {
     fn drop(&mut self) {
         self.0.abort();
     }
 }
 
-impl CallerFront {
-    /// A front.
+impl CallerServer {
+    /// Creates a server; it starts with [`run`](Self::run).
     pub(crate) fn new(
-        board: Arc<FleetBoard>,
+        state: Arc<GatewayState>,
         dialect: Arc<dyn HttpDialect>,
         shutdown: ShutdownSignal,
         log: Logger,
     ) -> Self {
         Self {
-            board,
+            state,
             dialect,
             shutdown,
             log,
         }
     }
 
-    /// Serves until the shutdown, and then until all connections have ended or `grace` is over.
+    /// Serves until the shutdown signal, and then until all connections have ended or `grace` has
+    /// passed.
     pub(crate) async fn run(self, listener: TcpListener, grace: Duration) {
-        let front = Arc::new(self);
+        let server = Arc::new(self);
         let connections = TaskTracker::new();
         let stop = async {
-            front.shutdown.wait().await;
-            let plan = StopPlan::new(front.board.clock.now(), grace - EXIT_MARGIN.min(grace));
-            front.board.set_stopping(plan);
-            info!(front.log, "draining"; "connections" => connections.len());
-            sleep_until(front.instant(plan.notice_ends_at())).await;
+            server.shutdown.wait().await;
+            let plan = StopPlan::new(server.state.clock.now(), grace - EXIT_MARGIN.min(grace));
+            server.state.set_stopping(plan);
+            info!(server.log, "draining"; "connections" => connections.len());
+            sleep_until(server.instant(plan.notice_ends_at())).await;
             connections.close();
-            // What is left then is ended by the calls themselves and waited for below.
-            let _ = timeout_at(front.instant(plan.ends_at()), connections.wait()).await;
+            // A `DirectCall` that is still running then ends its request, which is awaited below.
+            let _ = timeout_at(server.instant(plan.ends_at()), connections.wait()).await;
         };
         tokio::select! {
-            () = front.accept(&listener, &connections) => {}
+            () = server.accept(&listener, &connections) => {}
             () = stop => {}
         }
         drop(listener);
-        // Counted from here: a process that was late at the end would have no time left otherwise.
-        if timeout(LAST_ANSWERS_TIME, connections.wait())
-            .await
-            .is_err()
-        {
-            warn!(front.log, "stopping with open connections"; "connections" => connections.len());
+        // The time limit starts here. Otherwise a process that was stalled at the end of the stop
+        // would have no time left.
+        if timeout(FLUSH_TIMEOUT, connections.wait()).await.is_err() {
+            warn!(server.log, "stopping with open connections"; "connections" => connections.len());
         }
     }
 
     fn instant(&self, at: Timestamp) -> Instant {
-        self.board.clock.instant_at(at).into()
+        self.state.clock.instant_at(at).into()
     }
 
     async fn accept(self: &Arc<Self>, listener: &TcpListener, connections: &TaskTracker) {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    let front = Arc::clone(self);
-                    connections.spawn(async move { front.serve(stream).await });
+                    let server = Arc::clone(self);
+                    connections.spawn(async move { server.serve(stream).await });
                 }
                 Err(error) => {
                     warn!(self.log, "cannot accept a caller"; "error" => %error);
-                    sleep(ACCEPT_PAUSE).await;
+                    sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
     }
 
     async fn serve(self: Arc<Self>, stream: TcpStream) {
-        // Without it the connection works, only slower.
+        // A failure only makes the connection slower.
         let _ = stream.set_nodelay(true);
-        let bounds = self.board.config().map(|config| config.bounds);
-        let is_late = self.closes_idle_connections();
+        let bounds = self.state.config().map(|config| config.bounds);
+        let is_late = self.is_past_notice();
         let idle = match is_late {
-            true => LATE_REQUEST_TIME,
+            true => LATE_REQUEST_TIMEOUT,
             false => bounds.unwrap_or_default().idle_timeout + IDLE_SLACK,
         };
-        let front = Arc::clone(&self);
+        let server = Arc::clone(&self);
         let service = service_fn(move |request| {
-            let front = Arc::clone(&front);
-            async move { Ok::<_, Infallible>(front.answer(request).await) }
+            let server = Arc::clone(&server);
+            async move { Ok::<_, Infallible>(server.respond(request).await) }
         });
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
@@ -155,11 +155,11 @@
         let mut connection = std::pin::pin!(connection);
         let stop = async {
             if is_late {
-                // Its one request is answered with the word that the connection closes; closed
-                // before, the request would get no answer.
+                // The response to its only request carries `Connection: close`. If the connection
+                // were closed earlier, the request would get no response.
                 std::future::pending::<()>().await;
             }
-            let plan = self.board.stop_requested().await;
+            let plan = self.state.stop_requested().await;
             sleep_until(self.instant(plan.notice_ends_at())).await;
         };
         let ended = tokio::select! {
@@ -174,37 +174,38 @@
         }
     }
 
-    /// Whether connections without a request under way are closed.
-    fn closes_idle_connections(&self) -> bool {
-        let now = self.board.clock.now();
-        let plan = self.board.stop_plan();
+    /// Returns whether the notice period of a stop has ended. After it, idle connections are
+    /// closed.
+    fn is_past_notice(&self) -> bool {
+        let now = self.state.clock.now();
+        let plan = self.state.stop_plan();
         plan.is_some_and(|plan| now >= plan.notice_ends_at())
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Response<AnswerBody> {
-        let mut response = self.answer_request(request).await;
-        if self.board.is_stopping() {
+    async fn respond(&self, request: Request<Incoming>) -> Response<AnswerBody> {
+        let mut response = self.handle_request(request).await;
+        if self.state.is_stopping() {
             let close = HeaderValue::from_static("close");
             response.headers_mut().insert(CONNECTION, close);
         }
         response
     }
 
-    async fn answer_request(&self, request: Request<Incoming>) -> Response<AnswerBody> {
-        let arrived = self.board.clock.now();
+    async fn handle_request(&self, request: Request<Incoming>) -> Response<AnswerBody> {
+        let arrived = self.state.clock.now();
         let head = self
             .dialect
             .read_caller(request.headers())
             .with_bounded_tokens();
         let id = head.request.clone();
-        let Some(config) = self.board.trusted_config() else {
+        let Some(config) = self.state.trusted_config() else {
             return self.reject(&id, ResultCode::NotConfigured);
         };
         let limit = config.bounds.max_body_bytes;
         let (parts, body) = request.into_parts();
         let collected = tokio::select! {
             collected = Limited::new(body, limit).collect() => collected,
-            () = self.board.stop_ended() => {
+            () = self.state.stop_ended() => {
                 metrics::counter!("lovagedock_requests_cut_by_stop_total", "stage" => "body")
                     .increment(1);
                 return self.reject(&id, ResultCode::GatewayStopping);
@@ -217,41 +218,42 @@
             }
             Err(_) => return self.reject(&id, ResultCode::MalformedRequest),
         };
-        // A body may take seconds to arrive; what the operator did meanwhile counts.
-        let config = self.board.config().unwrap_or(config);
+        // A body may take seconds to arrive, and the configuration may have changed meanwhile.
+        let config = self.state.config().unwrap_or(config);
         let call = match check(&config, &head, &parts, body, arrived) {
             Ok(call) => call,
             Err(code) => return self.reject(&id, code),
         };
-        if !self.admit_while_stopping(&call) {
+        if !self.admits_while_stopping(&call) {
             return self.reject(&id, ResultCode::GatewayStopping);
         }
-        let (way, response) = CallerWay::channel();
+        let (sender, response) = ResponseSender::channel();
         let call = DirectCall::new(
-            Arc::clone(&self.board),
+            Arc::clone(&self.state),
             Arc::clone(&self.dialect),
             call,
-            way,
+            sender,
         );
-        let guard = CallGuard(tokio::spawn(call.run()));
+        let guard = AbortOnDrop(tokio::spawn(call.run()));
         match response.await {
-            Ok(response) => response.map(|body| guarded(body, guard)),
+            Ok(response) => response.map(|body| with_guard(body, guard)),
             Err(_) => self.reject(&id, ResultCode::EndpointLost),
         }
     }
 
-    /// Whether a request is taken; while the gateway stops, not all are, and each decision is logged.
-    fn admit_while_stopping(&self, call: &CallParts) -> bool {
-        let Some(plan) = self.board.stop_plan() else {
+    /// Returns whether a request is admitted. While the gateway stops, some are not, and each
+    /// decision is logged.
+    fn admits_while_stopping(&self, call: &CallParts) -> bool {
+        let Some(plan) = self.state.stop_plan() else {
             return true;
         };
-        let now = self.board.clock.now();
+        let now = self.state.clock.now();
         let outlook = call.outlook();
-        let is_taken = plan.admits(now, &outlook);
-        let outcome = if is_taken { "taken" } else { "refused" };
+        let is_admitted = plan.admits(now, &outlook);
+        let outcome = if is_admitted { "taken" } else { "refused" };
         metrics::counter!("lovagedock_requests_while_stopping_total", "outcome" => outcome)
             .increment(1);
-        if let Some(left_out) = self.board.lines.take(now) {
+        if let Some(left_out) = self.state.log_limiter.admit(now) {
             info!(self.log, "request while stopping";
                 "request" => &call.head.request,
                 "route" => &call.route.name,
@@ -266,15 +268,15 @@
                 "config" => call.config.version,
                 "left_out" => left_out);
         }
-        is_taken
+        is_admitted
     }
 
     fn reject(&self, request: &str, code: ResultCode) -> Response<AnswerBody> {
         crate::call_task::count_outcome(code);
-        if let Some(left_out) = self.board.lines.take(self.board.clock.now()) {
+        if let Some(left_out) = self.state.log_limiter.admit(self.state.clock.now()) {
             info!(self.log, "rejected";
                 "request" => request, "code" => code.number(),
-                "config" => self.board.config().map(|config| config.version),
+                "config" => self.state.config().map(|config| config.version),
                 "left_out" => left_out);
         }
         let retry_after = (code.http_status() == 503).then_some(DEFAULT_RETRY_AFTER);
@@ -282,7 +284,7 @@
     }
 }
 
-/// Checks a request against the configuration in force.
+/// Checks a request against the current configuration.
 fn check(
     config: &Arc<TrafficConfig>,
     head: &CallerHead,
@@ -318,10 +320,10 @@
     })
 }
 
-/// An answer that keeps its request's task alive, with the length of what is in it.
+/// A response body that aborts its request when it is dropped.
 struct GuardedBody {
     body: AnswerBody,
-    _guard: CallGuard,
+    _guard: AbortOnDrop,
 }
 
 impl Body for GuardedBody {
@@ -344,8 +346,8 @@
     }
 }
 
-/// Keeps the guard as long as the body.
-fn guarded(body: AnswerBody, guard: CallGuard) -> AnswerBody {
+/// Ties the guard to the lifetime of the body.
+fn with_guard(body: AnswerBody, guard: AbortOnDrop) -> AnswerBody {
     let body = GuardedBody {
         body,
         _guard: guard,
--- a/lovagedock-gateway/src/direct/probe.rs
+++ b/lovagedock-gateway/src/direct/health.rs
@@ -1,4 +1,4 @@
-//! Tells the balancer whether the gateway takes connections.
+//! Reports to the balancer whether the gateway accepts connections.
 
 use std::{convert::Infallible, net::SocketAddr, sync::Arc};
 
@@ -9,35 +9,39 @@
 use slog::{Logger, debug, warn};
 use tokio::{net::TcpListener, time::sleep};
 
-use super::{board::FleetBoard, front::ACCEPT_PAUSE};
+use super::{caller_server::ACCEPT_RETRY_DELAY, state::GatewayState};
 
-/// Serves the balancer's question until it is dropped.
-pub(crate) async fn serve_probes(listener: TcpListener, board: Arc<FleetBoard>, log: Logger) {
+/// Serves health checks until it is dropped.
+pub(crate) async fn serve_health_checks(
+    listener: TcpListener,
+    state: Arc<GatewayState>,
+    log: Logger,
+) {
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
                 warn!(log, "cannot accept a health check"; "error" => %error);
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        let board = Arc::clone(&board);
+        let state = Arc::clone(&state);
         let log = log.clone();
         tokio::spawn(async move {
             let service = service_fn(|_: hyper::Request<Incoming>| {
-                let ready = board.is_ready();
-                async move { Ok::<_, Infallible>(answer(ready)) }
+                let ready = state.is_ready();
+                async move { Ok::<_, Infallible>(respond(ready)) }
             });
             let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
             if let Err(error) = connection.await {
-                debug!(log, "health check ended"; "error" => %error);
+                debug!(log, "health check connection failed"; "error" => %error);
             }
         });
     }
 }
 
-fn answer(ready: bool) -> Response<Empty<Bytes>> {
+fn respond(ready: bool) -> Response<Empty<Bytes>> {
     let mut response = Response::new(Empty::new());
     if !ready {
         *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
@@ -45,7 +49,7 @@
     response
 }
 
-/// Listens for the balancer.
-pub(crate) async fn bind_probes(address: SocketAddr) -> std::io::Result<TcpListener> {
+/// Binds the listener for health checks.
+pub(crate) async fn bind_health_checks(address: SocketAddr) -> std::io::Result<TcpListener> {
     TcpListener::bind(address).await
 }
--- a/lovagedock-gateway/src/direct/mod.rs
+++ b/lovagedock-gateway/src/direct/mod.rs
@@ -1,33 +1,34 @@
-//! A gateway that sends requests to endpoints itself, for fleets without sidecars.
+//! Gateway for fleets without sidecars; it sends requests to endpoints itself.
 //!
-//! [`DirectGateway::start`] serves until its shutdown signal. What arrives and leaves is read and
-//! written by an [`HttpDialect`], so that nothing here knows a platform's header names, and the
-//! state of the fleet comes from a [`FleetFeed`](lovagedock_platform::FleetFeed). Every decision is
-//! made by the kernel: `call` carries out what its `DirectMachine` says.
+//! [`DirectGateway::start`] serves until its shutdown signal. An [`HttpDialect`] translates the
+//! headers of requests and responses, so that this module does not depend on a platform's header
+//! names. The state of the fleet comes from a [`FleetFeed`](lovagedock_platform::FleetFeed). The
+//! kernel's `DirectMachine` makes all decisions about a request, and `call` executes them.
 
-mod answer;
-mod board;
 mod call;
+mod caller_server;
 mod delivery;
 mod dialect;
+mod discovery;
 mod exchange;
 mod feed;
 mod fleet_tag;
-mod front;
 mod gateway;
-mod journal;
+mod health;
 mod liveness;
-mod meeting;
+mod log_limiter;
 mod peer_message;
+mod peer_sync;
 mod peers;
-mod probe;
-mod relay;
+mod reservations;
+mod response;
 mod settings;
-mod suspect_keeper;
-mod tickets;
+mod state;
+mod suspect_sync;
 
 pub use dialect::{
-    CallerHead, EndpointHead, HelperAddress, HttpDialect, MemoryOrder, OrderCall, OutgoingHead,
+    CallerHead, CommandRequest, EndpointHead, HelperAddress, HttpDialect, MemoryCommand,
+    OutgoingHead,
 };
 pub use gateway::DirectGateway;
 pub use settings::{DirectSettings, FleetBounds};
--- a/lovagedock-gateway/src/direct/peer_message.rs
+++ b/lovagedock-gateway/src/direct/peer_message.rs
@@ -1,4 +1,4 @@
-//! What gateways tell each other, as it is sent.
+//! Wire format of the messages between gateways.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -10,29 +10,30 @@
 
 use super::fleet_tag::FleetTag;
 
-/// Version of what gateways tell each other, by datagrams and when asked; another one is left out.
-pub(super) const PROTOCOL: u16 = 6;
+/// Version of the protocol between gateways, for datagrams and pulls. Messages of other versions
+/// are rejected.
+pub(super) const PROTOCOL_VERSION: u16 = 6;
 
-/// Comes before each message, so that it can be told whether the rest can be read.
+/// Precedes each message, so that the receiver can tell whether it can decode the rest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct PeerEnvelope {
     protocol: u16,
     fleet: FleetTag,
 }
 
-/// Why a datagram was left out.
+/// Why a datagram was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum DatagramProblem {
-    /// It is no message.
+pub(super) enum DatagramError {
+    /// It could not be decoded.
     Malformed,
-    /// Its sender speaks another version.
+    /// Its sender uses another protocol version.
     Protocol,
     /// Its sender belongs to another fleet.
     Fleet,
 }
 
-impl DatagramProblem {
-    /// Word in metrics.
+impl DatagramError {
+    /// Label value in metrics.
     pub(super) fn as_str(self) -> &'static str {
         match self {
             Self::Malformed => "malformed",
@@ -42,79 +43,82 @@
     }
 }
 
-/// Writes a datagram for gateways of the fleet.
+/// Encodes a datagram for gateways of the fleet.
 pub(super) fn write_datagram(fleet: FleetTag, message: &PeerMessage) -> postcard::Result<Vec<u8>> {
     let envelope = PeerEnvelope {
-        protocol: PROTOCOL,
+        protocol: PROTOCOL_VERSION,
         fleet,
     };
     postcard::to_stdvec(&(envelope, message))
 }
 
-/// Reads a datagram of a gateway of this fleet.
-pub(super) fn read_datagram(fleet: FleetTag, bytes: &[u8]) -> Result<PeerMessage, DatagramProblem> {
+/// Decodes a datagram from a gateway of this fleet.
+pub(super) fn read_datagram(fleet: FleetTag, bytes: &[u8]) -> Result<PeerMessage, DatagramError> {
     let envelope = postcard::take_from_bytes::<PeerEnvelope>(bytes);
-    let (envelope, rest) = envelope.map_err(|_| DatagramProblem::Malformed)?;
-    if envelope.protocol != PROTOCOL {
-        return Err(DatagramProblem::Protocol);
+    let (envelope, rest) = envelope.map_err(|_| DatagramError::Malformed)?;
+    if envelope.protocol != PROTOCOL_VERSION {
+        return Err(DatagramError::Protocol);
     }
     if envelope.fleet != fleet {
-        return Err(DatagramProblem::Fleet);
+        return Err(DatagramError::Fleet);
     }
-    postcard::from_bytes(rest).map_err(|_| DatagramProblem::Malformed)
+    postcard::from_bytes(rest).map_err(|_| DatagramError::Malformed)
 }
 
-/// What a gateway tells its peers.
+/// State that a gateway sends to its peers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(super) struct PeerMessage {
     pub(super) gateway: GatewayId,
     pub(super) incarnation: Incarnation,
     pub(super) sequence: u64,
-    /// Where it listens, for datagrams and for connections.
+    /// Address of the sender for datagrams and connections.
     pub(super) address: SocketAddr,
     pub(super) store_reachable: bool,
-    /// Whether it takes callers.
+    /// Whether the sender serves callers.
     pub(super) serving: bool,
     pub(super) config: Generation,
     pub(super) endpoints: ListingVersion,
-    pub(super) loads: Vec<PeerEntry>,
-    /// Requests that it refused since the last message.
+    pub(super) loads: Vec<LoadEntry>,
+    /// Requests that the sender refused since its last message.
     pub(super) refused: Vec<RequestFingerprint>,
-    /// What it has found out of requests that end engines.
+    /// Evidence against requests that crash engines.
     pub(super) suspects: Vec<SuspectUpdate>,
-    /// Rate limits of endpoints, and which of these endpoints it claims.
+    /// Rate limits of endpoints, and which of these endpoints the sender claims.
     pub(super) limits: Vec<RateUpdate>,
-    /// Endpoints that announced to this gateway that they are leaving.
+    /// Endpoints that announced to the sender that they are leaving.
     pub(super) leaving: Vec<EndpointProcess>,
 }
 
-/// What a gateway has placed on one endpoint.
+/// Load that a gateway has placed on one endpoint.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(super) struct PeerEntry {
+pub(super) struct LoadEntry {
     endpoint: EndpointProcess,
     occupied: u32,
     short: u32,
-    unread: u32,
+    #[serde(rename = "unread")]
+    pending_prefills: u32,
     suspects: u32,
-    pace: f32,
+    #[serde(rename = "pace")]
+    slowdown: f32,
     context: TokenCount,
-    reading_total_us: u64,
-    /// Bearable pause in milliseconds, number of writers, their value.
+    #[serde(rename = "reading_total_us")]
+    prefill_total_us: u64,
+    /// Tolerated gap in milliseconds, number of writers, their value.
     writers: Vec<(u32, u32, f32)>,
 }
 
-impl PeerEntry {
+impl LoadEntry {
     pub(super) fn new(endpoint: &EndpointProcess, load: &PeerLoad) -> Self {
         let writers = load.writers.groups();
         Self {
             endpoint: endpoint.clone(),
             occupied: load.occupied,
             short: load.short,
-            unread: load.pending_prefills,
+            pending_prefills: load.pending_prefills,
             suspects: load.suspects,
-            pace: load.slowdown,
+            slowdown: load.slowdown,
             context: load.context,
-            reading_total_us: load.prefill_total.as_micros() as u64,
+            prefill_total_us: load.prefill_total.as_micros() as u64,
             writers: writers
                 .map(|group| (group.gap.as_millis() as u32, group.count, group.value))
                 .collect(),
@@ -133,11 +137,11 @@
         let load = PeerLoad {
             occupied: self.occupied,
             short: self.short,
-            pending_prefills: self.unread,
+            pending_prefills: self.pending_prefills,
             suspects: self.suspects,
-            slowdown: self.pace,
+            slowdown: self.slowdown,
             context: self.context,
-            prefill_total: Duration::from_micros(self.reading_total_us),
+            prefill_total: Duration::from_micros(self.prefill_total_us),
             writers: writers.collect(),
         };
         (self.endpoint, load)
--- a/lovagedock-gateway/src/direct/board/suspects.rs
+++ b/lovagedock-gateway/src/direct/state/suspects.rs
@@ -1,4 +1,4 @@
-//! What the board knows of requests that end the engines that run them.
+//! Evidence against requests that crash the engines that run them.
 
 use std::time::Duration;
 
@@ -9,16 +9,16 @@
 use slog::info;
 use tokio::sync::futures::Notified;
 
-use super::FleetBoard;
+use super::GatewayState;
 
 /// Where a quarantine was decided, for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum QuarantineSource {
-    /// Here.
+    /// By this gateway.
     Own,
-    /// At a peer.
+    /// By a peer.
     Peer,
-    /// At a gateway that kept it in the store.
+    /// By a gateway that wrote its evidence to the store.
     Store,
 }
 
@@ -32,14 +32,14 @@
     }
 }
 
-impl FleetBoard {
-    /// How much longer a request is not to be sent to engines.
+impl GatewayState {
+    /// Returns how much longer a request must not be sent to engines.
     pub(crate) fn quarantined_for(&self, fingerprint: RequestFingerprint) -> Option<Duration> {
         let now = self.clock.now();
         self.fleet.lock().suspects.quarantined_for(now, fingerprint)
     }
 
-    /// Whether a process ended under a request.
+    /// Returns whether a process ended while it had the request.
     pub(crate) fn is_suspect(&self, fingerprint: RequestFingerprint) -> bool {
         self.fleet.lock().suspects.is_suspect(fingerprint)
     }
@@ -63,53 +63,53 @@
         drop(fleet);
         metrics::counter!("lovagedock_requests_under_ended_processes_total").increment(1);
         if is_new {
-            self.note_quarantine(fingerprint, QuarantineSource::Own);
+            self.report_quarantine(fingerprint, QuarantineSource::Own);
         }
         self.suspects_changed.notify_one();
-        self.placed.notify_one();
+        self.urgent_update.notify_one();
     }
 
-    /// Records that a request was served whole.
+    /// Records that a request was served completely.
     pub(crate) fn record_served(&self, fingerprint: RequestFingerprint) {
         let now = self.clock.now();
         let mut fleet = self.fleet.lock();
-        let left = fleet.suspects.quarantined_for(now, fingerprint);
+        let remaining = fleet.suspects.quarantined_for(now, fingerprint);
         fleet.suspects.record_served(now, fingerprint);
         drop(fleet);
-        if left.is_some() {
+        if remaining.is_some() {
             info!(self.log, "quarantine ended, the request was served";
                 "fingerprint" => format_fingerprint(fingerprint));
         }
     }
 
-    /// Takes in what a peer tells of requests.
-    pub(crate) fn hear_suspects(&self, news: Vec<SuspectUpdate>) {
-        for news in news {
+    /// Applies the updates that a peer reported about requests.
+    pub(crate) fn apply_peer_suspects(&self, updates: Vec<SuspectUpdate>) {
+        for update in updates {
             let now = self.clock.now();
-            let is_new = self.fleet.lock().suspects.apply_update(now, news);
+            let is_new = self.fleet.lock().suspects.apply_update(now, update);
             if is_new {
-                self.note_quarantine(news.fingerprint(), QuarantineSource::Peer);
+                self.report_quarantine(update.fingerprint(), QuarantineSource::Peer);
             }
         }
     }
 
-    /// What peers have to be told of requests now.
-    pub(crate) fn take_suspect_news(&self, telling: &mut SuspectQueue) -> Vec<SuspectUpdate> {
+    /// Returns the updates that are due to be sent to peers.
+    pub(crate) fn take_suspect_updates(&self, queue: &mut SuspectQueue) -> Vec<SuspectUpdate> {
         let now = self.clock.now();
-        telling.take_due(now, &mut self.fleet.lock().suspects)
+        queue.take_due(now, &mut self.fleet.lock().suspects)
     }
 
-    /// What has to outlive this gateway. While peers are out of sight that is all it has seen, since
-    /// they learn of it by the store alone.
+    /// Returns the reports that have to outlive this gateway. While peers are silent, this is all
+    /// evidence, since they can receive it only through the store.
     pub(crate) fn suspect_reports(&self) -> Vec<SuspectReport> {
         let now = self.clock.now();
         let fleet = self.fleet.lock();
         fleet
             .suspects
-            .reports(now, fleet.sight.has_silent_peers(now))
+            .reports(now, fleet.peer_liveness.has_silent_peers(now))
     }
 
-    /// Takes in what a gateway has kept in the store.
+    /// Applies the reports that a gateway wrote to the store.
     pub(crate) fn restore_suspects(&self, gateway: &GatewayId, reports: Vec<SuspectReport>) {
         let now = self.clock.now();
         let is_own = *gateway == self.name;
@@ -119,20 +119,20 @@
         let after: Vec<_> = fleet.suspects.quarantines(now).map(|(f, _)| f).collect();
         drop(fleet);
         for fingerprint in after.iter().filter(|after| !before.contains(after)) {
-            self.note_quarantine(*fingerprint, QuarantineSource::Store);
+            self.report_quarantine(*fingerprint, QuarantineSource::Store);
         }
     }
 
-    /// Whether peers that may serve are out of sight.
-    pub(crate) fn misses_peers(&self) -> bool {
+    /// Returns whether peers that may be serving are silent.
+    pub(crate) fn has_silent_peers(&self) -> bool {
         let now = self.clock.now();
-        self.fleet.lock().sight.has_silent_peers(now)
+        self.fleet.lock().peer_liveness.has_silent_peers(now)
     }
 
-    fn note_quarantine(&self, fingerprint: RequestFingerprint, source: QuarantineSource) {
+    fn report_quarantine(&self, fingerprint: RequestFingerprint, source: QuarantineSource) {
         let now = self.clock.now();
         let fleet = self.fleet.lock();
-        let left = fleet.suspects.quarantined_for(now, fingerprint);
+        let remaining = fleet.suspects.quarantined_for(now, fingerprint);
         let ends = fleet.suspects.ends(fingerprint);
         let count = fleet.suspects.quarantines(now).count();
         drop(fleet);
@@ -140,7 +140,7 @@
         metrics::gauge!("lovagedock_quarantined_requests").set(count as f64);
         info!(self.log, "request in quarantine";
             "fingerprint" => format_fingerprint(fingerprint), "source" => source.as_str(),
-            "ended_processes" => ends, "for_s" => left.map(|left| left.as_secs()));
+            "ended_processes" => ends, "for_s" => remaining.map(|remaining| remaining.as_secs()));
         self.quarantined.notify_waiters();
     }
 }
--- a/lovagedock-gateway/tests/direct_notices.rs
+++ b/lovagedock-gateway/tests/direct_notices.rs
@@ -1,13 +1,13 @@
-//! Endpoints whose answers announce that they are leaving or ask for backoff, over real sockets.
+//! Endpoints whose responses announce that they are leaving or ask for backoff, over real sockets.
 
 mod direct_support;
 
 use std::time::{Duration, Instant};
 
-use direct_support::{NoticeFleet, call, until};
+use direct_support::{NoticeFleet, call, wait_until};
 use tokio::{task::JoinSet, time::sleep};
 
-/// Header line of an answer from an endpoint that is leaving.
+/// Header line of a response from an endpoint that is leaving.
 const LEAVING: &str = "x-leaving: 1\r\n";
 
 /// Pause of a caller after each request.
@@ -24,7 +24,7 @@
         call(gateway, "/safe/x", &format!("{id}")).await;
     }
     let count = |message| fleet.lines.with_message(message).len();
-    until(|| count("endpoint backoff ended") > 0).await;
+    wait_until(|| count("endpoint backoff ended") > 0).await;
     assert!(count("endpoint asked for backoff") > 0);
     assert!(count("endpoint is leaving") > 0);
     fleet.endpoints[0].reject_with("x-retry-after: -3\r\n");
@@ -37,8 +37,8 @@
 /// Time after a leaving notice from which an endpoint may get no new request.
 const DRAIN_TIME: Duration = Duration::from_secs(2);
 
-/// Guards against new requests to an endpoint that announces in its answers that it is leaving, while
-/// discovery still lists it as ready.
+/// Guards against new requests to an endpoint that announces in its responses that it is leaving,
+/// while discovery still lists it as ready.
 #[tokio::test]
 async fn a_leaving_endpoint_gets_no_new_requests() {
     let mut fleet = NoticeFleet::start(3, 3).await;
@@ -55,19 +55,20 @@
     assert!(others > 0, "the other endpoints serve");
 }
 
-/// Guards against requests to a leaving endpoint from gateways that it has not answered itself.
+/// Guards against requests to a leaving endpoint from gateways that have not received a response
+/// from it.
 #[tokio::test]
 async fn peers_learn_of_a_leaving_endpoint() {
     let fleet = NoticeFleet::start(2, 1).await;
     let leaving = &fleet.endpoints[0];
     leaving.serve_with(LEAVING);
-    let answer = call(fleet.gateways[0].address(), "/safe/x", "1").await;
-    assert_eq!(answer.status(), 200, "{}", answer.text);
-    until(|| fleet.lines.with_message("endpoint is leaving").len() == 2).await;
-    let told = Instant::now();
-    let answer = call(fleet.gateways[1].address(), "/safe/x", "2").await;
-    assert_eq!(answer.status(), 503, "{}", answer.text);
-    assert_eq!(leaving.arrivals_between(told, Instant::now()), 0);
+    let response = call(fleet.gateways[0].address(), "/safe/x", "1").await;
+    assert_eq!(response.status(), 200, "{}", response.text);
+    wait_until(|| fleet.lines.with_message("endpoint is leaving").len() == 2).await;
+    let notified_at = Instant::now();
+    let response = call(fleet.gateways[1].address(), "/safe/x", "2").await;
+    assert_eq!(response.status(), 503, "{}", response.text);
+    assert_eq!(leaving.arrivals_between(notified_at, Instant::now()), 0);
 }
 
 struct BackoffCase {
@@ -89,7 +90,8 @@
 /// Requests that may arrive in the rest of the backoff.
 const MAX_BACKOFF_REQUESTS: usize = 2;
 
-/// Guards against an endpoint that gets requests in the backoff that it asked for, or none after it.
+/// Guards against an endpoint that gets requests in the backoff that it asked for, or none after
+/// the backoff.
 #[tokio::test]
 async fn an_endpoint_in_backoff_gets_no_requests() {
     let mut runs = JoinSet::new();
@@ -99,7 +101,7 @@
             let endpoint = fleet.endpoints[0].clone();
             endpoint.reject_with(&format!("x-retry-after: {}\r\n", BACKOFF_TIME.as_secs()));
             fleet.start_callers(6, case.route, CALL_PAUSE);
-            until(|| endpoint.first_arrival().is_some()).await;
+            wait_until(|| endpoint.first_arrival().is_some()).await;
             let asked_at = endpoint.first_arrival().expect("a request arrived");
             sleep(BACKOFF_TIME).await;
             endpoint.serve_with("");
--- a/lovagedock-gateway/tests/direct_pause.rs
+++ b/lovagedock-gateway/tests/direct_pause.rs
@@ -1,4 +1,4 @@
-//! Engines that pause in the middle of an answer, over real sockets.
+//! Engines that pause in the middle of a response, over real sockets.
 
 mod direct_support;
 
@@ -6,12 +6,12 @@
 
 use direct_support::{
     SERVICE, ScriptedEndpoint, TestFeed, TestGateway, config, daemon, endpoint_scripts as script,
-    entry, open_call, read_answer, settings,
+    entry, open_call, read_response, settings,
 };
 use futures::future::join_all;
 use lovagedock::{RouteMatch, RouteMode, ServiceProfile, TrafficConfig};
 
-/// A route whose answers nobody else can continue.
+/// A route whose responses no other engine can resume.
 struct PauseCase {
     name: &'static str,
     resumable: bool,
@@ -22,7 +22,7 @@
     fn config(&self) -> TrafficConfig {
         let base = config(1);
         let RouteMatch::Found(route) = base.route("fleet.example", "/stream/x") else {
-            panic!("the route of streams is gone");
+            panic!("the configuration has no stream route");
         };
         let mut route = route.clone();
         route.mode = RouteMode::Stream {
@@ -39,7 +39,7 @@
             .with_key("secret", "org".into(), None)
     }
 
-    async fn play(self) {
+    async fn run(self) {
         let pause = Duration::from_secs(5);
         let events = script::slow_events(Duration::ZERO, 1..3, pause);
         let endpoint = ScriptedEndpoint::start([events]).await;
@@ -49,26 +49,26 @@
         let gateway = TestGateway::start_with(settings, &feed, daemon()).await;
         let gateway = gateway.ready().await;
         let stream = open_call(gateway.address(), "/stream/x", "1", "secret").await;
-        let answer = read_answer(stream).await;
-        assert!(answer.is_complete(), "{}: {}", self.name, answer.text);
-        assert_eq!(answer.event_ids(), ["1", "2"], "{}", self.name);
+        let response = read_response(stream).await;
+        assert!(response.is_complete(), "{}: {}", self.name, response.text);
+        assert_eq!(response.event_ids(), ["1", "2"], "{}", self.name);
     }
 }
 
-/// Guards against an answer that is cut since its engine, which is there, pauses for seconds.
+/// Guards against a response that is cut because its engine, which is alive, pauses for seconds.
 #[tokio::test]
-async fn a_pause_cuts_no_answer_that_nobody_else_can_continue() {
+async fn a_pause_does_not_cut_a_stream_that_cannot_resume() {
     let cases = [
         PauseCase {
-            name: "not to be resumed",
+            name: "not resumable",
             resumable: false,
             attempts: 1,
         },
         PauseCase {
-            name: "sent as often as it may be",
+            name: "no attempt left",
             resumable: true,
             attempts: 1,
         },
     ];
-    join_all(cases.into_iter().map(PauseCase::play)).await;
+    join_all(cases.into_iter().map(PauseCase::run)).await;
 }
--- a/lovagedock/examples/claims_capacity.rs
+++ b/lovagedock/examples/claims_capacity.rs
@@ -1,10 +1,11 @@
-//! Measures claims per store write, and what claims add to a request: `cargo run --release
-//! --example claims_capacity`.
+//! Measures claims per store write, and the latency that claims add to a request: `cargo run
+//! --release --example claims_capacity`.
 //!
-//! Partitions are instances of the pure decision; time and store are virtual. A write takes 4 to
-//! 8 ms and 10 ms more for a megabyte, a read half of that. A granted request runs for 500 ms on
-//! average and has an answer of 64 bytes. Each partition writes so seldom that all together stay
-//! under the store's rate. With a number as argument only the cases of that rate run.
+//! Partitions are real state machines with simulated time and store. A write takes 4 to 8 ms plus
+//! 10 ms per megabyte, and a read takes half of that. A granted request runs for 500 ms on average
+//! and has an answer of 64 bytes. The write interval of a partition is long enough that all
+//! partitions together stay below the store's rate limit. With a number as argument, only the cases
+//! of that rate run.
 
 use std::{
     cmp::Reverse,
@@ -43,7 +44,7 @@
     }
 }
 
-/// One writer for each partition, as with home gateways.
+/// One gateway writes each partition, as with home gateways.
 const HOME_CASES: &[LoadCase] = &[
     load(5.0, 4, 1),
     load(43.0, 4, 1),
@@ -60,7 +61,7 @@
     load(43_000.0, 150, 1),
 ];
 
-/// Claims of a partition arrive at several gateways, and each writes it.
+/// Claims of a partition arrive at several gateways, all of which write it.
 const SPREAD_CASES: &[LoadCase] = &[
     load(40.0, 1, 1),
     load(40.0, 1, 2),
@@ -84,7 +85,7 @@
         if only.is_some_and(|rate| rate != case.claims_per_second) {
             continue;
         }
-        World::new(case).run().print(case);
+        CapacitySimulation::new(case).run().print(case);
     }
 }
 
@@ -108,7 +109,7 @@
     record: Vec<Duration>,
 }
 
-struct World<'a> {
+struct CapacitySimulation<'a> {
     case: &'a LoadCase,
     rng: ChaCha8Rng,
     now: Timestamp,
@@ -122,19 +123,20 @@
     report: Report,
 }
 
-impl<'a> World<'a> {
+impl<'a> CapacitySimulation<'a> {
     fn new(case: &'a LoadCase) -> Self {
-        let pace = Duration::from_secs(case.partitions as u64) / STORE_WRITES_PER_SECOND as u32;
+        let write_interval =
+            Duration::from_secs(case.partitions as u64) / STORE_WRITES_PER_SECOND as u32;
         let limits = ClaimLimits {
             window: WINDOW,
-            write_interval: pace,
+            write_interval,
             ..ClaimLimits::default()
         };
         let machines = (0..case.partitions * case.gateways).map(|index| {
             let partition = (index / case.gateways) as u32;
             ClaimPartition::new(partition, index as u64 + 1, limits.clone())
         });
-        let mut world = Self {
+        let mut simulation = Self {
             case,
             rng: ChaCha8Rng::seed_from_u64(1),
             now: Duration::ZERO,
@@ -147,8 +149,8 @@
             recorded: BTreeMap::new(),
             report: Report::default(),
         };
-        world.plan_arrival();
-        world
+        simulation.plan_arrival();
+        simulation
     }
 
     fn run(mut self) -> Report {
@@ -251,11 +253,11 @@
             ClaimAction::Delete { nonce, .. } => {
                 self.report.writes += usize::from(measures);
                 let outcome = WriteOutcome::Applied(1);
-                let event = ClaimEvent::StoreAnswered { nonce, outcome };
+                let event = ClaimEvent::StoreWriteEnded { nonce, outcome };
                 let time = self.call_time(0);
                 self.push(self.now + time, Step::Event(machine, event));
             }
-            other => panic!("{other:?} does not happen here"),
+            other => panic!("unexpected action: {other:?}"),
         }
     }
 
@@ -267,12 +269,12 @@
                     None => ReadOutcome::Absent,
                     Some((version, bytes)) => ReadOutcome::Found { version, bytes },
                 };
-                ClaimEvent::StoreRead { object, outcome }
+                ClaimEvent::StoreReadEnded { object, outcome }
             }
             ClaimAction::Write { object, nonce, .. } if object.contains("answers") => {
-                // An answer that found no room in its partition.
+                // The answer did not fit into its partition.
                 let outcome = WriteOutcome::Applied(1);
-                ClaimEvent::StoreAnswered { nonce, outcome }
+                ClaimEvent::StoreWriteEnded { nonce, outcome }
             }
             ClaimAction::Write {
                 condition,
@@ -293,9 +295,9 @@
                     self.report.conflicts += usize::from(self.now >= WARM_UP);
                     WriteOutcome::Conflict
                 };
-                ClaimEvent::StoreAnswered { nonce, outcome }
+                ClaimEvent::StoreWriteEnded { nonce, outcome }
             }
-            other => panic!("{other:?} is no call"),
+            other => panic!("not a store call: {other:?}"),
         };
         self.handle(machine, event);
     }
--- a/lovagedock/src/adoption/repair.rs
+++ b/lovagedock/src/adoption/repair.rs
@@ -1,4 +1,4 @@
-//! Comparisons with random peers, and pulls of what they have more.
+//! Comparisons with random peers, and pulls of newer generations.
 
 use std::collections::BTreeMap;
 
@@ -10,18 +10,18 @@
 };
 use crate::ids::{Generation, Timestamp};
 
-/// Pulls that are due or under way.
+/// Pulls that are due or in flight.
 #[derive(Debug, Default)]
 pub(super) struct RepairState {
-    /// The next pull asks for the whole, since the last bundle was damaged.
-    pub(super) wants_whole: bool,
+    /// The next pull requests a complete bundle, because the last bundle was damaged.
+    pub(super) needs_full_bundle: bool,
     compare_at: Option<Timestamp>,
     due: BTreeMap<ProcessId, Timestamp>,
     in_flight: Option<ProcessId>,
 }
 
 impl RepairState {
-    pub(super) fn pull_at(&mut self, peer: ProcessId, at: Timestamp) {
+    pub(super) fn schedule_pull(&mut self, peer: ProcessId, at: Timestamp) {
         let due = self.due.entry(peer).or_insert(at);
         *due = at.min(*due);
     }
@@ -34,21 +34,26 @@
 }
 
 impl AdoptionState {
-    /// A peer told its generation. One ahead of us is pulled after a pause, in which the push that
-    /// is on its way from the parent usually arrives.
-    pub(super) fn on_told(&mut self, now: Timestamp, from: ProcessId, generation: Generation) {
-        self.hear(generation);
-        self.note_contact(now, &from);
+    /// Handles the generation reported by a peer. If it is newer, it is pulled after a delay in
+    /// which the push from the parent usually arrives.
+    pub(super) fn on_peer_reported(
+        &mut self,
+        now: Timestamp,
+        from: ProcessId,
+        generation: Generation,
+    ) {
+        self.record_generation(generation);
+        self.record_contact(now, &from);
         if generation > self.generation() {
-            let patience = self.jitter(self.limits.offer_patience);
-            self.repair.pull_at(from, now + patience);
+            let delay = self.jitter(self.limits.offer_delay);
+            self.repair.schedule_pull(from, now + delay);
             return;
         }
-        self.note_receiver(now, &from, generation);
+        self.record_receiver(now, &from, generation);
     }
 
     pub(super) fn drive_repair(&mut self, now: Timestamp, actions: &mut Vec<AdoptionAction>) {
-        self.plan_comparison(now);
+        self.schedule_comparison(now);
         if self.repair.in_flight.is_some() {
             return;
         }
@@ -59,16 +64,16 @@
         };
         self.repair.due.remove(&from);
         self.repair.in_flight = Some(from.clone());
-        let above = match self.repair.wants_whole {
+        let above = match self.repair.needs_full_bundle {
             true => 0,
             false => self.generation(),
         };
         actions.push(AdoptionAction::Pull { from, above });
     }
 
-    /// Every process asks one random peer at a time, at a rate that no failure raises: when
-    /// regions find each other again, or the store comes back, there is no burst.
-    fn plan_comparison(&mut self, now: Timestamp) {
+    /// Schedules a comparison with a random peer. Failures never raise the rate of comparisons, so
+    /// there is no burst when regions reconnect or the store recovers.
+    fn schedule_comparison(&mut self, now: Timestamp) {
         if self.role.peers.is_empty() || self.generation() == 0 {
             self.repair.compare_at = None;
             return;
@@ -79,7 +84,7 @@
             Some(_) => {
                 let index = self.rng.random_range(0..self.role.peers.len());
                 let peer = self.role.peers[index].clone();
-                self.repair.pull_at(peer, now);
+                self.repair.schedule_pull(peer, now);
             }
         }
         let pause = self.jitter(self.limits.compare_interval);
@@ -97,25 +102,25 @@
             self.repair.in_flight = None;
         }
         let Some(answer) = answer else {
-            self.note_start(&from, None);
+            self.record_startup_answer(&from, None);
             return;
         };
-        self.note_contact(now, &from);
-        self.hear(answer.generation);
-        self.note_receiver(now, &from, answer.generation);
-        if self.note_start(&from, Some(&answer)) {
+        self.record_contact(now, &from);
+        self.record_generation(answer.generation);
+        self.record_receiver(now, &from, answer.generation);
+        if self.record_startup_answer(&from, Some(&answer)) {
             return;
         }
         let Some(bundle) = answer.bundle else {
             return;
         };
-        // What was due from others is most likely the same generation.
+        // Pulls that are due from other peers would most likely return the same generation.
         let source = AdoptionSource::Pull(from.clone());
-        self.take_bundle(now, from, &bundle, source, actions);
-        if self.generation() >= self.heard {
+        self.apply_bundle(now, from, &bundle, source, actions);
+        if self.generation() >= self.highest_seen {
             self.repair
                 .due
-                .retain(|peer, _| self.role.seniors.contains(peer));
+                .retain(|peer, _| self.role.higher_ranked.contains(peer));
         }
     }
 }
--- a/lovagedock/src/adoption/state.rs
+++ b/lovagedock/src/adoption/state.rs
@@ -1,4 +1,4 @@
-//! What one process has in force, and what it does to get and spread the newest.
+//! State machine of one process for obtaining and distributing the newest configuration.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -12,8 +12,8 @@
     push::PushProgress,
     repair::RepairState,
     role::RelayRole,
-    senior::SeniorState,
-    start::StartState,
+    standby::StandbyState,
+    startup::StartupState,
     types::{
         AdoptionAction, AdoptionEvent, AdoptionLimits, AdoptionSource, AdoptionStatus, ProcessId,
         PullAnswer,
@@ -25,11 +25,11 @@
     safeguards::DurableSafeguards,
 };
 
-/// Adoption at one process.
+/// Adoption of configurations at one process.
 ///
-/// The generation in force only ever grows during a process's life. A process that starts adopts
-/// what the store says or, when the store cannot be read, the highest of several peers, so it may
-/// begin below what its host had before and then only catches up.
+/// The generation in force never decreases while a process runs. At startup a process adopts the
+/// generation in the store or, if the store cannot be read, the highest one of several peers. It
+/// may therefore start with a lower generation than its predecessor had, and catches up later.
 #[derive(Debug)]
 pub struct AdoptionState {
     pub(super) limits: AdoptionLimits,
@@ -38,18 +38,19 @@
     pub(super) role: RelayRole,
     pub(super) current: Option<ConfigSnapshot>,
     pub(super) history: VecDeque<ConfigManifest>,
-    pub(super) heard: Generation,
+    pub(super) highest_seen: Generation,
     pub(super) pushes: BTreeMap<ProcessId, PushProgress>,
     pub(super) repair: RepairState,
     pub(super) upstream: UpstreamState,
-    pub(super) start: StartState,
-    pub(super) senior: SeniorState,
+    pub(super) startup: StartupState,
+    pub(super) standby: StandbyState,
     source: Option<AdoptionSource>,
     wake_at: Option<Timestamp>,
 }
 
 impl AdoptionState {
-    /// A process that has nothing in force; `seed` spreads its timers.
+    /// Creates the state of a process without a configuration. `seed` determines the jitter of its
+    /// timers.
     pub fn new(limits: AdoptionLimits, seed: u64) -> Self {
         Self {
             limits,
@@ -58,12 +59,12 @@
             role: RelayRole::default(),
             current: None,
             history: VecDeque::new(),
-            heard: 0,
+            highest_seen: 0,
             pushes: BTreeMap::new(),
             repair: RepairState::default(),
             upstream: UpstreamState::default(),
-            start: StartState::default(),
-            senior: SeniorState::default(),
+            startup: StartupState::default(),
+            standby: StandbyState::default(),
             source: None,
             wake_at: None,
         }
@@ -75,19 +76,19 @@
         self
     }
 
-    /// The generation in force; 0 for nothing.
+    /// Returns the generation in force; 0 for none.
     pub fn generation(&self) -> Generation {
         self.current
             .as_ref()
             .map_or(0, |current| current.manifest.generation)
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn text(&self) -> Option<Bytes> {
         self.current.as_ref().map(ConfigSnapshot::text)
     }
 
-    /// The manifest in force.
+    /// Returns the manifest in force.
     pub fn manifest(&self) -> Option<&ConfigManifest> {
         self.current.as_ref().map(|current| &current.manifest)
     }
@@ -102,67 +103,74 @@
         }
     }
 
-    /// What a dump shows.
+    /// Returns the state for a dump.
     pub fn status(&self) -> AdoptionStatus {
         AdoptionStatus {
             generation: self.generation(),
-            heard: self.heard,
+            heard: self.highest_seen,
             source: self.source.clone(),
             watches: self.upstream.watching,
             store_failures: self.upstream.failures,
         }
     }
 
-    /// Takes an event and returns what to do.
+    /// Handles an event and returns the actions to carry out.
     pub fn handle(&mut self, now: Timestamp, event: AdoptionEvent) -> Vec<AdoptionAction> {
         let mut actions = Vec::new();
-        self.take(now, event, &mut actions);
-        self.drive_seniors(now);
-        self.drive_start(now, &mut actions);
+        self.dispatch(now, event, &mut actions);
+        self.drive_standby(now);
+        self.drive_startup(now, &mut actions);
         self.drive_upstream(now, &mut actions);
         self.drive_repair(now, &mut actions);
         self.drive_pushes(now, &mut actions);
-        self.wake(now, &mut actions);
+        self.schedule_wake(now, &mut actions);
         actions
     }
 
-    fn take(&mut self, now: Timestamp, event: AdoptionEvent, actions: &mut Vec<AdoptionAction>) {
+    fn dispatch(
+        &mut self,
+        now: Timestamp,
+        event: AdoptionEvent,
+        actions: &mut Vec<AdoptionAction>,
+    ) {
         match event {
             AdoptionEvent::Role(role) => {
-                let lists = [&role.children, &role.offers, &role.stand_in_children];
+                let lists = [&role.children, &role.offers, &role.standby_children];
                 let has = |peer: &ProcessId| lists.iter().any(|list| list.contains(peer));
                 self.pushes.retain(|peer, _| has(peer));
                 self.role = role;
-                self.set_seniors(now);
+                self.set_higher_ranked(now);
             }
             AdoptionEvent::RootRead(outcome) => self.on_root(now, outcome, actions),
             AdoptionEvent::ChunkRead { hash, bytes } => self.on_chunk(now, hash, bytes, actions),
             AdoptionEvent::Pushed { from, bundle } => {
-                self.hear(bundle.generation);
-                self.note_contact(now, &from);
+                self.record_generation(bundle.generation);
+                self.record_contact(now, &from);
                 let source = AdoptionSource::Push(from.clone());
-                self.take_bundle(now, from, &bundle, source, actions);
+                self.apply_bundle(now, from, &bundle, source, actions);
+            }
+            AdoptionEvent::PeerReported { from, generation } => {
+                self.on_peer_reported(now, from, generation)
             }
-            AdoptionEvent::Told { from, generation } => self.on_told(now, from, generation),
             AdoptionEvent::PushAnswered { to, generation } => {
                 self.on_push_answered(now, to, generation);
             }
             AdoptionEvent::PushFailed { to } => self.on_push_failed(now, &to),
             AdoptionEvent::Pulled { from, answer } => self.on_pulled(now, from, answer, actions),
             AdoptionEvent::Accepted { generation } => {
-                self.hear(generation);
+                self.record_generation(generation);
                 self.upstream.poll_soon(generation > self.generation());
             }
             AdoptionEvent::Tick => {}
         }
     }
 
-    pub(super) fn hear(&mut self, generation: Generation) {
-        self.heard = self.heard.max(generation);
+    pub(super) fn record_generation(&mut self, generation: Generation) {
+        self.highest_seen = self.highest_seen.max(generation);
     }
 
-    /// Takes what a peer sent, if it is newer and whole.
-    pub(super) fn take_bundle(
+    /// Adopts a bundle from a peer if it is newer and undamaged.
+    pub(super) fn apply_bundle(
         &mut self,
         now: Timestamp,
         from: ProcessId,
@@ -177,16 +185,19 @@
         match ConfigSnapshot::from_bundle(self.current.as_ref(), bundle, verify) {
             Ok(snapshot) => self.adopt(now, snapshot, source, actions),
             Err(error) => {
-                // A base that is not ours is told to the sender by the generation that it gets as
-                // an answer; everything else is damage, and the next pull asks for the whole.
-                self.repair.wants_whole |= error != BundleError::OtherBase;
+                // If only the base differs, the sender learns it from the generation in the answer.
+                // Any other error means damage, and the next pull requests a complete bundle.
+                self.repair.needs_full_bundle |= error != BundleError::OtherBase;
                 actions.push(AdoptionAction::Rejected { from, error });
             }
         }
     }
 
-    /// A late push, a slow read or a peer that lags would take the process back to rules that an
-    /// operator has replaced; since generations grow with each acceptance, one comparison is enough.
+    /// Whether a generation is newer than the one in force.
+    ///
+    /// Without this check a late push, a slow read or a peer that is behind would revert the
+    /// process to rules that an operator has replaced. Generations increase with each accepted
+    /// configuration, so one comparison is enough.
     pub(super) fn is_newer(&self, generation: Generation) -> bool {
         generation > self.generation() || !self.safeguards.generations_ascend
     }
@@ -206,32 +217,32 @@
         while self.history.len() > self.limits.history {
             self.history.pop_front();
         }
-        self.hear(generation);
-        self.repair.wants_whole = false;
+        self.record_generation(generation);
+        self.repair.needs_full_bundle = false;
         self.source = Some(source.clone());
-        self.note_adopted(now);
+        self.record_adopted(now);
         actions.push(AdoptionAction::Adopt {
             generation,
             digest,
             source: source.clone(),
         });
-        self.spread(now, &source, actions);
+        self.propagate(now, &source, actions);
     }
 
-    /// What a process at `base` lacks, or the whole.
+    /// Returns the difference to the generation `base` if that is known, else a complete bundle.
     pub(super) fn bundle(&self, base: Generation) -> Option<ConfigBundle> {
         let current = self.current.as_ref()?;
         let base = self.history.iter().find(|old| old.generation == base);
         Some(current.bundle(base))
     }
 
-    fn wake(&mut self, now: Timestamp, actions: &mut Vec<AdoptionAction>) {
+    fn schedule_wake(&mut self, now: Timestamp, actions: &mut Vec<AdoptionAction>) {
         let times = [
             self.upstream.next_wake(),
             self.repair.next_wake(),
-            self.start.next_wake(),
+            self.startup.next_wake(),
             self.next_push(),
-            self.senior.next_wake(),
+            self.standby.next_wake(),
         ];
         let wake_at = times.into_iter().flatten().min().map(|at| at.max(now));
         if wake_at != self.wake_at {
@@ -240,7 +251,7 @@
         }
     }
 
-    /// Between half of a time and one and a half of it.
+    /// Returns a random duration between 0.5 and 1.5 times the mean.
     pub(super) fn jitter(&mut self, mean: std::time::Duration) -> std::time::Duration {
         mean.mul_f64(self.rng.random_range(0.5..1.5))
     }
--- a/lovagedock/src/adoption/upstream.rs
+++ b/lovagedock/src/adoption/upstream.rs
@@ -1,4 +1,4 @@
-//! The store: watched by few, polled seldom by the rest.
+//! Reads of the store, which few processes watch and the others poll rarely.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,18 +14,18 @@
 
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
 
-/// What is being read from the store.
+/// State of reading from the store.
 #[derive(Debug, Default)]
 pub(super) struct UpstreamState {
     pub(super) failures: u32,
     in_flight: bool,
     next_at: Option<Timestamp>,
     soon: bool,
-    /// This process watches, by plan or as a stand-in.
+    /// Whether this process watches the store, by plan or as a standby.
     pub(super) watching: bool,
-    /// The first read was answered, or a peer was faster.
+    /// Whether the first read was answered, or a peer was faster.
     started: bool,
-    /// The store said that nothing was accepted yet.
+    /// Whether the store reported that no configuration was accepted yet.
     is_empty: bool,
     fetch: Option<ChunkFetch>,
 }
@@ -36,8 +36,9 @@
     manifest: ConfigManifest,
     missing: BTreeSet<ChunkHash>,
     in_flight: BTreeSet<ChunkHash>,
-    /// Until when peers may bring the chunks; the store's reads are few.
-    patient_until: Timestamp,
+    /// When to read the chunks from the store unless peers provide them earlier, since the store
+    /// allows few reads.
+    read_from_store_at: Timestamp,
     read: BTreeMap<ChunkHash, Bytes>,
 }
 
@@ -52,7 +53,7 @@
             .fetch
             .as_ref()
             .filter(|fetch| fetch.in_flight.is_empty());
-        let chunks_at = waiting.map(|fetch| fetch.patient_until);
+        let chunks_at = waiting.map(|fetch| fetch.read_from_store_at);
         let chunks_at = chunks_at.filter(|_| self.failures == 0);
         next_at.into_iter().chain(chunks_at).min()
     }
@@ -65,15 +66,15 @@
         }
         let stops = !watching && self.upstream.watching;
         if stops && self.generation() > 0 && self.upstream.failures == 0 {
-            // The next call was planned at the pace of a watcher.
+            // The next call was scheduled at the short interval of a watcher.
             let pause = self.jitter(self.limits.poll_interval);
             self.upstream.next_at = Some(now + pause);
         }
         self.upstream.watching = watching;
     }
 
-    /// Reads at the start, then watches or polls. Only a failure, or a hint that there is more,
-    /// changes the pace, and failures slow it down.
+    /// Reads the root at startup, then watches or polls it. Only failures and hints of a newer
+    /// generation change the interval. Failures make it longer.
     pub(super) fn drive_upstream(&mut self, now: Timestamp, actions: &mut Vec<AdoptionAction>) {
         if self.upstream.failures == 0 {
             self.read_chunks(now, actions);
@@ -82,8 +83,9 @@
             return;
         }
         if self.upstream.next_at.is_none() && !self.upstream.watching {
-            // A domain that restarts as a whole spreads its reads, and most need none.
-            let pause = self.jitter(self.limits.start_patience);
+            // The jitter spreads the reads if a whole failure domain restarts. Most processes then
+            // get the configuration from a peer and need no read.
+            let pause = self.jitter(self.limits.startup_wait);
             self.upstream.next_at = Some(now + pause);
         }
         let is_soon = self.upstream.soon && self.upstream.failures == 0;
@@ -94,8 +96,8 @@
         self.upstream.in_flight = true;
         self.upstream.soon = false;
         let above = self.generation();
-        // Before the first acceptance there is no plan and no peer to hear from, so every process
-        // watches; a poll would notice the first configuration minutes later.
+        // Before the first configuration is accepted, there is no plan and no peer can push, so
+        // every process watches. A poll would find the first configuration minutes later.
         let may_watch = match above {
             0 => self.upstream.is_empty,
             _ => self.upstream.watching,
@@ -129,25 +131,25 @@
         let RootOutcome::Found(manifest) = outcome else {
             return;
         };
-        self.hear(manifest.generation);
+        self.record_generation(manifest.generation);
         if self.is_newer(manifest.generation) {
             self.fetch(now, manifest, actions);
         }
     }
 
-    /// The generation that is being read from the store.
+    /// Returns the generation that is being read from the store.
     pub(super) fn wanted_generation(&self) -> Option<Generation> {
         let fetch = self.upstream.fetch.as_ref();
         fetch.map(|fetch| fetch.manifest.generation)
     }
 
-    /// Gives up reads that a peer has made needless.
-    pub(super) fn note_adopted(&mut self, now: Timestamp) {
+    /// Stops reads that are superseded by a configuration from a peer.
+    pub(super) fn record_adopted(&mut self, now: Timestamp) {
         let generation = self.generation();
-        let needless = |fetch: &mut ChunkFetch| fetch.manifest.generation <= generation;
-        self.upstream.fetch.take_if(needless);
-        // The role under this configuration comes next. A watch begun before it would be held for
-        // as long as a watch lasts by a process that is not to watch.
+        let is_superseded = |fetch: &mut ChunkFetch| fetch.manifest.generation <= generation;
+        self.upstream.fetch.take_if(is_superseded);
+        // The role for this configuration follows with a separate event. A watch that started
+        // before it would stay open for its full time, even if this process is not to watch.
         if self.upstream.next_at.is_some_and(|at| at <= now) {
             self.upstream.next_at = Some(now + self.limits.watch_pause);
         }
@@ -178,14 +180,14 @@
         };
         let missing = manifest.chunks.iter().filter(|hash| !has(hash));
         let missing = missing.copied().collect();
-        let patience = match self.upstream.watching || self.role.peers.is_empty() {
+        let delay = match self.upstream.watching || self.role.peers.is_empty() {
             true => Timestamp::ZERO,
-            false => self.jitter(self.limits.start_patience * 2),
+            false => self.jitter(self.limits.startup_wait * 2),
         };
         let mut fetch = ChunkFetch {
             missing,
             in_flight: BTreeSet::new(),
-            patient_until: now + patience,
+            read_from_store_at: now + delay,
             read: BTreeMap::new(),
             manifest,
         };
@@ -198,7 +200,7 @@
     }
 
     fn read_chunks(&mut self, now: Timestamp, actions: &mut Vec<AdoptionAction>) {
-        let due = |fetch: &&mut ChunkFetch| fetch.patient_until <= now;
+        let due = |fetch: &&mut ChunkFetch| fetch.read_from_store_at <= now;
         let Some(fetch) = self.upstream.fetch.as_mut().filter(due) else {
             return;
         };
@@ -226,8 +228,8 @@
             return;
         };
         fetch.in_flight.remove(&hash);
-        let whole = bytes.filter(|bytes| !verify || chunk_hash(bytes) == hash);
-        let Some(bytes) = whole else {
+        let verified = bytes.filter(|bytes| !verify || chunk_hash(bytes) == hash);
+        let Some(bytes) = verified else {
             self.back_off(now);
             return;
         };
@@ -242,7 +244,7 @@
         let Some(fetch) = self.upstream.fetch.take_if(done) else {
             return;
         };
-        // A peer may have been faster.
+        // A push or pull from a peer may have been faster.
         if !self.is_newer(fetch.manifest.generation) {
             return;
         }
--- a/lovagedock/src/direct/machine.rs
+++ b/lovagedock/src/direct/machine.rs
@@ -110,7 +110,7 @@
         self.excluded.push(endpoint);
     }
 
-    /// Returns how often the request was sent.
+    /// Returns the number of times that the request was sent.
     pub fn sent(&self) -> u32 {
         self.sent
     }
@@ -142,21 +142,21 @@
 
     /// Grants another attempt, because the process that had the request became silent and is gone.
     ///
-    /// Without it, a long prompt that one engine refuses as not run and that is lost with the next
-    /// engine has used up its attempts, although no engine has completed any work on it. The caller
-    /// would get an error while the rest of the fleet could serve the request.
+    /// Without it, a long prompt would have used up its attempts after one engine refused it as not
+    /// run and the next engine was lost with it, although no engine has completed any work on it.
+    /// The caller would get an error while the rest of the fleet could serve the request.
     pub fn grant_extra_attempt(&mut self) {
         self.extra_attempts = (self.extra_attempts + 1).min(MAX_EXTRA_ATTEMPTS);
     }
 
-    /// Decides the next step after an attempt at `endpoint` ended. `take_retry` takes a retry from
-    /// the service's budget.
+    /// Decides the next step after an attempt at `endpoint` ended. `consume_retry` consumes a retry
+    /// of the service's budget and returns `false` if none is left.
     pub fn attempt_ended(
         &mut self,
         now: Timestamp,
         endpoint: &EndpointProcess,
         end: AttemptEnd,
-        take_retry: impl FnOnce() -> bool,
+        consume_retry: impl FnOnce() -> bool,
     ) -> DirectStep {
         self.in_flight = false;
         if end != AttemptEnd::Withheld {
@@ -177,21 +177,21 @@
                 DirectStep::Place { resume: false }
             }
             AttemptEnd::NotRun | AttemptEnd::Misdirected => {
-                if self.may_send_again(now) && take_retry() {
+                if self.may_send_again(now) && consume_retry() {
                     return DirectStep::Place { resume: false };
                 }
                 self.give_up(now, ResultCode::EngineRefused)
             }
             AttemptEnd::Failed => {
                 self.may_have_run = true;
-                if self.mode.may_repeat() && self.may_send_again(now) && take_retry() {
+                if self.mode.may_repeat() && self.may_send_again(now) && consume_retry() {
                     return DirectStep::Place { resume: false };
                 }
                 DirectStep::DeliverFailure
             }
             AttemptEnd::Lost => {
                 self.may_have_run = true;
-                if self.mode.may_repeat() && self.may_send_again(now) && take_retry() {
+                if self.mode.may_repeat() && self.may_send_again(now) && consume_retry() {
                     return DirectStep::Place { resume: false };
                 }
                 self.give_up(now, ResultCode::EndpointLost)
@@ -199,7 +199,7 @@
             AttemptEnd::Broken => {
                 self.may_have_run = true;
                 let resumable = self.mode == RouteMode::Stream { resumable: true };
-                if resumable && self.may_send_again(now) && take_retry() {
+                if resumable && self.may_send_again(now) && consume_retry() {
                     self.resuming = true;
                     return DirectStep::Place { resume: true };
                 }
@@ -208,7 +208,7 @@
         }
     }
 
-    /// Returns the result for a request that no endpoint can take now.
+    /// Returns the result for a request that no endpoint can accept now.
     pub fn no_place(&self, now: Timestamp) -> DirectStep {
         self.give_up(now, ResultCode::NoCapacity)
     }
--- a/lovagedock/src/direct/rate_limit.rs
+++ b/lovagedock/src/direct/rate_limit.rs
@@ -21,10 +21,12 @@
 /// ended.
 const MIN_RATE: RequestRate = 0.1;
 
-/// Minimum time after its latest request for which a gateway takes a share of an endpoint's limit.
+/// Minimum time for which a gateway keeps its share of an endpoint's limit after its latest request
+/// for that endpoint.
 const MIN_DEMAND_TIME: Duration = Duration::from_secs(5);
 
-/// Time after which a peer's claim expires. Tolerates the loss of two messages.
+/// Time after which a peer's claim to send requests to an endpoint expires unless it is sent again.
+/// Tolerates the loss of two messages.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// Interval at which a limit is sent again.
@@ -322,7 +324,7 @@
         if verdict == RateVerdict::Admitted
             && let Some(record) = self.limits.get_mut(endpoint)
         {
-            record.bucket.take(now);
+            record.bucket.consume(now);
         }
         verdict
     }
@@ -332,12 +334,14 @@
         let gateway = &self.gateway;
         let due = self.limits.iter_mut().filter_map(|(endpoint, record)| {
             let is_claimed = record.is_claimed(now, endpoint, gateway);
-            record.take_due(now, is_claimed).then(|| RateUpdate {
-                endpoint: endpoint.clone(),
-                rate: record.rate,
-                age: now.saturating_sub(record.received_at),
-                is_claimed,
-            })
+            record
+                .mark_sent_if_due(now, is_claimed)
+                .then(|| RateUpdate {
+                    endpoint: endpoint.clone(),
+                    rate: record.rate,
+                    age: now.saturating_sub(record.received_at),
+                    is_claimed,
+                })
         });
         due.take(MAX_UPDATES_PER_MESSAGE).collect()
     }
@@ -427,7 +431,7 @@
         peers.filter(|peer| key(peer) < own).count()
     }
 
-    /// Whether `gateway` has requests for the endpoint and is a sender or a standby.
+    /// Returns whether `gateway` has requests for the endpoint and is a sender or a standby.
     fn is_claimed(&self, now: Timestamp, endpoint: &EndpointProcess, gateway: &GatewayId) -> bool {
         let senders = self.rate.map_or(0, max_senders);
         senders > 0
@@ -436,7 +440,7 @@
     }
 
     /// Returns whether the state is due to be sent to peers, and if so marks it as sent.
-    fn take_due(&mut self, now: Timestamp, is_claimed: bool) -> bool {
+    fn mark_sent_if_due(&mut self, now: Timestamp, is_claimed: bool) -> bool {
         let last_sent = self.last_sent.unwrap_or(SentLimit {
             rate: None,
             is_claimed: false,
@@ -486,7 +490,7 @@
         (self.tokens + elapsed * self.rate).min(1.0)
     }
 
-    /// Returns when a token is available, or `None` if the rate is zero.
+    /// Returns the time from which a token is available, or `None` if the rate is zero.
     fn ready_at(&self, now: Timestamp) -> Option<Timestamp> {
         if self.rate == 0.0 {
             return None;
@@ -495,7 +499,7 @@
         Some(now + Duration::from_secs_f64((missing / self.rate).max(0.0)))
     }
 
-    fn take(&mut self, now: Timestamp) {
+    fn consume(&mut self, now: Timestamp) {
         self.tokens = (self.tokens_at(now) - 1.0).max(0.0);
         self.filled_at = now;
     }
--- a/lovagedock/src/direct/retries.rs
+++ b/lovagedock/src/direct/retries.rs
@@ -66,8 +66,8 @@
         self.budget.record_success(now);
     }
 
-    /// Takes one retry. Returns `false` if none is left.
-    pub fn try_take(&mut self, now: Timestamp) -> bool {
+    /// Consumes one retry. Returns `false` if none is left.
+    pub fn try_consume(&mut self, now: Timestamp) -> bool {
         self.budget.try_consume(now)
     }
 }
--- a/lovagedock/src/direct/stopping.rs
+++ b/lovagedock/src/direct/stopping.rs
@@ -19,9 +19,9 @@
 /// listener stays open while any request is in flight, and requests that cannot be served are
 /// refused at once with a retry delay.
 ///
-/// The duration of a stream has no known upper bound: engines that are full, prefill for others or
-/// are slow decode several times as slowly as declared. So after the notice period, only requests
-/// whose deadline is before the end of the stop are admitted.
+/// The duration of a stream has no known upper bound: decoding takes several times the declared
+/// time on engines that are full, prefill for others or are slow. So after the notice period, only
+/// requests whose deadline is before the end of the stop are admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StopPlan {
     requested_at: Timestamp,
@@ -67,13 +67,13 @@
     /// direct a refused one to this gateway again. Later, it is only a request whose deadline is
     /// before the end of the stop.
     pub fn admits(&self, now: Timestamp, outlook: &RequestOutlook) -> bool {
-        let is_late = now >= self.notice_ends_at();
-        let ends_itself = outlook.deadline <= self.ends_at;
-        self.may_send(now, outlook) && (ends_itself || !is_late)
+        let is_after_notice = now >= self.notice_ends_at();
+        let ends_in_time = outlook.deadline <= self.ends_at;
+        self.may_send(now, outlook) && (ends_in_time || !is_after_notice)
     }
 
-    /// Returns whether a request may be sent to an endpoint now. It may have waited, or come back
-    /// from another endpoint.
+    /// Returns whether a request may be sent to an endpoint now. The request may have waited, or
+    /// another endpoint may have refused or lost it.
     ///
     /// It may be sent if its deadline is before the end of the stop, or if it is expected to finish
     /// before that.
--- a/lovagedock/src/request/answer.rs
+++ b/lovagedock/src/request/answer.rs
@@ -1,4 +1,4 @@
-//! Frames of an answer: which are delivered, which are dropped, and when the answer is whole.
+//! Delivers the frames of an answer to the caller and detects repeated, missing and damaged frames.
 
 use super::{event::RequestAction, machine::RequestMachine, phase::RequestPhase};
 use crate::{
@@ -7,16 +7,16 @@
     outcome::AnswerEnd,
 };
 
-/// How much of the answer the caller has.
+/// How much of the answer has been delivered to the caller.
 #[derive(Clone, Debug, Default)]
 pub(super) struct AnswerProgress {
-    /// Bytes that were delivered in order.
+    /// Number of bytes delivered in order.
     pub(super) delivered: u64,
     head_seen: bool,
-    head_given: bool,
+    head_delivered: bool,
 }
 
-enum ChunkPlace {
+enum ChunkPosition {
     Fits { skip: u64 },
     Repeated,
     Gap,
@@ -27,56 +27,58 @@
         self.head_seen = false;
     }
 
-    fn locate(&self, offset: u64, length: u64) -> ChunkPlace {
+    fn locate(&self, offset: u64, length: u64) -> ChunkPosition {
         if !self.head_seen || offset > self.delivered {
-            return ChunkPlace::Gap;
+            return ChunkPosition::Gap;
         }
         if offset.saturating_add(length) <= self.delivered {
-            return ChunkPlace::Repeated;
+            return ChunkPosition::Repeated;
         }
-        ChunkPlace::Fits {
+        ChunkPosition::Fits {
             skip: self.delivered - offset,
         }
     }
 }
 
 impl RequestMachine {
-    /// The head waits for the first byte: until then the request can still run elsewhere, and a
-    /// failure can still be told by the HTTP status.
-    pub(super) fn head(&mut self, number: AttemptNumber) {
-        if self.takes_frames(number) {
+    /// Records the head of the answer without delivering it.
+    ///
+    /// The head is delivered together with the first byte. Until then the request can still run on
+    /// another endpoint, and a failure can still be reported by the HTTP status.
+    pub(super) fn on_head(&mut self, number: AttemptNumber) {
+        if self.accepts_frames(number) {
             self.answer.head_seen = true;
             self.mark_started();
         }
     }
 
-    pub(super) fn chunk(
+    pub(super) fn on_chunk(
         &mut self,
         now: Timestamp,
         number: AttemptNumber,
         offset: u64,
         length: u64,
     ) {
-        if !self.takes_frames(number) {
+        if !self.accepts_frames(number) {
             return;
         }
         self.mark_started();
-        // A repeated frame would double bytes and a missing one would drop some, and the caller
-        // would read a wrong answer. The offset tells both, whatever connection a frame came on.
+        // A repeated frame would duplicate bytes and a missing frame would drop some, so the caller
+        // would read a wrong answer. The offset reveals both cases on any connection.
         let place = if self.safeguards.check_offsets {
             self.answer.locate(offset, length)
         } else {
-            ChunkPlace::Fits { skip: 0 }
+            ChunkPosition::Fits { skip: 0 }
         };
         match place {
-            ChunkPlace::Fits { skip } => self.deliver(number, offset, length, skip),
-            ChunkPlace::Repeated => {}
-            ChunkPlace::Gap => self.repair_gap(now),
+            ChunkPosition::Fits { skip } => self.deliver(number, offset, length, skip),
+            ChunkPosition::Repeated => {}
+            ChunkPosition::Gap => self.repair_gap(now),
         }
     }
 
-    pub(super) fn end(&mut self, now: Timestamp, number: AttemptNumber, end: AnswerEnd) {
-        if !self.takes_frames(number) {
+    pub(super) fn on_end(&mut self, now: Timestamp, number: AttemptNumber, end: AnswerEnd) {
+        if !self.accepts_frames(number) {
             return;
         }
         if end.code != ResultCode::Complete {
@@ -93,8 +95,9 @@
             self.repair_gap(now);
             return;
         }
-        // A frame of another request or a lost byte would end as if the answer were whole. The
-        // sidecar computed length and digest where the answer was made, so they tell.
+        // Without this check, an answer with a frame of another request or a lost byte would end
+        // as complete. The sidecar computes length and digest next to the engine, so they show the
+        // difference.
         match end.digest {
             Some(expected) if end.length == self.answer.delivered => {
                 self.phase = RequestPhase::Checking { end };
@@ -104,7 +107,7 @@
         }
     }
 
-    pub(super) fn digest_checked(&mut self, now: Timestamp, matches: bool) {
+    pub(super) fn on_digest_checked(&mut self, now: Timestamp, matches: bool) {
         let RequestPhase::Checking { end } = &self.phase else {
             return;
         };
@@ -116,11 +119,11 @@
         }
     }
 
-    /// Whether a frame is of the current attempt and the answer is still open.
+    /// Whether a frame belongs to the current attempt and the answer is still open.
     ///
-    /// An answer of an attempt that was given up may still arrive, late, beside the answer of its
-    /// successor; mixed, the caller would read parts of both. The attempt number tells them apart.
-    fn takes_frames(&self, number: AttemptNumber) -> bool {
+    /// Frames of an abandoned attempt can arrive late, together with those of the next attempt.
+    /// Without the comparison of attempt numbers the caller would read parts of both answers.
+    fn accepts_frames(&self, number: AttemptNumber) -> bool {
         let open = matches!(
             self.phase,
             RequestPhase::Submitting
@@ -132,7 +135,7 @@
     }
 
     fn deliver(&mut self, attempt: AttemptNumber, offset: u64, length: u64, skip: u64) {
-        self.give_head(attempt);
+        self.deliver_head(attempt);
         self.answer.delivered += length - skip;
         self.actions.push(RequestAction::Deliver {
             attempt,
@@ -141,15 +144,15 @@
         });
     }
 
-    fn give_head(&mut self, attempt: AttemptNumber) {
-        if !self.answer.head_given {
-            self.answer.head_given = true;
+    fn deliver_head(&mut self, attempt: AttemptNumber) {
+        if !self.answer.head_delivered {
+            self.answer.head_delivered = true;
             self.actions.push(RequestAction::DeliverHead { attempt });
         }
     }
 
     fn complete(&mut self, end: AnswerEnd) {
-        self.give_head(self.attempts);
+        self.deliver_head(self.attempts);
         self.conclude(end);
     }
 
--- a/lovagedock/src/request/mod.rs
+++ b/lovagedock/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! Everything that a gateway decides about one caller's request.
+//! Decisions of a gateway about one caller's request: placement, retries, recovery and delivery.
 
 mod answer;
 mod attempt;
@@ -6,11 +6,11 @@
 mod finish;
 mod machine;
 mod phase;
-mod recover;
+mod recovery;
 mod safeguards;
 mod spec;
 
-pub use event::{Outcome, PlacedOn, RequestAction, RequestEvent, SpanPart};
+pub use event::{PlacementOutcome, RequestAction, RequestEvent, RequestOutcome, SpanPart};
 pub use machine::RequestMachine;
-pub use safeguards::Safeguards;
+pub use safeguards::RequestSafeguards;
 pub use spec::{RequestSpec, RequestTiming};
--- a/lovagedock/src/span/mod.rs
+++ b/lovagedock/src/span/mod.rs
@@ -1,12 +1,12 @@
-//! Prompts that are larger than any engine: several engines hold parts of one prompt.
+//! Spans: prompts that are too large for any single engine and are distributed over several.
 
 mod backoff;
 mod coordinator;
 mod event;
-mod keep;
 mod member;
 mod plan;
 mod prefill;
+mod renewal;
 
 pub use backoff::ReserveBackoff;
 pub use coordinator::SpanCoordinator;
--- a/lovagedock/tests/adoption_properties.rs
+++ b/lovagedock/tests/adoption_properties.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: never back, never unaccepted, soon everywhere.
+//! The configuration in force never reverts, is always an accepted one and reaches all processes.
 
 mod support;
 
@@ -8,50 +8,50 @@
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use support::relay_world::{RelaySetup, RelayWorld};
+use support::relay_simulation::{RelaySetup, RelaySimulation};
 
 const CASES: u32 = 60;
-const IN_FORCE: Duration = Duration::from_secs(6);
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Changes, crashes, restarts, outages and cut regions, one after the other.
-fn storm(setup: RelaySetup) -> RelayWorld {
+/// Runs a random sequence of changes, crashes, restarts, store outages and region partitions.
+fn run_with_faults(setup: RelaySetup) -> RelaySimulation {
     let mut rng = ChaCha8Rng::seed_from_u64(setup.seed);
     let regions = setup.regions;
-    let mut world = RelayWorld::new(setup);
+    let mut simulation = RelaySimulation::new(setup);
     for _ in 0..40 {
-        world.run(Duration::from_millis(rng.random_range(1..900)));
-        let position = rng.random_range(0..world.len());
+        simulation.run(Duration::from_millis(rng.random_range(1..900)));
+        let position = rng.random_range(0..simulation.len());
         match rng.random_range(0..9) {
             0..3 => {
-                world.accept();
+                simulation.accept();
             }
-            3 => world.kill(position),
-            4 => world.restart(position),
-            5 => world.store_up = false,
-            6 => world.store_up = true,
+            3 => simulation.kill(position),
+            4 => simulation.restart(position),
+            5 => simulation.store_up = false,
+            6 => simulation.store_up = true,
             7 => {
-                world.cut.insert(rng.random_range(0..regions));
+                simulation.cut.insert(rng.random_range(0..regions));
             }
-            _ => world.cut.clear(),
+            _ => simulation.cut.clear(),
         }
     }
-    world
+    simulation
 }
 
-/// Everything works again; the next change is in force everywhere in time.
-fn calm(world: &mut RelayWorld) {
-    world.store_up = true;
-    world.cut.clear();
-    world.setup.loss = 0;
-    world.setup.damage = 0;
-    for position in 0..world.len() {
-        if !world.is_alive(position) {
-            world.restart(position);
+/// Ends all faults, accepts a change and runs until it must be in force everywhere.
+fn repair_and_accept(simulation: &mut RelaySimulation) {
+    simulation.store_up = true;
+    simulation.cut.clear();
+    simulation.setup.loss = 0;
+    simulation.setup.damage = 0;
+    for position in 0..simulation.len() {
+        if !simulation.is_alive(position) {
+            simulation.restart(position);
         }
     }
-    world.run(Duration::from_secs(12));
-    world.accept();
-    world.run(IN_FORCE);
+    simulation.run(Duration::from_secs(12));
+    simulation.accept();
+    simulation.run(IN_FORCE_TIMEOUT);
 }
 
 fn setups() -> impl Strategy<Value = RelaySetup> {
@@ -80,15 +80,16 @@
     })]
 
     // Operators apply changes while processes die, messages are lost and damaged, the store goes
-    // down and regions are cut off. No process ever goes back a generation or adopts anything but
-    // an accepted configuration; once all works again, a change is in force everywhere within 6 s.
+    // down and regions are cut off. No process ever reverts to an older generation or adopts a
+    // configuration that was not accepted. After the faults, a change is in force everywhere within
+    // 6 s.
     #[test]
     fn a_generation_never_goes_back(setup in setups()) {
-        let mut world = storm(setup);
-        calm(&mut world);
-        prop_assert!(world.violations.is_empty(), "{:?}", world.violations);
-        for position in 0..world.len() {
-            prop_assert_eq!(world.generation(position), world.accepted(), "process {}", position);
+        let mut simulation = run_with_faults(setup);
+        repair_and_accept(&mut simulation);
+        prop_assert!(simulation.violations.is_empty(), "{:?}", simulation.violations);
+        for position in 0..simulation.len() {
+            prop_assert_eq!(simulation.generation(position), simulation.accepted(), "process {}", position);
         }
     }
 }
@@ -108,18 +109,18 @@
     SafeguardCase {
         name: "digests not verified",
         switch_off: |safeguards| safeguards.digests_verified = false,
-        symptom: "what nobody accepted",
+        symptom: "a configuration that was not accepted",
     },
 ];
 
-// With a safeguard off, some schedule shows the symptom that the safeguard prevents.
+// With a safeguard off, at least one schedule shows the failure that the safeguard prevents.
 #[test]
 fn each_safeguard_prevents_its_failure() {
     for case in SAFEGUARD_CASES {
         let mut safeguards = DurableSafeguards::default();
         (case.switch_off)(&mut safeguards);
         let seen = (0..20).any(|seed| {
-            let world = storm(RelaySetup {
+            let simulation = run_with_faults(RelaySetup {
                 seed,
                 regions: 2,
                 domains: 4,
@@ -129,8 +130,11 @@
                 safeguards,
                 ..RelaySetup::default()
             });
-            world.violations.iter().any(|v| v.contains(case.symptom))
+            simulation
+                .violations
+                .iter()
+                .any(|v| v.contains(case.symptom))
         });
-        assert!(seen, "{}: no schedule shows it", case.name);
+        assert!(seen, "{}: no schedule shows the failure", case.name);
     }
 }
--- a/lovagedock/tests/claim_properties.rs
+++ b/lovagedock/tests/claim_properties.rs
@@ -1,10 +1,11 @@
-//! At most once and the same bytes, over random schedules of several gateways and a faulty store.
+//! A key runs at most once and always returns the same bytes, over random schedules of several
+//! gateways and a faulty store.
 
 mod support;
 
 use lovagedock::{ClaimLimits, DurableSafeguards};
 use proptest::prelude::*;
-use support::claim_world::{FaultRates, Schedule, World, WorldReport};
+use support::claim_simulation::{ClaimSimulation, FaultRates, Schedule, SimulationReport};
 
 const CASES: u32 = 300;
 
@@ -29,7 +30,7 @@
     }
 }
 
-const STORMY: FaultRates = FaultRates {
+const HIGH_FAULT_RATES: FaultRates = FaultRates {
     lost_confirmation: 20,
     unavailable: 15,
     crash: 5,
@@ -58,23 +59,23 @@
         ..ProptestConfig::default()
     })]
 
-    // Callers repeat keyed requests through several gateways while confirmations get lost, the
-    // store refuses calls, gateways crash and pause. No key runs twice, every delivery of a key has
-    // the same bytes, each request ends exactly once, and no object outgrows its limit.
+    // Callers repeat keyed requests through several gateways. Meanwhile confirmations are lost, the
+    // store refuses calls, and gateways crash and pause. No key runs twice, every delivery of a key
+    // has the same bytes, each request ends exactly once, and no object exceeds its size limit.
     #[test]
     fn a_key_runs_at_most_once(seed in any::<u64>(), faults in fault_rates()) {
-        let report = World::new(schedule(seed, faults)).run();
+        let report = ClaimSimulation::new(schedule(seed, faults)).run();
         prop_assert!(report.violations.is_empty(), "{:?}", report.violations);
     }
 }
 
-// The schedules above reach every outcome; a world in which nothing is granted or replayed would
-// prove nothing.
+// The schedules above reach every outcome. Without grants and replays the property would be
+// trivially true.
 #[test]
 fn the_schedules_reach_every_outcome() {
-    let mut total = WorldReport::default();
+    let mut total = SimulationReport::default();
     for seed in 0..40 {
-        let report = World::new(schedule(seed, STORMY)).run();
+        let report = ClaimSimulation::new(schedule(seed, HIGH_FAULT_RATES)).run();
         total.granted += report.granted;
         total.replayed += report.replayed;
         total.recorded += report.recorded;
@@ -114,18 +115,18 @@
     },
 ];
 
-// With a safeguard off, some schedule shows the symptom that the safeguard prevents.
+// With a safeguard off, at least one schedule shows the failure that the safeguard prevents.
 #[test]
 fn each_safeguard_prevents_its_failure() {
     for case in SAFEGUARD_CASES {
         let mut safeguards = DurableSafeguards::default();
         (case.switch_off)(&mut safeguards);
         let seen = (0..60).any(|seed| {
-            let mut schedule = schedule(seed, STORMY);
+            let mut schedule = schedule(seed, HIGH_FAULT_RATES);
             schedule.safeguards = safeguards;
-            let report = World::new(schedule).run();
+            let report = ClaimSimulation::new(schedule).run();
             report.violations.iter().any(|v| v.contains(case.symptom))
         });
-        assert!(seen, "{}: no schedule shows it", case.name);
+        assert!(seen, "{}: no schedule shows the failure", case.name);
     }
 }
--- a/lovagedock/tests/claim_scenarios.rs
+++ b/lovagedock/tests/claim_scenarios.rs
@@ -1,10 +1,11 @@
-//! Scripted scenarios of claims: callers repeat keyed calls through gateways while things fail.
+//! Scripted scenarios of claims: callers repeat keyed calls through gateways during failures.
 //!
-//! `steps` plays one step a line. `GATEWAY claim KEY request=N [body=TEXT] [within=MS]`,
+//! `steps` runs one step per line. `GATEWAY claim KEY request=N [body=TEXT] [within=MS]`,
 //! `GATEWAY record KEY request=N answer=TEXT`, `GATEWAY abandon KEY request=N` and `GATEWAY
-//! withdraw request=N` are events; `GATEWAY store ok|down|limited|lost|lost-applied` ends the calls
-//! that the gateway has in flight; `GATEWAY settle` ends all calls well until there are none;
-//! `GATEWAY crash` starts it anew; `wait MS` lets time pass. `limits` sets sizes for the file.
+//! withdraw request=N` are events. `GATEWAY store ok|down|limited|lost|lost-applied` ends the calls
+//! that the gateway has in flight. `GATEWAY settle` completes calls successfully until there are
+//! none. `GATEWAY crash` restarts the gateway. `wait MS` advances the time. `limits` sets sizes for
+//! the file.
 
 mod support;
 
@@ -21,17 +22,21 @@
 #[test]
 fn scenarios() {
     datadriven::walk("tests/scenarios/claim", |file| {
-        let mut stage = Stage::default();
+        let mut state = ScenarioState::default();
         file.run(|case| match case.directive.as_str() {
-            "limits" => stage.set_limits(case),
-            "steps" => case.input.lines().map(|line| stage.play(line)).collect(),
+            "limits" => state.set_limits(case),
+            "steps" => case
+                .input
+                .lines()
+                .map(|line| state.run_line(line))
+                .collect(),
             other => panic!("unknown directive {other}"),
         });
     });
 }
 
 #[derive(Default)]
-struct Stage {
+struct ScenarioState {
     now: Timestamp,
     limits: ClaimLimits,
     store: FakeStore,
@@ -45,7 +50,7 @@
     wake_at: Option<Timestamp>,
 }
 
-impl Stage {
+impl ScenarioState {
     fn set_limits(&mut self, case: &TestCase) -> String {
         let number = |name: &str| -> Option<usize> {
             let values = case.args.get(name)?;
@@ -61,7 +66,7 @@
         String::new()
     }
 
-    fn play(&mut self, line: &str) -> String {
+    fn run_line(&mut self, line: &str) -> String {
         let words: Vec<&str> = line.split_whitespace().collect();
         let mut shown = Vec::new();
         if words[0] == "wait" {
@@ -171,7 +176,7 @@
                     None => self.store.read(&object),
                     Some(_) => ReadOutcome::Unavailable,
                 };
-                ClaimEvent::StoreRead { object, outcome }
+                ClaimEvent::StoreReadEnded { object, outcome }
             }
             ClaimAction::Write {
                 object,
@@ -185,17 +190,17 @@
                     "lost-applied" => WriteOutcome::Unknown,
                     _ => outcome,
                 };
-                ClaimEvent::StoreAnswered { nonce, outcome }
+                ClaimEvent::StoreWriteEnded { nonce, outcome }
             }
             ClaimAction::Delete { object, nonce } => {
                 let outcome = refused.unwrap_or_else(|| self.store.delete(&object));
-                ClaimEvent::StoreAnswered { nonce, outcome }
+                ClaimEvent::StoreWriteEnded { nonce, outcome }
             }
-            other => panic!("{other:?} is no call"),
+            other => panic!("not a store call: {other:?}"),
         }
     }
 
-    /// Lets time pass from one wake-up to the next; calls stay in flight.
+    /// Advances the time from one wake-up to the next. Calls stay in flight.
     fn wait(&mut self, time: Duration, shown: &mut Vec<String>) {
         let end = self.now + time;
         loop {
--- a/lovagedock/tests/direct_waiting.rs
+++ b/lovagedock/tests/direct_waiting.rs
@@ -1,4 +1,4 @@
-//! Tests of waiting, refusing and recognising returning requests.
+//! Tests of waiting queues, refusals and the recognition of returning requests.
 
 use std::time::Duration;
 
@@ -16,9 +16,11 @@
     assert_eq!(decision, QueueDecision::Wait { until: ms(220) });
 }
 
-/// Guards against requests that are refused only after their time is over, instead of at once.
+/// Guards against requests that are refused only when their waiting time has passed, instead of at
+/// once.
 ///
-/// 30 requests start per second and ten wait. The eleventh would wait for 330 ms of its 300 ms.
+/// 30 requests start per second and ten wait. The eleventh would wait for 330 ms, and its objective
+/// is 300 ms.
 #[test]
 fn a_request_that_would_be_late_is_refused_at_once() {
     let mut queue = waiting_queue();
@@ -72,40 +74,40 @@
     );
 }
 
-struct HoldCase {
+struct WaitCase {
     is_long: bool,
     is_return: bool,
-    held_ms: u64,
+    max_wait_ms: u64,
 }
 
 /// Guards against a refusal that comes too late for the caller to do something else.
 ///
 /// Long prompts find all engines busy. A new one may wait for two fifths of its objective. A
-/// returning one is late already; if it waited for all of its time, it would be refused in most
+/// returning one is late already; if it waited for its whole objective, it would be refused in most
 /// cases anyway, seconds later. Returning short requests wait for a free slot, which takes a
 /// moment.
 #[test]
 fn each_queue_bounds_its_waiting_time() {
     let cases = [
-        HoldCase {
+        WaitCase {
             is_long: false,
             is_return: false,
-            held_ms: 1_600,
+            max_wait_ms: 1_600,
         },
-        HoldCase {
+        WaitCase {
             is_long: true,
             is_return: false,
-            held_ms: 1_600,
+            max_wait_ms: 1_600,
         },
-        HoldCase {
+        WaitCase {
             is_long: false,
             is_return: true,
-            held_ms: 4_000,
+            max_wait_ms: 4_000,
         },
-        HoldCase {
+        WaitCase {
             is_long: true,
             is_return: true,
-            held_ms: 1_000,
+            max_wait_ms: 1_000,
         },
     ];
     for case in cases {
@@ -116,7 +118,7 @@
         );
         let mut queue = WaitingQueue::new(kind.settings());
         let decision = queue.decide(ms(0), ms(4_000), ms(15_000), 0.0);
-        let until = ms(case.held_ms);
+        let until = ms(case.max_wait_ms);
         assert_eq!(decision, QueueDecision::Wait { until }, "{kind:?}");
     }
 }
--- a/lovagedock/tests/fence_gate.rs
+++ b/lovagedock/tests/fence_gate.rs
@@ -1,4 +1,4 @@
-//! Orders of former lease holders, of two holders, and after a restart.
+//! Scripted scenarios of the fence gate: former lease holders, two holders, and restarts.
 
 use datadriven::walk;
 use lovagedock::{FenceAction, FenceEvent, FenceGate, FencedOrder};
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn fence_scenarios_end_as_written() {
+fn scenarios() {
     walk("tests/scenarios/fence", |file| {
         let mut gate = FenceGate::new();
         file.run(|case| {
--- a/lovagedock/tests/lease_scenarios.rs
+++ b/lovagedock/tests/lease_scenarios.rs
@@ -1,9 +1,9 @@
 //! Scripted scenarios of leases.
 //!
-//! `steps` plays one step a line: `NAME want|release|pause|resume`, `NAME store
-//! ok|down|lost|lost-applied` ends the calls that it has in flight, `NAME settle` ends them well
-//! until there are none, `NAME order` sends an order with the fence that the process has now or
-//! had when it was paused, `wait MS` lets time pass.
+//! `steps` runs one step per line. `NAME want|release|pause|resume` are events. `NAME store
+//! ok|down|lost|lost-applied` ends the calls that the process has in flight. `NAME settle`
+//! completes them successfully until there are none. `NAME order` sends an order with the fence
+//! that the process has now or had when it was paused. `wait MS` advances the time.
 
 mod support;
 
@@ -18,7 +18,7 @@
 #[test]
 fn scenarios() {
     datadriven::walk("tests/scenarios/lease", |file| {
-        let mut stage = Stage {
+        let mut state = ScenarioState {
             now: Duration::ZERO,
             store: FakeStore::default(),
             receiver: FenceMark::new(0),
@@ -26,7 +26,7 @@
         };
         file.run(|case| match case.directive.as_str() {
             "steps" => {
-                let shown = case.input.lines().map(|line| stage.play(line));
+                let shown = case.input.lines().map(|line| state.run_line(line));
                 shown.collect::<String>()
             }
             other => panic!("unknown directive {other}"),
@@ -34,7 +34,7 @@
     });
 }
 
-struct Stage {
+struct ScenarioState {
     now: Timestamp,
     store: FakeStore,
     receiver: FenceMark,
@@ -46,12 +46,12 @@
     calls: Vec<LeaseAction>,
     wake_at: Option<Timestamp>,
     paused: bool,
-    /// The fence that it read just before it was paused.
+    /// The fence that it read immediately before it was paused.
     last_fence: Option<Epoch>,
 }
 
-impl Stage {
-    fn play(&mut self, line: &str) -> String {
+impl ScenarioState {
+    fn run_line(&mut self, line: &str) -> String {
         let words: Vec<&str> = line.split_whitespace().collect();
         let mut shown = Vec::new();
         if words[0] == "wait" {
@@ -65,10 +65,10 @@
     }
 
     fn step(&mut self, name: &str, words: &[&str], shown: &mut Vec<String>) {
-        let life = self.contenders.len() as u64 + 1;
+        let incarnation = self.contenders.len() as u64 + 1;
         let contender = self.contenders.entry(name.to_owned());
         let contender = contender.or_insert_with(|| Contender {
-            machine: LeaseHolder::new("leases/pool".into(), life, LeaseLimits::default()),
+            machine: LeaseHolder::new("leases/pool".into(), incarnation, LeaseLimits::default()),
             calls: Vec::new(),
             wake_at: None,
             paused: false,
@@ -138,9 +138,9 @@
     }
 
     fn end_call(&mut self, call: LeaseAction, fault: &str) -> LeaseEvent {
-        let lands = matches!(fault, "ok" | "lost-applied");
+        let takes_effect = matches!(fault, "ok" | "lost-applied");
         match call {
-            LeaseAction::Read { object } => LeaseEvent::StoreRead(match lands {
+            LeaseAction::Read { object } => LeaseEvent::StoreReadEnded(match takes_effect {
                 true => self.store.read(&object),
                 false => ReadOutcome::Unavailable,
             }),
@@ -150,19 +150,19 @@
                 bytes,
                 nonce,
             } => {
-                let applied = lands.then(|| self.store.write(&object, condition, bytes));
+                let applied = takes_effect.then(|| self.store.write(&object, condition, bytes));
                 let outcome = match (fault, applied) {
                     ("ok", Some(outcome)) => outcome,
                     ("down", _) => WriteOutcome::Unavailable,
                     _ => WriteOutcome::Unknown,
                 };
-                LeaseEvent::StoreAnswered { nonce, outcome }
+                LeaseEvent::StoreWriteEnded { nonce, outcome }
             }
-            other => panic!("{other:?} is no call"),
+            other => panic!("not a store call: {other:?}"),
         }
     }
 
-    /// Lets time pass from one wake-up to the next; paused processes miss theirs.
+    /// Advances the time from one wake-up to the next. Paused processes miss their wake-ups.
     fn wait(&mut self, time: Duration, shown: &mut Vec<String>) {
         let end = self.now + time;
         loop {
@@ -185,11 +185,11 @@
     match action {
         LeaseAction::Read { .. } => "reads the lease".to_owned(),
         LeaseAction::Write { condition, .. } => format!("writes the lease if {condition:?}"),
-        LeaseAction::Acquired { epoch, until } => {
-            format!("holds the lease with fence {epoch} until {until:?}")
+        LeaseAction::Acquired { epoch, expires_at } => {
+            format!("holds the lease with fence {epoch} until {expires_at:?}")
         }
-        LeaseAction::Renewed { epoch, until } => {
-            format!("keeps the lease with fence {epoch} until {until:?}")
+        LeaseAction::Renewed { epoch, expires_at } => {
+            format!("keeps the lease with fence {epoch} until {expires_at:?}")
         }
         LeaseAction::Lost { epoch } => format!("no longer holds fence {epoch}"),
         LeaseAction::WakeAt(at) => format!("wakes at {at:?}"),
--- a/lovagedock/tests/order_scenarios.rs
+++ b/lovagedock/tests/order_scenarios.rs
@@ -1,10 +1,11 @@
 //! Scripted scenarios of orders to the engines of one pool.
 //!
-//! `steps` plays one step a line: `configure MODEL=VERSION ADAPTER=VERSION ... on ENDPOINT ...`,
-//! `lease EPOCH MS` holds the lease for so long, `lease lost`, `wait MS`, and the end of the call
-//! that an endpoint has in flight: `ENDPOINT ok`, `busy`, `blank` (its sidecar knows nothing yet),
-//! `fails` (while it loads), `refuses`, `gone` (out of reach), `lost` (the session broke),
-//! `stale EPOCH`. `all WORD` ends the calls of all endpoints. `ENDPOINT restarts` empties an engine.
+//! `steps` runs one step per line: `configure MODEL=VERSION ADAPTER=VERSION ... on ENDPOINT ...`,
+//! `lease EPOCH MS` (holds the lease for MS milliseconds), `lease lost`, `wait MS`, and the result
+//! of the call that an endpoint has in flight: `ENDPOINT ok`, `busy`, `blank` (its sidecar has no
+//! report yet), `fails` (during the load), `refuses`, `gone` (unreachable), `lost` (the session
+//! broke), `stale EPOCH`. `all WORD` ends the calls of all endpoints. `ENDPOINT restarts` unloads
+//! everything from an engine.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -16,10 +17,10 @@
 #[test]
 fn scenarios() {
     datadriven::walk("tests/scenarios/orders", |file| {
-        let mut stage = Stage::new();
+        let mut state = ScenarioState::new();
         file.run(|case| match case.directive.as_str() {
             "steps" => {
-                let shown = case.input.lines().map(|line| stage.play(line));
+                let shown = case.input.lines().map(|line| state.run_line(line));
                 shown.collect::<String>()
             }
             other => panic!("unknown directive {other}"),
@@ -27,10 +28,10 @@
     });
 }
 
-/// Which gateways compete must be the same at all of them, and must move little: a gateway that
-/// joins may take a place, and no two others change theirs because of it.
+/// All gateways must select the same contenders, independently of their order. A new gateway may
+/// replace at most one contender of a pool.
 #[test]
-fn contenders_are_few_and_stay() {
+fn contenders_are_few_and_stable() {
     let gateways: Vec<_> = (0..9).map(|n| format!("g{n}").into()).collect();
     let mut used = std::collections::BTreeSet::new();
     for number in 0..50 {
@@ -47,7 +48,7 @@
     assert_eq!(used.len(), 9, "the pools are spread over all gateways");
 }
 
-struct Stage {
+struct ScenarioState {
     now: Timestamp,
     planner: OrderPlanner,
     wake_at: Option<Timestamp>,
@@ -103,7 +104,7 @@
             "fails" => {
                 if replaces {
                     self.unsettled = true;
-                    // The sidecar no longer vouches for a version.
+                    // The sidecar no longer reports a version.
                     self.loaded.model.version.clear();
                 }
                 (ResultCode::EngineFailed, Some(self.report()))
@@ -125,7 +126,7 @@
     }
 }
 
-impl Stage {
+impl ScenarioState {
     fn new() -> Self {
         Self {
             now: Duration::ZERO,
@@ -135,7 +136,7 @@
         }
     }
 
-    fn play(&mut self, line: &str) -> String {
+    fn run_line(&mut self, line: &str) -> String {
         let words: Vec<&str> = line.split_whitespace().collect();
         let mut shown = Vec::new();
         match words[0] {
@@ -143,8 +144,8 @@
             "lease" if words[1] == "lost" => self.handle(OrderEvent::LeaseLost, &mut shown),
             "lease" => {
                 let epoch = words[1].parse().expect("an epoch");
-                let until = self.now + millis(words[2]);
-                self.handle(OrderEvent::Lease { epoch, until }, &mut shown);
+                let expires_at = self.now + millis(words[2]);
+                self.handle(OrderEvent::Lease { epoch, expires_at }, &mut shown);
             }
             "wait" => self.wait(millis(words[1]), &mut shown),
             "all" => {
@@ -236,7 +237,7 @@
 fn show(order: &Option<LoadOrder>) -> String {
     let name = |it: &Artifact| format!("{}={}", it.id, it.version);
     match order {
-        None => "is looked at".to_owned(),
+        None => "is polled".to_owned(),
         Some(LoadOrder::Model(model)) => format!("loads model {}", name(model)),
         Some(LoadOrder::Adapter(adapter)) => format!("loads adapter {}", name(adapter)),
     }
--- a/lovagedock/tests/request_scenarios.rs
+++ b/lovagedock/tests/request_scenarios.rs
@@ -1,15 +1,15 @@
-//! Scripted scenarios of one request: what happens, what the gateway does, what the caller sees.
+//! Scripted scenarios of one request: events, actions of the gateway, and results for the caller.
 //!
-//! `request [deadline=MS] [non-idempotent]` admits a request; `steps` plays one event a line, each
-//! with its time in milliseconds. The expected output repeats each event with the actions that
-//! answer it; wake-up times are left out unless `wakes` is given.
+//! `request [deadline=MS] [non-idempotent]` admits a request. `steps` handles one event per line,
+//! each with its time in milliseconds. The expected output repeats each event with the resulting
+//! actions. Wake-up times are omitted unless `wakes` is given.
 
 use std::time::Duration;
 
 use datadriven::TestCase;
 use lovagedock::{
-    Outcome, PlacedOn, RequestAction, RequestEvent, RequestMachine, RequestSpec, SpanPart,
-    prelude::*,
+    PlacementOutcome, RequestAction, RequestEvent, RequestMachine, RequestOutcome, RequestSpec,
+    SpanPart, prelude::*,
 };
 
 #[test]
@@ -18,7 +18,7 @@
         let mut machine = None;
         file.run(|case| match case.directive.as_str() {
             "request" => admit(case, &mut machine),
-            "steps" => play(case, machine.as_mut().expect("a request comes first")),
+            "steps" => run_steps(case, machine.as_mut().expect("`request` precedes `steps`")),
             other => panic!("unknown directive {other}"),
         });
     });
@@ -36,7 +36,7 @@
     line("admitted", &actions, false)
 }
 
-fn play(case: &TestCase, machine: &mut RequestMachine) -> String {
+fn run_steps(case: &TestCase, machine: &mut RequestMachine) -> String {
     let wakes = case.args.contains_key("wakes");
     case.input
         .lines()
@@ -65,14 +65,14 @@
     let words: Vec<&str> = text.split_whitespace().collect();
     let attempt = || number(words[1]) as AttemptNumber;
     let endpoint = || EndpointId::from(words[1]);
-    let life = || number(field(&words, "life"));
+    let incarnation = || number(field(&words, "incarnation"));
     match words[0] {
-        "placed" => RequestEvent::Placed(PlacedOn::One {
+        "placed" => RequestEvent::Placed(PlacementOutcome::One {
             endpoint: endpoint(),
-            incarnation: life(),
+            incarnation: incarnation(),
         }),
-        "placed-span" => RequestEvent::Placed(PlacedOn::Span(parts(&words[1..]))),
-        "placed-nowhere" => RequestEvent::Placed(PlacedOn::Refused {
+        "placed-span" => RequestEvent::Placed(PlacementOutcome::Span(parts(&words[1..]))),
+        "placed-nowhere" => RequestEvent::Placed(PlacementOutcome::Refused {
             code: code(words[1]),
             retry_after: Duration::from_millis(number(field(&words, "retry-after"))),
         }),
@@ -91,7 +91,7 @@
         },
         "accepted" => RequestEvent::SubmitAccepted {
             attempt: attempt(),
-            incarnation: life(),
+            incarnation: incarnation(),
         },
         "refused" => RequestEvent::SubmitRefused {
             attempt: attempt(),
@@ -99,15 +99,15 @@
         },
         "session-lost" => RequestEvent::SessionLost {
             endpoint: endpoint(),
-            incarnation: life(),
+            incarnation: incarnation(),
         },
-        "session-back" => RequestEvent::SessionBack {
+        "session-back" => RequestEvent::SessionReconnected {
             endpoint: endpoint(),
-            incarnation: life(),
+            incarnation: incarnation(),
         },
         "revoke-answered" => RequestEvent::RevokeAnswered {
             attempt: attempt(),
-            incarnation: life(),
+            incarnation: incarnation(),
             verdict: verdict(words[3]),
         },
         "revoke-failed" => RequestEvent::RevokeFailed { attempt: attempt() },
@@ -182,7 +182,7 @@
         "revoked" => RevokeVerdict::Revoked,
         "running" => RevokeVerdict::Running,
         "ended" => RevokeVerdict::Ended,
-        "other-life" => RevokeVerdict::OtherLife,
+        "other-incarnation" => RevokeVerdict::OtherLife,
         other => panic!("unknown verdict {other}"),
     }
 }
@@ -198,7 +198,7 @@
     let digits = text.strip_suffix("ms").unwrap_or(text);
     digits
         .parse()
-        .unwrap_or_else(|_| panic!("{text} is no number"))
+        .unwrap_or_else(|_| panic!("not a number: {text}"))
 }
 
 fn show(action: &RequestAction) -> String {
@@ -220,7 +220,7 @@
             remaining,
             ..
         } => format!(
-            "submit {attempt} to {endpoint} life={incarnation} remaining={}ms",
+            "submit {attempt} to {endpoint} incarnation={incarnation} remaining={}ms",
             remaining.as_millis()
         ),
         RequestAction::Revoke {
@@ -228,7 +228,7 @@
             attempt,
             incarnation,
         } => {
-            format!("revoke {attempt} at {endpoint} life={incarnation}, new connection")
+            format!("revoke {attempt} at {endpoint} incarnation={incarnation}, new connection")
         }
         RequestAction::Resume {
             endpoint,
@@ -236,7 +236,7 @@
             incarnation,
             offset,
         } => format!(
-            "resume {attempt} at {endpoint} life={incarnation} from {offset}, new connection"
+            "resume {attempt} at {endpoint} incarnation={incarnation} from {offset}, new connection"
         ),
         RequestAction::Cancel {
             endpoint, attempt, ..
@@ -253,7 +253,7 @@
     }
 }
 
-fn finish(outcome: &Outcome) -> String {
+fn finish(outcome: &RequestOutcome) -> String {
     format!(
         "FINAL {} {:?} ran={} retry-after={}ms attempts={}",
         outcome.code.number(),
--- a/lovagedock/tests/request_support/gateway.rs
+++ b/lovagedock/tests/request_support/gateway.rs
@@ -1,17 +1,17 @@
-//! Carries out what the request machine asks for, over the modelled links.
+//! Carries out the actions of the request machine over the modelled links.
 
 use std::time::Duration;
 
-use lovagedock::{PlacedOn, RequestAction, RequestEvent, prelude::*};
+use lovagedock::{PlacementOutcome, RequestAction, RequestEvent, prelude::*};
 
 use super::{
     ENDPOINTS,
-    world::{Message, Step, World, index, name},
+    simulation::{Message, RequestSimulation, Step, index, name},
 };
 
-const CONNECT_LIMIT_MS: u64 = 60;
+const CONNECT_TIMEOUT_MS: u64 = 60;
 
-impl World {
+impl RequestSimulation {
     pub(super) fn carry_out(&mut self, actions: Vec<RequestAction>) {
         for action in actions {
             self.act(action);
@@ -50,7 +50,7 @@
                 endpoint,
                 attempt,
                 incarnation,
-            } => self.send_anew(
+            } => self.send_on_new_connection(
                 &endpoint,
                 Message::Revoke(attempt, incarnation),
                 Some(RequestEvent::RevokeFailed { attempt }),
@@ -60,7 +60,7 @@
                 attempt,
                 incarnation,
                 offset,
-            } => self.send_anew(
+            } => self.send_on_new_connection(
                 &endpoint,
                 Message::Resume(attempt, incarnation, offset),
                 Some(RequestEvent::ResumeFailed { attempt }),
@@ -70,7 +70,7 @@
                 attempt,
                 incarnation,
             } => {
-                self.send_anew(&endpoint, Message::Cancel(attempt, incarnation), None);
+                self.send_on_new_connection(&endpoint, Message::Cancel(attempt, incarnation), None);
             }
             RequestAction::Deliver { skip, .. } => self.read.extend(&self.frame[skip as usize..]),
             RequestAction::CheckDigest { expected } => {
@@ -88,24 +88,24 @@
         }
     }
 
-    pub(super) fn place(&self, excluded: &[EndpointId]) -> PlacedOn {
+    pub(super) fn place(&self, excluded: &[EndpointId]) -> PlacementOutcome {
         let free = (0..ENDPOINTS).find_map(|endpoint| {
             let link = self.sessions[endpoint]?;
             (!excluded.contains(&name(endpoint))).then_some((endpoint, link))
         });
         match free {
-            Some((endpoint, link)) => PlacedOn::One {
+            Some((endpoint, link)) => PlacementOutcome::One {
                 endpoint: name(endpoint),
-                incarnation: self.links[link].life,
+                incarnation: self.links[link].incarnation,
             },
-            None => PlacedOn::Refused {
+            None => PlacementOutcome::Refused {
                 code: ResultCode::NoCapacity,
                 retry_after: Duration::ZERO,
             },
         }
     }
 
-    pub(super) fn send_anew(
+    pub(super) fn send_on_new_connection(
         &mut self,
         endpoint: &EndpointId,
         message: Message,
@@ -114,7 +114,7 @@
         let endpoint = index(endpoint);
         if self.cut_until[endpoint] > self.now {
             if let Some(event) = failed {
-                self.after(CONNECT_LIMIT_MS, Step::Event(event));
+                self.after(CONNECT_TIMEOUT_MS, Step::Event(event));
             }
             return;
         }
--- a/lovagedock/tests/span_contention.rs
+++ b/lovagedock/tests/span_contention.rs
@@ -1,42 +1,42 @@
-//! Compares ways to reserve several engines, at rising load, in virtual time.
+//! Compares strategies for reserving several engines at increasing load, in virtual time.
 
 mod span_support;
 
 use std::fmt::Write;
 
 use expect_test::expect;
-use span_support::{Contention, ContentionFigures, ReserveWay};
+use span_support::{Contention, ContentionFigures, ReserveStrategy};
 
 const SEEDS: u64 = 3;
 const HOURS: u64 = 1;
 
-struct WayCase {
+struct StrategyCase {
     name: &'static str,
-    way: ReserveWay,
+    strategy: ReserveStrategy,
 }
 
-const CASES: [WayCase; 4] = [
-    WayCase {
+const CASES: [StrategyCase; 4] = [
+    StrategyCase {
         name: "ordered",
-        way: ReserveWay::Ordered,
+        strategy: ReserveStrategy::Ordered,
     },
-    WayCase {
+    StrategyCase {
         name: "wound-wait",
-        way: ReserveWay::WoundWait,
+        strategy: ReserveStrategy::WoundWait,
     },
-    WayCase {
+    StrategyCase {
         name: "back-off",
-        way: ReserveWay::BackOff,
+        strategy: ReserveStrategy::BackOff,
     },
-    WayCase {
+    StrategyCase {
         name: "aged back-off",
-        way: ReserveWay::AgedBackOff,
+        strategy: ReserveStrategy::AgedBackOff,
     },
 ];
 
-fn figures(way: ReserveWay, load: f64) -> Vec<ContentionFigures> {
+fn figures(strategy: ReserveStrategy, load: f64) -> Vec<ContentionFigures> {
     (0..SEEDS)
-        .map(|seed| Contention::new(way, seed).play(load, HOURS))
+        .map(|seed| Contention::new(strategy, seed).run_arrivals(load, HOURS))
         .collect()
 }
 
@@ -44,8 +44,8 @@
     figures.iter().map(field).sum::<f64>() / figures.len() as f64
 }
 
-// Spans of 2, 3, 4 and 6 of 12 engines, each engine whole, prefill and decode of 2 to 8 s, a minute
-// of patience. Means over three seeds; times in ms of virtual time.
+// Spans reserve 2, 3, 4 or 6 of 12 whole engines, run for 2 to 8 s and give up after a minute of
+// waiting. The table shows means over three seeds, with times in ms of virtual time.
 #[test]
 fn aged_back_off_gives_up_least() {
     let mut table = String::from(
@@ -53,7 +53,7 @@
     );
     for load in [0.4, 0.6, 0.75] {
         for case in &CASES {
-            let figures = figures(case.way, load);
+            let figures = figures(case.strategy, load);
             writeln!(
                 table,
                 "{load:<5} {:<14} {:>6.0} {:>8.0} {:>8.0} {:>8.0} {:>8.0} {:>8.1}% {:>8.1}",
@@ -66,7 +66,7 @@
                 mean(&figures, |f| f.held_idle_percent),
                 mean(&figures, |f| f.messages_per_span),
             )
-            .expect("a string takes all");
+            .expect("writing to a string does not fail");
         }
     }
     expect![[r#"
--- a/lovagedock/tests/span_model/mod.rs
+++ b/lovagedock/tests/span_model/mod.rs
@@ -1,4 +1,4 @@
-//! Engines that grant, forget and lose reservations, for one span.
+//! Model of engines that grant, expire and lose the reservations of one span.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -12,20 +12,20 @@
 
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Fault {
-    /// The engine has no memory to reserve for a while.
+    /// The engine has no free memory for a while.
     Busy,
-    /// The connection goes silent; reservations last.
+    /// The connection goes silent. Reservations stay until they expire.
     Silent,
-    /// The session is up again, to the same life.
+    /// A new session to the same incarnation is established.
     Back,
-    /// The sidecar restarts and has forgotten its reservations.
+    /// The sidecar restarts and loses its reservations.
     Restart,
-    /// The engine fails the segment that it prefills.
+    /// The prefill of the current segment fails.
     SegmentFails,
     Released,
 }
 
-/// Engines that grant, lapse and forget reservations, and answer at once.
+/// Engines that grant, expire and lose reservations, and answer at once.
 pub(crate) struct Engines {
     pub(crate) now: Duration,
     pub(crate) lives: [Incarnation; ENGINES],
@@ -36,7 +36,7 @@
     pub(crate) answers: Vec<SpanEvent>,
     pub(crate) wake_at: Option<Duration>,
     pub(crate) prefilled: TokenCount,
-    /// The lead, once the request runs there and has taken the reservation over.
+    /// The lead, once the request runs on it and has taken over the reservation.
     pub(crate) runs_on: Option<usize>,
     pub(crate) decoded: u32,
     pub(crate) failed: Vec<AnswerEnd>,
@@ -73,12 +73,12 @@
             .collect()
     }
 
-    pub(crate) fn lapse(&mut self) {
+    pub(crate) fn expire_reservations(&mut self) {
         let now = self.now;
         self.held_until.retain(|_, until| *until > now);
     }
 
-    pub(crate) fn strike(&mut self, at: usize, fault: Fault) -> Option<SpanEvent> {
+    pub(crate) fn inject_fault(&mut self, at: usize, fault: Fault) -> Option<SpanEvent> {
         let (endpoint, incarnation) = (name(at), self.lives[at]);
         match fault {
             Fault::Busy => self.busy_until[at] = self.now + Duration::from_secs(2),
@@ -92,7 +92,7 @@
             }
             Fault::Back if !self.reachable[at] => {
                 self.reachable[at] = true;
-                return Some(SpanEvent::MemberBack {
+                return Some(SpanEvent::MemberReconnected {
                     endpoint,
                     incarnation,
                 });
@@ -103,7 +103,7 @@
                 self.reachable[at] = true;
                 self.answers.retain(|answer| !is_from(answer, &endpoint));
                 let incarnation = self.lives[at];
-                return Some(SpanEvent::MemberBack {
+                return Some(SpanEvent::MemberReconnected {
                     endpoint,
                     incarnation,
                 });
@@ -118,7 +118,9 @@
     pub(crate) fn carry_out(&mut self, actions: Vec<SpanAction>) {
         for action in actions {
             match action {
-                SpanAction::Choose => self.answers.push(SpanEvent::Chosen(self.parts())),
+                SpanAction::ChooseEngines => {
+                    self.answers.push(SpanEvent::EnginesChosen(self.parts()))
+                }
                 SpanAction::Reserve {
                     endpoint,
                     incarnation,
@@ -185,12 +187,12 @@
             return;
         }
         let held = self.held_until.contains_key(&at);
-        // A reservation that the running request took over is not renewed.
+        // A reservation that the running request has taken over is not renewed.
         let granted = (held || self.busy_until[at] <= self.now) && self.runs_on != Some(at);
         if granted {
             self.held_until.insert(at, self.now + hold);
         }
-        self.answers.push(SpanEvent::Reserved {
+        self.answers.push(SpanEvent::ReserveAnswered {
             endpoint,
             round,
             granted,
@@ -208,7 +210,7 @@
 
 fn is_from(answer: &SpanEvent, from: &EndpointId) -> bool {
     match answer {
-        SpanEvent::Reserved { endpoint, .. } | SpanEvent::SegmentDone { endpoint, .. } => {
+        SpanEvent::ReserveAnswered { endpoint, .. } | SpanEvent::SegmentDone { endpoint, .. } => {
             endpoint == from
         }
         _ => false,
--- a/lovagedock/tests/span_properties.rs
+++ b/lovagedock/tests/span_properties.rs
@@ -1,4 +1,4 @@
-//! A span takes all its engines or none, and gives every one back whatever dies.
+//! A span reserves all its engines or none, and releases all of them after any failure.
 
 mod span_model;
 
@@ -11,7 +11,7 @@
 };
 use span_model::{ENGINES, Engines, Fault, HOLD, PROMPT, REMAINING, STEP_MS};
 
-fn play(faults: &[(u64, usize, Fault)], seed: u64) -> Result<(), TestCaseError> {
+fn run_schedule(faults: &[(u64, usize, Fault)], seed: u64) -> Result<(), TestCaseError> {
     let mut engines = Engines::new();
     let plan = SpanPlan::new(1, 1, PROMPT, REMAINING);
     let mut span = SpanCoordinator::new(Duration::ZERO, plan, seed);
@@ -20,9 +20,9 @@
     let mut faults = faults.iter().peekable();
     for step in 0..(REMAINING.as_millis() as u64 / STEP_MS) {
         engines.now = Duration::from_millis(step * STEP_MS);
-        engines.lapse();
+        engines.expire_reservations();
         let mut events = Vec::new();
-        // One answer a step, so that faults fall between the segments.
+        // One answer per step, so that faults can occur between the segments.
         if !engines.answers.is_empty() {
             events.push(engines.answers.remove(0));
         }
@@ -31,23 +31,23 @@
             events.push(SpanEvent::Tick);
         }
         if let Some((_, at, fault)) = faults.next_if(|(at_step, _, _)| *at_step <= step) {
-            events.extend(engines.strike(*at, *fault));
+            events.extend(engines.inject_fault(*at, *fault));
         }
-        // The answer is read and the engines are not needed any more.
+        // The answer is complete, and the engines are no longer needed.
         if step == 800 {
             events.push(SpanEvent::Released);
         }
         for event in events {
-            let over = span.is_over();
+            let finished = span.is_finished();
             let actions = span.handle(engines.now, event);
-            prop_assert!(!over || actions.is_empty(), "actions after the end");
+            prop_assert!(!finished || actions.is_empty(), "actions after the end");
             engines.carry_out(actions);
         }
     }
-    prop_assert!(span.is_over(), "the span never ended");
+    prop_assert!(span.is_finished(), "the span never ended");
     prop_assert!(
         engines.held_until.is_empty(),
-        "memory was kept: {:?}",
+        "memory is still reserved: {:?}",
         engines.held_until
     );
     prop_assert!(engines.decoded <= 1 && engines.failed.len() <= 1);
@@ -55,17 +55,17 @@
         let computed = engines.prefilled > 0;
         prop_assert!(
             !computed || end.ran != RanState::No,
-            "not run, yet it was prefilled"
+            "reported as not run after a prefill"
         );
     }
     Ok(())
 }
 
-// Engines are busy, restart, fail or cannot be reached, and the caller may leave, at any step of
-// reserve, prefill and decode. The span ends in time, never works on memory that it does not hold,
-// and holds nothing afterwards: what cannot be released lapses.
+// At any step of reserving, prefill and decode, engines are busy, restart, fail or are unreachable,
+// and the caller may disconnect. The span ends in time, never uses memory that it does not hold,
+// and holds no memory afterwards: reservations that cannot be released expire.
 #[test]
-fn no_engine_keeps_memory_of_a_span() {
+fn every_reservation_of_a_span_is_released() {
     let fault = prop_oneof![
         3 => Just(Fault::Busy),
         3 => Just(Fault::Silent),
@@ -87,7 +87,7 @@
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let outcome = TestRunner::new_with_rng(config, rng)
         .run(&(faults, any::<u64>()), |(faults, seed)| {
-            play(&faults, seed)
+            run_schedule(&faults, seed)
         });
     if let Err(error) = outcome {
         panic!("{error}");
@@ -101,9 +101,9 @@
     failed: Option<(ResultCode, RanState)>,
 }
 
-// One failure at a time: what the request is told.
+// Single failures and the resulting end of the span.
 #[test]
-fn each_failure_has_its_end() {
+fn each_failure_ends_as_expected() {
     let cases = [
         EndCase {
             name: "nothing fails",
@@ -124,7 +124,7 @@
             failed: None,
         },
         EndCase {
-            name: "a member stays away during the prefill",
+            name: "a member stays disconnected during the prefill",
             faults: &[(5, 1, Fault::Silent)],
             decoded: 0,
             failed: Some((ResultCode::EndpointLost, RanState::Yes)),
@@ -153,7 +153,7 @@
         let mut span =
             SpanCoordinator::new(Duration::ZERO, SpanPlan::new(1, 1, PROMPT, REMAINING), 3);
         if let Some((0, at, fault)) = case.faults.first() {
-            engines.strike(*at, *fault);
+            engines.inject_fault(*at, *fault);
         }
         let first = span.start(Duration::ZERO, engines.parts());
         engines.carry_out(first);
@@ -171,10 +171,10 @@
 fn run_case(case: &EndCase, span: &mut SpanCoordinator, engines: &mut Engines) {
     for step in 1..400 {
         engines.now = Duration::from_millis(step * STEP_MS);
-        engines.lapse();
+        engines.expire_reservations();
         let fault = case.faults.iter().find(|(at, _, _)| *at == step);
         let mut events: Vec<SpanEvent> = fault
-            .and_then(|(_, at, fault)| engines.strike(*at, *fault))
+            .and_then(|(_, at, fault)| engines.inject_fault(*at, *fault))
             .into_iter()
             .collect();
         if !engines.answers.is_empty() {
@@ -188,17 +188,18 @@
     }
 }
 
-// Nobody has room: the span gives up after its share of the time, as not run, and holds nothing.
+// No engine has free memory. The span fails as not run after its share of the remaining time and
+// holds no memory.
 #[test]
-fn a_span_without_room_is_given_up_in_time() {
+fn a_span_without_capacity_fails_within_its_time_limit() {
     let mut engines = Engines::new();
     engines.busy_until = [REMAINING; ENGINES];
     let plan = SpanPlan::new(1, 1, PROMPT, REMAINING);
-    let patience = plan.patience();
+    let time_limit = plan.reserve_time_limit();
     let mut span = SpanCoordinator::new(Duration::ZERO, plan, 3);
     let first = span.start(Duration::ZERO, engines.parts());
     engines.carry_out(first);
-    while !span.is_over() {
+    while !span.is_finished() {
         engines.now += Duration::from_millis(1);
         let event = match engines.answers.is_empty() {
             true => SpanEvent::Tick,
@@ -207,7 +208,7 @@
         let actions = span.handle(engines.now, event);
         engines.carry_out(actions);
     }
-    assert!(engines.now < patience + HOLD);
+    assert!(engines.now < time_limit + HOLD);
     assert!(engines.held_until.is_empty());
     let end = &engines.failed[0];
     assert_eq!((end.code, end.ran), (ResultCode::NoCapacity, RanState::No));
--- a/lovagedock/tests/support/claim_world/mod.rs
+++ b/lovagedock/tests/support/claim_simulation/mod.rs
@@ -1,4 +1,4 @@
-//! Several gateways, one faulty store and an endpoint that counts what runs, in virtual time.
+//! Several gateways, one faulty store and an endpoint that counts executions, in virtual time.
 
 use std::{
     cmp::Reverse,
@@ -19,7 +19,7 @@
 mod calls;
 mod endpoint;
 
-/// How often things go wrong, in percent.
+/// Fault rates in percent.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FaultRates {
     pub(crate) lost_confirmation: u32,
@@ -30,7 +30,7 @@
     pub(crate) abandon: u32,
 }
 
-/// One schedule.
+/// Parameters of a schedule.
 #[derive(Clone, Debug)]
 pub(crate) struct Schedule {
     pub(crate) seed: u64,
@@ -42,9 +42,9 @@
     pub(crate) limits: ClaimLimits,
 }
 
-/// What the callers and the endpoint saw.
+/// Results of a schedule.
 #[derive(Debug, Default)]
-pub(crate) struct WorldReport {
+pub(crate) struct SimulationReport {
     pub(crate) violations: Vec<String>,
     pub(crate) granted: usize,
     pub(crate) replayed: usize,
@@ -56,7 +56,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Step {
     Arrive(usize),
-    Land(u64),
+    ApplyCall(u64),
     Report(u64),
     Tick(usize, u32),
     Finish(RequestId),
@@ -67,17 +67,17 @@
 #[derive(Debug)]
 struct Call {
     gateway: usize,
-    life: u32,
+    incarnation: u32,
     action: ClaimAction,
     outcome: Option<ClaimEvent>,
-    lands: bool,
+    takes_effect: bool,
     confirmed: bool,
 }
 
 #[derive(Debug)]
 struct Gateway {
     machine: ClaimPartition,
-    life: u32,
+    incarnation: u32,
     started: Timestamp,
     paused: bool,
     held: Vec<(u32, ClaimEvent)>,
@@ -87,14 +87,14 @@
 struct Delivery {
     key: KeyHash,
     gateway: usize,
-    life: u32,
+    incarnation: u32,
     deadline: Timestamp,
     ended: bool,
     ran: bool,
 }
 
-/// The whole world of one schedule.
-pub(crate) struct World {
+/// Simulation of one schedule.
+pub(crate) struct ClaimSimulation {
     schedule: Schedule,
     rng: ChaCha8Rng,
     now: Timestamp,
@@ -107,13 +107,13 @@
     runs: BTreeMap<KeyHash, Vec<RequestId>>,
     answers: BTreeMap<KeyHash, BTreeSet<Bytes>>,
     made: BTreeMap<RequestId, Bytes>,
-    report: WorldReport,
+    report: SimulationReport,
 }
 
-impl World {
+impl ClaimSimulation {
     pub(crate) fn new(schedule: Schedule) -> Self {
         let rng = ChaCha8Rng::seed_from_u64(schedule.seed);
-        let mut world = Self {
+        let mut simulation = Self {
             rng,
             now: Duration::from_secs(1_000),
             queue: BinaryHeap::new(),
@@ -125,22 +125,22 @@
             runs: BTreeMap::new(),
             answers: BTreeMap::new(),
             made: BTreeMap::new(),
-            report: WorldReport::default(),
+            report: SimulationReport::default(),
             schedule,
         };
-        for index in 0..world.schedule.gateways {
-            let gateway = world.start_gateway(index, 0);
-            world.gateways.push(gateway);
+        for index in 0..simulation.schedule.gateways {
+            let gateway = simulation.start_gateway(index, 0);
+            simulation.gateways.push(gateway);
         }
-        for index in 0..world.schedule.requests {
-            let at = world.now + world.millis(0..3_000);
-            world.push(at, Step::Arrive(index));
+        for index in 0..simulation.schedule.requests {
+            let at = simulation.now + simulation.millis(0..3_000);
+            simulation.push(at, Step::Arrive(index));
         }
-        world
+        simulation
     }
 
     /// Runs the schedule to its end.
-    pub(crate) fn run(mut self) -> WorldReport {
+    pub(crate) fn run(mut self) -> SimulationReport {
         while let Some(Reverse((at, _, step))) = self.queue.pop() {
             self.now = at;
             if at > Duration::from_secs(1_000 + 120) {
@@ -152,14 +152,14 @@
         self.report
     }
 
-    fn start_gateway(&mut self, index: usize, life: u32) -> Gateway {
-        let owner = (index as u64 + 1) * 1_000 + u64::from(life);
+    fn start_gateway(&mut self, index: usize, incarnation: u32) -> Gateway {
+        let owner = (index as u64 + 1) * 1_000 + u64::from(incarnation);
         let machine = ClaimPartition::new(0, owner, self.schedule.limits.clone())
             .with_safeguards(self.schedule.safeguards);
         Gateway {
             machine,
-            life,
-            // No two processes have the same clock.
+            incarnation,
+            // Each process has a different clock.
             started: self.now - Duration::from_secs(17 * (index as u64 + 1)),
             paused: false,
             held: Vec::new(),
@@ -169,9 +169,11 @@
     fn step(&mut self, step: Step) {
         match step {
             Step::Arrive(index) => self.arrive(index),
-            Step::Land(call) => self.land(call),
+            Step::ApplyCall(call) => self.apply_call(call),
             Step::Report(call) => self.answer(call),
-            Step::Tick(gateway, life) => self.deliver(gateway, life, ClaimEvent::Tick),
+            Step::Tick(gateway, incarnation) => {
+                self.deliver(gateway, incarnation, ClaimEvent::Tick)
+            }
             Step::Finish(request) => self.finish(request),
             Step::Crash(gateway) => self.crash(gateway),
             Step::Resume(gateway) => self.resume(gateway),
@@ -193,11 +195,11 @@
         let request = index as RequestId + 1;
         let time = self.millis(200..4_000);
         let local = self.now - self.gateways[gateway].started;
-        let life = self.gateways[gateway].life;
+        let incarnation = self.gateways[gateway].incarnation;
         let delivery = Delivery {
             key,
             gateway,
-            life,
+            incarnation,
             deadline: self.now + time,
             ended: false,
             ran: false,
@@ -209,26 +211,26 @@
             body: key,
             deadline: local + time,
         };
-        self.deliver(gateway, life, ClaimEvent::Claim(claim));
+        self.deliver(gateway, incarnation, ClaimEvent::Claim(claim));
     }
 
-    fn deliver(&mut self, gateway: usize, life: u32, event: ClaimEvent) {
+    fn deliver(&mut self, gateway: usize, incarnation: u32, event: ClaimEvent) {
         let target = &mut self.gateways[gateway];
-        if target.life != life {
+        if target.incarnation != incarnation {
             return;
         }
         if target.paused {
-            target.held.push((life, event));
+            target.held.push((incarnation, event));
             return;
         }
         let local = self.now - target.started;
         let actions = target.machine.handle(local, event);
         for action in actions {
-            self.act(gateway, life, action);
+            self.act(gateway, incarnation, action);
         }
     }
 
-    fn act(&mut self, gateway: usize, life: u32, action: ClaimAction) {
+    fn act(&mut self, gateway: usize, incarnation: u32, action: ClaimAction) {
         match action {
             ClaimAction::Grant { request } => self.grant(request),
             ClaimAction::Replay { request, answer } => {
@@ -248,18 +250,18 @@
             ClaimAction::NotRecorded { .. } | ClaimAction::InProgress { .. } => {}
             ClaimAction::WakeAt(at) => {
                 let at = self.gateways[gateway].started + at;
-                self.push(at, Step::Tick(gateway, life));
+                self.push(at, Step::Tick(gateway, incarnation));
             }
             ClaimAction::Read { .. } | ClaimAction::Write { .. } | ClaimAction::Delete { .. } => {
-                self.call(gateway, life, action);
+                self.call(gateway, incarnation, action);
             }
         }
     }
 
     fn crash(&mut self, gateway: usize) {
-        let life = self.gateways[gateway].life + 1;
-        self.gateways[gateway] = self.start_gateway(gateway, life);
-        let lost = |d: &&mut Delivery| d.gateway == gateway && d.life < life;
+        let incarnation = self.gateways[gateway].incarnation + 1;
+        self.gateways[gateway] = self.start_gateway(gateway, incarnation);
+        let lost = |d: &&mut Delivery| d.gateway == gateway && d.incarnation < incarnation;
         for delivery in self.deliveries.values_mut().filter(lost) {
             delivery.ended = true;
         }
@@ -267,8 +269,8 @@
 
     fn resume(&mut self, gateway: usize) {
         self.gateways[gateway].paused = false;
-        for (life, event) in std::mem::take(&mut self.gateways[gateway].held) {
-            self.deliver(gateway, life, event);
+        for (incarnation, event) in std::mem::take(&mut self.gateways[gateway].held) {
+            self.deliver(gateway, incarnation, event);
         }
     }
 
--- a/lovagedock/tests/support/relay_world/lifecycle.rs
+++ b/lovagedock/tests/support/relay_simulation/lifecycle.rs
@@ -1,14 +1,14 @@
-//! Starts and ends of processes, and acceptances.
+//! Starts and ends of processes, and accepted changes.
 
 use lovagedock::{
     AdoptionEvent, AdoptionState, ConfigManifest, Generation, RelayKind, RelayMember, chunk_hash,
 };
 use rand::RngExt;
 
-use super::{Process, RelayWorld, Step, setup::chunk_text};
+use super::{Process, RelaySimulation, Step, setup::chunk_text};
 
-impl RelayWorld {
-    /// The store accepts a change of one chunk; watchers learn of it.
+impl RelaySimulation {
+    /// Accepts a change of one chunk in the store and notifies the processes that watch it.
     pub(crate) fn accept(&mut self) -> Generation {
         let generation = self.accepted.generation + 1;
         let chunk = self.rng.random_range(0..self.texts.len());
@@ -20,9 +20,9 @@
         self.digests.insert(generation, self.accepted.digest());
         for position in 0..self.processes.len() {
             if std::mem::take(&mut self.processes[position].watching) {
-                let life = self.processes[position].life;
+                let incarnation = self.processes[position].incarnation;
                 let at = self.now + self.store_latency();
-                self.push(at, Step::Root(position, life));
+                self.push(at, Step::Root(position, incarnation));
             }
         }
         generation
@@ -31,11 +31,11 @@
     /// Ends a process.
     pub(crate) fn kill(&mut self, position: usize) {
         self.processes[position].alive = false;
-        self.processes[position].life += 1;
+        self.processes[position].incarnation += 1;
         self.processes[position].watching = false;
     }
 
-    /// Starts a process anew, with nothing in force.
+    /// Restarts a process without a configuration in force.
     pub(crate) fn restart(&mut self, position: usize) {
         self.kill(position);
         let seed = self.rng.random();
@@ -55,10 +55,10 @@
             region: member.region.parse().expect("regions are numbers"),
             member,
             state,
-            life: 0,
+            incarnation: 0,
             alive: true,
             watching: false,
-            feeders: Vec::new(),
+            parents: Vec::new(),
         });
     }
 
@@ -68,12 +68,12 @@
             for fed in role.children.iter().chain(&role.offers) {
                 let fed = self.index[fed];
                 if self.processes[fed].member.kind == RelayKind::Leaf {
-                    self.processes[fed].feeders.push(position);
+                    self.processes[fed].parents.push(position);
                 }
             }
         }
         for position in 0..self.processes.len() {
-            if !self.processes[position].feeders.is_empty() {
+            if !self.processes[position].parents.is_empty() {
                 let at = self.now + self.millis(0..1_000);
                 self.push(at, Step::Heartbeat(position));
             }
--- a/lovagedock/tests/wake.rs
+++ b/lovagedock/tests/wake.rs
@@ -1,4 +1,4 @@
-//! Times to wake are taken once.
+//! A wake-up time is cleared once it is due.
 
 use std::time::Duration;
 
@@ -6,26 +6,26 @@
 
 const LONGEST: Duration = Duration::from_secs(60);
 
-/// A partition of claims had named a time, the time came, and nothing was due any more. Its task
-/// kept the time and woke at once for ever: 33 s of processor time where 2 s were needed. A time
-/// that was taken must not come again.
+/// A task of a claim partition kept a wake-up time after it was due, although nothing else was to
+/// do. It woke up in a busy loop and used 33 s of processor time where 2 s were needed. A due time
+/// must be returned only once.
 #[test]
-fn a_time_that_has_come_is_forgotten() {
+fn a_due_time_is_cleared() {
     let mut timer = WakeTimer::new();
     timer.set(Duration::from_secs(5));
     assert_eq!(
         timer.next(Duration::from_secs(1), LONGEST),
         Duration::from_secs(5)
     );
-    assert!(!timer.take_due(Duration::from_secs(4)));
-    assert!(timer.take_due(Duration::from_secs(5)));
-    assert!(!timer.take_due(Duration::from_secs(6)));
+    assert!(!timer.clear_if_due(Duration::from_secs(4)));
+    assert!(timer.clear_if_due(Duration::from_secs(5)));
+    assert!(!timer.clear_if_due(Duration::from_secs(6)));
     let next = timer.next(Duration::from_secs(6), LONGEST);
     assert_eq!(next, Duration::from_secs(66));
 }
 
 #[test]
-fn the_last_time_counts_and_no_sleep_is_longer_than_the_longest() {
+fn the_last_time_is_used_and_capped_at_the_longest_sleep() {
     let mut timer = WakeTimer::new();
     timer.set(Duration::from_secs(500));
     assert_eq!(timer.next(Duration::ZERO, LONGEST), LONGEST);
