--- a/lovagedock-standin/examples/config_apply.rs
+++ b/lovagedock-standin/examples/config_apply.rs
@@ -15,7 +15,7 @@
 use lovagedock_platform::{
     ApplyOutcome, ApplyRequest, ChunkCache, ConfigStore, HttpObjectStore, canonical_json,
 };
-use lovagedock_standin::{PlatformCounters, PlatformOptions, PlatformStandin, RunningStandin};
+use lovagedock_standin::{PlatformCounters, PlatformOptions, PlatformStandin, RunningPlatform};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -37,13 +37,13 @@
     println!();
     println!("edit of one of 25,000 organisations, mean of {EDITS}:");
     println!("cut                  chunks  root_bytes  changed_chunks  changed_bytes");
-    let bytes = bytes_of(&fleet(25_000));
+    let bytes = config_bytes(&fleet(25_000));
     for average in [8 << 10, 16 << 10, 32 << 10, 64 << 10, 256 << 10] {
-        let cut = move |bytes: &Bytes| by_content(bytes, average);
-        measure_edits(&format!("content {average:>7}"), &bytes, cut);
+        let split = move |bytes: &Bytes| split_by_content(bytes, average);
+        measure_edits(&format!("content {average:>7}"), &bytes, split);
     }
-    let cut = |bytes: &Bytes| bytes.chunks(32 << 10).map(Bytes::copy_from_slice).collect();
-    measure_edits("fixed     32768", &bytes, cut);
+    let split = |bytes: &Bytes| bytes.chunks(32 << 10).map(Bytes::copy_from_slice).collect();
+    measure_edits("fixed     32768", &bytes, split);
 }
 
 struct StepCost {
@@ -52,14 +52,14 @@
 }
 
 impl StepCost {
-    fn begin(running: &RunningStandin) -> Self {
+    fn begin(running: &RunningPlatform) -> Self {
         Self {
             before: running.counters(),
             started: Instant::now(),
         }
     }
 
-    fn end(self, running: &RunningStandin) -> (PlatformCounters, Duration) {
+    fn end(self, running: &RunningPlatform) -> (PlatformCounters, Duration) {
         let now = running.counters();
         let used = PlatformCounters {
             writes: now.writes - self.before.writes,
@@ -74,10 +74,10 @@
 
 async fn measure_store(organisations: usize) {
     let config = fleet(organisations);
-    let bytes = bytes_of(&config);
+    let bytes = config_bytes(&config);
     let mut edited = config.clone();
     edited.organisations[organisations / 2].weight += 1;
-    let edited = bytes_of(&edited);
+    let edited = config_bytes(&edited);
     let steps = ["apply", "read", "apply edit", "read edit"];
     let mut costs: Vec<Vec<(PlatformCounters, Duration)>> = vec![Vec::new(); steps.len()];
     for _ in 0..ROUNDS {
@@ -121,16 +121,16 @@
     }
 }
 
-fn measure_edits(name: &str, bytes: &Bytes, cut: impl Fn(&Bytes) -> Vec<Bytes>) {
+fn measure_edits(name: &str, bytes: &Bytes, split: impl Fn(&Bytes) -> Vec<Bytes>) {
     let mut rng = ChaCha8Rng::seed_from_u64(SEED);
-    let chunks = cut(bytes);
+    let chunks = split(bytes);
     let known: HashSet<&Bytes> = chunks.iter().collect();
     let (mut changed_chunks, mut changed_bytes) = (0, 0);
     for _ in 0..EDITS {
         let mut config = fleet(25_000);
         let at = rng.random_range(0..config.organisations.len());
         config.organisations[at].services.push("one-more".into());
-        let edited = cut(&bytes_of(&config));
+        let edited = split(&config_bytes(&config));
         let changed = edited.iter().filter(|chunk| !known.contains(chunk));
         for chunk in changed {
             changed_chunks += 1;
@@ -146,9 +146,9 @@
     );
 }
 
-fn by_content(bytes: &Bytes, average: usize) -> Vec<Bytes> {
+fn split_by_content(bytes: &Bytes, average: usize) -> Vec<Bytes> {
     FastCDC::new(bytes, average / 4, average, average * 4)
-        .map(|cut| bytes.slice(cut.offset..cut.offset + cut.length))
+        .map(|chunk| bytes.slice(chunk.offset..chunk.offset + chunk.length))
         .collect()
 }
 
@@ -176,6 +176,6 @@
     format!("{:032x}{:032x}", rng.random::<u128>(), rng.random::<u128>())
 }
 
-fn bytes_of(config: &FleetConfig) -> Bytes {
+fn config_bytes(config: &FleetConfig) -> Bytes {
     canonical_json(config).expect("serialisable")
 }
--- a/lovagedock-standin/examples/overhead/drive.rs
+++ b/lovagedock-standin/examples/overhead/drive.rs
@@ -19,7 +19,7 @@
 /// Tokens of an answer.
 const ANSWER_TOKENS: u64 = 16;
 const WARM_UP_REQUESTS: usize = 50;
-const READY_PAUSE: Duration = Duration::from_millis(50);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// About 250 tokens, so that the engine's own part is small.
 const PROMPT: &str = "the log of the Sala, ";
 const PROMPT_REPEATS: usize = 48;
@@ -34,7 +34,7 @@
 }
 
 /// Quantiles of the first token's time.
-pub(crate) struct FirstToken {
+pub(crate) struct FirstTokenTimes {
     /// Median.
     pub(crate) p50: Duration,
     /// 95 in 100.
@@ -44,9 +44,9 @@
 /// First tokens with and without our processes, measured in turn.
 pub(crate) struct LatencyFigures {
     /// Through gateway and sidecar.
-    pub(crate) through: FirstToken,
+    pub(crate) via_gateway: FirstTokenTimes,
     /// Straight from the engine.
-    pub(crate) alone: FirstToken,
+    pub(crate) direct: FirstTokenTimes,
 }
 
 /// What came of a load.
@@ -98,39 +98,42 @@
 /// Waits until the target answers whole.
 pub(crate) async fn wait_until_served(target: &CallTarget) {
     while target.call().await.is_none() {
-        sleep(READY_PAUSE).await;
+        sleep(READY_POLL_INTERVAL).await;
     }
 }
 
 /// Calls both targets in turn, so that whatever else the machine does meets both alike.
 pub(crate) async fn compare_latency(
-    through: &CallTarget,
-    alone: &CallTarget,
+    via_gateway: &CallTarget,
+    direct: &CallTarget,
     requests: usize,
 ) -> LatencyFigures {
     let mut times = [Vec::new(), Vec::new()];
     for number in 0..WARM_UP_REQUESTS + requests {
-        for (target, times) in [through, alone].into_iter().zip(&mut times) {
+        for (target, times) in [via_gateway, direct].into_iter().zip(&mut times) {
             let time = target.call().await;
             if number >= WARM_UP_REQUESTS {
                 times.push(time.expect("an idle fleet serves"));
             }
         }
     }
-    let [through, alone] = times.map(quantiles);
-    LatencyFigures { through, alone }
+    let [via_gateway, direct] = times.map(quantiles);
+    LatencyFigures {
+        via_gateway,
+        direct,
+    }
 }
 
 /// Keeps requests in flight for a while.
 pub(crate) async fn load(target: &CallTarget, in_flight: usize, time: Duration) -> LoadFigures {
     let target = Arc::new(target.clone());
-    let begun = Instant::now();
+    let started = Instant::now();
     let callers: Vec<_> = (0..in_flight)
         .map(|_| {
             let target = Arc::clone(&target);
             tokio::spawn(async move {
                 let (mut served, mut failed) = (0, 0);
-                while begun.elapsed() < time {
+                while started.elapsed() < time {
                     match target.call().await {
                         Some(_) => served += 1,
                         None => failed += 1,
@@ -150,14 +153,14 @@
         figures.served += served;
         figures.failed += failed;
     }
-    figures.elapsed = begun.elapsed();
+    figures.elapsed = started.elapsed();
     figures
 }
 
-fn quantiles(mut times: Vec<Duration>) -> FirstToken {
+fn quantiles(mut times: Vec<Duration>) -> FirstTokenTimes {
     times.sort();
     let at = |percent: usize| times[(times.len() - 1) * percent / 100];
-    FirstToken {
+    FirstTokenTimes {
         p50: at(50),
         p95: at(95),
     }
--- a/lovagedock-standin/examples/overhead/main.rs
+++ b/lovagedock-standin/examples/overhead/main.rs
@@ -11,7 +11,7 @@
 
 use clap::Parser;
 use drive::{CallTarget, LatencyFigures, LoadFigures};
-use meter::RoleMeter;
+use meter::ProcessMeter;
 
 /// Measures what the gateway and the sidecar cost.
 #[derive(Parser)]
@@ -30,7 +30,7 @@
     model: String,
     /// Process to meter, as NAME=PID; may be repeated.
     #[arg(long = "process", value_name = "NAME=PID", value_parser = meter::parse_process)]
-    processes: Vec<RoleMeter>,
+    processes: Vec<ProcessMeter>,
     /// Requests of each kind for the latency.
     #[arg(long, default_value_t = 500)]
     requests: usize,
@@ -46,23 +46,23 @@
 async fn main() {
     let arguments = OverheadArguments::parse();
     let target = |address| CallTarget::new(address, &arguments.key, &arguments.model);
-    let (through, alone) = (target(arguments.gateway), target(arguments.engine));
-    measure(&arguments, &through, &alone, &arguments.processes).await;
+    let (via_gateway, direct) = (target(arguments.gateway), target(arguments.engine));
+    measure(&arguments, &via_gateway, &direct, &arguments.processes).await;
 }
 
 async fn measure(
     arguments: &OverheadArguments,
-    through: &CallTarget,
-    alone: &CallTarget,
-    meters: &[RoleMeter],
+    via_gateway: &CallTarget,
+    direct: &CallTarget,
+    meters: &[ProcessMeter],
 ) {
-    drive::wait_until_served(through).await;
+    drive::wait_until_served(via_gateway).await;
     print_memory("memory while idle", meters);
-    let latency = drive::compare_latency(through, alone, arguments.requests).await;
+    let latency = drive::compare_latency(via_gateway, direct, arguments.requests).await;
     print_latency(&latency);
-    let before: Vec<Duration> = meters.iter().map(RoleMeter::processor_time).collect();
+    let before: Vec<Duration> = meters.iter().map(ProcessMeter::processor_time).collect();
     let load = drive::load(
-        through,
+        via_gateway,
         arguments.in_flight,
         Duration::from_secs(arguments.seconds),
     )
@@ -85,17 +85,22 @@
         let ms = |time: Duration| time.as_secs_f64() * 1e3;
         println!("{name:<18} {:>6.2}   {:>6.2}", ms(p50), ms(p95));
     };
-    row("engine alone", latency.alone.p50, latency.alone.p95);
-    row("through gateway", latency.through.p50, latency.through.p95);
-    let ratio = |through: Duration, alone: Duration| through.as_secs_f64() / alone.as_secs_f64();
+    row("engine alone", latency.direct.p50, latency.direct.p95);
+    row(
+        "through gateway",
+        latency.via_gateway.p50,
+        latency.via_gateway.p95,
+    );
+    let ratio =
+        |via_gateway: Duration, direct: Duration| via_gateway.as_secs_f64() / direct.as_secs_f64();
     println!(
         "ratio              {:>6.2}   {:>6.2}",
-        ratio(latency.through.p50, latency.alone.p50),
-        ratio(latency.through.p95, latency.alone.p95)
+        ratio(latency.via_gateway.p50, latency.direct.p50),
+        ratio(latency.via_gateway.p95, latency.direct.p95)
     );
 }
 
-fn print_processor_time(load: &LoadFigures, meters: &[RoleMeter], before: &[Duration]) {
+fn print_processor_time(load: &LoadFigures, meters: &[ProcessMeter], before: &[Duration]) {
     for (meter, before) in meters.iter().zip(before) {
         let spent = meter.processor_time().saturating_sub(*before);
         println!(
@@ -108,7 +113,7 @@
     }
 }
 
-fn print_memory(title: &str, meters: &[RoleMeter]) {
+fn print_memory(title: &str, meters: &[ProcessMeter]) {
     for meter in meters {
         if let Some((resident, highest)) = meter.memory_kib() {
             let mib = |kib: u64| kib as f64 / 1024.0;
--- a/lovagedock-standin/examples/overhead/meter.rs
+++ b/lovagedock-standin/examples/overhead/meter.rs
@@ -10,13 +10,13 @@
 
 /// Measures one role.
 #[derive(Clone, Debug)]
-pub(crate) struct RoleMeter {
+pub(crate) struct ProcessMeter {
     /// Name in the report.
     pub(crate) name: String,
     pid: u32,
 }
 
-impl RoleMeter {
+impl ProcessMeter {
     /// Processor time so far.
     pub(crate) fn processor_time(&self) -> Duration {
         let ticks = ticks_of(self.pid);
@@ -34,10 +34,10 @@
 }
 
 /// Reads `NAME=PID`.
-pub(crate) fn parse_process(text: &str) -> Result<RoleMeter, String> {
+pub(crate) fn parse_process(text: &str) -> Result<ProcessMeter, String> {
     let (name, pid) = text.split_once('=').ok_or("expected NAME=PID")?;
     let pid = pid.parse().map_err(|_| format!("no process id: {pid}"))?;
-    Ok(RoleMeter {
+    Ok(ProcessMeter {
         name: name.to_owned(),
         pid,
     })
--- a/lovagedock-standin/src/bin/lovagedock-demo.rs
+++ b/lovagedock-standin/src/bin/lovagedock-demo.rs
@@ -14,12 +14,12 @@
 use lovagedock_daemon::{ExitStatus, LogFormat, LogLevel, LogSettings, load_settings};
 use lovagedock_standin::{
     demo::{DemoOptions, DemoOutcome, Deployment, FaultPlan, run_demo},
-    load::{CallEnding, LoadReport, RunProgress, ViolationNote, render_table},
+    load::{CallOutcome, LoadReport, RunProgress, ViolationDetail, render_table},
 };
 use slog::{Discard, Logger, o};
 
 /// Calls behind violations that are printed at most.
-const MAX_NOTES: usize = 20;
+const MAX_DETAILS: usize = 20;
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Starts stand-ins of the platform and of a deployment's endpoints, the deployment's sidecars and
@@ -74,7 +74,7 @@
         faults,
         log: logger(args.logs),
     };
-    let DemoOutcome { report, notes } = match run_demo(&options, watch).await {
+    let DemoOutcome { report, details } = match run_demo(&options, watch).await {
         Ok(outcome) => outcome,
         Err(report) => {
             eprintln!("{report:?}");
@@ -82,8 +82,8 @@
         }
     };
     println!("\n{}", render_table(&report));
-    for note in notes.iter().take(MAX_NOTES) {
-        println!("{}", note_line(note));
+    for detail in details.iter().take(MAX_DETAILS) {
+        println!("{}", detail_line(detail));
     }
     if let Err(error) = write_report(&args, &report) {
         eprintln!("{error}");
@@ -95,18 +95,20 @@
     }
 }
 
-fn note_line(note: &ViolationNote) -> String {
-    let request = note.request.map_or("unknown".to_owned(), format_request_id);
-    let endpoints = note.endpoints.join(", ");
-    let ending = match note.ending {
-        CallEnding::Problem { code, ran } => format!("code {code}, ran: {}", ran.as_str()),
-        CallEnding::Complete => "a clean end".to_owned(),
-        CallEnding::Broken => "a broken connection".to_owned(),
-        CallEnding::Unsent => "no connection".to_owned(),
-        CallEnding::Nothing => "no end".to_owned(),
+fn detail_line(detail: &ViolationDetail) -> String {
+    let request = detail
+        .request
+        .map_or("unknown".to_owned(), format_request_id);
+    let endpoints = detail.endpoints.join(", ");
+    let outcome = match detail.outcome {
+        CallOutcome::Problem { code, ran } => format!("code {code}, ran: {}", ran.as_str()),
+        CallOutcome::Complete => "a clean end".to_owned(),
+        CallOutcome::Broken => "a broken connection".to_owned(),
+        CallOutcome::Unsent => "no connection".to_owned(),
+        CallOutcome::NoOutcome => "no end".to_owned(),
     };
-    let counter = note.counter;
-    format!("{counter}: request {request} ended with {ending}; started on [{endpoints}]")
+    let counter = detail.counter;
+    format!("{counter}: request {request} ended with {outcome}; started on [{endpoints}]")
 }
 
 fn logger(wanted: bool) -> Logger {
@@ -136,7 +138,7 @@
         let mut ticks = tokio::time::interval(PROGRESS_INTERVAL);
         loop {
             ticks.tick().await;
-            eprint!("\r{}  ", progress.line());
+            eprint!("\r{}  ", progress.status_line());
             let _ = io::stderr().flush();
         }
     });
--- a/lovagedock-standin/src/bin/lovagedock-load/experiment.rs
+++ b/lovagedock-standin/src/bin/lovagedock-load/experiment.rs
@@ -128,7 +128,7 @@
         let mut ticks = tokio::time::interval(PROGRESS_INTERVAL);
         loop {
             ticks.tick().await;
-            eprint!("\r{}  ", progress.line());
+            eprint!("\r{}  ", progress.status_line());
             let _ = io::stderr().flush();
         }
     });
--- a/lovagedock-standin/src/bin/lovagedock-load/single.rs
+++ b/lovagedock-standin/src/bin/lovagedock-load/single.rs
@@ -15,8 +15,8 @@
 use lovagedock_daemon::{ExitStatus, ProcessClock, load_settings};
 use lovagedock_standin::load::{
     CallerClient, ExecutionJournal, FleetJournal, GatewayTarget, LoadReport, LoadRunner, MixSpec,
-    ReportTags, RunProgress, StandinTarget, ViolationLimits, count_violations, fetch_engine,
-    fetch_service, long_from, plan_calls, render_table,
+    ReportMetadata, RunProgress, StandinTarget, ViolationLimits, count_violations, fetch_engine,
+    fetch_service, long_start, plan_calls, render_table,
 };
 
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
@@ -94,22 +94,22 @@
     let start = clock.now();
     let callers = runner.run(plan, start).await;
     shown.abort();
-    let executions = collect(args).await?;
+    let executions = collect_journals(args).await?;
     let violations = count_violations(
         &callers,
         &executions,
         &FleetJournal::default(),
         &ViolationLimits::default(),
     );
-    let tags = ReportTags {
+    let metadata = ReportMetadata {
         seed: args.seed,
         policy: args.policy.clone(),
         mix: mix.name.clone(),
         duration: real,
-        long_from: start + long_from(&mix, real),
+        long_start: start + long_start(&mix, real),
         time_scale: args.time_scale,
     };
-    let report = LoadReport::new(&tags, &callers, violations, None);
+    let report = LoadReport::new(&metadata, &callers, violations, None);
     println!("{}", render_table(&report));
     if let Some(file) = &args.report {
         let text = serde_json::to_string_pretty(&report).map_err(io::Error::other);
@@ -120,7 +120,7 @@
     Ok(report)
 }
 
-async fn collect(args: &SingleArgs) -> Result<ExecutionJournal, Report<io::Error>> {
+async fn collect_journals(args: &SingleArgs) -> Result<ExecutionJournal, Report<io::Error>> {
     let mut executions = ExecutionJournal::default();
     if args.engines.is_empty() && args.services.is_empty() {
         return Ok(executions);
@@ -158,7 +158,7 @@
     let mut ticks = tokio::time::interval(PROGRESS_INTERVAL);
     loop {
         ticks.tick().await;
-        eprint!("\r{}  ", progress.line());
+        eprint!("\r{}  ", progress.status_line());
         let _ = io::stderr().flush();
     }
 }
--- a/lovagedock-standin/src/demo/faults.rs
+++ b/lovagedock-standin/src/demo/faults.rs
@@ -30,13 +30,13 @@
 
 impl PlannedFault {
     /// When it begins.
-    pub fn begins(&self) -> Duration {
+    pub fn starts_at(&self) -> Duration {
         Duration::from_secs_f64(self.at_s.max(0.0))
     }
 
     /// When it is over, if ever.
-    pub fn ends(&self) -> Option<Duration> {
-        (self.for_s > 0.0).then(|| self.begins() + Duration::from_secs_f64(self.for_s))
+    pub fn ends_at(&self) -> Option<Duration> {
+        (self.for_s > 0.0).then(|| self.starts_at() + Duration::from_secs_f64(self.for_s))
     }
 }
 
@@ -45,13 +45,15 @@
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum FaultStep {
     /// The engine loses its memory and refuses connections.
-    EngineDies(EndpointId),
+    #[serde(rename = "engine_dies")]
+    EngineCrashes(EndpointId),
     /// The engine's connections stay open and nothing moves.
     EngineHangs(EndpointId),
     /// The engine's answers come late.
     EngineLate(EndpointId),
     /// The engine sends its callers pieces of others' answers.
-    EngineCrosses(EndpointId),
+    #[serde(rename = "engine_crosses")]
+    EngineSwapsResponses(EndpointId),
     /// The sidecar is asked to stop, as by SIGTERM, and starts again when the fault is over.
     SidecarStops(EndpointId),
     /// An operator drains the endpoint, and takes it back when the fault is over.
--- a/lovagedock-standin/src/demo/inject.rs
+++ b/lovagedock-standin/src/demo/injector.rs
@@ -17,10 +17,10 @@
     run::DemoError,
 };
 use crate::{
-    FaultKind, FaultOrder,
+    FaultCommand, FaultKind,
     engine::EngineFault,
     fleet::{EndpointStandin, LocalFleet, RunningEndpoint},
-    load::{ConfigChange, FleetJournal, LeaveRecord, LeavingParty, RuledOut},
+    load::{ConfigChange, DrainRecord, DrainTarget, ExcludedTarget, FleetJournal},
 };
 
 const LATE_MS: u64 = 500;
@@ -38,7 +38,7 @@
 struct TimelineEntry<'a> {
     at: Duration,
     step: &'a FaultStep,
-    begins: bool,
+    is_start: bool,
 }
 
 impl<'a> FaultInjector<'a> {
@@ -67,76 +67,83 @@
         for entry in timeline(plan) {
             let at = start + entry.at;
             tokio::time::sleep(at.saturating_sub(self.clock.now())).await;
-            match entry.begins {
-                true => self.begin(entry.step).await?,
-                false => self.end(entry.step).await?,
+            match entry.is_start {
+                true => self.start_fault(entry.step).await?,
+                false => self.end_fault(entry.step).await?,
             }
         }
         Ok(self.journal)
     }
 
-    async fn begin(&mut self, step: &FaultStep) -> Result<(), Report<DemoError>> {
+    async fn start_fault(&mut self, step: &FaultStep) -> Result<(), Report<DemoError>> {
         match step {
-            FaultStep::EngineDies(id) => self.set_engine(id, EngineFault::Die),
-            FaultStep::EngineHangs(id) => self.set_engine(id, EngineFault::Hang),
+            FaultStep::EngineCrashes(id) => self.set_engine_fault(id, EngineFault::Crash),
+            FaultStep::EngineHangs(id) => self.set_engine_fault(id, EngineFault::Hang),
             FaultStep::EngineLate(id) => {
-                self.set_engine(id, EngineFault::Late { delay_ms: LATE_MS })
+                self.set_engine_fault(id, EngineFault::Late { delay_ms: LATE_MS })
+            }
+            FaultStep::EngineSwapsResponses(id) => {
+                self.set_engine_fault(id, EngineFault::SwapsResponses)
             }
-            FaultStep::EngineCrosses(id) => self.set_engine(id, EngineFault::Crossed),
             FaultStep::SidecarStops(id) => {
-                self.leaves(LeavingParty::Endpoint(id.clone()));
+                self.record_drain_start(DrainTarget::Endpoint(id.clone()));
                 self.endpoint(id)?.daemon.shutdown.trigger();
                 Ok(())
             }
             FaultStep::EndpointDrains(id) => {
-                self.leaves(LeavingParty::Endpoint(id.clone()));
-                self.order_sidecar(id, "/drain").await
+                self.record_drain_start(DrainTarget::Endpoint(id.clone()));
+                self.post_to_sidecar(id, "/drain").await
+            }
+            FaultStep::EndpointRemoved(id) => {
+                self.exclude(ExcludedTarget::Endpoint(id.clone())).await
             }
-            FaultStep::EndpointRemoved(id) => self.change(RuledOut::Endpoint(id.clone())).await,
             FaultStep::OrganisationRemoved(id) => {
-                self.change(RuledOut::Organisation(id.clone())).await
+                self.exclude(ExcludedTarget::Organisation(id.clone())).await
             }
             FaultStep::GatewayStops(id) => {
-                self.leaves(LeavingParty::Gateway(id.to_string()));
+                self.record_drain_start(DrainTarget::Gateway(id.to_string()));
                 let mut gateways = self.fleet.gateways.iter();
                 let gateway = gateways.find(|gateway| gateway.id == *id);
                 gateway
-                    .ok_or_else(|| unknown(id))?
+                    .ok_or_else(|| unknown_target(id))?
                     .daemon
                     .shutdown
                     .trigger();
                 Ok(())
             }
             FaultStep::Platform(kind) => {
-                self.fleet.platform.set_fault(FaultOrder::new(*kind));
+                self.fleet.platform.set_fault(FaultCommand::new(*kind));
                 Ok(())
             }
         }
     }
 
-    async fn end(&mut self, step: &FaultStep) -> Result<(), Report<DemoError>> {
+    async fn end_fault(&mut self, step: &FaultStep) -> Result<(), Report<DemoError>> {
         match step {
-            FaultStep::EngineDies(id)
+            FaultStep::EngineCrashes(id)
             | FaultStep::EngineHangs(id)
             | FaultStep::EngineLate(id)
-            | FaultStep::EngineCrosses(id) => self.set_engine(id, EngineFault::None),
+            | FaultStep::EngineSwapsResponses(id) => self.set_engine_fault(id, EngineFault::None),
             FaultStep::SidecarStops(id) => {
                 self.restart_sidecar(id).await?;
-                self.is_back(&LeavingParty::Endpoint(id.clone()));
+                self.record_drain_end(&DrainTarget::Endpoint(id.clone()));
                 Ok(())
             }
             FaultStep::EndpointDrains(id) => {
-                self.is_back(&LeavingParty::Endpoint(id.clone()));
-                self.order_sidecar(id, "/undrain").await
+                self.record_drain_end(&DrainTarget::Endpoint(id.clone()));
+                self.post_to_sidecar(id, "/undrain").await
+            }
+            FaultStep::EndpointRemoved(id) => {
+                self.readmit(&ExcludedTarget::Endpoint(id.clone())).await
             }
-            FaultStep::EndpointRemoved(id) => self.lift(&RuledOut::Endpoint(id.clone())).await,
             FaultStep::OrganisationRemoved(id) => {
-                self.lift(&RuledOut::Organisation(id.clone())).await
+                self.readmit(&ExcludedTarget::Organisation(id.clone()))
+                    .await
             }
             FaultStep::GatewayStops(_) => Ok(()),
             FaultStep::Platform(_) => {
-                let order = FaultOrder::new(FaultKind::None);
-                self.fleet.platform.set_fault(order);
+                let command = FaultCommand::new(FaultKind::None);
+                self.fleet.platform.set_fault(command);
                 Ok(())
             }
         }
@@ -145,16 +152,20 @@
     fn endpoint(&mut self, id: &EndpointId) -> Result<&mut RunningEndpoint, Report<DemoError>> {
         let mut endpoints = self.fleet.endpoints.iter_mut();
         let endpoint = endpoints.find(|endpoint| endpoint.id == *id);
-        endpoint.ok_or_else(|| unknown(id))
+        endpoint.ok_or_else(|| unknown_target(id))
     }
 
-    fn set_engine(&mut self, id: &EndpointId, fault: EngineFault) -> Result<(), Report<DemoError>> {
+    fn set_engine_fault(
+        &mut self,
+        id: &EndpointId,
+        fault: EngineFault,
+    ) -> Result<(), Report<DemoError>> {
         match &self.endpoint(id)?.standin {
             EndpointStandin::Engine(engine) => {
                 engine.handle.set_fault(fault);
                 Ok(())
             }
-            EndpointStandin::Service(_) => Err(unknown(id)),
+            EndpointStandin::Service(_) => Err(unknown_target(id)),
         }
     }
 
@@ -170,14 +181,14 @@
         Ok(())
     }
 
-    async fn order_sidecar(
+    async fn post_to_sidecar(
         &mut self,
         id: &EndpointId,
         path: &str,
     ) -> Result<(), Report<DemoError>> {
         let endpoint = self.endpoint(id)?;
         let Some(sidecar) = &endpoint.sidecar else {
-            return Err(unknown(id));
+            return Err(unknown_target(id));
         };
         let request = Request::post(format!("http://{}{path}", sidecar.admin_address()))
             .body(Full::<Bytes>::default())
@@ -193,11 +204,11 @@
         }
     }
 
-    async fn change(&mut self, ruled_out: RuledOut) -> Result<(), Report<DemoError>> {
+    async fn exclude(&mut self, excluded: ExcludedTarget) -> Result<(), Report<DemoError>> {
         self.journal.changes.push(ConfigChange {
             accepted_at: Timestamp::MAX,
-            lifted_at: None,
-            ruled_out,
+            reverted_at: None,
+            excluded,
         });
         self.apply().await?;
         let now = self.clock.now();
@@ -207,51 +218,51 @@
         Ok(())
     }
 
-    async fn lift(&mut self, ruled_out: &RuledOut) -> Result<(), Report<DemoError>> {
+    async fn readmit(&mut self, excluded: &ExcludedTarget) -> Result<(), Report<DemoError>> {
         // From here on a gateway may have the new configuration before we hear of it.
         let now = self.clock.now();
         let mut changes = self.journal.changes.iter_mut();
-        if let Some(change) = changes.find(|it| it.ruled_out == *ruled_out) {
-            change.lifted_at = Some(now);
+        if let Some(change) = changes.find(|it| it.excluded == *excluded) {
+            change.reverted_at = Some(now);
         }
         self.apply().await
     }
 
     /// Applies the deployment's configuration without what is ruled out now.
     async fn apply(&mut self) -> Result<(), Report<DemoError>> {
-        let whole = self.fleet.config.clone();
-        let ruled_out = |wanted: &RuledOut| {
+        let full_config = self.fleet.config.clone();
+        let is_excluded = |wanted: &ExcludedTarget| {
             let mut changes = self.journal.changes.iter();
-            changes.any(|it| it.lifted_at.is_none() && it.ruled_out == *wanted)
+            changes.any(|it| it.reverted_at.is_none() && it.excluded == *wanted)
         };
-        let mut config = whole.clone();
+        let mut config = full_config.clone();
         for pool in &mut config.pools {
             pool.endpoints
-                .retain(|spec| !ruled_out(&RuledOut::Endpoint(spec.id.clone())));
+                .retain(|spec| !is_excluded(&ExcludedTarget::Endpoint(spec.id.clone())));
         }
         config
             .organisations
-            .retain(|spec| !ruled_out(&RuledOut::Organisation(spec.id.clone())));
+            .retain(|spec| !is_excluded(&ExcludedTarget::Organisation(spec.id.clone())));
         self.fleet.config = config;
         let applied = self.fleet.apply(self.generation).await;
-        self.fleet.config = whole;
+        self.fleet.config = full_config;
         self.generation = applied.change_context(DemoError::Fault)?;
         Ok(())
     }
 
-    fn leaves(&mut self, party: LeavingParty) {
-        self.journal.leaves.push(LeaveRecord {
-            party,
-            began_at: self.clock.now(),
-            gone_at: None,
+    fn record_drain_start(&mut self, target: DrainTarget) {
+        self.journal.drains.push(DrainRecord {
+            target,
+            started_at: self.clock.now(),
+            ended_at: None,
         });
     }
 
-    fn is_back(&mut self, party: &LeavingParty) {
+    fn record_drain_end(&mut self, target: &DrainTarget) {
         let now = self.clock.now();
-        let mut leaves = self.journal.leaves.iter_mut().rev();
-        if let Some(leave) = leaves.find(|leave| leave.party == *party) {
-            leave.gone_at = Some(now);
+        let mut drains = self.journal.drains.iter_mut().rev();
+        if let Some(drain) = drains.find(|drain| drain.target == *target) {
+            drain.ended_at = Some(now);
         }
     }
 }
@@ -260,20 +271,20 @@
     let mut entries = Vec::new();
     for planned in &plan.faults {
         entries.push(TimelineEntry {
-            at: planned.begins(),
+            at: planned.starts_at(),
             step: &planned.fault,
-            begins: true,
+            is_start: true,
         });
-        entries.extend(planned.ends().map(|at| TimelineEntry {
+        entries.extend(planned.ends_at().map(|at| TimelineEntry {
             at,
             step: &planned.fault,
-            begins: false,
+            is_start: false,
         }));
     }
     entries.sort_by_key(|entry| entry.at);
     entries
 }
 
-fn unknown(name: impl Debug) -> Report<DemoError> {
+fn unknown_target(name: impl Debug) -> Report<DemoError> {
     Report::new(DemoError::Fault).attach(format!("the deployment has no such {name:?}"))
 }
--- a/lovagedock-standin/src/demo/mod.rs
+++ b/lovagedock-standin/src/demo/mod.rs
@@ -1,9 +1,9 @@
 //! The demonstration: a whole deployment in one process, a mix of calls, faults, and the report.
 
-mod control;
 mod deployment;
 mod faults;
-mod inject;
+mod injector;
+mod overhead;
 mod run;
 
 pub use deployment::{Deployment, DeploymentError};
--- a/lovagedock-standin/src/demo/control.rs
+++ b/lovagedock-standin/src/demo/overhead.rs
@@ -2,7 +2,7 @@
 
 use std::{fs, time::Duration};
 
-use crate::{PlatformCounters, load::ControlFigures};
+use crate::{PlatformCounters, load::ControlOverhead};
 
 /// Ticks a second of the times in `/proc`; fixed by the kernel's interface.
 const CLOCK_TICKS: f64 = 100.0;
@@ -23,7 +23,7 @@
 
 impl ControlSample {
     /// Looks at this process now.
-    pub(crate) fn take(at: Duration, platform: PlatformCounters) -> Self {
+    pub(crate) fn measure(at: Duration, platform: PlatformCounters) -> Self {
         Self {
             at,
             processor_s: processor_seconds(),
@@ -35,12 +35,12 @@
     /// What `daemons` daemons used between two looks, for each of them.
     ///
     /// The stand-ins share the process, so processor time and memory are upper bounds.
-    pub(crate) fn figures_until(&self, later: &Self, daemons: usize) -> ControlFigures {
+    pub(crate) fn overhead_until(&self, later: &Self, daemons: usize) -> ControlOverhead {
         let seconds = (later.at - self.at).as_secs_f64();
         let each = daemons.max(1) as f64;
         // Both ends of a connection are in this process, and each counts what it moves.
         let bytes = (later.link_bytes - self.link_bytes) as f64;
-        ControlFigures {
+        ControlOverhead {
             cpu_pct: (later.processor_s - self.processor_s) / seconds * 100.0 / each,
             rss_mb: resident_mib() / each,
             bytes_per_s: bytes / seconds / each,
--- a/lovagedock-standin/src/demo/run.rs
+++ b/lovagedock-standin/src/demo/run.rs
@@ -13,14 +13,14 @@
 use tokio::time;
 
 use super::{
-    control::ControlSample, deployment::Deployment, faults::FaultPlan, inject::FaultInjector,
+    deployment::Deployment, faults::FaultPlan, injector::FaultInjector, overhead::ControlSample,
 };
 use crate::{
     fleet::{EndpointStandin, FleetPlan, LocalFleet},
     load::{
-        CallerClient, ClockOrigin, ControlFigures, ExecutionJournal, GatewayTarget, LoadReport,
-        LoadRunner, ReportTags, RunProgress, ViolationLimits, ViolationNote, count_violations,
-        long_from, note_violations, plan_calls,
+        CallerClient, ClockOrigin, ControlOverhead, ExecutionJournal, GatewayTarget, LoadReport,
+        LoadRunner, ReportMetadata, RunProgress, ViolationDetail, ViolationLimits,
+        count_violations, list_violations, long_start, plan_calls,
     },
 };
 
@@ -56,7 +56,7 @@
     /// The figures.
     pub report: LoadReport,
     /// The calls behind the violations that count calls.
-    pub notes: Vec<ViolationNote>,
+    pub details: Vec<ViolationDetail>,
 }
 
 /// Why a run failed.
@@ -98,7 +98,7 @@
         .deployment
         .mix()
         .change_context(DemoError::Deployment)?;
-    let config = with_limits_at(config, TIME_SCALE);
+    let config = with_scaled_limits(config, TIME_SCALE);
     let policy = config.placement.policy.clone();
     let plan = FleetPlan::new(config, options.log.clone()).with_time_scale(TIME_SCALE);
     // Before the stand-ins, so that none of their times lies before the clock's zero.
@@ -126,29 +126,29 @@
     let fleet_journal = faults?;
     time::sleep(SETTLE_TIME).await;
 
-    let executions = collect(&fleet, &clock);
+    let executions = collect_journals(&fleet, &clock);
     fleet.stop().await;
     let limits = ViolationLimits::default();
     let violations = count_violations(&callers, &executions, &fleet_journal, &limits);
-    let tags = ReportTags {
+    let metadata = ReportMetadata {
         seed: options.seed,
         policy,
         mix: mix.name.clone(),
         duration: options.duration,
-        long_from: start + long_from(&mix, options.duration),
+        long_start: start + long_start(&mix, options.duration),
         time_scale: TIME_SCALE,
     };
     Ok(DemoOutcome {
-        report: LoadReport::new(&tags, &callers, violations, Some(control)),
-        notes: note_violations(&callers, &executions, &fleet_journal, &limits),
+        report: LoadReport::new(&metadata, &callers, violations, Some(control)),
+        details: list_violations(&callers, &executions, &fleet_journal, &limits),
     })
 }
 
-async fn measure_control(fleet: &LocalFleet, clock: &ProcessClock) -> ControlFigures {
-    let before = ControlSample::take(clock.now(), fleet.platform.counters());
+async fn measure_control(fleet: &LocalFleet, clock: &ProcessClock) -> ControlOverhead {
+    let before = ControlSample::measure(clock.now(), fleet.platform.counters());
     time::sleep(IDLE_TIME).await;
-    let after = ControlSample::take(clock.now(), fleet.platform.counters());
-    before.figures_until(&after, fleet.endpoints.len() + fleet.gateways.len())
+    let after = ControlSample::measure(clock.now(), fleet.platform.counters());
+    before.overhead_until(&after, fleet.endpoints.len() + fleet.gateways.len())
 }
 
 fn gateway_targets(fleet: &LocalFleet) -> Vec<GatewayTarget> {
@@ -162,17 +162,17 @@
         .collect()
 }
 
-fn collect(fleet: &LocalFleet, clock: &ProcessClock) -> ExecutionJournal {
+fn collect_journals(fleet: &LocalFleet, clock: &ProcessClock) -> ExecutionJournal {
     let mut executions = ExecutionJournal::default();
     for endpoint in &fleet.endpoints {
         match &endpoint.standin {
             EndpointStandin::Engine(engine) => {
-                let own = engine.handle.model_time().div_f64(TIME_SCALE);
-                executions.add_engine(&endpoint.id, engine, origin(clock, own, TIME_SCALE));
+                let local_time = engine.handle.model_time().div_f64(TIME_SCALE);
+                executions.add_engine(&endpoint.id, engine, origin(clock, local_time, TIME_SCALE));
             }
             EndpointStandin::Service(service) => {
-                let own = service.uptime();
-                executions.add_service(&endpoint.id, service, origin(clock, own, 1.0));
+                let local_time = service.uptime();
+                executions.add_service(&endpoint.id, service, origin(clock, local_time, 1.0));
             }
         }
     }
@@ -180,7 +180,7 @@
 }
 
 /// Limits by time at the speed of the model's clock: callers come as much faster.
-fn with_limits_at(mut config: FleetConfig, time_scale: f64) -> FleetConfig {
+fn with_scaled_limits(mut config: FleetConfig, time_scale: f64) -> FleetConfig {
     for organisation in &mut config.organisations {
         let limits = &mut organisation.limits;
         limits.requests_per_second = (f64::from(limits.requests_per_second) * time_scale) as u32;
--- a/lovagedock-standin/src/engine/answer.rs
+++ b/lovagedock-standin/src/engine/answer.rs
@@ -8,9 +8,9 @@
 /// Bytes of prompt or answer text that make one token.
 pub const BYTES_PER_TOKEN: u64 = 4;
 /// Tokens in one piece of a prompt that the prefix cache keeps as a whole.
-pub const PREFIX_PIECE_TOKENS: u64 = 1_024;
+pub const PREFIX_CHUNK_TOKENS: u64 = 1_024;
 
-const PREFIX_PIECE_BYTES: usize = (PREFIX_PIECE_TOKENS * BYTES_PER_TOKEN) as usize;
+const PREFIX_CHUNK_BYTES: usize = (PREFIX_CHUNK_TOKENS * BYTES_PER_TOKEN) as usize;
 const LETTERS: &[u8; 32] = b"abcdefghijklmnopqrstuvwxyzaeioun";
 
 /// One message of a chat.
@@ -49,9 +49,9 @@
     let mut hash = 0;
     prompt
         .as_bytes()
-        .chunks_exact(PREFIX_PIECE_BYTES)
-        .map(|piece| {
-            hash = xxh3_64_with_seed(piece, hash);
+        .chunks_exact(PREFIX_CHUNK_BYTES)
+        .map(|chunk| {
+            hash = xxh3_64_with_seed(chunk, hash);
             hash
         })
         .collect()
--- a/lovagedock-standin/src/engine/batch.rs
+++ b/lovagedock-standin/src/engine/batch.rs
@@ -83,7 +83,7 @@
 
 /// Blocks that one request holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BlockHolding {
+pub struct BlockAllocation {
     /// Id that the request came with.
     pub request_id: Arc<str>,
     /// Blocks; 0 while it waits.
@@ -135,7 +135,11 @@
         if blocks > self.memory.total() {
             return Err(SubmitError::TooLarge);
         }
-        if self.sequences.iter().any(|other| other.is_same(&request)) {
+        if self
+            .sequences
+            .iter()
+            .any(|other| other.is_duplicate(&request))
+        {
             return Err(SubmitError::Duplicate);
         }
         self.arrivals += 1;
@@ -146,8 +150,8 @@
             prefilled: 0,
             produced: request.resume_offset,
             cached_tokens: 0,
-            advanced: false,
-            is_parked: request.imported,
+            has_output: false,
+            is_paused: request.imported,
             request,
         });
         Ok(self.arrivals)
@@ -164,7 +168,7 @@
     }
 
     /// Loses everything, as a process that dies does.
-    pub fn lose_all(&mut self) {
+    pub fn discard_all(&mut self) {
         while !self.sequences.is_empty() {
             self.remove(0, JournalEvent::Lost);
         }
@@ -178,14 +182,14 @@
         if sequence.phase != Phase::Decoding {
             return Err(PauseError::NotDecoding);
         }
-        sequence.is_parked = true;
+        sequence.is_paused = true;
         Ok((sequence.request.clone(), sequence.produced))
     }
 
     /// Goes on with a paused or imported request.
-    pub fn unpause(&mut self, request_id: &str) {
+    pub fn resume(&mut self, request_id: &str) {
         if let Some(index) = self.position(request_id) {
-            self.sequences[index].is_parked = false;
+            self.sequences[index].is_paused = false;
         }
     }
 
@@ -215,23 +219,23 @@
     }
 
     /// What each request holds, its segments included.
-    pub fn holdings(&self) -> Vec<BlockHolding> {
-        let mut holdings: Vec<BlockHolding> = Vec::new();
+    pub fn allocations(&self) -> Vec<BlockAllocation> {
+        let mut allocations: Vec<BlockAllocation> = Vec::new();
         for sequence in &self.sequences {
             let request_id = &sequence.request.request_id;
-            let blocks = sequence.held_blocks();
-            match holdings
+            let blocks = sequence.allocated_blocks();
+            match allocations
                 .iter_mut()
-                .find(|holding| holding.request_id == *request_id)
+                .find(|allocation| allocation.request_id == *request_id)
             {
-                Some(holding) => holding.blocks += blocks,
-                None => holdings.push(BlockHolding {
+                Some(allocation) => allocation.blocks += blocks,
+                None => allocations.push(BlockAllocation {
                     request_id: request_id.clone(),
                     blocks,
                 }),
             }
         }
-        holdings
+        allocations
     }
 
     /// Requests in the batch.
@@ -276,11 +280,11 @@
             if sequence.phase != Phase::Waiting {
                 continue;
             }
-            if running >= self.options.max_running || !self.memory.hold(sequence.blocks) {
+            if running >= self.options.max_running || !self.memory.allocate(sequence.blocks) {
                 return;
             }
             running += 1;
-            sequence.enter(&mut self.memory);
+            sequence.enter_batch(&mut self.memory);
             self.journal.record(JournalEntry {
                 request_id: sequence.request.request_id.to_string(),
                 event: sequence.entry_event(),
@@ -293,9 +297,9 @@
     fn decode(&mut self) -> Duration {
         let mut cost = Duration::ZERO;
         for sequence in &mut self.sequences {
-            if sequence.phase == Phase::Decoding && !sequence.is_parked {
+            if sequence.phase == Phase::Decoding && !sequence.is_paused {
                 sequence.produced += 1;
-                sequence.advanced = true;
+                sequence.has_output = true;
                 cost += self.options.decode_cost;
             }
         }
@@ -312,7 +316,7 @@
             if sequence.phase != Phase::Prefilling {
                 continue;
             }
-            let tokens = sequence.prefill_left().min(budget);
+            let tokens = sequence.remaining_prefill().min(budget);
             cost += prefill_time(
                 &self.options,
                 sequence.request.start + sequence.prefilled,
@@ -320,9 +324,9 @@
             );
             sequence.prefilled += tokens;
             budget -= tokens;
-            if sequence.prefill_left() == 0 {
+            if sequence.remaining_prefill() == 0 {
                 sequence.finish_prefill();
-                self.memory.keep(&sequence.request.prefix_hashes);
+                self.memory.cache_prefix(&sequence.request.prefix_hashes);
             }
         }
         cost
@@ -333,8 +337,8 @@
         let mut index = 0;
         while index < self.sequences.len() {
             let sequence = &mut self.sequences[index];
-            let advanced = std::mem::take(&mut sequence.advanced);
-            if !advanced {
+            let has_output = std::mem::take(&mut sequence.has_output);
+            if !has_output {
                 index += 1;
                 continue;
             }
@@ -357,7 +361,7 @@
 
     fn remove(&mut self, index: usize, event: JournalEvent) {
         let sequence = self.sequences.remove(index);
-        self.memory.release(sequence.held_blocks());
+        self.memory.free(sequence.allocated_blocks());
         if sequence.phase == Phase::Waiting {
             return;
         }
@@ -396,6 +400,6 @@
 /// Time to prefill `tokens` from `position` on; attention makes a token dearer by its position.
 pub fn prefill_time(options: &EngineOptions, position: TokenCount, tokens: TokenCount) -> Duration {
     let middle = position as f64 + tokens as f64 / 2.0;
-    let growth = 1.0 + middle / options.attention_span as f64;
+    let growth = 1.0 + middle / options.cost_doubling_position as f64;
     options.prefill_cost.mul_f64(tokens as f64 * growth)
 }
--- a/lovagedock-standin/src/engine/cache_feed.rs
+++ b/lovagedock-standin/src/engine/cache_feed.rs
@@ -8,7 +8,7 @@
 use super::{
     memory::CacheChange,
     options::EngineOptions,
-    routes::{EngineAnswer, RouteError, RouteResult, json_answer, query_value},
+    routes::{EngineResponse, RouteError, RouteResult, json_response, query_value},
     state::EngineState,
 };
 
@@ -35,14 +35,14 @@
 }
 
 #[derive(Debug, Serialize)]
-struct EventsAnswer {
+struct EventsResponse {
     /// Number of the newest event that can be read.
     last: u64,
     events: Vec<EventField>,
 }
 
 #[derive(Debug, Serialize)]
-struct SnapshotAnswer {
+struct SnapshotResponse {
     seq: u64,
     hashes: Vec<u64>,
 }
@@ -70,14 +70,14 @@
         }
     }
 
-    fn after(&self, after: u64, now: Duration) -> EventsAnswer {
+    fn after(&self, after: u64, now: Duration) -> EventsResponse {
         let visible: Vec<EventField> = self
             .events
             .iter()
             .filter(|event| event.visible_at <= now)
             .map(|event| event.field)
             .collect();
-        EventsAnswer {
+        EventsResponse {
             last: visible.last().map_or(0, |field| field.seq),
             events: visible
                 .into_iter()
@@ -94,13 +94,13 @@
         return Err(RouteError::new(StatusCode::BAD_REQUEST, message));
     };
     let core = state.core.lock();
-    Ok(json_answer(&core.feed.after(after, core.batch.now())))
+    Ok(json_response(&core.feed.after(after, core.batch.now())))
 }
 
-pub(crate) fn snapshot(state: &EngineState) -> EngineAnswer {
+pub(crate) fn snapshot(state: &EngineState) -> EngineResponse {
     let mut core = state.core.lock();
     core.publish_cache();
-    json_answer(&SnapshotAnswer {
+    json_response(&SnapshotResponse {
         seq: core.feed.sequence,
         hashes: core.batch.memory().cached_hashes(),
     })
--- a/lovagedock-standin/src/engine/completion.rs
+++ b/lovagedock-standin/src/engine/completion.rs
@@ -18,13 +18,15 @@
     fault::EngineFault,
     protocol::{CompletionBody, ErrorBody, ErrorDetail},
     render::{AnswerSource, KEEP_ALIVE, STREAM_END},
-    routes::{EngineAnswer, RouteError, RouteResult, answer, body_answer, read_json},
-    segment::SegmentWatch,
+    routes::{
+        EngineResponse, RouteError, RouteResult, read_json, response_with_body, text_response,
+    },
+    segment::SegmentMonitor,
     state::{EngineState, Progress, ProgressReceiver},
 };
 
 /// Whether a request's model is the engine's, with any adapter on top.
-fn serves(model: &str, wanted: &str) -> bool {
+fn is_served_model(model: &str, wanted: &str) -> bool {
     wanted == model || split_model_name(wanted).is_some_and(|(base, _)| base == model)
 }
 
@@ -34,7 +36,7 @@
     chat: bool,
 ) -> RouteResult {
     let mut body: CompletionBody = read_json(request).await?;
-    if !serves(&state.core.lock().model, &body.model) {
+    if !is_served_model(&state.core.lock().model, &body.model) {
         return Err(RouteError::new(StatusCode::NOT_FOUND, "no such model"));
     }
     if chat {
@@ -43,18 +45,18 @@
     let mut holders = std::mem::take(&mut body.segments);
     holders.retain(|holder| holder.engine != state.address);
     let source = answer_source(&body, chat);
-    let elsewhere: TokenCount = holders.iter().map(|holder| holder.tokens).sum();
-    let here = state.core.lock().batch.held_tokens(&source.request_id);
-    let watch = SegmentWatch::new(source.request_id.clone(), holders);
+    let remote_tokens: TokenCount = holders.iter().map(|holder| holder.tokens).sum();
+    let local_tokens = state.core.lock().batch.held_tokens(&source.request_id);
+    let watch = SegmentMonitor::new(source.request_id.clone(), holders);
     watch.check().await?;
-    let request = sequence_request(&body, &source, elsewhere + here);
-    let follower = open(&state, body.resume_offset, request, source)?;
+    let request = sequence_request(&body, &source, remote_tokens + local_tokens);
+    let writer = open(&state, body.resume_offset, request, source)?;
     watch.spawn(state.clone());
     state.wake.notify_one();
     if body.stream {
-        return Ok(streamed(follower));
+        return Ok(streamed_response(writer));
     }
-    whole(follower).await
+    full_response(writer).await
 }
 
 fn open(
@@ -62,7 +64,7 @@
     start: TokenCount,
     request: SequenceRequest,
     source: AnswerSource,
-) -> Result<AnswerFollower, RouteError> {
+) -> Result<AnswerWriter, RouteError> {
     let mut core = state.core.lock();
     let attached = match start {
         0 => None,
@@ -71,18 +73,20 @@
     let (source, receiver) = match attached {
         Some(attached) => attached,
         None => {
-            let receiver = core.submit(request, source.clone()).map_err(refusal)?;
+            let receiver = core
+                .submit(request, source.clone())
+                .map_err(submit_route_error)?;
             (source, receiver)
         }
     };
-    Ok(AnswerFollower {
+    Ok(AnswerWriter {
         state: state.clone(),
         source,
         receiver,
         start,
         sent: start,
         cached_tokens: 0,
-        over: false,
+        is_done: false,
     })
 }
 
@@ -108,7 +112,7 @@
     source: &AnswerSource,
     held: TokenCount,
 ) -> SequenceRequest {
-    let own_tokens = source.prompt_tokens.saturating_sub(held).max(1);
+    let computed_tokens = source.prompt_tokens.saturating_sub(held).max(1);
     let hashes = match held {
         0 => prefix_hashes(&body.prompt),
         _ => Vec::new(),
@@ -117,8 +121,8 @@
         request_id: source.request_id.clone(),
         kind: SequenceKind::Answer,
         priority: body.priority,
-        start: source.prompt_tokens - own_tokens,
-        prompt_tokens: own_tokens,
+        start: source.prompt_tokens - computed_tokens,
+        prompt_tokens: computed_tokens,
         resume_offset: body.resume_offset.min(source.max_tokens),
         max_tokens: source.max_tokens,
         prefix_hashes: hashes,
@@ -126,7 +130,7 @@
     }
 }
 
-pub(crate) fn refusal(error: SubmitError) -> RouteError {
+pub(crate) fn submit_route_error(error: SubmitError) -> RouteError {
     match error {
         SubmitError::TooLarge => RouteError::new(
             StatusCode::PAYLOAD_TOO_LARGE,
@@ -139,31 +143,31 @@
 }
 
 /// Turns a request's progress into the bytes of its answer.
-struct AnswerFollower {
+struct AnswerWriter {
     state: Arc<EngineState>,
     source: AnswerSource,
     receiver: ProgressReceiver,
     start: TokenCount,
     sent: TokenCount,
     cached_tokens: TokenCount,
-    over: bool,
+    is_done: bool,
 }
 
-impl AnswerFollower {
+impl AnswerWriter {
     /// The next bytes of a streamed answer; an error breaks the connection.
     async fn next_text(&mut self) -> Option<io::Result<String>> {
-        if self.over {
+        if self.is_done {
             return None;
         }
         loop {
             match self.receiver.recv().await {
                 None => {
-                    self.over = true;
+                    self.is_done = true;
                     return Some(Err(io::ErrorKind::ConnectionReset.into()));
                 }
                 Some(Progress::Alive) => return Some(Ok(KEEP_ALIVE.to_owned())),
                 Some(Progress::Failed(reason)) => {
-                    self.over = true;
+                    self.is_done = true;
                     return Some(Ok(error_event(reason)));
                 }
                 Some(Progress::Produced {
@@ -190,20 +194,20 @@
     }
 
     fn event(&mut self, produced: TokenCount, finished: bool) -> String {
-        let source = self.visible_source();
+        let source = self.response_source();
         let mut text = source.event(self.sent, produced, self.cached_tokens);
         self.sent = produced;
         if finished {
-            self.over = true;
+            self.is_done = true;
             text.push_str(STREAM_END);
         }
         text
     }
 
-    fn visible_source(&self) -> AnswerSource {
-        let crossed = *self.state.fault.borrow() == EngineFault::Crossed;
+    fn response_source(&self) -> AnswerSource {
+        let crossed = *self.state.fault.borrow() == EngineFault::SwapsResponses;
         match crossed {
-            true => self.state.core.lock().other_source(&self.source),
+            true => self.state.core.lock().swapped_source(&self.source),
             false => self.source.clone(),
         }
     }
@@ -222,22 +226,22 @@
     )
 }
 
-fn streamed(follower: AnswerFollower) -> EngineAnswer {
-    let body = StreamBody::new(frames(follower));
-    body_answer(StatusCode::OK, "text/event-stream", BodyExt::boxed(body))
+fn streamed_response(writer: AnswerWriter) -> EngineResponse {
+    let body = StreamBody::new(frames(writer));
+    response_with_body(StatusCode::OK, "text/event-stream", BodyExt::boxed(body))
 }
 
-fn frames(follower: AnswerFollower) -> impl Stream<Item = io::Result<Frame<Bytes>>> + Send + Sync {
-    stream::unfold(follower, |mut follower| async move {
-        let text = follower.next_text().await?;
-        Some((text.map(|text| Frame::data(Bytes::from(text))), follower))
+fn frames(writer: AnswerWriter) -> impl Stream<Item = io::Result<Frame<Bytes>>> + Send + Sync {
+    stream::unfold(writer, |mut writer| async move {
+        let text = writer.next_text().await?;
+        Some((text.map(|text| Frame::data(Bytes::from(text))), writer))
     })
 }
 
-async fn whole(mut follower: AnswerFollower) -> RouteResult {
+async fn full_response(mut writer: AnswerWriter) -> RouteResult {
     loop {
-        match follower.receiver.recv().await {
-            None => return Ok(broken_answer()),
+        match writer.receiver.recv().await {
+            None => return Ok(aborted_response()),
             Some(Progress::Alive) => {}
             Some(Progress::Failed(reason)) => {
                 return Err(RouteError::new(StatusCode::INTERNAL_SERVER_ERROR, reason));
@@ -247,11 +251,11 @@
                 finished,
                 ..
             }) => {
-                follower.cached_tokens = follower.cached_tokens.max(cached_tokens);
+                writer.cached_tokens = writer.cached_tokens.max(cached_tokens);
                 if finished {
-                    let source = follower.visible_source();
-                    let text = source.whole(follower.start, follower.cached_tokens);
-                    return Ok(answer(StatusCode::OK, "application/json", text));
+                    let source = writer.response_source();
+                    let text = source.completion_json(writer.start, writer.cached_tokens);
+                    return Ok(text_response(StatusCode::OK, "application/json", text));
                 }
             }
         }
@@ -259,10 +263,10 @@
 }
 
 /// An answer whose body breaks: the caller sees a cut connection.
-fn broken_answer() -> EngineAnswer {
+fn aborted_response() -> EngineResponse {
     let error = io::Error::from(io::ErrorKind::ConnectionReset);
     let frames = stream::iter([Err::<Frame<Bytes>, _>(error)]);
-    body_answer(
+    response_with_body(
         StatusCode::OK,
         "application/json",
         BodyExt::boxed(StreamBody::new(frames)),
--- a/lovagedock-standin/src/engine/driver.rs
+++ b/lovagedock-standin/src/engine/driver.rs
@@ -4,11 +4,11 @@
 
 use super::state::EngineState;
 
-const IDLE_TICK: Duration = Duration::from_millis(500);
+const IDLE_INTERVAL: Duration = Duration::from_millis(500);
 
 pub(crate) async fn drive(state: Arc<EngineState>) {
     loop {
-        wait_while_stopped(&state).await;
+        wait_until_running(&state).await;
         let slowdown = state.fault.borrow().slowdown();
         let stepped = {
             let mut core = state.core.lock();
@@ -21,12 +21,12 @@
             continue;
         };
         tokio::time::sleep_until(state.real_instant(end)).await;
-        wait_while_stopped(&state).await;
-        state.core.lock().deliver(&outputs);
+        wait_until_running(&state).await;
+        state.core.lock().send_outputs(&outputs);
     }
 }
 
-async fn wait_while_stopped(state: &EngineState) {
+async fn wait_until_running(state: &EngineState) {
     if !state.fault.borrow().stops_steps() {
         return;
     }
@@ -37,7 +37,7 @@
 }
 
 async fn wait_for_work(state: &EngineState) {
-    let tick = state.real_duration(IDLE_TICK);
+    let tick = state.real_duration(IDLE_INTERVAL);
     let _ = tokio::time::timeout(tick, state.wake.notified()).await;
     let now = state.model_now();
     let mut core = state.core.lock();
--- a/lovagedock-standin/src/engine/fault.rs
+++ b/lovagedock-standin/src/engine/fault.rs
@@ -12,7 +12,8 @@
     #[default]
     None,
     /// The process is gone: its memory is lost, its connections break, new ones are refused.
-    Die,
+    #[serde(rename = "die")]
+    Crash,
     /// Connections stay open and nothing moves.
     Hang,
     /// Every answer starts later than it should.
@@ -21,7 +22,8 @@
         delay_ms: u64,
     },
     /// Callers get chunks of another request's answer.
-    Crossed,
+    #[serde(rename = "crossed")]
+    SwapsResponses,
     /// Steps take longer.
     Slow {
         /// Factor on the time of a step.
@@ -31,7 +33,7 @@
 
 impl EngineFault {
     pub(crate) fn stops_steps(self) -> bool {
-        matches!(self, Self::Die | Self::Hang)
+        matches!(self, Self::Crash | Self::Hang)
     }
 
     pub(crate) fn slowdown(self) -> f64 {
@@ -51,7 +53,7 @@
 
 /// Body of `POST /faults`.
 #[derive(Clone, Copy, Debug, Deserialize)]
-pub(crate) struct FaultOrder {
+pub(crate) struct FaultCommand {
     #[serde(flatten)]
     pub(crate) fault: EngineFault,
     /// Real milliseconds until the fault is over; without it the fault stays.
--- a/lovagedock-standin/src/engine/load.rs
+++ b/lovagedock-standin/src/engine/load.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub(crate) struct LoadSample {
     #[serde(skip)]
-    taken: Duration,
+    sampled_at: Duration,
     running: usize,
     waiting: usize,
     total_tokens: u64,
@@ -25,11 +25,11 @@
     pub(crate) fn new(batch: &BatchEngine, role: &str, model: &str, adapters: &[String]) -> Self {
         let memory = batch.memory();
         Self {
-            taken: batch.now(),
+            sampled_at: batch.now(),
             running: batch.running(),
             waiting: batch.waiting(),
             total_tokens: memory.total() * BLOCK_TOKENS,
-            free_tokens: (memory.total() - memory.held()) * BLOCK_TOKENS,
+            free_tokens: (memory.total() - memory.allocated()) * BLOCK_TOKENS,
             cached_tokens: memory.cached() * BLOCK_TOKENS,
             role: role.to_owned(),
             model: model.to_owned(),
@@ -72,13 +72,13 @@
     pub(crate) fn is_due(&self, now: Duration) -> bool {
         self.samples
             .back()
-            .is_none_or(|last| now >= last.taken + Self::SAMPLE_INTERVAL)
+            .is_none_or(|last| now >= last.sampled_at + Self::SAMPLE_INTERVAL)
     }
 
     pub(crate) fn push(&mut self, sample: LoadSample, lag: Duration) {
-        let oldest = sample.taken.saturating_sub(lag);
+        let oldest = sample.sampled_at.saturating_sub(lag);
         self.samples.push_back(sample);
-        while self.samples.len() > 1 && self.samples[1].taken <= oldest {
+        while self.samples.len() > 1 && self.samples[1].sampled_at <= oldest {
             self.samples.pop_front();
         }
     }
--- a/lovagedock-standin/src/engine/memory.rs
+++ b/lovagedock-standin/src/engine/memory.rs
@@ -4,12 +4,12 @@
 
 use lovagedock::prelude::{BlockCount, TokenCount};
 
-use super::answer::PREFIX_PIECE_TOKENS;
+use super::answer::PREFIX_CHUNK_TOKENS;
 
 /// Tokens in one block.
 pub const BLOCK_TOKENS: u64 = 16;
 
-const PIECE_BLOCKS: BlockCount = PREFIX_PIECE_TOKENS / BLOCK_TOKENS;
+const CHUNK_BLOCKS: BlockCount = PREFIX_CHUNK_TOKENS / BLOCK_TOKENS;
 
 /// A change of the prefix cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 pub struct KvMemory {
     total: BlockCount,
-    held: BlockCount,
+    allocated: BlockCount,
     cache: BTreeMap<u64, u64>,
     clock: u64,
     changes: Vec<CacheChange>,
@@ -35,7 +35,7 @@
     pub fn new(tokens: TokenCount) -> Self {
         Self {
             total: tokens / BLOCK_TOKENS,
-            held: 0,
+            allocated: 0,
             cache: BTreeMap::new(),
             clock: 0,
             changes: Vec::new(),
@@ -53,13 +53,13 @@
     }
 
     /// Blocks that requests hold.
-    pub fn held(&self) -> BlockCount {
-        self.held
+    pub fn allocated(&self) -> BlockCount {
+        self.allocated
     }
 
     /// Blocks that the prefix cache fills.
     pub fn cached(&self) -> BlockCount {
-        self.cache.len() as u64 * PIECE_BLOCKS
+        self.cache.len() as u64 * CHUNK_BLOCKS
     }
 
     /// Hashes of the cached pieces.
@@ -68,43 +68,43 @@
     }
 
     /// Takes blocks for a request, evicting cached pieces as needed; `false` if they are not there.
-    pub fn hold(&mut self, blocks: BlockCount) -> bool {
-        if self.held + blocks > self.total {
+    pub fn allocate(&mut self, blocks: BlockCount) -> bool {
+        if self.allocated + blocks > self.total {
             return false;
         }
-        self.held += blocks;
-        while self.held + self.cached() > self.total {
+        self.allocated += blocks;
+        while self.allocated + self.cached() > self.total {
             self.evict_oldest();
         }
         true
     }
 
     /// Gives blocks of a request back.
-    pub fn release(&mut self, blocks: BlockCount) {
-        self.held -= blocks;
+    pub fn free(&mut self, blocks: BlockCount) {
+        self.allocated -= blocks;
     }
 
     /// Tokens of the longest cached prefix; what it finds counts as used.
     pub fn cached_tokens(&mut self, hashes: &[u64]) -> TokenCount {
-        let pieces = hashes
+        let chunks = hashes
             .iter()
             .take_while(|hash| self.cache.contains_key(hash))
             .count();
-        self.touch(&hashes[..pieces]);
-        pieces as u64 * PREFIX_PIECE_TOKENS
+        self.mark_used(&hashes[..chunks]);
+        chunks as u64 * PREFIX_CHUNK_TOKENS
     }
 
     /// Keeps a prompt's pieces as far as memory is left over, oldest use evicted first.
-    pub fn keep(&mut self, hashes: &[u64]) {
-        let room = (self.total - self.held) / PIECE_BLOCKS;
-        let kept = &hashes[..hashes.len().min(room as usize)];
-        for hash in kept {
+    pub fn cache_prefix(&mut self, hashes: &[u64]) {
+        let room = (self.total - self.allocated) / CHUNK_BLOCKS;
+        let cacheable = &hashes[..hashes.len().min(room as usize)];
+        for hash in cacheable {
             if !self.cache.contains_key(hash) {
                 self.changes.push(CacheChange::Stored(*hash));
             }
         }
-        self.touch(kept);
-        while self.held + self.cached() > self.total {
+        self.mark_used(cacheable);
+        while self.allocated + self.cached() > self.total {
             self.evict_oldest();
         }
     }
@@ -115,7 +115,7 @@
     }
 
     /// A piece is of no use without those before it, so the first piece is touched last.
-    fn touch(&mut self, hashes: &[u64]) {
+    fn mark_used(&mut self, hashes: &[u64]) {
         for hash in hashes.iter().rev() {
             self.clock += 1;
             self.cache.insert(*hash, self.clock);
--- a/lovagedock-standin/src/engine/mod.rs
+++ b/lovagedock-standin/src/engine/mod.rs
@@ -23,11 +23,11 @@
 mod weights;
 
 pub use answer::{
-    BYTES_PER_TOKEN, ChatMessage, PREFIX_PIECE_TOKENS, chat_prompt, expected_answer, prefix_hashes,
+    BYTES_PER_TOKEN, ChatMessage, PREFIX_CHUNK_TOKENS, chat_prompt, expected_answer, prefix_hashes,
     prompt_tokens,
 };
 pub use batch::{
-    BatchEngine, BlockHolding, PauseError, SequenceKind, SequenceNumber, SequenceRequest,
+    BatchEngine, BlockAllocation, PauseError, SequenceKind, SequenceNumber, SequenceRequest,
     StepOutput, SubmitError, prefill_time,
 };
 pub use fault::EngineFault;
@@ -35,4 +35,4 @@
 pub use memory::{BLOCK_TOKENS, CacheChange, KvMemory};
 pub use options::{EngineOptions, ReportStyle};
 pub use running::{EngineHandle, EngineStandin, RunningEngine};
-pub use weights::WeightGauge;
+pub use weights::WeightLoadGauge;
--- a/lovagedock-standin/src/engine/options.rs
+++ b/lovagedock-standin/src/engine/options.rs
@@ -6,7 +6,7 @@
 
 use lovagedock::prelude::TokenCount;
 
-use super::weights::WeightGauge;
+use super::weights::WeightLoadGauge;
 
 /// How an engine tells its load and names the fields of its account.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
@@ -33,7 +33,7 @@
     /// Time of one prompt token at position 0.
     pub prefill_cost: Duration,
     /// Position at which a prompt token costs twice as much as at position 0.
-    pub attention_span: TokenCount,
+    pub cost_doubling_position: TokenCount,
     /// Prompt tokens that one step prefills at most.
     pub step_tokens: TokenCount,
     /// Answer tokens in one event of a stream; the first token is always an event of its own.
@@ -47,7 +47,7 @@
     /// Time to carry out an order to load something.
     pub order_time: Duration,
     /// Counts loads; engines of one fleet share it.
-    pub weights: WeightGauge,
+    pub weights: WeightLoadGauge,
     /// Age of the load that it reports.
     pub load_lag: Duration,
     /// How it reports its load.
@@ -70,14 +70,14 @@
             step_base: Duration::from_millis(10),
             decode_cost: Duration::from_micros(150),
             prefill_cost: Duration::from_micros(40),
-            attention_span: 200_000,
+            cost_doubling_position: 200_000,
             step_tokens: 2_048,
             stream_interval: 1,
             max_running: 64,
             memory_tokens: 400_000,
             transfer_cost: Duration::from_micros(10),
             order_time: Duration::from_secs(5),
-            weights: WeightGauge::default(),
+            weights: WeightLoadGauge::default(),
             load_lag: Duration::from_secs(1),
             report_style: ReportStyle::default(),
             checks_fences: true,
--- a/lovagedock-standin/src/engine/order.rs
+++ b/lovagedock-standin/src/engine/order.rs
@@ -7,7 +7,7 @@
 
 use super::{
     journal::OrderEntry,
-    routes::{RouteError, RouteResult, json_answer, read_json},
+    routes::{RouteError, RouteResult, json_response, read_json},
     state::EngineState,
 };
 
@@ -27,19 +27,19 @@
 }
 
 #[derive(Debug, Serialize)]
-struct OrderAnswer {
+struct OrderResponse {
     fence: Epoch,
 }
 
-pub(crate) async fn carry_out(state: &EngineState, request: Request<Incoming>) -> RouteResult {
+pub(crate) async fn execute(state: &EngineState, request: Request<Incoming>) -> RouteResult {
     let order: OrderBody = read_json(request).await?;
     check_fence(state, order.fence)?;
     if !matches!(order.kind, OrderKind::SetRole { .. }) {
-        let _load = state.options.weights.begin();
+        let _load = state.options.weights.start_load();
         state.sleep(state.options.order_time).await;
     }
     apply(state, &order);
-    Ok(json_answer(&OrderAnswer { fence: order.fence }))
+    Ok(json_response(&OrderResponse { fence: order.fence }))
 }
 
 fn check_fence(state: &EngineState, fence: Epoch) -> Result<(), RouteError> {
--- a/lovagedock-standin/src/engine/protocol.rs
+++ b/lovagedock-standin/src/engine/protocol.rs
@@ -49,7 +49,7 @@
 }
 
 #[derive(Debug, Serialize)]
-pub(crate) struct CancelAnswer {
+pub(crate) struct CancelResponse {
     pub(crate) cancelled: bool,
 }
 
@@ -66,7 +66,7 @@
 }
 
 #[derive(Debug, Serialize)]
-pub(crate) struct CompletionAnswer<'a> {
+pub(crate) struct CompletionResponse<'a> {
     pub(crate) id: &'a str,
     pub(crate) object: &'static str,
     pub(crate) created: u64,
@@ -114,12 +114,12 @@
 
 /// The account of an engine that reports in JSON.
 #[derive(Debug, Serialize)]
-pub(crate) struct RequestAccount {
-    pub(crate) requests: Vec<RequestHolding>,
+pub(crate) struct RequestAllocations {
+    pub(crate) requests: Vec<RequestAllocation>,
 }
 
 #[derive(Debug, Serialize)]
-pub(crate) struct RequestHolding {
+pub(crate) struct RequestAllocation {
     pub(crate) request_id: String,
     pub(crate) blocks: u64,
     pub(crate) block_tokens: u64,
@@ -127,12 +127,12 @@
 
 /// The account of an engine that reports in Prometheus text.
 #[derive(Debug, Serialize)]
-pub(crate) struct SequenceAccount {
-    pub(crate) sequences: Vec<SequenceHolding>,
+pub(crate) struct SequenceAllocations {
+    pub(crate) sequences: Vec<SequenceAllocation>,
 }
 
 #[derive(Debug, Serialize)]
-pub(crate) struct SequenceHolding {
+pub(crate) struct SequenceAllocation {
     pub(crate) id: String,
     pub(crate) kv_tokens: TokenCount,
 }
--- a/lovagedock-standin/src/engine/render.rs
+++ b/lovagedock-standin/src/engine/render.rs
@@ -7,7 +7,7 @@
 use super::{
     answer::answer_text,
     protocol::{
-        AnswerChoice, AnswerMessage, AnswerUsage, CachedUsage, ChoiceText, CompletionAnswer,
+        AnswerChoice, AnswerMessage, AnswerUsage, CachedUsage, ChoiceText, CompletionResponse,
     },
 };
 
@@ -46,7 +46,7 @@
     }
 
     /// The whole answer from token `start` on.
-    pub(crate) fn whole(&self, start: TokenCount, cached: TokenCount) -> String {
+    pub(crate) fn completion_json(&self, start: TokenCount, cached: TokenCount) -> String {
         let text = answer_text(self.digest, start, self.max_tokens);
         let choice = match self.chat {
             true => ChoiceText::Message(assistant(text)),
@@ -71,7 +71,7 @@
             text,
             finish_reason: finished.then_some(FINISHED),
         };
-        let answer = CompletionAnswer {
+        let answer = CompletionResponse {
             id: &self.request_id,
             object,
             created: 0,
--- a/lovagedock-standin/src/engine/routes.rs
+++ b/lovagedock-standin/src/engine/routes.rs
@@ -13,13 +13,13 @@
 
 use super::{
     cache_feed, completion,
-    fault::FaultOrder,
+    fault::FaultCommand,
     memory::BLOCK_TOKENS,
     options::ReportStyle,
     order,
     protocol::{
-        CancelAnswer, ErrorBody, ErrorDetail, RequestAccount, RequestHolding, RequestName,
-        SequenceAccount, SequenceHolding,
+        CancelResponse, ErrorBody, ErrorDetail, RequestAllocation, RequestAllocations, RequestName,
+        SequenceAllocation, SequenceAllocations,
     },
     segment,
     state::EngineState,
@@ -27,8 +27,8 @@
 };
 
 pub(crate) type EngineBody = BoxBody<Bytes, io::Error>;
-pub(crate) type EngineAnswer = Response<EngineBody>;
-pub(crate) type RouteResult = Result<EngineAnswer, RouteError>;
+pub(crate) type EngineResponse = Response<EngineBody>;
+pub(crate) type RouteResult = Result<EngineResponse, RouteError>;
 
 /// Why a call gets an error answer.
 #[derive(Debug)]
@@ -46,14 +46,14 @@
     }
 }
 
-pub(crate) async fn route(state: Arc<EngineState>, request: Request<Incoming>) -> EngineAnswer {
+pub(crate) async fn route(state: Arc<EngineState>, request: Request<Incoming>) -> EngineResponse {
     let method = request.method().clone();
     let path = request.uri().path().to_owned();
     let query = request.uri().query().unwrap_or_default().to_owned();
     if path == "/faults" {
-        return settle(set_fault(state, request).await);
+        return into_response(set_fault(state, request).await);
     }
-    state.pass_faults().await;
+    state.apply_faults().await;
     let result = match (&method, path.as_str()) {
         (&Method::POST, "/v1/completions") => completion::complete(state, request, false).await,
         (&Method::POST, "/v1/chat/completions") => completion::complete(state, request, true).await,
@@ -62,24 +62,28 @@
         (&Method::GET, "/v1/segments") => segment::held(&state, &query),
         (&Method::POST, "/kv/export") => transfer::export(&state, request).await,
         (&Method::POST, "/kv/import") => transfer::import(&state, request).await,
-        (&Method::POST, "/orders") => order::carry_out(&state, request).await,
+        (&Method::POST, "/orders") => order::execute(&state, request).await,
         (&Method::GET, "/cache/events") => cache_feed::events(&state, &query),
         (&Method::GET, "/cache/snapshot") => Ok(cache_feed::snapshot(&state)),
-        (&Method::GET, "/v1/requests") => Ok(account(&state)),
-        (&Method::GET, "/journal") => Ok(json_answer(&state.journal.entries())),
-        (&Method::GET, "/journal/orders") => Ok(json_answer(&state.journal.orders())),
+        (&Method::GET, "/v1/requests") => Ok(list_allocations(&state)),
+        (&Method::GET, "/journal") => Ok(json_response(&state.journal.entries())),
+        (&Method::GET, "/journal/orders") => Ok(json_response(&state.journal.orders())),
         (&Method::GET, "/load") if state.options.report_style == ReportStyle::JsonReport => {
-            Ok(json_answer(&state.core.lock().reported_load()))
+            Ok(json_response(&state.core.lock().reported_load()))
         }
         (&Method::GET, "/metrics")
             if state.options.report_style == ReportStyle::PrometheusReport =>
         {
             let text = state.core.lock().reported_load().prometheus();
-            Ok(answer(StatusCode::OK, "text/plain; version=0.0.4", text))
+            Ok(text_response(
+                StatusCode::OK,
+                "text/plain; version=0.0.4",
+                text,
+            ))
         }
         _ => Err(RouteError::new(StatusCode::NOT_FOUND, "no such path")),
     };
-    settle(result)
+    into_response(result)
 }
 
 /// Reads and parses a JSON body.
@@ -104,23 +108,27 @@
         .map(|(_, value)| value)
 }
 
-pub(crate) fn json_answer<T: Serialize>(value: &T) -> EngineAnswer {
+pub(crate) fn json_response<T: Serialize>(value: &T) -> EngineResponse {
     let text = serde_json::to_string(value).unwrap_or_default();
-    answer(StatusCode::OK, "application/json", text)
+    text_response(StatusCode::OK, "application/json", text)
 }
 
-pub(crate) fn answer(status: StatusCode, content_type: &'static str, text: String) -> EngineAnswer {
+pub(crate) fn text_response(
+    status: StatusCode,
+    content_type: &'static str,
+    text: String,
+) -> EngineResponse {
     let body = Full::new(Bytes::from(text))
         .map_err(|never| match never {})
         .boxed();
-    body_answer(status, content_type, body)
+    response_with_body(status, content_type, body)
 }
 
-pub(crate) fn body_answer(
+pub(crate) fn response_with_body(
     status: StatusCode,
     content_type: &'static str,
     body: EngineBody,
-) -> EngineAnswer {
+) -> EngineResponse {
     let mut response = Response::new(body);
     *response.status_mut() = status;
     response
@@ -129,11 +137,11 @@
     response
 }
 
-fn settle(result: RouteResult) -> EngineAnswer {
-    result.unwrap_or_else(error_answer)
+fn into_response(result: RouteResult) -> EngineResponse {
+    result.unwrap_or_else(error_response)
 }
 
-fn error_answer(error: RouteError) -> EngineAnswer {
+fn error_response(error: RouteError) -> EngineResponse {
     let body = ErrorBody {
         error: ErrorDetail {
             kind: "engine_error",
@@ -141,7 +149,7 @@
         },
     };
     let text = serde_json::to_string(&body).unwrap_or_default();
-    answer(error.status, "application/json", text)
+    text_response(error.status, "application/json", text)
 }
 
 async fn cancel(state: &EngineState, request: Request<Incoming>) -> RouteResult {
@@ -149,30 +157,30 @@
     let cancelled = state
         .core
         .lock()
-        .end(&name.request_id, "the request was cancelled");
+        .fail_request(&name.request_id, "the request was cancelled");
     state.wake.notify_one();
-    Ok(json_answer(&CancelAnswer { cancelled }))
+    Ok(json_response(&CancelResponse { cancelled }))
 }
 
-fn account(state: &EngineState) -> EngineAnswer {
-    let holdings = state.core.lock().batch.holdings();
+fn list_allocations(state: &EngineState) -> EngineResponse {
+    let allocations = state.core.lock().batch.allocations();
     match state.options.report_style {
-        ReportStyle::JsonReport => json_answer(&RequestAccount {
-            requests: holdings
+        ReportStyle::JsonReport => json_response(&RequestAllocations {
+            requests: allocations
                 .into_iter()
-                .map(|holding| RequestHolding {
-                    request_id: holding.request_id.to_string(),
-                    blocks: holding.blocks,
+                .map(|allocation| RequestAllocation {
+                    request_id: allocation.request_id.to_string(),
+                    blocks: allocation.blocks,
                     block_tokens: BLOCK_TOKENS,
                 })
                 .collect(),
         }),
-        ReportStyle::PrometheusReport => json_answer(&SequenceAccount {
-            sequences: holdings
+        ReportStyle::PrometheusReport => json_response(&SequenceAllocations {
+            sequences: allocations
                 .into_iter()
-                .map(|holding| SequenceHolding {
-                    id: holding.request_id.to_string(),
-                    kv_tokens: holding.blocks * BLOCK_TOKENS,
+                .map(|allocation| SequenceAllocation {
+                    id: allocation.request_id.to_string(),
+                    kv_tokens: allocation.blocks * BLOCK_TOKENS,
                 })
                 .collect(),
         }),
@@ -180,13 +188,13 @@
 }
 
 async fn set_fault(state: Arc<EngineState>, request: Request<Incoming>) -> RouteResult {
-    let order: FaultOrder = read_json(request).await?;
-    state.set_fault(order.fault);
-    if let Some(for_ms) = order.for_ms {
+    let command: FaultCommand = read_json(request).await?;
+    state.set_fault(command.fault);
+    if let Some(for_ms) = command.for_ms {
         tokio::spawn(async move {
             tokio::time::sleep(Duration::from_millis(for_ms)).await;
             state.set_fault(super::fault::EngineFault::None);
         });
     }
-    Ok(json_answer(&order.fault))
+    Ok(json_response(&command.fault))
 }
--- a/lovagedock-standin/src/engine/running.rs
+++ b/lovagedock-standin/src/engine/running.rs
@@ -5,7 +5,7 @@
 use tokio::net::TcpListener;
 
 use super::{
-    batch::BlockHolding, driver, fault::EngineFault, journal::EngineJournal,
+    batch::BlockAllocation, driver, fault::EngineFault, journal::EngineJournal,
     options::EngineOptions, serve, state::EngineState,
 };
 
@@ -61,13 +61,13 @@
     }
 
     /// What each request holds at this moment.
-    pub fn holdings(&self) -> Vec<BlockHolding> {
-        self.state.core.lock().batch.holdings()
+    pub fn allocations(&self) -> Vec<BlockAllocation> {
+        self.state.core.lock().batch.allocations()
     }
 
     /// Blocks that requests hold at this moment.
-    pub fn held_blocks(&self) -> u64 {
-        self.state.core.lock().batch.memory().held()
+    pub fn allocated_blocks(&self) -> u64 {
+        self.state.core.lock().batch.memory().allocated()
     }
 
     /// Model time since the engine's start.
--- a/lovagedock-standin/src/engine/segment.rs
+++ b/lovagedock-standin/src/engine/segment.rs
@@ -13,14 +13,14 @@
 
 use super::{
     batch::{SequenceKind, SequenceRequest, SubmitError},
-    completion::refusal,
+    completion::submit_route_error,
     protocol::SegmentLocation,
     render::AnswerSource,
-    routes::{EngineAnswer, RouteError, RouteResult, json_answer, query_value, read_json},
+    routes::{EngineResponse, RouteError, RouteResult, json_response, query_value, read_json},
     state::{EngineState, Progress},
 };
 
-const HELD_INTERVAL: Duration = Duration::from_millis(100);
+const HELD_POLL_INTERVAL: Duration = Duration::from_millis(100);
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// Real time after which a holder that does not answer counts as lost.
 const CHECK_TIMEOUT: Duration = Duration::from_secs(2);
@@ -36,7 +36,7 @@
 }
 
 #[derive(Debug, Serialize)]
-struct SegmentAnswer {
+struct SegmentResponse {
     engine: SocketAddr,
     tokens: TokenCount,
 }
@@ -55,13 +55,13 @@
     if submitted.as_ref().err() == Some(&SubmitError::Duplicate) {
         return wait_until_held(state, &body).await;
     }
-    let mut receiver = submitted.map_err(refusal)?;
+    let mut receiver = submitted.map_err(submit_route_error)?;
     state.wake.notify_one();
     loop {
         match receiver.recv().await {
             Some(Progress::Alive) => {}
             Some(Progress::Produced { .. }) => {
-                return Ok(held_answer(state, body.tokens));
+                return Ok(held_response(state, body.tokens));
             }
             Some(Progress::Failed(reason)) => {
                 return Err(RouteError::new(StatusCode::INTERNAL_SERVER_ERROR, reason));
@@ -83,8 +83,8 @@
             .batch
             .holds_segment(&body.request_id, body.start);
         match held {
-            Some(true) => return Ok(held_answer(state, body.tokens)),
-            Some(false) => state.sleep(HELD_INTERVAL).await,
+            Some(true) => return Ok(held_response(state, body.tokens)),
+            Some(false) => state.sleep(HELD_POLL_INTERVAL).await,
             None => {
                 let message = "the part was cancelled";
                 return Err(RouteError::new(StatusCode::INTERNAL_SERVER_ERROR, message));
@@ -98,12 +98,12 @@
     let id = query_value(query, "request_id").unwrap_or_default();
     match state.core.lock().batch.held_tokens(id) {
         0 => Err(RouteError::new(StatusCode::NOT_FOUND, "no such segment")),
-        tokens => Ok(held_answer(state, tokens)),
+        tokens => Ok(held_response(state, tokens)),
     }
 }
 
-fn held_answer(state: &EngineState, tokens: TokenCount) -> EngineAnswer {
-    json_answer(&SegmentAnswer {
+fn held_response(state: &EngineState, tokens: TokenCount) -> EngineResponse {
+    json_response(&SegmentResponse {
         engine: state.address,
         tokens,
     })
@@ -136,12 +136,12 @@
 
 /// Watches the holders of a request's other parts while it is decoded here.
 #[derive(Debug)]
-pub(crate) struct SegmentWatch {
+pub(crate) struct SegmentMonitor {
     request_id: Arc<str>,
     holders: Vec<SegmentLocation>,
 }
 
-impl SegmentWatch {
+impl SegmentMonitor {
     pub(crate) fn new(request_id: Arc<str>, holders: Vec<SegmentLocation>) -> Self {
         Self {
             request_id,
@@ -173,7 +173,7 @@
                 }
                 if self.check().await.is_err() {
                     let reason = "an engine that held a part of the prompt was lost";
-                    state.core.lock().end(&self.request_id, reason);
+                    state.core.lock().fail_request(&self.request_id, reason);
                     return;
                 }
             }
@@ -182,12 +182,12 @@
 }
 
 async fn is_held(engine: SocketAddr, request_id: &str) -> bool {
-    tokio::time::timeout(CHECK_TIMEOUT, ask(engine, request_id))
+    tokio::time::timeout(CHECK_TIMEOUT, fetch_segment_status(engine, request_id))
         .await
         .is_ok_and(|status| status == Some(StatusCode::OK))
 }
 
-async fn ask(engine: SocketAddr, request_id: &str) -> Option<StatusCode> {
+async fn fetch_segment_status(engine: SocketAddr, request_id: &str) -> Option<StatusCode> {
     let stream = TcpStream::connect(engine).await.ok()?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
     tokio::spawn(connection);
--- a/lovagedock-standin/src/engine/sequence.rs
+++ b/lovagedock-standin/src/engine/sequence.rs
@@ -25,12 +25,12 @@
     pub(super) prefilled: TokenCount,
     pub(super) produced: TokenCount,
     pub(super) cached_tokens: TokenCount,
-    pub(super) advanced: bool,
-    pub(super) is_parked: bool,
+    pub(super) has_output: bool,
+    pub(super) is_paused: bool,
 }
 
 impl Sequence {
-    pub(super) fn enter(&mut self, memory: &mut KvMemory) {
+    pub(super) fn enter_batch(&mut self, memory: &mut KvMemory) {
         self.phase = Phase::Prefilling;
         if self.request.imported {
             self.phase = Phase::Decoding;
@@ -51,7 +51,7 @@
     }
 
     /// Whether a request would stand twice; segments differ by where they start.
-    pub(super) fn is_same(&self, other: &SequenceRequest) -> bool {
+    pub(super) fn is_duplicate(&self, other: &SequenceRequest) -> bool {
         let is_same_part = !self.is_segment() || self.request.start == other.start;
         self.has_id(&other.request_id) && self.request.kind == other.kind && is_same_part
     }
@@ -66,13 +66,13 @@
         }
     }
 
-    pub(super) fn prefill_left(&self) -> TokenCount {
+    pub(super) fn remaining_prefill(&self) -> TokenCount {
         self.request.prompt_tokens + self.request.resume_offset - self.prefilled
     }
 
     /// The step that ends the prefill also gives the first token of the answer.
     pub(super) fn finish_prefill(&mut self) {
-        self.advanced = true;
+        self.has_output = true;
         match self.request.kind {
             SequenceKind::Segment => self.phase = Phase::Held,
             SequenceKind::Answer => {
@@ -83,7 +83,7 @@
     }
 
     pub(super) fn is_active(&self) -> bool {
-        !self.is_parked && matches!(self.phase, Phase::Prefilling | Phase::Decoding)
+        !self.is_paused && matches!(self.phase, Phase::Prefilling | Phase::Decoding)
     }
 
     pub(super) fn is_finished(&self) -> bool {
@@ -93,7 +93,7 @@
         }
     }
 
-    pub(super) fn held_blocks(&self) -> BlockCount {
+    pub(super) fn allocated_blocks(&self) -> BlockCount {
         match self.phase {
             Phase::Waiting => 0,
             _ => self.blocks,
--- a/lovagedock-standin/src/engine/serve.rs
+++ b/lovagedock-standin/src/engine/serve.rs
@@ -9,7 +9,7 @@
 use super::{routes, state::EngineState};
 
 const BACKLOG: u32 = 1_024;
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 pub(crate) async fn serve(state: Arc<EngineState>, mut listener: TcpListener) -> io::Result<()> {
     let address = listener.local_addr()?;
@@ -21,21 +21,21 @@
                         tokio::spawn(serve_connection(state.clone(), stream));
                     }
                     // Out of descriptors: trying again at once would only spin.
-                    Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+                    Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
                 }
             }
-            () = state.died() => {
+            () = state.crashed() => {
                 drop(listener);
                 // The bound socket keeps the port while connections to it are refused.
-                let socket = bind_again(address)?;
-                state.revived().await;
+                let socket = rebind(address)?;
+                state.restarted().await;
                 listener = socket.listen(BACKLOG)?;
             }
         }
     }
 }
 
-fn bind_again(address: SocketAddr) -> io::Result<TcpSocket> {
+fn rebind(address: SocketAddr) -> io::Result<TcpSocket> {
     let socket = match address {
         SocketAddr::V4(_) => TcpSocket::new_v4()?,
         SocketAddr::V6(_) => TcpSocket::new_v6()?,
@@ -55,7 +55,7 @@
     let connection =
         hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service);
     tokio::select! {
-        () = state.died() => {}
+        () = state.crashed() => {}
         _ = connection => {}
     }
 }
--- a/lovagedock-standin/src/engine/state.rs
+++ b/lovagedock-standin/src/engine/state.rs
@@ -51,9 +51,9 @@
     pub(crate) fence: Epoch,
     pub(crate) feed: CacheFeed,
     answers: HashMap<SequenceNumber, AnswerEntry>,
-    loads: LoadHistory,
+    load_history: LoadHistory,
     options: EngineOptions,
-    kept_alive: Duration,
+    last_keep_alive: Duration,
 }
 
 #[derive(Debug)]
@@ -65,7 +65,7 @@
 
 impl AnswerEntry {
     /// Whether a caller was there once and has gone.
-    fn tell(&self, progress: Progress) -> bool {
+    fn send_progress(&self, progress: Progress) -> bool {
         self.sender
             .as_ref()
             .is_some_and(|sender| sender.send(progress).is_err())
@@ -82,9 +82,9 @@
             fence: 0,
             feed: CacheFeed::default(),
             answers: HashMap::new(),
-            loads: LoadHistory::default(),
+            load_history: LoadHistory::default(),
             options,
-            kept_alive: Duration::ZERO,
+            last_keep_alive: Duration::ZERO,
         };
         // An engine reports from its start on, so the first sample is never one of later load.
         core.sample_load();
@@ -143,16 +143,16 @@
             finished: false,
         });
         entry.sender = Some(sender);
-        self.batch.unpause(request_id);
+        self.batch.resume(request_id);
         Some((entry.source.clone(), receiver))
     }
 
     /// Ends a request, telling its caller why.
-    pub(crate) fn end(&mut self, request_id: &str, reason: &'static str) -> bool {
+    pub(crate) fn fail_request(&mut self, request_id: &str, reason: &'static str) -> bool {
         self.answers.retain(|_, entry| {
             let is_ended = &*entry.source.request_id == request_id;
             if is_ended {
-                entry.tell(Progress::Failed(reason));
+                entry.send_progress(Progress::Failed(reason));
             }
             !is_ended
         });
@@ -160,9 +160,9 @@
     }
 
     /// Tells callers what a step did for them.
-    pub(crate) fn deliver(&mut self, outputs: &[StepOutput]) {
+    pub(crate) fn send_outputs(&mut self, outputs: &[StepOutput]) {
         for output in outputs {
-            self.deliver_one(output);
+            self.send_output(output);
         }
         self.keep_alive();
         self.sample_load();
@@ -176,7 +176,7 @@
     }
 
     /// Another request's answer, as a caller gets it while answers are crossed.
-    pub(crate) fn other_source(&self, source: &AnswerSource) -> AnswerSource {
+    pub(crate) fn swapped_source(&self, source: &AnswerSource) -> AnswerSource {
         let other = self
             .answers
             .values()
@@ -197,11 +197,11 @@
     }
 
     pub(crate) fn sample_load(&mut self) {
-        if !self.loads.is_due(self.batch.now()) {
+        if !self.load_history.is_due(self.batch.now()) {
             return;
         }
         let sample = self.load_now();
-        self.loads.push(sample, self.options.load_lag);
+        self.load_history.push(sample, self.options.load_lag);
     }
 
     pub(crate) fn load_now(&self) -> LoadSample {
@@ -209,17 +209,17 @@
     }
 
     pub(crate) fn reported_load(&self) -> LoadSample {
-        self.loads
+        self.load_history
             .reported()
             .cloned()
             .unwrap_or_else(|| self.load_now())
     }
 
     /// Keeps nothing but the journal and the clock.
-    pub(crate) fn die(&mut self) {
-        self.batch.lose_all();
+    pub(crate) fn reset_after_crash(&mut self) {
+        self.batch.discard_all();
         self.answers.clear();
-        self.loads.clear();
+        self.load_history.clear();
         self.adapters.clear();
         self.role = INITIAL_ROLE.to_owned();
         self.model = self.options.model.clone();
@@ -230,16 +230,16 @@
 
     pub(crate) fn keep_alive(&mut self) {
         let now = self.batch.now();
-        if now < self.kept_alive + KEEP_ALIVE_INTERVAL {
+        if now < self.last_keep_alive + KEEP_ALIVE_INTERVAL {
             return;
         }
-        self.kept_alive = now;
+        self.last_keep_alive = now;
         for entry in self.answers.values() {
-            entry.tell(Progress::Alive);
+            entry.send_progress(Progress::Alive);
         }
     }
 
-    fn deliver_one(&mut self, output: &StepOutput) {
+    fn send_output(&mut self, output: &StepOutput) {
         // By number, not by id: a request that was cancelled and sent again during the step has
         // nothing of it.
         let Some(entry) = self.answers.get(&output.number) else {
@@ -250,11 +250,11 @@
             cached_tokens: output.cached_tokens,
             finished: output.finished,
         };
-        let is_gone = entry.tell(progress);
+        let is_disconnected = entry.send_progress(progress);
         if output.finished {
             self.answers.remove(&output.number);
-        } else if is_gone && self.options.cancels_on_disconnect {
-            self.end(&output.request_id, "the caller is gone");
+        } else if is_disconnected && self.options.cancels_on_disconnect {
+            self.fail_request(&output.request_id, "the caller is gone");
         }
     }
 }
@@ -302,8 +302,8 @@
     pub(crate) fn set_fault(&self, fault: EngineFault) {
         // The connections have to see the fault before their answers lose their senders.
         self.fault.send_replace(fault);
-        if fault == EngineFault::Die {
-            self.core.lock().die();
+        if fault == EngineFault::Crash {
+            self.core.lock().reset_after_crash();
         }
         self.wake.notify_one();
     }
@@ -314,19 +314,19 @@
     }
 
     /// Waits until the engine is dead.
-    pub(crate) async fn died(&self) {
+    pub(crate) async fn crashed(&self) {
         let mut fault = self.fault.subscribe();
-        let _ = fault.wait_for(|fault| *fault == EngineFault::Die).await;
+        let _ = fault.wait_for(|fault| *fault == EngineFault::Crash).await;
     }
 
     /// Waits until the engine is not dead.
-    pub(crate) async fn revived(&self) {
+    pub(crate) async fn restarted(&self) {
         let mut fault = self.fault.subscribe();
-        let _ = fault.wait_for(|fault| *fault != EngineFault::Die).await;
+        let _ = fault.wait_for(|fault| *fault != EngineFault::Crash).await;
     }
 
     /// Waits while the engine hangs, and as long as it answers late.
-    pub(crate) async fn pass_faults(&self) {
+    pub(crate) async fn apply_faults(&self) {
         let mut fault = self.fault.subscribe();
         let _ = fault.wait_for(|fault| !fault.stops_steps()).await;
         let delay = fault.borrow().delay();
--- a/lovagedock-standin/src/engine/transfer.rs
+++ b/lovagedock-standin/src/engine/transfer.rs
@@ -7,10 +7,10 @@
 
 use super::{
     batch::{PauseError, SequenceKind, SequenceRequest},
-    completion::refusal,
+    completion::submit_route_error,
     protocol::RequestName,
     render::AnswerSource,
-    routes::{RouteError, RouteResult, json_answer, read_json},
+    routes::{RouteError, RouteResult, json_response, read_json},
     state::EngineState,
 };
 
@@ -31,7 +31,7 @@
 }
 
 #[derive(Debug, Serialize)]
-struct ImportAnswer {
+struct ImportResponse {
     tokens: TokenCount,
 }
 
@@ -94,7 +94,7 @@
         }
     })?;
     wait_for_transfer(state, &kv_state).await;
-    Ok(json_answer(&kv_state))
+    Ok(json_response(&kv_state))
 }
 
 pub(crate) async fn import(state: &EngineState, request: Request<Incoming>) -> RouteResult {
@@ -104,9 +104,9 @@
         .core
         .lock()
         .import(kv_state.request(), kv_state.source());
-    imported.map_err(refusal)?;
+    imported.map_err(submit_route_error)?;
     state.wake.notify_one();
-    Ok(json_answer(&ImportAnswer {
+    Ok(json_response(&ImportResponse {
         tokens: kv_state.tokens(),
     }))
 }
--- a/lovagedock-standin/src/engine/weights.rs
+++ b/lovagedock-standin/src/engine/weights.rs
@@ -7,25 +7,25 @@
 
 /// Count that engines share; clones share one.
 #[derive(Clone, Debug, Default)]
-pub struct WeightGauge {
+pub struct WeightLoadGauge {
     counts: Arc<WeightCounts>,
 }
 
 #[derive(Debug, Default)]
 struct WeightCounts {
     loading: AtomicUsize,
-    most: AtomicUsize,
+    max_loading: AtomicUsize,
 }
 
-impl WeightGauge {
+impl WeightLoadGauge {
     /// Most loads at one moment so far.
-    pub fn most_at_once(&self) -> usize {
-        self.counts.most.load(Ordering::SeqCst)
+    pub fn max_concurrent_loads(&self) -> usize {
+        self.counts.max_loading.load(Ordering::SeqCst)
     }
 
-    pub(crate) fn begin(&self) -> WeightLoad {
+    pub(crate) fn start_load(&self) -> WeightLoad {
         let loading = self.counts.loading.fetch_add(1, Ordering::SeqCst) + 1;
-        self.counts.most.fetch_max(loading, Ordering::SeqCst);
+        self.counts.max_loading.fetch_max(loading, Ordering::SeqCst);
         WeightLoad {
             counts: Arc::clone(&self.counts),
         }
--- a/lovagedock-standin/src/experiment/files.rs
+++ b/lovagedock-standin/src/experiment/files.rs
@@ -6,7 +6,7 @@
 };
 
 use super::{
-    plot::render_plot, run::ExperimentRecord, summary::ExperimentSummary, table::render_markdown,
+    markdown::render_markdown, plot::render_plot, run::ExperimentRecord, summary::ExperimentSummary,
 };
 
 /// Writes the page, the plot and the raw figures into a directory, which is made if need be.
--- a/lovagedock-standin/src/experiment/table.rs
+++ b/lovagedock-standin/src/experiment/markdown.rs
@@ -46,8 +46,12 @@
          runs with the same seed.\n"
     )?;
     let titles = LengthBucket::ALL.map(|bucket| {
-        let best = summary.best_baselines.get(bucket).as_deref();
-        format!("{} / {}", bucket.as_str(), best.unwrap_or(NO_FIGURE))
+        let best_baseline = summary.best_baselines.get(bucket).as_deref();
+        format!(
+            "{} / {}",
+            bucket.as_str(),
+            best_baseline.unwrap_or(NO_FIGURE)
+        )
     });
     let titles = titles.each_ref().map(String::as_str);
     write_lengths(text, &titles, policies, |policy| &policy.ratio, ratio)?;
--- a/lovagedock-standin/src/experiment/plot.rs
+++ b/lovagedock-standin/src/experiment/plot.rs
@@ -57,7 +57,7 @@
     chart
         .configure_mesh()
         .x_labels(LengthBucket::ALL.len() + 2)
-        .x_label_formatter(&|place| bucket_name(*place))
+        .x_label_formatter(&|index| bucket_name(*index))
         .x_desc("prompt length (tokens)")
         .y_label_formatter(&|value| format!("{value:.0}"))
         .y_desc("ms of model time, log scale")
@@ -66,7 +66,7 @@
         let color = Palette99::pick(number).to_rgba();
         let points: Vec<(i32, f64)> = (0..)
             .zip(LengthBucket::ALL)
-            .filter_map(|(place, bucket)| Some((place, (*policy.p95.get(bucket))?.median)))
+            .filter_map(|(index, bucket)| Some((index, (*policy.p95.get(bucket))?.median)))
             .collect();
         chart
             .draw_series(
@@ -87,10 +87,10 @@
     Ok(())
 }
 
-fn bucket_name(place: i32) -> String {
-    let bucket = usize::try_from(place)
+fn bucket_name(index: i32) -> String {
+    let bucket = usize::try_from(index)
         .ok()
-        .and_then(|place| LengthBucket::ALL.get(place));
+        .and_then(|index| LengthBucket::ALL.get(index));
     bucket.map_or(String::new(), |bucket| bucket.as_str().to_owned())
 }
 
--- a/lovagedock-standin/src/experiment/run.rs
+++ b/lovagedock-standin/src/experiment/run.rs
@@ -18,7 +18,7 @@
 };
 
 /// Longest time that a run's blocking work may take to end.
-const RUNTIME_END: Duration = Duration::from_secs(2);
+const RUNTIME_SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// An experiment as it was run.
 #[derive(Clone, Debug, Serialize)]
@@ -76,7 +76,7 @@
         // and show in its figures. The stand-ins' tasks end with the runtime.
         let runtime = Runtime::new().change_context_lazy(|| error.clone())?;
         let outcome = runtime.block_on(run_demo(&options, |progress| watch(&run, progress)));
-        runtime.shutdown_timeout(RUNTIME_END);
+        runtime.shutdown_timeout(RUNTIME_SHUTDOWN_TIMEOUT);
         reports.push(outcome.change_context(error)?.report);
     }
     Ok(reports)
--- a/lovagedock-standin/src/experiment/spec.rs
+++ b/lovagedock-standin/src/experiment/spec.rs
@@ -67,9 +67,9 @@
     /// Each seed starts with another policy, so that none always has the place after the same one.
     pub fn runs(&self) -> Vec<PlannedRun> {
         let mut runs = Vec::with_capacity(self.seeds.len() * self.policies.len());
-        for (turn, seed) in self.seeds.iter().enumerate() {
-            for place in 0..self.policies.len() {
-                let policy = &self.policies[(turn + place) % self.policies.len()];
+        for (offset, seed) in self.seeds.iter().enumerate() {
+            for index in 0..self.policies.len() {
+                let policy = &self.policies[(offset + index) % self.policies.len()];
                 runs.push(PlannedRun {
                     policy: policy.clone(),
                     seed: *seed,
--- a/lovagedock-standin/src/experiment/summary.rs
+++ b/lovagedock-standin/src/experiment/summary.rs
@@ -74,7 +74,8 @@
 impl ExperimentSummary {
     /// Summarises the runs; a policy without a run has no figures.
     pub fn new(policies: &[String], reports: &[LoadReport]) -> Self {
-        let best_baselines = LengthTable::from_buckets(|bucket| best(policies, reports, bucket));
+        let best_baselines =
+            LengthTable::from_buckets(|bucket| best_baseline(policies, reports, bucket));
         let policies = policies
             .iter()
             .map(|policy| summarise(policy, reports, &best_baselines))
@@ -93,27 +94,27 @@
 ) -> PolicySummary {
     let mut outcomes = OutcomeCounts::default();
     let mut violations = ViolationCounts::default();
-    for report in of_policy(reports, policy) {
+    for report in reports_of(reports, policy) {
         outcomes += report.outcomes;
         violations += report.violations;
     }
     // The report has 0 where one of the two parts of the run had no sample.
-    let slowdowns = of_policy(reports, policy).map(|report| report.short_slowdown_p95);
+    let slowdowns = reports_of(reports, policy).map(|report| report.short_slowdown_p95);
     PolicySummary {
         policy: policy.to_owned(),
         first_tokens: LengthTable::from_buckets(|bucket| {
-            of_policy(reports, policy)
+            reports_of(reports, policy)
                 .map(|report| report.ttft_ms.get(bucket).n)
                 .sum()
         }),
         p50: LengthTable::from_buckets(|bucket| {
-            let sampled = of_policy(reports, policy).map(|report| report.ttft_ms.get(bucket));
+            let sampled = reports_of(reports, policy).map(|report| report.ttft_ms.get(bucket));
             SeedSpread::new(sampled.filter(|row| row.n > 0).map(|row| row.p50))
         }),
         p95: LengthTable::from_buckets(|bucket| p95_spread(reports, policy, bucket)),
         ratio: LengthTable::from_buckets(|bucket| {
-            let best = best_baselines.get(bucket).as_deref()?;
-            ratio_spread(reports, policy, best, bucket)
+            let best_baseline = best_baselines.get(bucket).as_deref()?;
+            ratio_spread(reports, policy, best_baseline, bucket)
         }),
         short_slowdown: SeedSpread::new(slowdowns.filter(|slowdown| *slowdown > 0.0)),
         outcomes,
@@ -121,7 +122,7 @@
     }
 }
 
-fn of_policy<'a>(reports: &'a [LoadReport], policy: &str) -> impl Iterator<Item = &'a LoadReport> {
+fn reports_of<'a>(reports: &'a [LoadReport], policy: &str) -> impl Iterator<Item = &'a LoadReport> {
     reports.iter().filter(move |report| report.policy == policy)
 }
 
@@ -131,12 +132,16 @@
 }
 
 fn p95_spread(reports: &[LoadReport], policy: &str, bucket: LengthBucket) -> Option<SeedSpread> {
-    SeedSpread::new(of_policy(reports, policy).filter_map(|report| p95(report, bucket)))
+    SeedSpread::new(reports_of(reports, policy).filter_map(|report| p95(report, bucket)))
 }
 
 /// The choice is by the median over seeds: a choice for each seed would compare with the luckiest
 /// run of several.
-fn best(policies: &[String], reports: &[LoadReport], bucket: LengthBucket) -> Option<String> {
+fn best_baseline(
+    policies: &[String],
+    reports: &[LoadReport],
+    bucket: LengthBucket,
+) -> Option<String> {
     policies
         .iter()
         .filter(|policy| BASELINES.contains(&policy.as_str()))
@@ -151,8 +156,8 @@
     baseline: &str,
     bucket: LengthBucket,
 ) -> Option<SeedSpread> {
-    let ratios = of_policy(reports, policy).filter_map(|report| {
-        let same_seed = of_policy(reports, baseline).find(|other| other.seed == report.seed)?;
+    let ratios = reports_of(reports, policy).filter_map(|report| {
+        let same_seed = reports_of(reports, baseline).find(|other| other.seed == report.seed)?;
         Some(p95(report, bucket)? / p95(same_seed, bucket)?)
     });
     SeedSpread::new(ratios)
--- a/lovagedock-standin/src/fleet.rs
+++ b/lovagedock-standin/src/fleet.rs
@@ -21,19 +21,19 @@
 use tokio::time::{sleep, timeout};
 
 use crate::{
-    PlatformOptions, PlatformStandin, RunningStandin,
-    engine::{EngineOptions, EngineStandin, ReportStyle, RunningEngine, WeightGauge},
+    PlatformOptions, PlatformStandin, RunningPlatform,
+    engine::{EngineOptions, EngineStandin, ReportStyle, RunningEngine, WeightLoadGauge},
     service::{RunningService, ServiceOptions, ServiceStandin},
 };
 
 const LOOPBACK: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 /// Looks until the fleet is ready.
-const READY_LOOKS: usize = 600;
-const READY_PAUSE: Duration = Duration::from_millis(25);
+const READY_POLLS: usize = 600;
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Longest time that all gateways, and then all sidecars, may take to stop.
-const STOP_TIME: Duration = Duration::from_secs(5);
+const STOP_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A fleet could not start.
 #[derive(Debug)]
@@ -59,18 +59,18 @@
     /// Time between heartbeats of gateways.
     pub heartbeat: Duration,
     /// Time without an answer after which a session is given up.
-    pub silence: Duration,
+    pub silence_timeout: Duration,
     /// Longest time that a stopped sidecar waits for its requests; zero cuts them off, as a process
     /// that is killed does.
-    pub drain: Duration,
+    pub drain_timeout: Duration,
     /// Requests that an endpoint gets at once; 0 leaves it to the sidecar's defaults.
     pub concurrency: usize,
     /// Limits of the gateways towards callers.
     pub limits: CallerLimits,
     /// How long the lease of a pool lasts.
-    pub lease: Duration,
+    pub lease_duration: Duration,
     /// Counts what the engines load at once.
-    pub weights: WeightGauge,
+    pub weights: WeightLoadGauge,
     /// Log of the daemons.
     pub log: Logger,
 }
@@ -83,12 +83,12 @@
             time_scale: 1.0,
             service_time: Duration::from_millis(5),
             heartbeat: Duration::from_millis(500),
-            silence: Duration::from_secs(2),
-            drain: Duration::from_secs(60),
+            silence_timeout: Duration::from_secs(2),
+            drain_timeout: Duration::from_secs(60),
             concurrency: 0,
             limits: CallerLimits::default(),
-            lease: Duration::from_secs(30),
-            weights: WeightGauge::default(),
+            lease_duration: Duration::from_secs(30),
+            weights: WeightLoadGauge::default(),
             log,
         }
     }
@@ -106,15 +106,15 @@
     }
 
     /// Sets how long the lease of a pool lasts.
-    pub fn with_lease(mut self, lease: Duration) -> Self {
-        self.lease = lease;
+    pub fn with_lease(mut self, lease_duration: Duration) -> Self {
+        self.lease_duration = lease_duration;
         self
     }
 
     /// Sets how sessions are kept.
-    pub fn with_heartbeat(mut self, heartbeat: Duration, silence: Duration) -> Self {
+    pub fn with_heartbeat(mut self, heartbeat: Duration, silence_timeout: Duration) -> Self {
         self.heartbeat = heartbeat;
-        self.silence = silence;
+        self.silence_timeout = silence_timeout;
         self
     }
 
@@ -125,8 +125,8 @@
     }
 
     /// Sets the longest time that a stopped sidecar waits for its requests.
-    pub fn with_drain(mut self, drain: Duration) -> Self {
-        self.drain = drain;
+    pub fn with_drain(mut self, drain_timeout: Duration) -> Self {
+        self.drain_timeout = drain_timeout;
         self
     }
 
@@ -206,7 +206,7 @@
 /// A fleet that serves.
 pub struct LocalFleet {
     /// The platform.
-    pub platform: RunningStandin,
+    pub platform: RunningPlatform,
     /// Endpoints in the order of the configuration.
     pub endpoints: Vec<RunningEndpoint>,
     /// Gateways in the order of the configuration.
@@ -247,7 +247,7 @@
             config,
         };
         fleet.apply(0).await?;
-        fleet.ready().await?;
+        fleet.wait_until_ready().await?;
         Ok(fleet)
     }
 
@@ -271,17 +271,17 @@
         }
         let gateways = self.gateways.into_iter().map(|entry| entry.gateway.wait());
         // What is cut off here is of no interest to anyone any more.
-        let _ended = timeout(STOP_TIME, join_all(gateways)).await;
+        let _ended = timeout(STOP_TIMEOUT, join_all(gateways)).await;
         for entry in &self.endpoints {
             entry.daemon.shutdown.trigger();
         }
         let sidecars = self.endpoints.into_iter().filter_map(|entry| entry.sidecar);
-        let _ended = timeout(STOP_TIME, join_all(sidecars.map(Sidecar::wait))).await;
+        let _ended = timeout(STOP_TIMEOUT, join_all(sidecars.map(Sidecar::wait))).await;
     }
 
     /// Waits until every gateway is connected to every endpoint.
-    pub async fn ready(&self) -> Result<(), Report<FleetError>> {
-        for _ in 0..READY_LOOKS {
+    pub async fn wait_until_ready(&self) -> Result<(), Report<FleetError>> {
+        for _ in 0..READY_POLLS {
             if self
                 .gateways
                 .iter()
@@ -289,7 +289,7 @@
             {
                 return Ok(());
             }
-            sleep(READY_PAUSE).await;
+            sleep(READY_POLL_INTERVAL).await;
         }
         Err(Report::new(FleetError).attach("a gateway has not reached all endpoints"))
     }
@@ -372,7 +372,7 @@
         endpoint: spec.id.clone(),
         gateways: SessionSettings {
             address: LOOPBACK,
-            transport: plain(),
+            transport: plain_transport(),
             silence_ms: 3_000,
         },
         admin: admin(),
@@ -385,7 +385,7 @@
             concurrency: plan.concurrency,
         },
         log: LogSettings::default(),
-        drain_ms: plan.drain.as_millis() as u64,
+        drain_ms: plan.drain_timeout.as_millis() as u64,
         linger_ms: (3 * plan.heartbeat).as_millis() as u64,
     }
 }
@@ -393,7 +393,7 @@
 fn gateway_settings(plan: &FleetPlan, spec: &GatewaySpec, platform: String) -> GatewaySettings {
     let listener = || ListenerSettings {
         address: LOOPBACK,
-        transport: plain(),
+        transport: plain_transport(),
     };
     GatewaySettings {
         name: spec.id.clone(),
@@ -401,10 +401,10 @@
         callers: listener(),
         peers: listener(),
         links: LinkSettings {
-            transport: plain(),
+            transport: plain_transport(),
             workers: 1,
             heartbeat_ms: plan.heartbeat.as_millis() as u64,
-            silence_ms: plan.silence.as_millis() as u64,
+            silence_ms: plan.silence_timeout.as_millis() as u64,
             reconnect_ms: 100,
         },
         seed_peers: Vec::new(),
@@ -413,12 +413,12 @@
         log: LogSettings::default(),
         limits: plan.limits.clone(),
         orders: OrderSettings {
-            lease_ms: plan.lease.as_millis() as u64,
+            lease_ms: plan.lease_duration.as_millis() as u64,
         },
     }
 }
 
-fn plain() -> TransportSettings {
+fn plain_transport() -> TransportSettings {
     TransportSettings::PlainTcp(PlainConsent::Demo)
 }
 
@@ -426,6 +426,6 @@
     AdminSettings {
         address: LOOPBACK,
         operator_token: None,
-        transport: plain(),
+        transport: plain_transport(),
     }
 }
--- a/lovagedock-standin/src/lib.rs
+++ b/lovagedock-standin/src/lib.rs
@@ -9,5 +9,5 @@
 pub mod service;
 
 pub use platform::{
-    FaultKind, FaultOrder, PlatformCounters, PlatformOptions, PlatformStandin, RunningStandin,
+    FaultCommand, FaultKind, PlatformCounters, PlatformOptions, PlatformStandin, RunningPlatform,
 };
--- a/lovagedock-standin/src/load/caller.rs
+++ b/lovagedock-standin/src/load/caller.rs
@@ -24,7 +24,7 @@
 use tokio::time;
 
 use super::{
-    journal::{AnswerCheck, CallEnding, CallRecord},
+    journal::{AnswerCheck, CallOutcome, CallRecord},
     message::{CallMessage, ModelAnswer},
     mix::MixSpec,
     schedule::PlannedCall,
@@ -38,7 +38,7 @@
 const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 const STREAM_END: &str = "[DONE]";
 /// How long after its deadline a caller still listens, so that a late outcome can be told from none.
-const PATIENCE: Duration = Duration::from_secs(5);
+const OUTCOME_WAIT: Duration = Duration::from_secs(5);
 
 /// An address that callers can send to.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -70,7 +70,7 @@
 struct BalancedGateway {
     target: GatewayTarget,
     /// It said that it is stopping, so the balancer sends it nothing more.
-    is_out: AtomicBool,
+    is_removed: AtomicBool,
 }
 
 /// Sends calls to gateways in turn, past those that refuse a connection or said that they stop.
@@ -85,7 +85,7 @@
     fn new(target: GatewayTarget) -> Self {
         Self {
             target,
-            is_out: AtomicBool::new(false),
+            is_removed: AtomicBool::new(false),
         }
     }
 }
@@ -132,11 +132,11 @@
             token_gaps: Vec::new(),
             ended_at: sent_at,
             deadline: call.deadline,
-            ending: CallEnding::Nothing,
-            answer: AnswerCheck::Beginning,
+            outcome: CallOutcome::NoOutcome,
+            answer: AnswerCheck::Prefix,
             answer_digest: None,
         };
-        let limit = call.deadline + PATIENCE;
+        let limit = call.deadline + OUTCOME_WAIT;
         let exchange = self.exchange(call, &organisation.key, &message, &mut record);
         // On the timeout the record keeps what was seen so far, and its ending is `Nothing`.
         let _ = time::timeout(limit, exchange).await;
@@ -153,41 +153,41 @@
     ) {
         let response = match self.send(call, api_key, message, record).await {
             Ok(response) => response,
-            Err(ending) => {
-                record.ending = ending;
+            Err(outcome) => {
+                record.outcome = outcome;
                 return;
             }
         };
         record.request = request_id(response.headers());
         if !response.status().is_success() {
-            record.ending = read_problem(response).await;
-            self.heed(record);
+            record.outcome = read_problem(response).await;
+            self.remove_if_stopping(record);
             return;
         }
         let mut reader = AnswerReader {
             clock: &self.clock,
             content: Vec::new(),
-            last_piece_at: None,
+            last_chunk_at: None,
         };
-        record.ending = match message.streamed {
+        record.outcome = match message.streamed {
             true => reader.read_stream(response, record).await,
-            false => reader.read_whole(response, message).await,
+            false => reader.read_body(response, message).await,
         };
-        record.answer = message.rule.check(&reader.content);
-        if record.ending == CallEnding::Complete {
+        record.answer = message.expected_answer.check(&reader.content);
+        if record.outcome == CallOutcome::Complete {
             record.answer_digest = Some(*blake3::hash(&reader.content).as_bytes());
         }
     }
 
     /// Takes a gateway that says it is stopping out, as the balancer's health checks would.
-    fn heed(&self, record: &CallRecord) {
+    fn remove_if_stopping(&self, record: &CallRecord) {
         let stopping = ResultCode::GatewayStopping.number();
-        if !matches!(record.ending, CallEnding::Problem { code, .. } if code == stopping) {
+        if !matches!(record.outcome, CallOutcome::Problem { code, .. } if code == stopping) {
             return;
         }
         let mut gateways = self.gateways.iter();
         if let Some(gateway) = gateways.find(|it| it.target.name == record.gateway) {
-            gateway.is_out.store(true, Ordering::Relaxed);
+            gateway.is_removed.store(true, Ordering::Relaxed);
         }
     }
 
@@ -197,11 +197,11 @@
         api_key: &str,
         message: &CallMessage,
         record: &mut CallRecord,
-    ) -> Result<Response<Incoming>, CallEnding> {
+    ) -> Result<Response<Incoming>, CallOutcome> {
         let first = self.next.fetch_add(1, Ordering::Relaxed);
-        for turn in 0..self.gateways.len() {
-            let gateway = &self.gateways[(first + turn) % self.gateways.len()];
-            if gateway.is_out.load(Ordering::Relaxed) {
+        for offset in 0..self.gateways.len() {
+            let gateway = &self.gateways[(first + offset) % self.gateways.len()];
+            if gateway.is_removed.load(Ordering::Relaxed) {
                 continue;
             }
             record.gateway.clone_from(&gateway.target.name);
@@ -210,17 +210,17 @@
                 Ok(response) => return Ok(response),
                 // Nothing was sent, so the balancer may try the next.
                 Err(error) if error.is_connect() => continue,
-                Err(_) => return Err(CallEnding::Broken),
+                Err(_) => return Err(CallOutcome::Broken),
             }
         }
-        Err(CallEnding::Unsent)
+        Err(CallOutcome::Unsent)
     }
 }
 
 struct AnswerReader<'a> {
     clock: &'a ProcessClock,
     content: Vec<u8>,
-    last_piece_at: Option<Timestamp>,
+    last_chunk_at: Option<Timestamp>,
 }
 
 impl AnswerReader<'_> {
@@ -228,30 +228,30 @@
         &mut self,
         mut response: Response<Incoming>,
         record: &mut CallRecord,
-    ) -> CallEnding {
+    ) -> CallOutcome {
         let mut parser = SseParser::new();
-        let mut ending = CallEnding::Broken;
+        let mut outcome = CallOutcome::Broken;
         while let Some(frame) = response.body_mut().frame().await {
             let Ok(frame) = frame else {
-                return ending;
+                return outcome;
             };
             let Ok(bytes) = frame.into_data() else {
                 continue;
             };
             for event in parser.push(&bytes) {
                 if event.data == STREAM_END {
-                    ending = CallEnding::Complete;
+                    outcome = CallOutcome::Complete;
                 } else if let Some(problem) = parse_problem(event.data.as_bytes()) {
-                    ending = problem;
+                    outcome = problem;
                 } else {
-                    self.add_piece(&event.data, record);
+                    self.add_chunk(&event.data, record);
                 }
             }
         }
-        ending
+        outcome
     }
 
-    fn add_piece(&mut self, data: &str, record: &mut CallRecord) {
+    fn add_chunk(&mut self, data: &str, record: &mut CallRecord) {
         let Ok(answer) = serde_json::from_str::<ModelAnswer>(data) else {
             return;
         };
@@ -259,31 +259,31 @@
             return;
         }
         let now = self.clock.now();
-        match self.last_piece_at {
+        match self.last_chunk_at {
             Some(last) => record.token_gaps.push(now.saturating_sub(last)),
             None => record.first_token_at = Some(now),
         }
-        self.last_piece_at = Some(now);
+        self.last_chunk_at = Some(now);
         self.content.extend_from_slice(answer.text().as_bytes());
     }
 
-    async fn read_whole(
+    async fn read_body(
         &mut self,
         response: Response<Incoming>,
         message: &CallMessage,
-    ) -> CallEnding {
+    ) -> CallOutcome {
         let Ok(body) = response.into_body().collect().await else {
-            return CallEnding::Broken;
+            return CallOutcome::Broken;
         };
         let bytes = body.to_bytes();
         if message.bucket.is_none() {
             self.content = bytes.to_vec();
-            return CallEnding::Complete;
+            return CallOutcome::Complete;
         }
         if let Ok(answer) = serde_json::from_slice::<ModelAnswer>(&bytes) {
             self.content = answer.text().as_bytes().to_vec();
         }
-        CallEnding::Complete
+        CallOutcome::Complete
     }
 }
 
@@ -312,12 +312,12 @@
     parse_request_id(value.to_str().ok()?)
 }
 
-async fn read_problem(response: Response<Incoming>) -> CallEnding {
+async fn read_problem(response: Response<Incoming>) -> CallOutcome {
     let Ok(body) = response.into_body().collect().await else {
-        return CallEnding::Broken;
+        return CallOutcome::Broken;
     };
     // An error that does not say whether the request ran leaves its caller without knowledge.
-    parse_problem(&body.to_bytes()).unwrap_or(CallEnding::Broken)
+    parse_problem(&body.to_bytes()).unwrap_or(CallOutcome::Broken)
 }
 
 #[derive(Deserialize)]
@@ -332,11 +332,11 @@
 }
 
 /// Reads a problem document, on its own or as the `error` of a stream's last event.
-fn parse_problem(bytes: &[u8]) -> Option<CallEnding> {
+fn parse_problem(bytes: &[u8]) -> Option<CallOutcome> {
     let problem = serde_json::from_slice::<ProblemBody>(bytes)
         .or_else(|_| serde_json::from_slice::<WrappedProblem>(bytes).map(|wrapped| wrapped.error))
         .ok()?;
-    Some(CallEnding::Problem {
+    Some(CallOutcome::Problem {
         code: problem.code,
         ran: problem.ran,
     })
--- a/lovagedock-standin/src/load/collect.rs
+++ b/lovagedock-standin/src/load/collect.rs
@@ -4,7 +4,7 @@
 
 use lovagedock::{EndpointId, RequestId, Timestamp, parse_request_id};
 
-use super::journal::{ExecutionJournal, ExecutionRecord, HoldingRecord};
+use super::journal::{ExecutionJournal, ExecutionRecord, LeakRecord};
 use crate::{
     engine::{JournalEntry, JournalEvent, RunningEngine},
     service::{RunningService, ServiceEntry},
@@ -21,8 +21,8 @@
 
 impl ClockOrigin {
     /// The run's time at a time of the stand-in.
-    pub fn run_time(&self, own: Duration) -> Timestamp {
-        self.started_at + own.div_f64(self.time_scale)
+    pub fn run_time(&self, local_time: Duration) -> Timestamp {
+        self.started_at + local_time.div_f64(self.time_scale)
     }
 }
 
@@ -36,9 +36,9 @@
     ) {
         self.add_engine_entries(endpoint, &engine.journal.entries(), origin);
         // The run is over and has settled, so no caller waits for any of these.
-        let blocks = engine.handle.held_blocks();
+        let blocks = engine.handle.allocated_blocks();
         if blocks > 0 {
-            self.holdings.push(HoldingRecord {
+            self.leaks.push(LeakRecord {
                 endpoint: endpoint.clone(),
                 blocks,
             });
@@ -72,8 +72,8 @@
                 // The rest of work that began elsewhere; it is no second run of it.
                 JournalEvent::Resumed => {}
                 JournalEvent::Ended | JournalEvent::Cancelled | JournalEvent::Lost => {
-                    if let Some(place) = open.remove(&request) {
-                        self.starts[place].ended_at = Some(at);
+                    if let Some(index) = open.remove(&request) {
+                        self.starts[index].ended_at = Some(at);
                     }
                 }
             }
--- a/lovagedock-standin/src/load/fetch.rs
+++ b/lovagedock-standin/src/load/fetch.rs
@@ -10,7 +10,7 @@
 
 use super::{
     collect::ClockOrigin,
-    journal::{ExecutionJournal, ExecutionRecord, HoldingRecord},
+    journal::{ExecutionJournal, ExecutionRecord, LeakRecord},
 };
 use crate::{engine::JournalEntry, service::ServiceRun};
 
@@ -52,10 +52,10 @@
         time_scale: 1.0,
     };
     journal.add_engine_entries(&target.endpoint, &entries, origin);
-    let account: EngineAccount = get(target.address, "/v1/requests").await?;
-    let blocks = account.blocks();
+    let allocations: EngineAllocations = get(target.address, "/v1/requests").await?;
+    let blocks = allocations.blocks();
     if blocks > 0 {
-        journal.holdings.push(HoldingRecord {
+        journal.leaks.push(LeakRecord {
             endpoint: target.endpoint.clone(),
             blocks,
         });
@@ -83,7 +83,7 @@
 /// The account of an engine, in either vendor's words.
 #[derive(Deserialize)]
 #[serde(untagged)]
-enum EngineAccount {
+enum EngineAllocations {
     Blocks { requests: Vec<BlockEntry> },
     Tokens { sequences: Vec<TokenEntry> },
 }
@@ -98,7 +98,7 @@
     kv_tokens: u64,
 }
 
-impl EngineAccount {
+impl EngineAllocations {
     fn blocks(&self) -> u64 {
         match self {
             Self::Blocks { requests } => requests.iter().map(|entry| entry.blocks).sum(),
--- a/lovagedock-standin/src/load/journal.rs
+++ b/lovagedock-standin/src/load/journal.rs
@@ -47,7 +47,7 @@
     /// Time that the call asked for, from `sent_at`.
     pub deadline: Duration,
     /// How it ended.
-    pub ending: CallEnding,
+    pub outcome: CallOutcome,
     /// Whether the bytes were those of this call's answer.
     pub answer: AnswerCheck,
     /// BLAKE3 of the answer's content; `None` unless complete.
@@ -56,7 +56,7 @@
 
 /// How a call ended for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallEnding {
+pub enum CallOutcome {
     /// A clean end.
     Complete,
     /// A problem document or a stream error that says whether the request ran.
@@ -71,16 +71,16 @@
     /// No connection to any gateway.
     Unsent,
     /// Neither an end nor an error within the deadline and the grace.
-    Nothing,
+    NoOutcome,
 }
 
 /// What the bytes of an answer are, compared with the stand-in's rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerCheck {
     /// The whole answer to this request.
-    Whole,
+    Complete,
     /// The beginning of the answer to this request, or nothing.
-    Beginning,
+    Prefix,
     /// Something else.
     Different,
     /// The stand-in has no rule for this call.
@@ -93,7 +93,7 @@
     /// One record for each start.
     pub starts: Vec<ExecutionRecord>,
     /// Memory held after the settle time.
-    pub holdings: Vec<HoldingRecord>,
+    pub leaks: Vec<LeakRecord>,
 }
 
 /// One start at a stand-in.
@@ -113,7 +113,7 @@
 
 /// Memory that an engine holds for no request that it has.
 #[derive(Clone, Debug)]
-pub struct HoldingRecord {
+pub struct LeakRecord {
     /// The engine.
     pub endpoint: EndpointId,
     /// Blocks without a request.
@@ -124,25 +124,25 @@
 #[derive(Clone, Debug, Default)]
 pub struct FleetJournal {
     /// Endpoints and gateways that left in an orderly way.
-    pub leaves: Vec<LeaveRecord>,
+    pub drains: Vec<DrainRecord>,
     /// Configurations that were accepted during the run.
     pub changes: Vec<ConfigChange>,
 }
 
 /// One orderly departure.
 #[derive(Clone, Debug)]
-pub struct LeaveRecord {
+pub struct DrainRecord {
     /// Who left.
-    pub party: LeavingParty,
+    pub target: DrainTarget,
     /// When it began to leave.
-    pub began_at: Timestamp,
+    pub started_at: Timestamp,
     /// When it was gone; `None` when it came back or the run ended first.
-    pub gone_at: Option<Timestamp>,
+    pub ended_at: Option<Timestamp>,
 }
 
 /// Who leaves.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum LeavingParty {
+pub enum DrainTarget {
     /// An endpoint with its sidecar.
     Endpoint(EndpointId),
     /// A gateway, by the name that callers write down.
@@ -155,14 +155,14 @@
     /// When it was accepted.
     pub accepted_at: Timestamp,
     /// When a later one allowed it again.
-    pub lifted_at: Option<Timestamp>,
+    pub reverted_at: Option<Timestamp>,
     /// What may not start any more.
-    pub ruled_out: RuledOut,
+    pub excluded: ExcludedTarget,
 }
 
 /// What a configuration rules out.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum RuledOut {
+pub enum ExcludedTarget {
     /// Any work on the endpoint.
     Endpoint(EndpointId),
     /// Any work of the organisation.
--- a/lovagedock-standin/src/load/message.rs
+++ b/lovagedock-standin/src/load/message.rs
@@ -30,12 +30,12 @@
     pub(crate) path: String,
     pub(crate) body: Bytes,
     pub(crate) streamed: bool,
-    pub(crate) rule: AnswerRule,
+    pub(crate) expected_answer: ExpectedAnswer,
 }
 
 /// What the answer has to be.
 #[derive(Clone, Debug)]
-pub(crate) enum AnswerRule {
+pub(crate) enum ExpectedAnswer {
     /// The text of a model's answer.
     Text(String),
     /// The plain service's account of the call.
@@ -56,14 +56,12 @@
     }
 }
 
-impl AnswerRule {
+impl ExpectedAnswer {
     /// Compares the content of an answer, or what there is of it.
     pub(crate) fn check(&self, content: &[u8]) -> AnswerCheck {
         match self {
-            Self::Text(expected) if expected.as_bytes() == content => AnswerCheck::Whole,
-            Self::Text(expected) if expected.as_bytes().starts_with(content) => {
-                AnswerCheck::Beginning
-            }
+            Self::Text(expected) if expected.as_bytes() == content => AnswerCheck::Complete,
+            Self::Text(expected) if expected.as_bytes().starts_with(content) => AnswerCheck::Prefix,
             Self::Text(_) => AnswerCheck::Different,
             Self::Run {
                 method,
@@ -75,10 +73,10 @@
                         && run.path == *path
                         && run.body_digest == *body_digest =>
                 {
-                    AnswerCheck::Whole
+                    AnswerCheck::Complete
                 }
                 Ok(_) => AnswerCheck::Different,
-                Err(error) if error.is_eof() => AnswerCheck::Beginning,
+                Err(error) if error.is_eof() => AnswerCheck::Prefix,
                 Err(_) => AnswerCheck::Different,
             },
         }
@@ -136,7 +134,7 @@
         },
         body: serde_json::to_vec(&body).unwrap_or_default().into(),
         streamed: call.streamed,
-        rule: AnswerRule::Text(expected),
+        expected_answer: ExpectedAnswer::Text(expected),
     }
 }
 
@@ -158,7 +156,7 @@
         non_idempotent: plain.non_idempotent,
         method: plain.method.clone(),
         path: path.clone(),
-        rule: AnswerRule::Run {
+        expected_answer: ExpectedAnswer::Run {
             method: plain.method.clone(),
             path,
             body_digest: format!("{:016x}", xxh3_64(&body)),
--- a/lovagedock-standin/src/load/mix.rs
+++ b/lovagedock-standin/src/load/mix.rs
@@ -44,7 +44,7 @@
         if self.baseline_percent > 90 {
             problems.push("baseline_percent: at most 90".to_owned());
         }
-        for caller in self.named_callers() {
+        for caller in self.referenced_callers() {
             if !self.organisations.iter().any(|it| it.id == *caller) {
                 problems.push(format!("callers: no organisation `{caller}`"));
             }
@@ -58,7 +58,7 @@
         problems
     }
 
-    fn named_callers(&self) -> impl Iterator<Item = &OrganisationId> {
+    fn referenced_callers(&self) -> impl Iterator<Item = &OrganisationId> {
         let buckets = self.buckets.iter().flat_map(|bucket| &bucket.callers);
         let keyed = self.keyed.iter().flat_map(|keyed| &keyed.callers);
         let plain = self.plain.iter().flat_map(|plain| &plain.callers);
@@ -105,7 +105,7 @@
 
 impl TokenRange {
     /// Draws a number from the range.
-    pub fn draw(self, random: &mut impl Rng) -> TokenCount {
+    pub fn sample(self, random: &mut impl Rng) -> TokenCount {
         random.random_range(self.0..=self.1.max(self.0))
     }
 }
--- a/lovagedock-standin/src/load/mod.rs
+++ b/lovagedock-standin/src/load/mod.rs
@@ -23,19 +23,19 @@
 pub use collect::ClockOrigin;
 pub use fetch::{StandinTarget, fetch_engine, fetch_service};
 pub use journal::{
-    AnswerCheck, CallEnding, CallRecord, CallerJournal, ConfigChange, ExecutionJournal,
-    ExecutionRecord, FleetJournal, HoldingRecord, LeaveRecord, LeavingParty, RuledOut,
+    AnswerCheck, CallOutcome, CallRecord, CallerJournal, ConfigChange, DrainRecord, DrainTarget,
+    ExcludedTarget, ExecutionJournal, ExecutionRecord, FleetJournal, LeakRecord,
 };
 pub use mix::{BucketMix, CallerMix, KeyedMix, MixSpec, ModelPath, PlainMix, TokenRange};
 pub use prompt::{PromptSeed, prompt_text};
 pub use quantiles::{LengthTable, QuantileSummary};
 pub use report::{
-    ControlFigures, IntervalSummary, LoadReport, OutcomeCounts, ProblemCount, ReportTags,
+    ControlOverhead, IntervalSummary, LoadReport, OutcomeCounts, ProblemCount, ReportMetadata,
 };
 pub use runner::{LoadRunner, RunProgress};
-pub use schedule::{CallBody, ModelCall, PlannedCall, long_from, plan_calls};
+pub use schedule::{CallBody, ModelCall, PlannedCall, long_start, plan_calls};
 pub use sse::{SseEvent, SseParser};
 pub use table::render_table;
 pub use violations::{
-    ViolationCounts, ViolationLimits, ViolationNote, count_violations, note_violations,
+    ViolationCounts, ViolationDetail, ViolationLimits, count_violations, list_violations,
 };
--- a/lovagedock-standin/src/load/report.rs
+++ b/lovagedock-standin/src/load/report.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 use super::{
-    journal::{CallEnding, CallRecord, CallerJournal},
+    journal::{CallOutcome, CallRecord, CallerJournal},
     quantiles::{LengthTable, QuantileSummary},
     violations::ViolationCounts,
 };
@@ -18,7 +18,7 @@
 
 /// What tells a run from others.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ReportTags {
+pub struct ReportMetadata {
     /// Seed of the plan.
     pub seed: u64,
     /// Placement policy in force.
@@ -28,7 +28,7 @@
     /// Length of the plan.
     pub duration: Duration,
     /// When the first long prompt could be sent, on the clock of the journal.
-    pub long_from: Timestamp,
+    pub long_start: Timestamp,
     /// Model time of the stand-in engines that passes in one unit of real time; latencies are
     /// reported in model time.
     pub time_scale: f64,
@@ -63,7 +63,7 @@
     /// Broken promises.
     pub violations: ViolationCounts,
     /// What control cost; all 0 where it was not measured.
-    pub control: ControlFigures,
+    pub control: ControlOverhead,
     /// Whether `control` was measured.
     pub control_measured: bool,
 }
@@ -97,7 +97,7 @@
     pub fn new(journal: &CallerJournal) -> Self {
         let mut counts = Self::default();
         for call in &journal.calls {
-            *counts.counter(call.ending) += 1;
+            *counts.counter(call.outcome) += 1;
         }
         counts
     }
@@ -107,17 +107,17 @@
         self.complete + self.refused_not_run + self.failed + self.unknown + self.timed_out
     }
 
-    fn counter(&mut self, ending: CallEnding) -> &mut u64 {
-        match ending {
-            CallEnding::Complete => &mut self.complete,
-            CallEnding::Problem { code, .. } if is_out_of_time(code) => &mut self.timed_out,
-            CallEnding::Problem { ran, .. } => match ran {
+    fn counter(&mut self, outcome: CallOutcome) -> &mut u64 {
+        match outcome {
+            CallOutcome::Complete => &mut self.complete,
+            CallOutcome::Problem { code, .. } if is_deadline_code(code) => &mut self.timed_out,
+            CallOutcome::Problem { ran, .. } => match ran {
                 RanState::No => &mut self.refused_not_run,
                 RanState::Yes => &mut self.failed,
                 RanState::Unknown => &mut self.unknown,
             },
-            CallEnding::Unsent => &mut self.refused_not_run,
-            CallEnding::Broken | CallEnding::Nothing => &mut self.unknown,
+            CallOutcome::Unsent => &mut self.refused_not_run,
+            CallOutcome::Broken | CallOutcome::NoOutcome => &mut self.unknown,
         }
     }
 }
@@ -145,7 +145,7 @@
 
 /// What the system's own processes used for control.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct ControlFigures {
+pub struct ControlOverhead {
     /// Processor time, in percent of one core.
     pub cpu_pct: f64,
     /// Resident memory.
@@ -161,28 +161,28 @@
 impl LoadReport {
     /// Computes the figures of a run; `control` is `None` where it was not measured.
     pub fn new(
-        tags: &ReportTags,
+        metadata: &ReportMetadata,
         journal: &CallerJournal,
         violations: ViolationCounts,
-        control: Option<ControlFigures>,
+        control: Option<ControlOverhead>,
     ) -> Self {
         let gaps = journal.calls.iter().flat_map(|call| &call.token_gaps);
-        let gaps = QuantileSummary::new(gaps.map(|gap| gap.mul_f64(tags.time_scale)));
+        let gaps = QuantileSummary::new(gaps.map(|gap| gap.mul_f64(metadata.time_scale)));
         Self {
             schema: SCHEMA,
-            seed: tags.seed,
-            policy: tags.policy.clone(),
-            mix: tags.mix.clone(),
-            duration_s: tags.duration.as_secs_f64(),
-            time_scale: tags.time_scale,
+            seed: metadata.seed,
+            policy: metadata.policy.clone(),
+            mix: metadata.mix.clone(),
+            duration_s: metadata.duration.as_secs_f64(),
+            time_scale: metadata.time_scale,
             ttft_ms: LengthTable::from_buckets(|bucket| {
-                first_tokens(journal, tags, |call| call.bucket == Some(bucket))
+                ttft_summary(journal, metadata, |call| call.bucket == Some(bucket))
             }),
             itl_ms: IntervalSummary {
                 p50: gaps.p50,
                 p95: gaps.p95,
             },
-            short_slowdown_p95: short_slowdown(journal, tags),
+            short_slowdown_p95: short_slowdown(journal, metadata),
             outcomes: OutcomeCounts::new(journal),
             problems: count_problems(journal),
             violations,
@@ -195,10 +195,10 @@
 fn count_problems(journal: &CallerJournal) -> Vec<ProblemCount> {
     let mut counts: BTreeMap<(Option<LengthBucket>, u16), u64> = BTreeMap::new();
     for call in &journal.calls {
-        let code = match call.ending {
-            CallEnding::Complete => continue,
-            CallEnding::Problem { code, .. } => code,
-            CallEnding::Broken | CallEnding::Unsent | CallEnding::Nothing => 0,
+        let code = match call.outcome {
+            CallOutcome::Complete => continue,
+            CallOutcome::Problem { code, .. } => code,
+            CallOutcome::Broken | CallOutcome::Unsent | CallOutcome::NoOutcome => 0,
         };
         *counts.entry((call.bucket, code)).or_default() += 1;
     }
@@ -212,37 +212,37 @@
         .collect()
 }
 
-fn first_tokens(
+fn ttft_summary(
     journal: &CallerJournal,
-    tags: &ReportTags,
-    chosen: impl Fn(&CallRecord) -> bool,
+    metadata: &ReportMetadata,
+    is_included: impl Fn(&CallRecord) -> bool,
 ) -> QuantileSummary {
     let samples = journal
         .calls
         .iter()
-        .filter(|call| chosen(call))
+        .filter(|call| is_included(call))
         .filter_map(|call| {
             let waited = call.first_token_at?.saturating_sub(call.intended_at);
-            Some(waited.mul_f64(tags.time_scale))
+            Some(waited.mul_f64(metadata.time_scale))
         });
     QuantileSummary::new(samples)
 }
 
-fn short_slowdown(journal: &CallerJournal, tags: &ReportTags) -> f64 {
+fn short_slowdown(journal: &CallerJournal, metadata: &ReportMetadata) -> f64 {
     let is_short = |call: &CallRecord| call.bucket.is_some_and(|it| SHORT_BUCKETS.contains(&it));
-    let alone = first_tokens(journal, tags, |call| {
-        is_short(call) && call.intended_at < tags.long_from
+    let baseline = ttft_summary(journal, metadata, |call| {
+        is_short(call) && call.intended_at < metadata.long_start
     });
-    let mixed = first_tokens(journal, tags, |call| {
-        is_short(call) && call.intended_at >= tags.long_from
+    let with_long = ttft_summary(journal, metadata, |call| {
+        is_short(call) && call.intended_at >= metadata.long_start
     });
-    if alone.n == 0 || mixed.n == 0 {
+    if baseline.n == 0 || with_long.n == 0 {
         return 0.0;
     }
-    mixed.p95 / alone.p95
+    with_long.p95 / baseline.p95
 }
 
-fn is_out_of_time(code: u16) -> bool {
+fn is_deadline_code(code: u16) -> bool {
     let code = ResultCode::from_number(code);
     matches!(
         code,
--- a/lovagedock-standin/src/load/runner.rs
+++ b/lovagedock-standin/src/load/runner.rs
@@ -14,14 +14,14 @@
 
 use super::{
     caller::CallerClient,
-    journal::{CallEnding, CallRecord, CallerJournal},
+    journal::{CallOutcome, CallRecord, CallerJournal},
     message::CallMessage,
     mix::MixSpec,
     schedule::PlannedCall,
 };
 
 /// How long before its time a call is written out, so that a large body does not delay it.
-const PREPARATION: Duration = Duration::from_millis(300);
+const PREPARATION_LEAD: Duration = Duration::from_millis(300);
 
 /// Numbers that grow during a run, for whoever shows them.
 #[derive(Debug, Default)]
@@ -34,7 +34,7 @@
 
 impl RunProgress {
     /// One line for a terminal.
-    pub fn line(&self) -> String {
+    pub fn status_line(&self) -> String {
         let get = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         let (sent, ended, complete) = (get(&self.sent), get(&self.ended), get(&self.complete));
         format!(
@@ -45,9 +45,9 @@
         )
     }
 
-    fn count_end(&self, record: &CallRecord) {
+    fn record_outcome(&self, record: &CallRecord) {
         self.ended.fetch_add(1, Ordering::Relaxed);
-        if record.ending == CallEnding::Complete {
+        if record.outcome == CallOutcome::Complete {
             self.complete.fetch_add(1, Ordering::Relaxed);
         }
     }
@@ -84,16 +84,16 @@
         let mut tasks = JoinSet::new();
         for call in plan {
             let intended_at = start + call.at;
-            self.sleep_until(intended_at.saturating_sub(PREPARATION))
+            self.sleep_until(intended_at.saturating_sub(PREPARATION_LEAD))
                 .await;
-            tasks.spawn(self.one_call(call, intended_at));
+            tasks.spawn(self.run_call(call, intended_at));
         }
         let mut calls = tasks.join_all().await;
         calls.sort_by_key(|call| call.number);
         CallerJournal { calls }
     }
 
-    fn one_call(
+    fn run_call(
         &self,
         call: PlannedCall,
         intended_at: Timestamp,
@@ -112,7 +112,7 @@
             sleep_until(&clock, intended_at).await;
             progress.sent.fetch_add(1, Ordering::Relaxed);
             let record = client.call(&mix, &call, message, intended_at).await;
-            progress.count_end(&record);
+            progress.record_outcome(&record);
             record
         }
     }
--- a/lovagedock-standin/src/load/schedule.rs
+++ b/lovagedock-standin/src/load/schedule.rs
@@ -75,7 +75,7 @@
 }
 
 /// When the first long prompt may be sent in a run of this length.
-pub fn long_from(mix: &MixSpec, duration: Duration) -> Timestamp {
+pub fn long_start(mix: &MixSpec, duration: Duration) -> Timestamp {
     duration.mul_f64(f64::from(mix.baseline_percent) / 100.0)
 }
 
@@ -144,7 +144,7 @@
             };
             let count = (rate * sending.as_secs_f64()).round().max(1.0) as u64;
             for _ in 0..count {
-                let at = draw_between(&mut self.random, from, to);
+                let at = sample_between(&mut self.random, from, to);
                 self.push_ordinary(bucket, at);
             }
         }
@@ -152,8 +152,8 @@
     }
 
     fn push_ordinary(&mut self, bucket: &BucketMix, at: Timestamp) {
-        let tokens = bucket.prompt_tokens.draw(&mut self.random);
-        let common = percent(&mut self.random, bucket.common_prefix_percent)
+        let tokens = bucket.prompt_tokens.sample(&mut self.random);
+        let common = sample_percent(&mut self.random, bucket.common_prefix_percent)
             .then(|| self.random.random_range(0..COMMON_TEXTS));
         let body = CallBody::Model(ModelCall {
             keyed: None,
@@ -163,13 +163,13 @@
                 common,
                 tokens,
             },
-            answer_tokens: bucket.answer_tokens.draw(&mut self.random),
-            streamed: percent(&mut self.random, bucket.streamed_percent),
+            answer_tokens: bucket.answer_tokens.sample(&mut self.random),
+            streamed: sample_percent(&mut self.random, bucket.streamed_percent),
         });
         let call = PlannedCall {
             number: 0,
             at,
-            organisation: self.draw_organisation(&bucket.callers),
+            organisation: self.sample_organisation(&bucket.callers),
             key: None,
             deadline: Duration::from_millis(bucket.deadline_ms),
             body,
@@ -186,15 +186,15 @@
                 prompt: PromptSeed {
                     unique,
                     common: None,
-                    tokens: keyed.prompt_tokens.draw(&mut self.random),
+                    tokens: keyed.prompt_tokens.sample(&mut self.random),
                 },
-                answer_tokens: keyed.answer_tokens.draw(&mut self.random),
-                streamed: percent(&mut self.random, keyed.streamed_percent),
+                answer_tokens: keyed.answer_tokens.sample(&mut self.random),
+                streamed: sample_percent(&mut self.random, keyed.streamed_percent),
             });
             let call = PlannedCall {
                 number: 0,
                 at,
-                organisation: self.draw_organisation(&keyed.callers),
+                organisation: self.sample_organisation(&keyed.callers),
                 key: Some(format!("trace-{index}-{}-{unique}", self.seed)),
                 deadline: Duration::from_millis(keyed.deadline_ms),
                 body,
@@ -212,7 +212,7 @@
             let call = PlannedCall {
                 number: 0,
                 at,
-                organisation: self.draw_organisation(&plain.callers),
+                organisation: self.sample_organisation(&plain.callers),
                 key,
                 deadline: Duration::from_millis(plain.deadline_ms),
                 body: CallBody::Plain {
@@ -226,7 +226,7 @@
 
     /// Sends a call, and perhaps again: a caller that lost the answer, or did not wait for it.
     fn push_with_repeat(&mut self, call: PlannedCall, repeat_percent: u8, after_ms: (u64, u64)) {
-        if percent(&mut self.random, repeat_percent) {
+        if sample_percent(&mut self.random, repeat_percent) {
             let after = self
                 .random
                 .random_range(after_ms.0..=after_ms.1.max(after_ms.0));
@@ -252,7 +252,7 @@
             seconds += gaps.sample(&mut self.random);
         }
         if arrivals.is_empty() {
-            arrivals.push(draw_between(
+            arrivals.push(sample_between(
                 &mut self.random,
                 Duration::ZERO,
                 self.duration,
@@ -262,7 +262,7 @@
     }
 
     /// Draws one of the callers, or one of all when there are none, by their shares.
-    fn draw_organisation(&mut self, callers: &[OrganisationId]) -> usize {
+    fn sample_organisation(&mut self, callers: &[OrganisationId]) -> usize {
         let chosen: Vec<(usize, f64)> = self
             .mix
             .organisations
@@ -288,11 +288,11 @@
     }
 }
 
-fn percent(random: &mut impl Rng, percent: u8) -> bool {
+fn sample_percent(random: &mut impl Rng, percent: u8) -> bool {
     random.random_range(0..100) < percent
 }
 
-fn draw_between(random: &mut impl Rng, from: Timestamp, to: Timestamp) -> Timestamp {
+fn sample_between(random: &mut impl Rng, from: Timestamp, to: Timestamp) -> Timestamp {
     let span = to.saturating_sub(from);
     from + span.mul_f64(random.random_range(0.0..1.0))
 }
--- a/lovagedock-standin/src/load/sse.rs
+++ b/lovagedock-standin/src/load/sse.rs
@@ -33,7 +33,7 @@
     }
 
     /// Whether an event has begun and not ended.
-    pub fn is_inside(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 }
--- a/lovagedock-standin/src/load/violations.rs
+++ b/lovagedock-standin/src/load/violations.rs
@@ -9,8 +9,8 @@
 use serde::Serialize;
 
 use super::journal::{
-    AnswerCheck, CallEnding, CallRecord, CallerJournal, ExecutionJournal, ExecutionRecord,
-    FleetJournal, LeaveRecord, LeavingParty, RuledOut,
+    AnswerCheck, CallOutcome, CallRecord, CallerJournal, DrainRecord, DrainTarget, ExcludedTarget,
+    ExecutionJournal, ExecutionRecord, FleetJournal,
 };
 
 /// Number of times that each promise was broken; all are always reported.
@@ -83,17 +83,17 @@
     /// and the scheduling of a busy machine.
     pub outcome_grace: Duration,
     /// How long after it began to leave an endpoint may get new work.
-    pub leaving: Duration,
+    pub drain_grace: Duration,
     /// How long after its acceptance a configuration may not be in force.
-    pub configuration: Duration,
+    pub config_grace: Duration,
 }
 
 impl Default for ViolationLimits {
     fn default() -> Self {
         Self {
             outcome_grace: Duration::from_secs(1),
-            leaving: Duration::from_secs(5),
-            configuration: Duration::from_secs(6),
+            drain_grace: Duration::from_secs(5),
+            config_grace: Duration::from_secs(6),
         }
     }
 }
@@ -108,66 +108,66 @@
     let joined = JoinedJournals::new(callers, executions);
     ViolationCounts {
         no_outcome_in_time: joined.count_calls(|call| outcome_is_late(call, limits)),
-        cut_answers: joined.count_calls(is_cut),
+        cut_answers: joined.count_calls(is_truncated),
         wrong_answers: joined.count_calls(|call| call.answer == AnswerCheck::Different),
-        ran_after_not_run: joined.count_calls(|call| joined.ran_though_refused(call)),
+        ran_after_not_run: joined.count_calls(|call| joined.ran_after_rejection(call)),
         ran_twice: joined.ran_twice(),
-        differing_redelivery: joined.differing_redeliveries(),
+        differing_redelivery: joined.count_differing_redeliveries(),
         work_after_leaving: joined.work_after_leaving(fleet, limits),
         cut_by_shutdown: joined.count_calls(|call| joined.is_cut_by_shutdown(call, fleet)),
         stale_config: joined.stale_config(fleet, limits),
-        leaked_blocks: executions.holdings.iter().map(|held| held.blocks).sum(),
+        leaked_blocks: executions.leaks.iter().map(|leak| leak.blocks).sum(),
     }
 }
 
 /// One call that a promise was broken to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ViolationNote {
+pub struct ViolationDetail {
     /// Name of the counter.
     pub counter: &'static str,
     /// Request id, if the caller knows it.
     pub request: Option<RequestId>,
     /// How the call ended for its caller.
-    pub ending: CallEnding,
+    pub outcome: CallOutcome,
     /// Endpoints that started it, in the order of the journals.
     pub endpoints: Vec<EndpointId>,
 }
 
 /// Names the calls behind the counters that count calls, for whoever looks into them.
-pub fn note_violations(
+pub fn list_violations(
     callers: &CallerJournal,
     executions: &ExecutionJournal,
     fleet: &FleetJournal,
     limits: &ViolationLimits,
-) -> Vec<ViolationNote> {
+) -> Vec<ViolationDetail> {
     let joined = JoinedJournals::new(callers, executions);
-    let mut notes = Vec::new();
+    let mut details = Vec::new();
     for call in joined.calls {
         let broken = [
             ("no_outcome_in_time", outcome_is_late(call, limits)),
-            ("cut_answers", is_cut(call)),
+            ("cut_answers", is_truncated(call)),
             ("wrong_answers", call.answer == AnswerCheck::Different),
-            ("ran_after_not_run", joined.ran_though_refused(call)),
+            ("ran_after_not_run", joined.ran_after_rejection(call)),
             ("cut_by_shutdown", joined.is_cut_by_shutdown(call, fleet)),
         ];
-        let endpoints = joined.starts_of(call).iter();
+        let endpoints = joined.starts_for(call).iter();
         let endpoints: Vec<EndpointId> = endpoints.map(|start| start.endpoint.clone()).collect();
         let counters = broken.into_iter().filter(|(_, broken)| *broken);
-        notes.extend(counters.map(|(counter, _)| ViolationNote {
+        details.extend(counters.map(|(counter, _)| ViolationDetail {
             counter,
             request: call.request,
-            ending: call.ending,
+            outcome: call.outcome,
             endpoints: endpoints.clone(),
         }));
     }
-    notes
+    details
 }
 
 struct JoinedJournals<'a> {
     calls: &'a [CallRecord],
     starts: &'a [ExecutionRecord],
     by_request: HashMap<RequestId, Vec<&'a ExecutionRecord>>,
-    caller_of: HashMap<RequestId, &'a CallRecord>,
+    call_by_request: HashMap<RequestId, &'a CallRecord>,
 }
 
 impl<'a> JoinedJournals<'a> {
@@ -176,7 +176,7 @@
         for start in &executions.starts {
             by_request.entry(start.request).or_default().push(start);
         }
-        let caller_of = callers
+        let call_by_request = callers
             .calls
             .iter()
             .filter_map(|call| Some((call.request?, call)))
@@ -185,7 +185,7 @@
             calls: &callers.calls,
             starts: &executions.starts,
             by_request,
-            caller_of,
+            call_by_request,
         }
     }
 
@@ -197,20 +197,20 @@
         self.starts.iter().filter(|start| broken(start)).count() as u64
     }
 
-    fn starts_of(&self, call: &CallRecord) -> &[&'a ExecutionRecord] {
+    fn starts_for(&self, call: &CallRecord) -> &[&'a ExecutionRecord] {
         let starts = call.request.and_then(|id| self.by_request.get(&id));
         starts.map_or(&[], Vec::as_slice)
     }
 
-    fn ran_though_refused(&self, call: &CallRecord) -> bool {
+    fn ran_after_rejection(&self, call: &CallRecord) -> bool {
         let refused = matches!(
-            call.ending,
-            CallEnding::Problem {
+            call.outcome,
+            CallOutcome::Problem {
                 ran: RanState::No,
                 ..
             }
         );
-        refused && !self.starts_of(call).is_empty()
+        refused && !self.starts_for(call).is_empty()
     }
 
     /// A redelivery has another request id than the first delivery, and a call whose connection
@@ -223,14 +223,14 @@
             .filter(|call| call.non_idempotent)
             .filter_map(|call| Some((call.key.as_deref()?, call)))
             .collect();
-        let mut starts_of_work: HashMap<WorkName<'_>, u64> = HashMap::new();
+        let mut starts_of_work: HashMap<WorkKey<'_>, u64> = HashMap::new();
         for start in self.starts {
-            let call = self.caller_of.get(&start.request).copied();
+            let call = self.call_by_request.get(&start.request).copied();
             let called_key = call.and_then(|call| call.key.as_deref());
             let work = match start.key.as_deref().or(called_key) {
-                Some(key) if keyed.contains_key(key) => WorkName::Key(key),
+                Some(key) if keyed.contains_key(key) => WorkKey::Key(key),
                 _ if call.is_some_and(|call| call.non_idempotent) => {
-                    WorkName::Request(start.request)
+                    WorkKey::Request(start.request)
                 }
                 _ => continue,
             };
@@ -239,7 +239,7 @@
         starts_of_work.values().map(|starts| starts - 1).sum()
     }
 
-    fn differing_redeliveries(&self) -> u64 {
+    fn count_differing_redeliveries(&self) -> u64 {
         let mut first: HashMap<(&str, &str, &str), [u8; 32]> = HashMap::new();
         let mut differing = 0;
         for call in self.calls {
@@ -256,33 +256,33 @@
 
     fn work_after_leaving(&self, fleet: &FleetJournal, limits: &ViolationLimits) -> u64 {
         self.count_starts(|start| {
-            fleet.leaves.iter().any(|leave| {
-                let party = LeavingParty::Endpoint(start.endpoint.clone());
-                let until = leave.gone_at.unwrap_or(Timestamp::MAX);
-                leave.party == party
-                    && start.started_at > leave.began_at + limits.leaving
+            fleet.drains.iter().any(|drain| {
+                let target = DrainTarget::Endpoint(start.endpoint.clone());
+                let until = drain.ended_at.unwrap_or(Timestamp::MAX);
+                drain.target == target
+                    && start.started_at > drain.started_at + limits.drain_grace
                     && start.started_at <= until
             })
         })
     }
 
     fn is_cut_by_shutdown(&self, call: &CallRecord, fleet: &FleetJournal) -> bool {
-        let mut leaves = fleet.leaves.iter();
-        is_cut_off(call) && leaves.any(|leave| self.was_in_flight(call, leave))
+        let mut drains = fleet.drains.iter();
+        is_aborted(call) && drains.any(|drain| self.was_in_flight(call, drain))
     }
 
     /// Whether the call was at the leaving party when the departure began.
-    fn was_in_flight(&self, call: &CallRecord, leave: &LeaveRecord) -> bool {
-        match &leave.party {
-            LeavingParty::Gateway(name) => {
+    fn was_in_flight(&self, call: &CallRecord, drain: &DrainRecord) -> bool {
+        match &drain.target {
+            DrainTarget::Gateway(name) => {
                 *name == call.gateway
-                    && call.sent_at <= leave.began_at
-                    && call.ended_at > leave.began_at
+                    && call.sent_at <= drain.started_at
+                    && call.ended_at > drain.started_at
             }
-            LeavingParty::Endpoint(endpoint) => self.starts_of(call).iter().any(|start| {
+            DrainTarget::Endpoint(endpoint) => self.starts_for(call).iter().any(|start| {
                 start.endpoint == *endpoint
-                    && start.started_at <= leave.began_at
-                    && start.ended_at.is_none_or(|ended| ended > leave.began_at)
+                    && start.started_at <= drain.started_at
+                    && start.ended_at.is_none_or(|ended| ended > drain.started_at)
             }),
         }
     }
@@ -290,19 +290,19 @@
     fn stale_config(&self, fleet: &FleetJournal, limits: &ViolationLimits) -> u64 {
         self.count_starts(|start| {
             fleet.changes.iter().any(|change| {
-                let from = change.accepted_at + limits.configuration;
-                let until = change.lifted_at.unwrap_or(Timestamp::MAX);
+                let from = change.accepted_at + limits.config_grace;
+                let until = change.reverted_at.unwrap_or(Timestamp::MAX);
                 let in_force = start.started_at > from && start.started_at < until;
-                in_force && self.is_ruled_out(start, &change.ruled_out)
+                in_force && self.is_excluded(start, &change.excluded)
             })
         })
     }
 
-    fn is_ruled_out(&self, start: &ExecutionRecord, ruled_out: &RuledOut) -> bool {
-        match ruled_out {
-            RuledOut::Endpoint(endpoint) => start.endpoint == *endpoint,
-            RuledOut::Organisation(organisation) => self
-                .caller_of
+    fn is_excluded(&self, start: &ExecutionRecord, excluded: &ExcludedTarget) -> bool {
+        match excluded {
+            ExcludedTarget::Endpoint(endpoint) => start.endpoint == *endpoint,
+            ExcludedTarget::Organisation(organisation) => self
+                .call_by_request
                 .get(&start.request)
                 .is_some_and(|call| call.organisation == *organisation),
         }
@@ -310,30 +310,30 @@
 }
 
 #[derive(PartialEq, Eq, Hash)]
-enum WorkName<'a> {
+enum WorkKey<'a> {
     Key(&'a str),
     Request(RequestId),
 }
 
 fn outcome_is_late(call: &CallRecord, limits: &ViolationLimits) -> bool {
-    match call.ending {
-        CallEnding::Nothing => true,
-        CallEnding::Unsent => false,
+    match call.outcome {
+        CallOutcome::NoOutcome => true,
+        CallOutcome::Unsent => false,
         _ => call.ended_at > call.sent_at + call.deadline + limits.outcome_grace,
     }
 }
 
-fn is_cut(call: &CallRecord) -> bool {
-    call.ending == CallEnding::Complete && call.answer == AnswerCheck::Beginning
+fn is_truncated(call: &CallRecord) -> bool {
+    call.outcome == CallOutcome::Complete && call.answer == AnswerCheck::Prefix
 }
 
 /// Whether work that had begun was lost: neither delivered, nor refused as not run, nor out of its
 /// own time.
-fn is_cut_off(call: &CallRecord) -> bool {
-    let out_of_time = call.ended_at >= call.sent_at + call.deadline;
-    match call.ending {
-        CallEnding::Complete | CallEnding::Unsent => false,
-        CallEnding::Broken | CallEnding::Nothing => true,
-        CallEnding::Problem { ran, .. } => ran != RanState::No && !out_of_time,
+fn is_aborted(call: &CallRecord) -> bool {
+    let deadline_passed = call.ended_at >= call.sent_at + call.deadline;
+    match call.outcome {
+        CallOutcome::Complete | CallOutcome::Unsent => false,
+        CallOutcome::Broken | CallOutcome::NoOutcome => true,
+        CallOutcome::Problem { ran, .. } => ran != RanState::No && !deadline_passed,
     }
 }
--- a/lovagedock-standin/src/platform/faults.rs
+++ b/lovagedock-standin/src/platform/faults.rs
@@ -24,7 +24,7 @@
 /// Body of `POST /v1/faults`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct FaultOrder {
+pub struct FaultCommand {
     /// What goes wrong.
     pub fault: FaultKind,
     /// For how long; absent means until the next order.
@@ -38,7 +38,7 @@
     pub delay_ms: u64,
 }
 
-impl FaultOrder {
+impl FaultCommand {
     /// An order that hits every call until the next order.
     pub fn new(fault: FaultKind) -> Self {
         Self {
@@ -53,53 +53,53 @@
 /// The order in force.
 #[derive(Debug)]
 pub(crate) struct FaultState {
-    order: FaultOrder,
-    until: Option<Timestamp>,
-    carried: f64,
+    command: FaultCommand,
+    expires_at: Option<Timestamp>,
+    accumulated_share: f64,
 }
 
 /// What happens to one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum CallFate {
-    Served,
-    Cut,
-    Delayed(Duration),
-    AnswerLost,
+pub(crate) enum FaultEffect {
+    NoFault,
+    Disconnect,
+    Delay(Duration),
+    ResponseLost,
 }
 
 impl FaultState {
     pub(crate) fn new() -> Self {
         Self {
-            order: FaultOrder::new(FaultKind::None),
-            until: None,
-            carried: 0.0,
+            command: FaultCommand::new(FaultKind::None),
+            expires_at: None,
+            accumulated_share: 0.0,
         }
     }
 
-    pub(crate) fn set(&mut self, order: FaultOrder, now: Timestamp) {
-        self.until = order.for_ms.map(|ms| now + Duration::from_millis(ms));
-        self.order = order;
-        self.carried = 0.0;
+    pub(crate) fn set(&mut self, command: FaultCommand, now: Timestamp) {
+        self.expires_at = command.for_ms.map(|ms| now + Duration::from_millis(ms));
+        self.command = command;
+        self.accumulated_share = 0.0;
     }
 
     /// Decides the fate of a call. Shares are dealt out evenly and not by chance, so that a test
     /// sees the same calls hit in every run.
-    pub(crate) fn fate(&mut self, is_write: bool, now: Timestamp) -> CallFate {
-        let over = self.until.is_some_and(|until| now >= until);
-        let fate = match self.order.fault {
-            _ if over => return CallFate::Served,
-            FaultKind::None => return CallFate::Served,
-            FaultKind::LoseConfirmations if !is_write => return CallFate::Served,
-            FaultKind::LoseConfirmations => CallFate::AnswerLost,
-            FaultKind::Down => CallFate::Cut,
-            FaultKind::Slow => CallFate::Delayed(Duration::from_millis(self.order.delay_ms)),
+    pub(crate) fn effect(&mut self, is_write: bool, now: Timestamp) -> FaultEffect {
+        let over = self.expires_at.is_some_and(|expires_at| now >= expires_at);
+        let effect = match self.command.fault {
+            _ if over => return FaultEffect::NoFault,
+            FaultKind::None => return FaultEffect::NoFault,
+            FaultKind::LoseConfirmations if !is_write => return FaultEffect::NoFault,
+            FaultKind::LoseConfirmations => FaultEffect::ResponseLost,
+            FaultKind::Down => FaultEffect::Disconnect,
+            FaultKind::Slow => FaultEffect::Delay(Duration::from_millis(self.command.delay_ms)),
         };
-        self.carried += self.order.share;
-        if self.carried < 1.0 {
-            return CallFate::Served;
+        self.accumulated_share += self.command.share;
+        if self.accumulated_share < 1.0 {
+            return FaultEffect::NoFault;
         }
-        self.carried -= 1.0;
-        fate
+        self.accumulated_share -= 1.0;
+        effect
     }
 }
 
--- a/lovagedock-standin/src/platform/hosts.rs
+++ b/lovagedock-standin/src/platform/hosts.rs
@@ -7,7 +7,7 @@
 
 /// What became of hosts, and when.
 #[derive(Debug)]
-pub(crate) struct HostJournal {
+pub(crate) struct HostHistory {
     lag: Duration,
     initial: Vec<String>,
     changes: Vec<HostChange>,
@@ -20,7 +20,7 @@
     state: Option<HostState>,
 }
 
-impl HostJournal {
+impl HostHistory {
     pub(crate) fn new(initial: Vec<String>, lag: Duration) -> Self {
         Self {
             lag,
--- a/lovagedock-standin/src/platform/mod.rs
+++ b/lovagedock-standin/src/platform/mod.rs
@@ -15,10 +15,10 @@
 use lovagedock_platform::ObjectTable;
 use tokio::{net::TcpListener, task::JoinHandle, task::JoinSet};
 
-pub use faults::{FaultKind, FaultOrder};
+pub use faults::{FaultCommand, FaultKind};
 pub use state::PlatformCounters;
 
-use routes::answer;
+use routes::handle_call;
 use state::SharedPlatform;
 
 /// The stand-in of the platform.
@@ -58,7 +58,7 @@
 }
 
 /// A stand-in that runs until it is dropped or stopped.
-pub struct RunningStandin {
+pub struct RunningPlatform {
     /// Where it listens.
     pub address: SocketAddr,
     /// Its task.
@@ -68,12 +68,12 @@
 
 impl PlatformStandin {
     /// Starts the stand-in on the current runtime.
-    pub async fn start(options: PlatformOptions) -> io::Result<RunningStandin> {
+    pub async fn start(options: PlatformOptions) -> io::Result<RunningPlatform> {
         let listener = TcpListener::bind(options.listen).await?;
         let address = listener.local_addr()?;
         let platform = Arc::new(SharedPlatform::new(options));
         let handle = tokio::spawn(accept(listener, Arc::clone(&platform)));
-        Ok(RunningStandin {
+        Ok(RunningPlatform {
             address,
             handle,
             platform,
@@ -81,7 +81,7 @@
     }
 }
 
-impl RunningStandin {
+impl RunningPlatform {
     /// Base of its URLs, without a `/` at the end.
     pub fn url(&self) -> String {
         format!("http://{}", self.address)
@@ -93,12 +93,12 @@
     }
 
     /// Gives the same order as `POST /v1/faults`.
-    pub fn set_fault(&self, order: FaultOrder) {
-        self.platform.set_fault(order);
+    pub fn set_fault(&self, command: FaultCommand) {
+        self.platform.set_fault(command);
     }
 
     /// What its store holds now.
-    pub fn copy_store(&self) -> ObjectTable {
+    pub fn snapshot_store(&self) -> ObjectTable {
         self.platform.copy()
     }
 
@@ -118,7 +118,7 @@
     }
 }
 
-impl Drop for RunningStandin {
+impl Drop for RunningPlatform {
     fn drop(&mut self) {
         self.stop();
     }
@@ -134,7 +134,7 @@
         let _best_effort = stream.set_nodelay(true);
         let platform = Arc::clone(&platform);
         connections.spawn(async move {
-            let service = service_fn(move |request| answer(Arc::clone(&platform), request));
+            let service = service_fn(move |request| handle_call(Arc::clone(&platform), request));
             // An error ends the connection without an answer, which is how answers get lost.
             let _ended = hyper::server::conn::http1::Builder::new()
                 .timer(TokioTimer::new())
--- a/lovagedock-standin/src/platform/routes.rs
+++ b/lovagedock-standin/src/platform/routes.rs
@@ -12,49 +12,49 @@
 use serde::Serialize;
 
 use super::{
-    faults::{CallFate, FaultOrder},
+    faults::{FaultCommand, FaultEffect},
     state::{CallClass, SharedPlatform},
 };
 
 const OBJECTS: &str = "/v1/objects/";
 const WEIGHTS: &str = "/v1/weights/";
 const HOSTS: &str = "/v1/hosts/";
-const MAX_WATCH: Duration = Duration::from_secs(60);
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(60);
 
 type HttpResponse = Response<Full<Bytes>>;
 
 /// Answers one call; an error cuts the connection.
-pub(crate) async fn answer(
+pub(crate) async fn handle_call(
     platform: Arc<SharedPlatform>,
     request: Request<Incoming>,
 ) -> io::Result<HttpResponse> {
     let Some(class) = classify(&request) else {
-        return Ok(control(&platform, request).await);
+        return Ok(handle_control(&platform, request).await);
     };
     // Read whole also when it will be refused: an answer before the end of the body makes the
     // caller see a reset connection in place of the refusal.
     let call = match read_call(request).await {
         Ok(call) => call,
-        Err(error) => return Ok(refuse(&error)),
+        Err(error) => return Ok(error_response(&error)),
     };
-    let fate = match platform.admit(class) {
-        Ok(fate) => fate,
-        Err(error) => return Ok(refuse(&error)),
+    let effect = match platform.admit(class) {
+        Ok(effect) => effect,
+        Err(error) => return Ok(error_response(&error)),
     };
-    if fate == CallFate::Cut {
-        return Err(cut());
+    if effect == FaultEffect::Disconnect {
+        return Err(disconnect_error());
     }
     let result = match class {
-        CallClass::Write => write_detached(platform, call, fate).await?,
+        CallClass::Write => write_detached(platform, call, effect).await?,
         _ => {
-            let _delayed = platform.delay(fate).await;
-            read(&platform, class, call).await
+            let _delayed = platform.delay(effect).await;
+            handle_read(&platform, class, call).await
         }
     };
-    if fate == CallFate::AnswerLost {
-        return Err(cut());
+    if effect == FaultEffect::ResponseLost {
+        return Err(disconnect_error());
     }
-    Ok(result.unwrap_or_else(|error| refuse(&error)))
+    Ok(result.unwrap_or_else(|error| error_response(&error)))
 }
 
 /// Carries a write out in a task of its own: a caller that gives up does not undo it, which is
@@ -62,11 +62,11 @@
 async fn write_detached(
     platform: Arc<SharedPlatform>,
     call: ReceivedCall,
-    fate: CallFate,
+    effect: FaultEffect,
 ) -> io::Result<Result<HttpResponse, StoreError>> {
     let task = tokio::spawn(async move {
-        let _delayed = platform.delay(fate).await;
-        write(&platform, &call)
+        let _delayed = platform.delay(effect).await;
+        handle_write(&platform, &call)
     });
     task.await.map_err(io::Error::other)
 }
@@ -113,7 +113,7 @@
     Ok(body.map_err(|_| StoreError::TooLarge)?.to_bytes())
 }
 
-async fn read(
+async fn handle_read(
     platform: &SharedPlatform,
     class: CallClass,
     call: ReceivedCall,
@@ -123,16 +123,16 @@
         CallClass::Write => Err(StoreError::Malformed),
         CallClass::List => {
             let prefix = query_prefix(&call)?;
-            Ok(json(&platform.list(prefix)))
+            Ok(json_response(&platform.list(prefix)))
         }
         CallClass::Watch => {
             let prefix = query_prefix(&call)?;
             let after = query_number(&call, "after")?;
-            let wait = Duration::from_millis(query_number(&call, "wait_ms")?).min(MAX_WATCH);
+            let wait = Duration::from_millis(query_number(&call, "wait_ms")?).min(MAX_WATCH_WAIT);
             let batch = platform.watch(prefix, after, wait).await?;
-            Ok(json(&batch))
+            Ok(json_response(&batch))
         }
-        CallClass::Hosts => Ok(json(&platform.hosts())),
+        CallClass::Hosts => Ok(json_response(&platform.hosts())),
         CallClass::Weights => Ok(Response::new(Full::new(platform.weights()))),
     }
 }
@@ -140,56 +140,59 @@
 fn get(platform: &SharedPlatform, key: &str) -> HttpResponse {
     match platform.get(key) {
         Some(object) => with_version(Response::new(Full::new(object.value)), object.version),
-        None => plain(StatusCode::NOT_FOUND),
+        None => empty_response(StatusCode::NOT_FOUND),
     }
 }
 
-fn write(platform: &SharedPlatform, call: &ReceivedCall) -> Result<HttpResponse, StoreError> {
+fn handle_write(
+    platform: &SharedPlatform,
+    call: &ReceivedCall,
+) -> Result<HttpResponse, StoreError> {
     let key = object_key(call)?;
     if call.method == Method::DELETE {
         platform.delete(key, call.condition)?;
-        return Ok(plain(StatusCode::NO_CONTENT));
+        return Ok(empty_response(StatusCode::NO_CONTENT));
     }
     let version = platform.put(key, call.body.clone(), call.condition)?;
-    Ok(with_version(plain(StatusCode::OK), version))
+    Ok(with_version(empty_response(StatusCode::OK), version))
 }
 
 /// Orders to the stand-in itself, which no fault hits.
-async fn control(platform: &SharedPlatform, request: Request<Incoming>) -> HttpResponse {
+async fn handle_control(platform: &SharedPlatform, request: Request<Incoming>) -> HttpResponse {
     let path = request.uri().path().to_owned();
     if request.method() == Method::GET && path == "/v1/counters" {
-        return json(&platform.counters());
+        return json_response(&platform.counters());
     }
     if request.method() != Method::POST {
-        return plain(StatusCode::NOT_FOUND);
+        return empty_response(StatusCode::NOT_FOUND);
     }
     if path == "/v1/faults" {
-        return order_fault(platform, request).await;
+        return set_fault(platform, request).await;
     }
     let Some((host, verb)) = path
         .strip_prefix(HOSTS)
         .and_then(|rest| rest.split_once('/'))
     else {
-        return plain(StatusCode::NOT_FOUND);
+        return empty_response(StatusCode::NOT_FOUND);
     };
     let state = match verb {
         "live" => Some(HostState::Live),
         "leaving" => Some(HostState::Leaving),
         "gone" => None,
-        _ => return plain(StatusCode::NOT_FOUND),
+        _ => return empty_response(StatusCode::NOT_FOUND),
     };
     platform.set_host(host, state);
-    plain(StatusCode::NO_CONTENT)
+    empty_response(StatusCode::NO_CONTENT)
 }
 
-async fn order_fault(platform: &SharedPlatform, request: Request<Incoming>) -> HttpResponse {
+async fn set_fault(platform: &SharedPlatform, request: Request<Incoming>) -> HttpResponse {
     let Ok(body) = read_body(request.into_body()).await else {
-        return plain(StatusCode::PAYLOAD_TOO_LARGE);
+        return empty_response(StatusCode::PAYLOAD_TOO_LARGE);
     };
-    match serde_json::from_slice::<FaultOrder>(&body) {
-        Ok(order) => {
-            platform.set_fault(order);
-            plain(StatusCode::NO_CONTENT)
+    match serde_json::from_slice::<FaultCommand>(&body) {
+        Ok(command) => {
+            platform.set_fault(command);
+            empty_response(StatusCode::NO_CONTENT)
         }
         Err(error) => {
             let mut response = Response::new(Full::new(error.to_string().into()));
@@ -244,25 +247,25 @@
     }
 }
 
-fn refuse(error: &StoreError) -> HttpResponse {
+fn error_response(error: &StoreError) -> HttpResponse {
     match error {
         StoreError::Conflict { current } => {
-            let response = plain(StatusCode::PRECONDITION_FAILED);
+            let response = empty_response(StatusCode::PRECONDITION_FAILED);
             match current {
                 Some(version) => with_version(response, *version),
                 None => response,
             }
         }
-        StoreError::RateLimited => plain(StatusCode::TOO_MANY_REQUESTS),
-        StoreError::TooLarge => plain(StatusCode::PAYLOAD_TOO_LARGE),
-        StoreError::Malformed => plain(StatusCode::BAD_REQUEST),
+        StoreError::RateLimited => empty_response(StatusCode::TOO_MANY_REQUESTS),
+        StoreError::TooLarge => empty_response(StatusCode::PAYLOAD_TOO_LARGE),
+        StoreError::Malformed => empty_response(StatusCode::BAD_REQUEST),
         StoreError::Unavailable | StoreError::OutcomeUnknown => {
-            plain(StatusCode::SERVICE_UNAVAILABLE)
+            empty_response(StatusCode::SERVICE_UNAVAILABLE)
         }
     }
 }
 
-fn plain(status: StatusCode) -> HttpResponse {
+fn empty_response(status: StatusCode) -> HttpResponse {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
     response
@@ -275,13 +278,13 @@
     response
 }
 
-fn json<T: Serialize>(body: &T) -> HttpResponse {
+fn json_response<T: Serialize>(body: &T) -> HttpResponse {
     match serde_json::to_vec(body) {
         Ok(bytes) => Response::new(Full::new(bytes.into())),
-        Err(_) => plain(StatusCode::INTERNAL_SERVER_ERROR),
+        Err(_) => empty_response(StatusCode::INTERNAL_SERVER_ERROR),
     }
 }
 
-fn cut() -> io::Error {
+fn disconnect_error() -> io::Error {
     io::Error::other("cut by a fault")
 }
--- a/lovagedock-standin/src/platform/state.rs
+++ b/lovagedock-standin/src/platform/state.rs
@@ -17,12 +17,12 @@
 
 use super::{
     PlatformOptions,
-    faults::{CallFate, FaultOrder, FaultState},
-    hosts::HostJournal,
+    faults::{FaultCommand, FaultEffect, FaultState},
+    hosts::HostHistory,
 };
 
 /// A waiting watch takes one read of the rate each time this much of its wait has begun.
-const WATCH_SLICE: Duration = Duration::from_secs(1);
+const WATCH_CHARGE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Calls that reached the stand-in; what `GET /v1/counters` answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -69,7 +69,7 @@
     started: Instant,
     inner: Mutex<PlatformState>,
     changed: watch::Sender<Revision>,
-    released: Notify,
+    release_signal: Notify,
     weight_bytes: usize,
 }
 
@@ -79,7 +79,7 @@
     writes: TokenBucket,
     loads: TokenBucket,
     faults: FaultState,
-    hosts: HostJournal,
+    hosts: HostHistory,
     counters: PlatformCounters,
 }
 
@@ -92,35 +92,35 @@
             writes: bucket(options.writes_per_second),
             loads: bucket(options.weight_loads_per_second),
             faults: FaultState::new(),
-            hosts: HostJournal::new(options.hosts, options.host_lag),
+            hosts: HostHistory::new(options.hosts, options.host_lag),
             counters: PlatformCounters::default(),
         };
         Self {
             started: Instant::now(),
             inner: Mutex::new(state),
             changed: watch::Sender::new(0),
-            released: Notify::new(),
+            release_signal: Notify::new(),
             weight_bytes: options.weight_bytes,
         }
     }
 
     /// Counts a call, then takes its share of the rate and decides its fate.
-    pub(crate) fn admit(&self, class: CallClass) -> Result<CallFate, StoreError> {
+    pub(crate) fn admit(&self, class: CallClass) -> Result<FaultEffect, StoreError> {
         let now = self.now();
         let mut state = self.inner.lock();
         state.count(class);
-        let fate = state.faults.fate(class == CallClass::Write, now);
-        if fate != CallFate::Served {
+        let effect = state.faults.effect(class == CallClass::Write, now);
+        if effect != FaultEffect::NoFault {
             state.counters.faulted += 1;
         }
-        if fate == CallFate::Cut {
-            return Ok(fate);
+        if effect == FaultEffect::Disconnect {
+            return Ok(effect);
         }
         if !state.bucket(class).try_take(now) {
             state.counters.rate_limited += 1;
             return Err(StoreError::RateLimited);
         }
-        Ok(fate)
+        Ok(effect)
     }
 
     pub(crate) fn get(&self, key: &str) -> Option<StoredObject> {
@@ -174,20 +174,20 @@
         wait: Duration,
     ) -> Result<ChangeBatch, StoreError> {
         let mut changed = self.changed.subscribe();
-        let _waiting = GaugedCall::new(self, |counters| &mut counters.waiting_watches);
+        let _waiting = GaugeGuard::new(self, |counters| &mut counters.waiting_watches);
         let deadline = Instant::now() + wait;
-        let mut charged_until = Instant::now() + WATCH_SLICE;
+        let mut next_charge_at = Instant::now() + WATCH_CHARGE_INTERVAL;
         loop {
             let batch = self.inner.lock().table.changes(prefix, after);
             let is_known = batch.revision >= after;
             if !batch.keys.is_empty() || !is_known || Instant::now() >= deadline {
                 return Ok(batch);
             }
-            let wake = deadline.min(charged_until);
+            let wake = deadline.min(next_charge_at);
             let _change_or_time = timeout_at(wake, changed.changed()).await;
-            if Instant::now() >= charged_until {
-                charged_until += WATCH_SLICE;
-                self.charge_waiting()?;
+            if Instant::now() >= next_charge_at {
+                next_charge_at += WATCH_CHARGE_INTERVAL;
+                self.charge_watch()?;
             }
         }
     }
@@ -210,27 +210,27 @@
         self.inner.lock().counters
     }
 
-    pub(crate) fn set_fault(&self, order: FaultOrder) {
+    pub(crate) fn set_fault(&self, command: FaultCommand) {
         let now = self.now();
-        self.inner.lock().faults.set(order, now);
+        self.inner.lock().faults.set(command, now);
     }
 
     /// Holds a slow call back until its delay has passed or it is released.
-    pub(crate) async fn delay(&self, fate: CallFate) -> Option<GaugedCall<'_>> {
-        let CallFate::Delayed(delay) = fate else {
+    pub(crate) async fn delay(&self, effect: FaultEffect) -> Option<GaugeGuard<'_>> {
+        let FaultEffect::Delay(delay) = effect else {
             return None;
         };
-        let gauged = GaugedCall::new(self, |counters| &mut counters.delayed_calls);
-        let _released_or_over = timeout(delay, self.released.notified()).await;
+        let gauged = GaugeGuard::new(self, |counters| &mut counters.delayed_calls);
+        let _released_or_over = timeout(delay, self.release_signal.notified()).await;
         Some(gauged)
     }
 
     /// Lets the calls go on that are held back now.
     pub(crate) fn release_delayed(&self) {
-        self.released.notify_waiters();
+        self.release_signal.notify_waiters();
     }
 
-    fn charge_waiting(&self) -> Result<(), StoreError> {
+    fn charge_watch(&self) -> Result<(), StoreError> {
         let now = self.now();
         let mut state = self.inner.lock();
         if state.reads.try_take(now) {
@@ -273,19 +273,19 @@
 type CallGauge = fn(&mut PlatformCounters) -> &mut u64;
 
 /// Counts a call while it is under way, also when its caller goes away.
-pub(crate) struct GaugedCall<'a> {
+pub(crate) struct GaugeGuard<'a> {
     platform: &'a SharedPlatform,
     gauge: CallGauge,
 }
 
-impl<'a> GaugedCall<'a> {
+impl<'a> GaugeGuard<'a> {
     fn new(platform: &'a SharedPlatform, gauge: CallGauge) -> Self {
         *gauge(&mut platform.inner.lock().counters) += 1;
         Self { platform, gauge }
     }
 }
 
-impl Drop for GaugedCall<'_> {
+impl Drop for GaugeGuard<'_> {
     fn drop(&mut self) {
         *(self.gauge)(&mut self.platform.inner.lock().counters) -= 1;
     }
--- a/lovagedock-standin/src/service/routes.rs
+++ b/lovagedock-standin/src/service/routes.rs
@@ -21,11 +21,11 @@
 
 use super::running::{ServiceEntry, ServiceRun, ServiceState};
 
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 const REQUEST_ID_HEADER: &str = "x-request-id";
 const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
-type ServiceAnswer = Response<Full<Bytes>>;
+type ServiceResponse = Response<Full<Bytes>>;
 
 #[derive(Debug, Serialize)]
 struct LoadReport {
@@ -42,10 +42,10 @@
                         tokio::spawn(serve_connection(state.clone(), stream));
                     }
                     // Out of descriptors: trying again at once would only spin.
-                    Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+                    Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
                 }
             }
-            () = state.died() => return,
+            () = state.crashed() => return,
         }
     }
 }
@@ -60,26 +60,26 @@
     let connection =
         hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service);
     tokio::select! {
-        () = state.died() => {}
+        () = state.crashed() => {}
         _ = connection => {}
     }
 }
 
-async fn route(state: &ServiceState, request: Request<Incoming>) -> ServiceAnswer {
+async fn route(state: &ServiceState, request: Request<Incoming>) -> ServiceResponse {
     match (request.method(), request.uri().path()) {
-        (&Method::GET, "/load") => json_answer(&LoadReport {
+        (&Method::GET, "/load") => json_response(&LoadReport {
             running: state.running(),
             waiting: 0,
         }),
-        (&Method::GET, "/journal") => json_answer(&state.journal.runs()),
+        (&Method::GET, "/journal") => json_response(&state.journal.runs()),
         _ => run(state, request).await,
     }
 }
 
-async fn run(state: &ServiceState, request: Request<Incoming>) -> ServiceAnswer {
+async fn run(state: &ServiceState, request: Request<Incoming>) -> ServiceResponse {
     let (parts, body) = request.into_parts();
     let Ok(body) = body.collect().await else {
-        return answer(StatusCode::BAD_REQUEST, Bytes::new());
+        return response_with_body(StatusCode::BAD_REQUEST, Bytes::new());
     };
     let header = |name: &str| {
         let value = parts.headers.get(name)?;
@@ -91,7 +91,7 @@
         path: parts.uri.to_string(),
         body_digest: format!("{:016x}", xxh3_64(&body.to_bytes())),
     };
-    let place = state.journal.begin(ServiceEntry {
+    let index = state.journal.record_start(ServiceEntry {
         run: run.clone(),
         key: header(IDEMPOTENCY_KEY_HEADER),
         started_at: state.started.elapsed(),
@@ -100,16 +100,16 @@
     state.running.fetch_add(1, Ordering::Relaxed);
     tokio::time::sleep(state.options.service_time).await;
     state.running.fetch_sub(1, Ordering::Relaxed);
-    state.journal.end(place, state.started.elapsed());
-    json_answer(&run)
+    state.journal.record_end(index, state.started.elapsed());
+    json_response(&run)
 }
 
-fn json_answer<T: Serialize>(value: &T) -> ServiceAnswer {
+fn json_response<T: Serialize>(value: &T) -> ServiceResponse {
     let text = serde_json::to_vec(value).unwrap_or_default();
-    answer(StatusCode::OK, Bytes::from(text))
+    response_with_body(StatusCode::OK, Bytes::from(text))
 }
 
-fn answer(status: StatusCode, body: Bytes) -> ServiceAnswer {
+fn response_with_body(status: StatusCode, body: Bytes) -> ServiceResponse {
     let mut response = Response::new(Full::new(body));
     *response.status_mut() = status;
     response
--- a/lovagedock-standin/src/service/running.rs
+++ b/lovagedock-standin/src/service/running.rs
@@ -68,14 +68,14 @@
     }
 
     /// Records a call that begins and returns its place in the journal.
-    pub(crate) fn begin(&self, entry: ServiceEntry) -> usize {
+    pub(crate) fn record_start(&self, entry: ServiceEntry) -> usize {
         let mut entries = self.entries.lock();
         entries.push(entry);
         entries.len() - 1
     }
 
-    pub(crate) fn end(&self, place: usize, at: Duration) {
-        self.entries.lock()[place].ended_at = Some(at);
+    pub(crate) fn record_end(&self, index: usize, at: Duration) {
+        self.entries.lock()[index].ended_at = Some(at);
     }
 }
 
@@ -101,7 +101,7 @@
             started: Instant::now(),
             running: AtomicUsize::new(0),
             journal: ServiceJournal::default(),
-            is_dead: watch::Sender::new(false),
+            is_killed: watch::Sender::new(false),
         });
         tokio::spawn(routes::serve(state.clone(), listener));
         Ok(RunningService {
@@ -130,7 +130,7 @@
 
     /// Breaks all connections and refuses new ones, as a process that died.
     pub fn kill(&self) {
-        self.state.is_dead.send_replace(true);
+        self.state.is_killed.send_replace(true);
     }
 }
 
@@ -140,13 +140,13 @@
     pub(crate) started: Instant,
     pub(crate) running: AtomicUsize,
     pub(crate) journal: ServiceJournal,
-    is_dead: watch::Sender<bool>,
+    is_killed: watch::Sender<bool>,
 }
 
 impl ServiceState {
-    pub(crate) async fn died(&self) {
-        let mut is_dead = self.is_dead.subscribe();
-        let _ = is_dead.wait_for(|is_dead| *is_dead).await;
+    pub(crate) async fn crashed(&self) {
+        let mut is_killed = self.is_killed.subscribe();
+        let _ = is_killed.wait_for(|is_killed| *is_killed).await;
     }
 
     pub(crate) fn running(&self) -> usize {
--- a/lovagedock-standin/tests/adapter_faults.rs
+++ b/lovagedock-standin/tests/adapter_faults.rs
@@ -45,7 +45,7 @@
     let cases = [
         Case {
             name: "dies",
-            fault: EngineFault::Die,
+            fault: EngineFault::Crash,
             before: Verdict::Unreachable,
             after: Verdict::Lost,
         },
@@ -57,7 +57,7 @@
         },
         Case {
             name: "crosses answers",
-            fault: EngineFault::Crossed,
+            fault: EngineFault::SwapsResponses,
             before: Verdict::Failed,
             after: Verdict::Failed,
         },
@@ -89,7 +89,7 @@
 async fn a_whole_answer_fails_truthfully() {
     for vendor in &VENDORS {
         let crossed = bench(vendor).await;
-        crossed.engine.handle.set_fault(EngineFault::Crossed);
+        crossed.engine.handle.set_fault(EngineFault::SwapsResponses);
         let error = answer(&*crossed.adapter, request(PROMPT, 3, false)).await;
         assert_eq!(verdict(&error.unwrap_err()), Verdict::Failed);
 
@@ -100,7 +100,7 @@
 
         let broken = bench(vendor).await;
         let call = spawn_whole(&broken).await;
-        broken.engine.handle.set_fault(EngineFault::Die);
+        broken.engine.handle.set_fault(EngineFault::Crash);
         assert_eq!(verdict(&call.await.unwrap().unwrap_err()), Verdict::Lost);
     }
 }
@@ -110,7 +110,7 @@
     let adapter = bench.adapter.clone();
     let endless = request(PROMPT, 300_000, false);
     let call = tokio::spawn(async move { answer(&*adapter, endless).await });
-    until(async || bench.engine.handle.held_blocks() > 0).await;
+    until(async || bench.engine.handle.allocated_blocks() > 0).await;
     call
 }
 
@@ -122,7 +122,7 @@
         let bench = bench(vendor).await;
         let mut stream = bench.adapter.start(endless_request()).await.unwrap();
         first_bytes(&mut stream).await;
-        bench.engine.handle.set_fault(EngineFault::Die);
+        bench.engine.handle.set_fault(EngineFault::Crash);
         read_answer(stream).await.unwrap_err();
         until(async || {
             matches!(
@@ -281,7 +281,7 @@
         assert_eq!(answer.end.prompt_tokens, 2 * PART_TOKENS);
 
         span.holder.adapter.cancel(ID).await.unwrap();
-        assert_eq!(span.holder.engine.handle.held_blocks(), 0);
+        assert_eq!(span.holder.engine.handle.allocated_blocks(), 0);
     }
 }
 
@@ -328,7 +328,7 @@
         for bench in [&span.holder, &span.decoder] {
             assert_eq!(bench.engine.journal.count(&id, JournalEvent::Prefilled), 3);
             bench.adapter.cancel(ID).await.unwrap();
-            assert_eq!(bench.engine.handle.held_blocks(), 0);
+            assert_eq!(bench.engine.handle.allocated_blocks(), 0);
         }
         let decoder = &span.decoder.engine.journal;
         assert_eq!(decoder.count(&id, JournalEvent::Started), 1);
@@ -347,12 +347,12 @@
             let mut stream = span.decoder.adapter.start(request).await.unwrap();
             first_bytes(&mut stream).await;
             match dies {
-                true => span.holder.engine.handle.set_fault(EngineFault::Die),
+                true => span.holder.engine.handle.set_fault(EngineFault::Crash),
                 false => span.holder.adapter.cancel(ID).await.unwrap(),
             }
             let error = read_answer(stream).await.unwrap_err();
             assert_eq!(verdict(&error), Verdict::Failed);
-            assert_eq!(span.decoder.engine.handle.held_blocks(), 0);
+            assert_eq!(span.decoder.engine.handle.allocated_blocks(), 0);
         }
     }
 }
--- a/lovagedock-standin/tests/callers_contract.rs
+++ b/lovagedock-standin/tests/callers_contract.rs
@@ -274,10 +274,10 @@
 async fn a_caller_that_leaves_frees_the_engine() {
     let fleet = start(1.0).await;
     let response = long_stream(callers(&fleet)).await;
-    assert!(engine(&fleet).handle.held_blocks() > 0);
+    assert!(engine(&fleet).handle.allocated_blocks() > 0);
     drop(response);
     let freed = async {
-        while engine(&fleet).handle.held_blocks() > 0 {
+        while engine(&fleet).handle.allocated_blocks() > 0 {
             tokio::time::sleep(POLL).await;
         }
     };
--- a/lovagedock-standin/tests/config_over_http.rs
+++ b/lovagedock-standin/tests/config_over_http.rs
@@ -7,10 +7,12 @@
     ApplyOutcome, ApplyRequest, ChunkCache, ConfigStore, HttpObjectStore, NotAcceptedReason,
     StoreError, canonical_json,
 };
-use lovagedock_standin::{FaultKind, FaultOrder, PlatformOptions, PlatformStandin, RunningStandin};
+use lovagedock_standin::{
+    FaultCommand, FaultKind, PlatformOptions, PlatformStandin, RunningPlatform,
+};
 use tokio::time::sleep;
 
-async fn start() -> (RunningStandin, ConfigStore) {
+async fn start() -> (RunningPlatform, ConfigStore) {
     let running = PlatformStandin::start(PlatformOptions::default()).await;
     let running = running.expect("loopback");
     let store = Arc::new(HttpObjectStore::new(&running.url()));
@@ -48,16 +50,16 @@
 #[tokio::test]
 async fn lost_confirmations_are_settled() {
     let (running, store) = start().await;
-    running.set_fault(FaultOrder::new(FaultKind::LoseConfirmations));
+    running.set_fault(FaultCommand::new(FaultKind::LoseConfirmations));
     let impatient = request(0, "ann").with_patience(Duration::from_millis(200));
     let unavailable = NotAcceptedReason::Unavailable(StoreError::OutcomeUnknown);
     let refused = ApplyOutcome::NotAccepted {
         reason: unavailable,
     };
     assert_eq!(store.apply(&impatient).await, refused);
-    running.set_fault(FaultOrder {
+    running.set_fault(FaultCommand {
         share: 0.5,
-        ..FaultOrder::new(FaultKind::LoseConfirmations)
+        ..FaultCommand::new(FaultKind::LoseConfirmations)
     });
     let accepted = ApplyOutcome::Accepted { generation: 1 };
     assert_eq!(store.apply(&request(0, "ann")).await, accepted);
@@ -91,12 +93,12 @@
 #[tokio::test]
 async fn apply_outlasts_a_short_outage() {
     let (running, store) = start().await;
-    running.set_fault(FaultOrder::new(FaultKind::Down));
+    running.set_fault(FaultCommand::new(FaultKind::Down));
     let outage = async {
         while running.counters().faulted == 0 {
             sleep(Duration::from_millis(2)).await;
         }
-        running.set_fault(FaultOrder::new(FaultKind::None));
+        running.set_fault(FaultCommand::new(FaultKind::None));
     };
     let request = request(0, "ann");
     let (outcome, ()) = tokio::join!(store.apply(&request), outage);
