--- a/lovagedock-standin/tests/configuration.rs
+++ b/lovagedock-standin/tests/configuration.rs
@@ -13,7 +13,7 @@
     ApplyOutcome, ApplyRequest, ConfigStore, HttpObjectStore, canonical_json,
 };
 use lovagedock_standin::{
-    FaultKind, FaultOrder,
+    FaultCommand, FaultKind,
     fleet::{FleetPlan, LocalFleet, RunningGateway},
 };
 use serde::Deserialize;
@@ -210,7 +210,7 @@
         statuses.iter().any(|status| status.generation == 2)
     })
     .await;
-    fleet.platform.set_fault(FaultOrder::new(FaultKind::Down));
+    fleet.platform.set_fault(FaultCommand::new(FaultKind::Down));
 
     until("generation 2 at every gateway", async || {
         all_at(&fleet, 2).await
@@ -220,7 +220,7 @@
         sidecars_at(&fleet, 2).await
     })
     .await;
-    fleet.platform.set_fault(FaultOrder::new(FaultKind::None));
+    fleet.platform.set_fault(FaultCommand::new(FaultKind::None));
     let outcome = apply(&fleet, &fleet.config, 2, "operator").await;
     assert_eq!(outcome, ApplyOutcome::Accepted { generation: 3 });
     until("generation 3 at every gateway", async || {
@@ -244,7 +244,7 @@
     let mut others = fleet.config.gateways.iter();
     let spec = others.find(|gateway| !planned.contains(&*gateway.id));
     let spec = spec.expect("not all watch").clone();
-    fleet.platform.set_fault(FaultOrder::new(FaultKind::Down));
+    fleet.platform.set_fault(FaultCommand::new(FaultKind::Down));
     stop_gateway(&mut fleet, &spec.id);
     let peers = fleet.gateways.iter().take(2);
     let peers = peers.map(|gateway| gateway.gateway.peers_address());
@@ -260,7 +260,7 @@
     let started = fleet.gateways.last().expect("it is the last");
     assert!(!is_from_store(&status(started).await));
 
-    fleet.platform.set_fault(FaultOrder::new(FaultKind::None));
+    fleet.platform.set_fault(FaultCommand::new(FaultKind::None));
     fleet.apply(2).await.expect("accepted");
     until("generation 3 at every gateway", async || {
         all_at(&fleet, 3).await
--- a/lovagedock-standin/tests/demo_files.rs
+++ b/lovagedock-standin/tests/demo_files.rs
@@ -58,10 +58,10 @@
         files += 1;
         for planned in &plan.faults {
             let known = match &planned.fault {
-                FaultStep::EngineDies(id)
+                FaultStep::EngineCrashes(id)
                 | FaultStep::EngineHangs(id)
                 | FaultStep::EngineLate(id)
-                | FaultStep::EngineCrosses(id)
+                | FaultStep::EngineSwapsResponses(id)
                 | FaultStep::SidecarStops(id)
                 | FaultStep::EndpointDrains(id)
                 | FaultStep::EndpointRemoved(id) => endpoints.contains(id),
--- a/lovagedock-standin/tests/engine_batch.rs
+++ b/lovagedock-standin/tests/engine_batch.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 
 use lovagedock_standin::engine::{
-    BatchEngine, EngineJournal, EngineOptions, JournalEvent, PREFIX_PIECE_TOKENS, SequenceKind,
+    BatchEngine, EngineJournal, EngineOptions, JournalEvent, PREFIX_CHUNK_TOKENS, SequenceKind,
     SequenceRequest, StepOutput, SubmitError, prefill_time, prefix_hashes,
 };
 
@@ -61,7 +61,7 @@
 
 fn holding(batch: &BatchEngine, id: &str) -> u64 {
     batch
-        .holdings()
+        .allocations()
         .iter()
         .filter(|holding| &*holding.request_id == id)
         .map(|holding| holding.blocks)
@@ -102,7 +102,7 @@
 fn a_prompt_token_costs_more_the_later_it_stands() {
     let options = options();
     let early = prefill_time(&options, 0, 1_000);
-    let late = prefill_time(&options, options.attention_span, 1_000);
+    let late = prefill_time(&options, options.cost_doubling_position, 1_000);
     let difference = late - early;
     let flat = options.prefill_cost * 1_000;
     assert!(difference.abs_diff(flat) < Duration::from_micros(1));
@@ -151,7 +151,7 @@
     assert_eq!(batch.waiting(), 1);
 
     assert_eq!(first_tokens(&mut batch), ["a", "b"]);
-    assert_eq!(batch.memory().held(), 0);
+    assert_eq!(batch.memory().allocated(), 0);
     let ended = journal
         .entries()
         .iter()
@@ -185,7 +185,7 @@
     assert!(batch.cancel("waited"));
     assert!(batch.cancel("ran"));
     assert!(!batch.cancel("ran"));
-    assert_eq!(batch.memory().held(), 0);
+    assert_eq!(batch.memory().allocated(), 0);
     let events: Vec<_> = journal
         .entries()
         .into_iter()
@@ -201,10 +201,10 @@
 #[test]
 fn the_cache_spares_a_known_prefix_while_memory_is_left() {
     let pieces = 3;
-    let prompt = "p".repeat((pieces * PREFIX_PIECE_TOKENS * 4) as usize);
+    let prompt = "p".repeat((pieces * PREFIX_CHUNK_TOKENS * 4) as usize);
     let hashes = prefix_hashes(&prompt);
     assert_eq!(hashes.len() as u64, pieces);
-    let tokens = pieces * PREFIX_PIECE_TOKENS;
+    let tokens = pieces * PREFIX_CHUNK_TOKENS;
     let with_hashes = |id| SequenceRequest {
         prefix_hashes: hashes.clone(),
         ..request(id, 0, tokens, 1)
@@ -224,7 +224,7 @@
     assert_eq!(cached(&mut batch, "warm"), tokens - 1);
 
     // A request that needs the memory drives the cache out, the last piece first.
-    let kept = PREFIX_PIECE_TOKENS;
+    let kept = PREFIX_CHUNK_TOKENS;
     batch
         .submit(request("large", 0, MEMORY_TOKENS - kept - 16, 1))
         .unwrap();
@@ -290,7 +290,7 @@
         for step in steps {
             match step {
                 ScheduleStep::Submit { id, family, priority, prompt, answer } => {
-                    let pieces = prompt / PREFIX_PIECE_TOKENS;
+                    let pieces = prompt / PREFIX_CHUNK_TOKENS;
                     let _ = batch.submit(SequenceRequest {
                         prefix_hashes: (0..pieces).map(|piece| family * 100 + piece).collect(),
                         ..request(&id.to_string(), priority, prompt, answer)
@@ -302,18 +302,18 @@
                 ScheduleStep::Pause { id } => {
                     let _ = batch.pause(&id.to_string());
                 }
-                ScheduleStep::Unpause { id } => batch.unpause(&id.to_string()),
+                ScheduleStep::Unpause { id } => batch.resume(&id.to_string()),
                 ScheduleStep::Step => {
                     batch.step(1.0);
                 }
             }
-            let held: u64 = batch.holdings().iter().map(|holding| holding.blocks).sum();
-            prop_assert_eq!(held, batch.memory().held());
-            prop_assert!(held + batch.memory().cached() <= batch.memory().total());
+            let allocated: u64 = batch.allocations().iter().map(|holding| holding.blocks).sum();
+            prop_assert_eq!(allocated, batch.memory().allocated());
+            prop_assert!(allocated + batch.memory().cached() <= batch.memory().total());
         }
         for id in 0..6u8 {
             batch.cancel(&id.to_string());
         }
-        prop_assert_eq!(batch.memory().held(), 0);
+        prop_assert_eq!(batch.memory().allocated(), 0);
     }
 }
--- a/lovagedock-standin/tests/engine_contract.rs
+++ b/lovagedock-standin/tests/engine_contract.rs
@@ -205,7 +205,7 @@
 
         bench.adapter.cancel(ID).await.unwrap();
         assert!(bench.adapter.account().await.unwrap().is_empty());
-        assert_eq!(bench.engine.handle.held_blocks(), 0);
+        assert_eq!(bench.engine.handle.allocated_blocks(), 0);
         bench.adapter.cancel(ID).await.unwrap();
         let id = format_request_id(ID);
         assert_eq!(bench.engine.journal.count(&id, JournalEvent::Cancelled), 1);
@@ -282,8 +282,8 @@
         let id = format_request_id(ID);
         assert_eq!(target.engine.journal.count(&id, JournalEvent::Started), 0);
         assert_eq!(target.engine.journal.count(&id, JournalEvent::Resumed), 1);
-        assert_eq!(source.engine.handle.held_blocks(), 0);
-        assert_eq!(target.engine.handle.held_blocks(), 0);
+        assert_eq!(source.engine.handle.allocated_blocks(), 0);
+        assert_eq!(target.engine.handle.allocated_blocks(), 0);
     }
 }
 
--- a/lovagedock-standin/tests/engine_reports.rs
+++ b/lovagedock-standin/tests/engine_reports.rs
@@ -7,7 +7,7 @@
 
 use lovagedock::prelude::RanState;
 use lovagedock_sidecar::adapter::{CacheChange, EngineError, EngineOrder, OrderKind};
-use lovagedock_standin::engine::{EngineOptions, PREFIX_PIECE_TOKENS, prefix_hashes};
+use lovagedock_standin::engine::{EngineOptions, PREFIX_CHUNK_TOKENS, prefix_hashes};
 use support::{
     MODEL, VENDORS, answer, bench, bench_with, endless_request, first_bytes, request, until,
 };
@@ -51,7 +51,7 @@
 #[tokio::test]
 async fn cache_events_are_late_and_have_gaps() {
     let pieces = 8;
-    let prompt = "p".repeat((pieces * PREFIX_PIECE_TOKENS * 4) as usize);
+    let prompt = "p".repeat((pieces * PREFIX_CHUNK_TOKENS * 4) as usize);
     for vendor in &VENDORS {
         let gappy = EngineOptions {
             cache_event_delay: Duration::ZERO,
@@ -93,7 +93,7 @@
 
 #[tokio::test]
 async fn a_known_prefix_is_reported_as_cached() {
-    let prompt = "p".repeat((2 * PREFIX_PIECE_TOKENS * 4) as usize);
+    let prompt = "p".repeat((2 * PREFIX_CHUNK_TOKENS * 4) as usize);
     for vendor in &VENDORS {
         let bench = bench(vendor).await;
         let mut cached = Vec::new();
@@ -102,7 +102,7 @@
             let answer = answer(&*bench.adapter, request).await.unwrap();
             cached.push(answer.end.cached_tokens);
         }
-        assert_eq!(cached, [0, 2 * PREFIX_PIECE_TOKENS]);
+        assert_eq!(cached, [0, 2 * PREFIX_CHUNK_TOKENS]);
     }
 }
 
--- a/lovagedock-standin/tests/experiment.rs
+++ b/lovagedock-standin/tests/experiment.rs
@@ -10,7 +10,7 @@
         ExperimentRecord, ExperimentSpec, ExperimentSummary, SeedSpread, render_markdown,
         render_plot, write_results,
     },
-    load::{CallerJournal, LoadReport, QuantileSummary, ReportTags, ViolationCounts},
+    load::{CallerJournal, LoadReport, QuantileSummary, ReportMetadata, ViolationCounts},
 };
 
 fn spec(policies: &[&str], seeds: &[u64]) -> ExperimentSpec {
@@ -25,12 +25,12 @@
 
 /// A run whose 1k and 64k prompts have these p95; 0 for no first token.
 fn report(policy: &str, seed: u64, k1: f64, k64: f64) -> LoadReport {
-    let tags = ReportTags {
+    let tags = ReportMetadata {
         seed,
         policy: policy.to_owned(),
         mix: "sample".to_owned(),
         duration: Duration::from_secs(12),
-        long_from: Duration::ZERO,
+        long_start: Duration::ZERO,
         time_scale: 8.0,
     };
     let journal = CallerJournal { calls: Vec::new() };
--- a/lovagedock-standin/tests/load_caller.rs
+++ b/lovagedock-standin/tests/load_caller.rs
@@ -17,7 +17,7 @@
 use lovagedock_standin::{
     engine::{ChatMessage, chat_prompt, expected_answer},
     load::{
-        AnswerCheck, CallBody, CallEnding, CallRecord, CallerClient, GatewayTarget, LoadRunner,
+        AnswerCheck, CallBody, CallOutcome, CallRecord, CallerClient, GatewayTarget, LoadRunner,
         MixSpec, ModelCall, ModelPath, PlannedCall, PromptSeed, prompt_text,
     },
 };
@@ -168,14 +168,14 @@
     name: &'static str,
     script: Script,
     streamed: bool,
-    ending: CallEnding,
+    outcome: CallOutcome,
     answer: AnswerCheck,
 }
 
 fn ending_cases() -> Vec<EndingCase> {
     let text = expected();
     let (first, second) = text.split_at(8);
-    let no_capacity = CallEnding::Problem {
+    let no_capacity = CallOutcome::Problem {
         code: 2001,
         ran: RanState::No,
     };
@@ -192,29 +192,29 @@
                 true,
             ),
             streamed: true,
-            ending: CallEnding::Complete,
-            answer: AnswerCheck::Whole,
+            outcome: CallOutcome::Complete,
+            answer: AnswerCheck::Complete,
         },
         EndingCase {
             name: "a stream that ends cleanly and short",
             script: Script::new(&[event(first), done()], true),
             streamed: true,
-            ending: CallEnding::Complete,
-            answer: AnswerCheck::Beginning,
+            outcome: CallOutcome::Complete,
+            answer: AnswerCheck::Prefix,
         },
         EndingCase {
             name: "a stream that stops without its end",
             script: Script::new(&[event(first)], true),
             streamed: true,
-            ending: CallEnding::Broken,
-            answer: AnswerCheck::Beginning,
+            outcome: CallOutcome::Broken,
+            answer: AnswerCheck::Prefix,
         },
         EndingCase {
             name: "a stream whose connection breaks",
             script: Script::new(&[event(first)], false),
             streamed: true,
-            ending: CallEnding::Broken,
-            answer: AnswerCheck::Beginning,
+            outcome: CallOutcome::Broken,
+            answer: AnswerCheck::Prefix,
         },
         EndingCase {
             name: "a stream that tells of a failure",
@@ -226,22 +226,22 @@
                 true,
             ),
             streamed: true,
-            ending: no_capacity,
-            answer: AnswerCheck::Beginning,
+            outcome: no_capacity,
+            answer: AnswerCheck::Prefix,
         },
         EndingCase {
             name: "a stream with pieces of another answer",
             script: Script::new(&[event(first), event("crossed"), done()], true),
             streamed: true,
-            ending: CallEnding::Complete,
+            outcome: CallOutcome::Complete,
             answer: AnswerCheck::Different,
         },
         EndingCase {
             name: "a whole answer",
             script: Script::new(&[whole], true),
             streamed: false,
-            ending: CallEnding::Complete,
-            answer: AnswerCheck::Whole,
+            outcome: CallOutcome::Complete,
+            answer: AnswerCheck::Complete,
         },
         EndingCase {
             name: "a refusal",
@@ -250,8 +250,8 @@
                 ..Script::new(&[problem(2001, "no")], true)
             },
             streamed: true,
-            ending: no_capacity,
-            answer: AnswerCheck::Beginning,
+            outcome: no_capacity,
+            answer: AnswerCheck::Prefix,
         },
         EndingCase {
             name: "an error that does not say whether the request ran",
@@ -260,8 +260,8 @@
                 ..Script::new(&["oops".to_owned()], true)
             },
             streamed: true,
-            ending: CallEnding::Broken,
-            answer: AnswerCheck::Beginning,
+            outcome: CallOutcome::Broken,
+            answer: AnswerCheck::Prefix,
         },
     ]
 }
@@ -272,7 +272,7 @@
         let address = serve(case.script).await;
         let records = run(vec![target(address)], vec![planned(case.streamed)]).await;
         let record = &records[0];
-        assert_eq!(record.ending, case.ending, "{}", case.name);
+        assert_eq!(record.outcome, case.outcome, "{}", case.name);
         assert_eq!(record.answer, case.answer, "{}", case.name);
         assert_eq!(record.request, Some(0xab), "{}", case.name);
     }
@@ -292,10 +292,10 @@
         vec![planned(true), planned(true)],
     )
     .await;
-    assert!(records.iter().all(|it| it.ending == CallEnding::Complete));
+    assert!(records.iter().all(|it| it.outcome == CallOutcome::Complete));
 
     let records = run(vec![target(gone)], vec![planned(true)]).await;
-    assert_eq!(records[0].ending, CallEnding::Unsent);
+    assert_eq!(records[0].outcome, CallOutcome::Unsent);
 }
 
 // One gateway of two says that it is stopping. The call that heard it was refused; the balancer sends
@@ -338,6 +338,6 @@
     let records = run(vec![target(address)], plan).await;
     let complete = records
         .iter()
-        .filter(|it| it.ending == CallEnding::Complete);
+        .filter(|it| it.outcome == CallOutcome::Complete);
     assert_eq!(complete.count() as u64, CALLS);
 }
--- a/lovagedock-standin/tests/load_plan.rs
+++ b/lovagedock-standin/tests/load_plan.rs
@@ -5,7 +5,7 @@
 use lovagedock::{FleetConfig, LengthBucket};
 use lovagedock_daemon::load_settings;
 use lovagedock_standin::load::{
-    CallBody, MixSpec, ModelCall, PlannedCall, long_from, plan_calls, prompt_text,
+    CallBody, MixSpec, ModelCall, PlannedCall, long_start, plan_calls, prompt_text,
 };
 use sha2::{Digest, Sha256};
 
@@ -98,7 +98,7 @@
             let first = plan.iter().find(|call| bucket(call) == Some(length));
             let first = first.unwrap_or_else(|| panic!("{deployment}: {length:?}"));
             if length >= LengthBucket::K64 {
-                assert!(first.at >= long_from(&mix, duration), "{deployment}");
+                assert!(first.at >= long_start(&mix, duration), "{deployment}");
             }
         }
     }
@@ -109,7 +109,7 @@
 fn short_prompts_come_at_one_rate_in_both_parts() {
     let mix = mix("nadavaramba");
     let plan = plan_calls(&mix, 3, DURATION);
-    let middle = long_from(&mix, DURATION);
+    let middle = long_start(&mix, DURATION);
     let short: Vec<&PlannedCall> = plan
         .iter()
         .filter(|call| bucket(call) == Some(LengthBucket::K1))
--- a/lovagedock-standin/tests/load_report.rs
+++ b/lovagedock-standin/tests/load_report.rs
@@ -5,7 +5,7 @@
 use expect_test::expect;
 use lovagedock::{LengthBucket, RanState};
 use lovagedock_standin::load::{
-    AnswerCheck, CallEnding, CallRecord, CallerJournal, LoadReport, OutcomeCounts, ReportTags,
+    AnswerCheck, CallOutcome, CallRecord, CallerJournal, LoadReport, OutcomeCounts, ReportMetadata,
     ViolationCounts, render_table,
 };
 
@@ -31,19 +31,19 @@
         token_gaps: vec![milliseconds(4)],
         ended_at: intended_at + milliseconds(first_token_after_ms + 4),
         deadline: milliseconds(5000),
-        ending: CallEnding::Complete,
-        answer: AnswerCheck::Whole,
+        outcome: CallOutcome::Complete,
+        answer: AnswerCheck::Complete,
         answer_digest: None,
     }
 }
 
-fn tags() -> ReportTags {
-    ReportTags {
+fn tags() -> ReportMetadata {
+    ReportMetadata {
         seed: 7,
         policy: "length-aware".to_owned(),
         mix: "sample".to_owned(),
         duration: milliseconds(20_000),
-        long_from: milliseconds(1000),
+        long_start: milliseconds(1000),
         time_scale: 8.0,
     }
 }
@@ -161,7 +161,7 @@
 
 struct OutcomeCase {
     name: &'static str,
-    ending: CallEnding,
+    outcome: CallOutcome,
     expected: OutcomeCounts,
 }
 
@@ -173,8 +173,8 @@
     timed_out: 0,
 };
 
-fn problem(code: u16, ran: RanState) -> CallEnding {
-    CallEnding::Problem { code, ran }
+fn problem(code: u16, ran: RanState) -> CallOutcome {
+    CallOutcome::Problem { code, ran }
 }
 
 #[test]
@@ -196,53 +196,53 @@
     let cases = [
         OutcomeCase {
             name: "complete",
-            ending: CallEnding::Complete,
+            outcome: CallOutcome::Complete,
             expected: complete,
         },
         OutcomeCase {
             name: "no capacity",
-            ending: problem(2001, RanState::No),
+            outcome: problem(2001, RanState::No),
             expected: refused,
         },
         OutcomeCase {
             name: "no gateway",
-            ending: CallEnding::Unsent,
+            outcome: CallOutcome::Unsent,
             expected: refused,
         },
         OutcomeCase {
             name: "expired while waiting",
-            ending: problem(2002, RanState::No),
+            outcome: problem(2002, RanState::No),
             expected: timed_out,
         },
         OutcomeCase {
             name: "expired while running",
-            ending: problem(2003, RanState::Yes),
+            outcome: problem(2003, RanState::Yes),
             expected: timed_out,
         },
         OutcomeCase {
             name: "engine failed",
-            ending: problem(3001, RanState::Yes),
+            outcome: problem(3001, RanState::Yes),
             expected: failed,
         },
         OutcomeCase {
             name: "sidecar restarted",
-            ending: problem(3006, RanState::Unknown),
+            outcome: problem(3006, RanState::Unknown),
             expected: unknown,
         },
         OutcomeCase {
             name: "broken connection",
-            ending: CallEnding::Broken,
+            outcome: CallOutcome::Broken,
             expected: unknown,
         },
         OutcomeCase {
             name: "nothing",
-            ending: CallEnding::Nothing,
+            outcome: CallOutcome::NoOutcome,
             expected: unknown,
         },
     ];
     for case in cases {
         let mut record = call(LengthBucket::K1, 0, 1);
-        record.ending = case.ending;
+        record.outcome = case.outcome;
         let counts = OutcomeCounts::new(&CallerJournal {
             calls: vec![record],
         });
--- a/lovagedock-standin/tests/orders.rs
+++ b/lovagedock-standin/tests/orders.rs
@@ -14,8 +14,8 @@
 use lovagedock_platform::canonical_json;
 use lovagedock_sidecar::adapter::{AdapterOptions, EngineOrder, OrderKind, build_adapter};
 use lovagedock_standin::{
-    FaultKind, FaultOrder,
-    engine::{RunningEngine, WeightGauge},
+    FaultCommand, FaultKind,
+    engine::{RunningEngine, WeightLoadGauge},
     fleet::{EndpointStandin, FleetPlan, LocalFleet},
 };
 use lovagedock_wire::{
@@ -61,7 +61,7 @@
     parse_config("test", &document.to_string()).expect("the configuration is valid")
 }
 
-async fn start(weights: &WeightGauge) -> LocalFleet {
+async fn start(weights: &WeightLoadGauge) -> LocalFleet {
     let log = Logger::root(Discard, o!());
     let mut plan = FleetPlan::new(config("1"), log)
         .with_time_scale(100.0)
@@ -182,7 +182,7 @@
 /// once would overrun the weight store and leave nobody to serve.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_new_version_is_loaded_by_every_engine_at_the_pace() {
-    let weights = WeightGauge::default();
+    let weights = WeightLoadGauge::default();
     let mut fleet = start(&weights).await;
     until_loaded(&fleet, "1").await;
     set_version(&mut fleet, "2");
@@ -190,7 +190,7 @@
     serves(&fleet, 0).await;
     until_loaded(&fleet, "2").await;
     assert_carried_out(&fleet, &["1", "2"]);
-    let most = weights.most_at_once();
+    let most = weights.max_concurrent_loads();
     assert!(most <= PACE, "{most} engines loaded at once");
 }
 
@@ -199,7 +199,7 @@
 /// it by its number, although the engine would obey anyone.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn the_order_of_a_former_holder_is_refused() {
-    let mut fleet = start(&WeightGauge::default()).await;
+    let mut fleet = start(&WeightLoadGauge::default()).await;
     until_loaded(&fleet, "1").await;
     let mut former = (0, 0);
     until(async || {
@@ -248,9 +248,9 @@
 /// must assume that another holds the lease.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn without_the_store_nothing_is_ordered_and_callers_are_served() {
-    let mut fleet = start(&WeightGauge::default()).await;
+    let mut fleet = start(&WeightLoadGauge::default()).await;
     until_loaded(&fleet, "1").await;
-    fleet.platform.set_fault(FaultOrder::new(FaultKind::Down));
+    fleet.platform.set_fault(FaultCommand::new(FaultKind::Down));
     for gateway in 0..2 {
         until(async || lease(&fleet, gateway).await.is_none()).await;
     }
@@ -274,6 +274,6 @@
         serves(&fleet, 1).await;
     }
     assert_carried_out(&fleet, &["1"]);
-    fleet.platform.set_fault(FaultOrder::new(FaultKind::None));
+    fleet.platform.set_fault(FaultCommand::new(FaultKind::None));
     until_loaded(&fleet, "2").await;
 }
--- a/lovagedock-standin/tests/peer_session.rs
+++ b/lovagedock-standin/tests/peer_session.rs
@@ -9,7 +9,7 @@
 };
 use lovagedock_platform::{canonical_json, split_chunks};
 use lovagedock_standin::{
-    FaultKind, FaultOrder, PlatformOptions, PlatformStandin,
+    FaultCommand, FaultKind, PlatformOptions, PlatformStandin,
     fleet::{FleetPlan, LocalFleet, RunningGateway},
 };
 use lovagedock_wire::{PROTOCOL_VERSION, PeerClient, PeerHandler, PeerIdentity, serve_peer};
@@ -237,7 +237,7 @@
 async fn start_in_outage() {
     let platform = PlatformStandin::start(PlatformOptions::default()).await;
     let platform = platform.expect("the platform starts");
-    platform.set_fault(FaultOrder::new(FaultKind::Down));
+    platform.set_fault(FaultCommand::new(FaultKind::Down));
     let mut addresses = Vec::new();
     let mut peers = Vec::new();
     for name in ["old", "new"] {
--- a/lovagedock-standin/tests/platform_standin.rs
+++ b/lovagedock-standin/tests/platform_standin.rs
@@ -9,7 +9,7 @@
 use lovagedock_platform::{
     CallPurpose, HostDirectory, HostState, HttpObjectStore, ObjectStore, PutCondition, StoreError,
 };
-use lovagedock_standin::{FaultKind, FaultOrder, PlatformOptions, PlatformStandin};
+use lovagedock_standin::{FaultCommand, FaultKind, PlatformOptions, PlatformStandin};
 
 /// One token in the bucket, and the next comes after far longer than any test takes.
 const ONE_CALL: f64 = 0.000_1;
@@ -132,9 +132,9 @@
     assert_eq!(post(&url, "/v1/faults", r#"{"fault":"none"}"#).await, 204);
     assert_eq!(store.get("a", CallPurpose::Status).await, Ok(None));
     assert_eq!(post(&url, "/v1/faults", r#"{"fault":"fire"}"#).await, 400);
-    running.set_fault(FaultOrder {
+    running.set_fault(FaultCommand {
         for_ms: Some(0),
-        ..FaultOrder::new(FaultKind::Down)
+        ..FaultCommand::new(FaultKind::Down)
     });
     assert_eq!(store.get("a", CallPurpose::Status).await, Ok(None));
 }
--- a/lovagedock-standin/tests/promise_support/mod.rs
+++ b/lovagedock-standin/tests/promise_support/mod.rs
@@ -52,7 +52,10 @@
     fleet.apply(1).await.expect("the configuration is accepted");
     let gateways = fleet.gateways.len();
     until(async || relays.iter().all(|relay| relay.accepted() >= gateways)).await;
-    fleet.ready().await.expect("the gateways reach the relays");
+    fleet
+        .wait_until_ready()
+        .await
+        .expect("the gateways reach the relays");
     (fleet, relays)
 }
 
--- a/lovagedock-standin/tests/promises_crashing.rs
+++ b/lovagedock-standin/tests/promises_crashing.rs
@@ -43,7 +43,7 @@
         if starts_at(&engine) == seen {
             continue;
         }
-        engine.handle.set_fault(EngineFault::Die);
+        engine.handle.set_fault(EngineFault::Crash);
         ends.fetch_add(1, Ordering::SeqCst);
         sleep(DEAD_TIME).await;
         engine.handle.set_fault(EngineFault::None);
--- a/lovagedock-standin/tests/promises_drain_end.rs
+++ b/lovagedock-standin/tests/promises_drain_end.rs
@@ -6,7 +6,7 @@
 
 use lovagedock_gateway::CallerLimits;
 use lovagedock_standin::{
-    FaultKind, FaultOrder,
+    FaultCommand, FaultKind,
     fleet::{FleetPlan, LocalFleet, RunningGateway},
 };
 use promise_support::{
@@ -204,7 +204,7 @@
     let call = Call::receipt(7).with_key("receipt-7");
     let calling = Caller::new(process.address()).spawn(call);
     until(async || !service(&fleet).journal.runs().is_empty()).await;
-    fleet.platform.set_fault(FaultOrder::new(FaultKind::Down));
+    fleet.platform.set_fault(FaultCommand::new(FaultKind::Down));
     let ending = process.stop();
     let told = calling.await.expect("the call is judged");
     let problem = told
@@ -226,7 +226,7 @@
     let calling = Caller::new(process.address()).spawn(call);
     until(async || !service(&fleet).journal.runs().is_empty()).await;
     // Its failure cannot be recorded, so that its task goes on after its caller was told.
-    fleet.platform.set_fault(FaultOrder::new(FaultKind::Down));
+    fleet.platform.set_fault(FaultCommand::new(FaultKind::Down));
     let ending = process.stop();
     let told = calling.await.expect("the call is judged");
     assert!(told.problem().is_some(), "{told:?}");
@@ -245,7 +245,7 @@
     until(async || {
         engines(&fleet)
             .iter()
-            .all(|engine| engine.handle.held_blocks() == 0)
+            .all(|engine| engine.handle.allocated_blocks() == 0)
     })
     .await;
     tokio::time::sleep(PAUSE).await;
--- a/lovagedock-standin/tests/promises_engine.rs
+++ b/lovagedock-standin/tests/promises_engine.rs
@@ -115,7 +115,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_dead_engine_ends_its_requests_truthfully() {
     let played = cases().into_iter();
-    futures::future::join_all(played.map(|case| play(EngineFault::Die, case))).await;
+    futures::future::join_all(played.map(|case| play(EngineFault::Crash, case))).await;
 }
 
 /// An engine hangs: its connections stay open and nothing moves. A whole answer gives no sign until
@@ -153,7 +153,7 @@
         .with_deadline_ms(600_000);
     let first = promise_support::caller(&fleet, 0).spawn(call.clone());
     let engine = running_engine(&fleet).await;
-    engines(&fleet)[engine].handle.set_fault(EngineFault::Die);
+    engines(&fleet)[engine].handle.set_fault(EngineFault::Crash);
     let first = first.await.expect("the call is judged");
     assert_eq!(first.ending, Ending::Refused(Problem::new(3001, "unknown")));
     let again = promise_support::caller(&fleet, 1).call(&call).await;
@@ -178,7 +178,7 @@
     let held = || {
         engines(&fleet)
             .iter()
-            .map(|engine| engine.handle.held_blocks())
+            .map(|engine| engine.handle.allocated_blocks())
             .sum::<u64>()
     };
     assert!(held() > 0);
--- a/lovagedock-standin/tests/promises_leaving.rs
+++ b/lovagedock-standin/tests/promises_leaving.rs
@@ -166,7 +166,7 @@
         load["running"] == 0 && load["queued"] == 0
     })
     .await;
-    until(async || engine.handle.held_blocks() == 0).await;
+    until(async || engine.handle.allocated_blocks() == 0).await;
     let after = starts_at(engine);
     others_go_on(&fleet).await;
     assert_eq!(starts_at(engine), after, "a start after the drain");
@@ -287,7 +287,7 @@
     // engine is empty: on its way to the sidecar, queued there, or on its way from there.
     load.turn_over().await;
     let engine = engines(&fleet)[0];
-    until(async || engine.handle.held_blocks() == 0).await;
+    until(async || engine.handle.allocated_blocks() == 0).await;
     let after = starts_at(engine);
     others_go_on(&fleet).await;
     assert_eq!(starts_at(engine), after, "a start after the gateways knew");
--- a/lovagedock-standin/tests/promises_load.rs
+++ b/lovagedock-standin/tests/promises_load.rs
@@ -91,7 +91,10 @@
     endpoint.daemon = DaemonContext::new(Logger::root(Discard, o!()));
     let started = Sidecar::start(endpoint.settings.clone(), endpoint.daemon.clone()).await;
     endpoint.sidecar = Some(started.expect("it starts again"));
-    fleet.ready().await.expect("the gateways find it");
+    fleet
+        .wait_until_ready()
+        .await
+        .expect("the gateways find it");
     let caller = caller(&fleet, 0);
     let call = Call::receipt(1).with_deadline_ms(600_000);
     let mut reply = caller.call(&call).await;
@@ -169,7 +172,7 @@
     let held = || {
         let engines = engines(&fleet).into_iter();
         engines
-            .map(|engine| engine.handle.held_blocks())
+            .map(|engine| engine.handle.allocated_blocks())
             .sum::<u64>()
     };
     until(async || held() == 0).await;
--- a/lovagedock-standin/tests/promises_pairs.rs
+++ b/lovagedock-standin/tests/promises_pairs.rs
@@ -7,7 +7,7 @@
 use lovagedock_daemon::DaemonContext;
 use lovagedock_sidecar::Sidecar;
 use lovagedock_standin::{
-    FaultKind, FaultOrder,
+    FaultCommand, FaultKind,
     engine::EngineFault,
     fleet::{FleetPlan, LocalFleet},
 };
@@ -106,7 +106,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_silent_connection_and_a_store_that_is_down() {
     let (fleet, relays) = start_behind_relays(slow_plan()).await;
-    fleet.platform.set_fault(FaultOrder::new(FaultKind::Down));
+    fleet.platform.set_fault(FaultCommand::new(FaultKind::Down));
     let calling = caller(&fleet, 0).spawn(Call::receipt(4));
     receipt_begins(&fleet).await;
     silence(&relays);
@@ -122,12 +122,12 @@
     let fleet = start(plan()).await;
     let calling = caller(&fleet, 0).spawn(Call::whole(PROMPT, TOKENS));
     let first = running_engine(&fleet).await;
-    engines(&fleet)[first].handle.set_fault(EngineFault::Die);
+    engines(&fleet)[first].handle.set_fault(EngineFault::Crash);
     let others = || (0..promise_support::ENGINES).filter(|place| *place != first);
     let next = || others().find(|place| starts_at(engines(&fleet)[*place]) > 0);
     until(async || next().is_some()).await;
     let second = next().expect("another engine has started");
-    engines(&fleet)[second].handle.set_fault(EngineFault::Die);
+    engines(&fleet)[second].handle.set_fault(EngineFault::Crash);
     let reply = calling.await.expect("the call is judged");
     assert!(reply.is_whole(), "{reply:?}");
 }
@@ -143,11 +143,11 @@
         .with_deadline_ms(6_000);
     let calling = caller(&fleet, 0).spawn(call.clone());
     receipt_begins(&fleet).await;
-    fleet.platform.set_fault(FaultOrder::new(FaultKind::Down));
+    fleet.platform.set_fault(FaultCommand::new(FaultKind::Down));
     let reply = calling.await.expect("the call is judged");
     let expected = Ending::Refused(Problem::new(3004, "yes"));
     assert_eq!(reply.ending, expected);
-    fleet.platform.set_fault(FaultOrder::new(FaultKind::None));
+    fleet.platform.set_fault(FaultCommand::new(FaultKind::None));
     let again = caller(&fleet, 1).call(&call).await;
     assert!(
         !again.says_not_run() || again.problem().is_some_and(|it| it.code == 2007),
@@ -167,12 +167,12 @@
         .with_deadline_ms(8_000);
     let calling = caller(&fleet, 0).spawn(call.clone());
     let place = running_engine(&fleet).await;
-    fleet.platform.set_fault(FaultOrder::new(FaultKind::Down));
-    engines(&fleet)[place].handle.set_fault(EngineFault::Die);
+    fleet.platform.set_fault(FaultCommand::new(FaultKind::Down));
+    engines(&fleet)[place].handle.set_fault(EngineFault::Crash);
     let reply = calling.await.expect("the call is judged");
     let expected = Ending::Refused(Problem::new(3001, "unknown"));
     assert_eq!(reply.ending, expected);
-    fleet.platform.set_fault(FaultOrder::new(FaultKind::None));
+    fleet.platform.set_fault(FaultCommand::new(FaultKind::None));
     let again = caller(&fleet, 1).call(&call).await;
     assert!(!again.is_whole(), "{again:?}");
     assert_eq!(starts(&fleet).into_values().collect::<Vec<_>>(), [1]);
--- a/lovagedock-standin/tests/promises_platform.rs
+++ b/lovagedock-standin/tests/promises_platform.rs
@@ -7,7 +7,7 @@
 use lovagedock_platform::{
     ApplyOutcome, ApplyRequest, ConfigStore, HttpObjectStore, canonical_json,
 };
-use lovagedock_standin::{FaultKind, FaultOrder, fleet::LocalFleet};
+use lovagedock_standin::{FaultCommand, FaultKind, fleet::LocalFleet};
 use promise_support::{
     caller,
     caller::{Call, Caller, get_json},
@@ -20,26 +20,26 @@
 
 struct StoreCase {
     name: &'static str,
-    order: FaultOrder,
+    order: FaultCommand,
 }
 
 fn store_cases() -> Vec<StoreCase> {
-    let half_lost = FaultOrder {
+    let half_lost = FaultCommand {
         share: 0.5,
-        ..FaultOrder::new(FaultKind::LoseConfirmations)
+        ..FaultCommand::new(FaultKind::LoseConfirmations)
     };
     vec![
         StoreCase {
             name: "down",
-            order: FaultOrder::new(FaultKind::Down),
+            order: FaultCommand::new(FaultKind::Down),
         },
         StoreCase {
             name: "slow",
-            order: FaultOrder::new(FaultKind::Slow),
+            order: FaultCommand::new(FaultKind::Slow),
         },
         StoreCase {
             name: "loses all confirmations",
-            order: FaultOrder::new(FaultKind::LoseConfirmations),
+            order: FaultCommand::new(FaultKind::LoseConfirmations),
         },
         StoreCase {
             name: "loses half of the confirmations",
@@ -81,7 +81,7 @@
 /// The store works again: each receipt is repeated with its key, and has then run once at most,
 /// and once exactly if the repeat is answered.
 async fn repeat_after(fleet: &LocalFleet, case: &StoreCase) {
-    fleet.platform.set_fault(FaultOrder::new(FaultKind::None));
+    fleet.platform.set_fault(FaultCommand::new(FaultKind::None));
     fleet.platform.release_delayed();
     for number in 0..RECEIPTS {
         let key = format!("receipt-{number}");
@@ -134,15 +134,15 @@
     fleet.config.organisations[0].weight += 1;
     let text = canonical_json(&fleet.config).expect("it is valid");
     // Every other call: the chunk is confirmed, the root is not.
-    fleet.platform.set_fault(FaultOrder {
+    fleet.platform.set_fault(FaultCommand {
         share: 0.5,
-        ..FaultOrder::new(FaultKind::LoseConfirmations)
+        ..FaultCommand::new(FaultKind::LoseConfirmations)
     });
     let request = ApplyRequest::new(text, 1, "first", "nonce-1".to_owned());
     let outcome = config_store(&fleet).apply(&request).await;
     assert_eq!(outcome, ApplyOutcome::Accepted { generation: 2 });
     wait_for_generation(&fleet, 2).await;
-    fleet.platform.set_fault(FaultOrder::new(FaultKind::None));
+    fleet.platform.set_fault(FaultCommand::new(FaultKind::None));
     let again = config_store(&fleet).apply(&request).await;
     assert_eq!(again, ApplyOutcome::Accepted { generation: 2 });
     wait_for_generation(&fleet, 2).await;
@@ -155,12 +155,12 @@
     let mut fleet = start(plan()).await;
     fleet.config.organisations[0].weight += 1;
     let text = canonical_json(&fleet.config).expect("it is valid");
-    let lost = FaultOrder::new(FaultKind::LoseConfirmations);
+    let lost = FaultCommand::new(FaultKind::LoseConfirmations);
     fleet.platform.set_fault(lost);
     let request = ApplyRequest::new(text, 1, "first", "nonce-1".to_owned())
         .with_patience(Duration::from_secs(2));
     let outcome = config_store(&fleet).apply(&request).await;
-    fleet.platform.set_fault(FaultOrder::new(FaultKind::None));
+    fleet.platform.set_fault(FaultCommand::new(FaultKind::None));
     let expected = match outcome {
         ApplyOutcome::Accepted { generation } => generation,
         ApplyOutcome::NotAccepted { .. } => 1,
@@ -216,7 +216,7 @@
 async fn a_gateway_that_starts_in_an_outage_learns_from_a_peer() {
     let plan = plan();
     let fleet = start(plan.clone()).await;
-    fleet.platform.set_fault(FaultOrder::new(FaultKind::Down));
+    fleet.platform.set_fault(FaultCommand::new(FaultKind::Down));
     let mut spec = fleet.config.gateways[0].clone();
     spec.id = "g3".into();
     let peers = fleet
--- a/lovagedock-standin/tests/promises_return.rs
+++ b/lovagedock-standin/tests/promises_return.rs
@@ -53,7 +53,7 @@
     let mut fleet = start(plan()).await;
     // An endpoint that was never told of a configuration has generation 0, and goes back from none.
     wait_for(&fleet, 1).await;
-    let copy = fleet.platform.copy_store();
+    let copy = fleet.platform.snapshot_store();
     write_otherwise(&fleet).await;
     apply(&mut fleet, 1).await;
     wait_for(&fleet, 2).await;
--- a/lovagedock-standin/tests/promises_silence.rs
+++ b/lovagedock-standin/tests/promises_silence.rs
@@ -148,7 +148,7 @@
     assert_eq!(reply.ending, expected);
     assert_eq!(starts(&fleet).into_values().collect::<Vec<_>>(), [1]);
     let engine = engines(&fleet)[place].handle.clone();
-    until(async || engine.held_blocks() == 0).await;
+    until(async || engine.allocated_blocks() == 0).await;
 }
 
 /// The same death under a call that may be repeated: the caller gets a whole answer all the same.
--- a/lovagedock-standin/tests/store_contract.rs
+++ b/lovagedock-standin/tests/store_contract.rs
@@ -8,7 +8,9 @@
     CallKind, CallPurpose, HttpObjectStore, MAX_VALUE_BYTES, MemoryFault, MemoryStore, ObjectStore,
     ObjectVersion, PutCondition, StoreError, StoreTimeouts,
 };
-use lovagedock_standin::{FaultKind, FaultOrder, PlatformOptions, PlatformStandin, RunningStandin};
+use lovagedock_standin::{
+    FaultCommand, FaultKind, PlatformOptions, PlatformStandin, RunningPlatform,
+};
 
 const KEY: &str = "contract/object";
 /// Long enough for an ordinary call on a busy machine.
@@ -181,7 +183,7 @@
 
 enum Rig {
     Memory(Arc<MemoryStore>),
-    Http(RunningStandin, Box<HttpObjectStore>),
+    Http(RunningPlatform, Box<HttpObjectStore>),
 }
 
 impl Rig {
@@ -209,9 +211,9 @@
     fn set_fault(&self, fault: Fault) {
         match self {
             Self::Memory(store) => set_memory_fault(store, fault),
-            Self::Http(running, _) => running.set_fault(FaultOrder {
+            Self::Http(running, _) => running.set_fault(FaultCommand {
                 delay_ms: SLOW_DELAY_MS,
-                ..FaultOrder::new(match fault {
+                ..FaultCommand::new(match fault {
                     Fault::None => FaultKind::None,
                     Fault::Down => FaultKind::Down,
                     Fault::Slow => FaultKind::Slow,
--- a/lovagedock-standin/tests/violations/cases.rs
+++ b/lovagedock-standin/tests/violations/cases.rs
@@ -4,8 +4,8 @@
 
 use lovagedock::{RanState, ResultCode};
 use lovagedock_standin::load::{
-    AnswerCheck, CallEnding, CallRecord, ConfigChange, ExecutionRecord, HoldingRecord, LeaveRecord,
-    LeavingParty, RuledOut, ViolationCounts,
+    AnswerCheck, CallOutcome, CallRecord, ConfigChange, DrainRecord, DrainTarget, ExcludedTarget,
+    ExecutionRecord, LeakRecord, ViolationCounts,
 };
 
 use super::records::*;
@@ -43,8 +43,8 @@
         name: "a call that nobody answered",
         journals: || Journals {
             calls: vec![CallRecord {
-                ending: CallEnding::Nothing,
-                answer: AnswerCheck::Beginning,
+                outcome: CallOutcome::NoOutcome,
+                answer: AnswerCheck::Prefix,
                 ended_at: seconds(11),
                 ..call(1)
             }],
@@ -84,7 +84,7 @@
         name: "a clean end on half an answer",
         journals: || Journals {
             calls: vec![CallRecord {
-                answer: AnswerCheck::Beginning,
+                answer: AnswerCheck::Prefix,
                 ..call(1)
             }],
             ..Journals::default()
@@ -182,8 +182,8 @@
             calls: vec![
                 CallRecord {
                     request: None,
-                    ending: CallEnding::Broken,
-                    answer: AnswerCheck::Beginning,
+                    outcome: CallOutcome::Broken,
+                    answer: AnswerCheck::Prefix,
                     ..keyed(1, "receipt")
                 },
                 keyed(2, "receipt"),
@@ -258,7 +258,7 @@
         journals: || Journals {
             calls: vec![call(1)],
             starts: vec![start_at(1, seconds(9))],
-            leaves: vec![engine_leaves(seconds(3))],
+            drains: vec![engine_leaves(seconds(3))],
             ..Journals::default()
         },
         expected: ViolationCounts {
@@ -271,7 +271,7 @@
         journals: || Journals {
             calls: vec![call(1)],
             starts: vec![start_at(1, seconds(7))],
-            leaves: vec![engine_leaves(seconds(3))],
+            drains: vec![engine_leaves(seconds(3))],
             ..Journals::default()
         },
         expected: NONE,
@@ -281,8 +281,8 @@
         journals: || Journals {
             calls: vec![call(1)],
             starts: vec![start_at(1, seconds(20))],
-            leaves: vec![LeaveRecord {
-                gone_at: Some(seconds(15)),
+            drains: vec![DrainRecord {
+                ended_at: Some(seconds(15)),
                 ..engine_leaves(seconds(3))
             }],
             ..Journals::default()
@@ -294,7 +294,7 @@
         journals: || Journals {
             calls: vec![failed(1, ResultCode::EngineFailed, RanState::Yes)],
             starts: vec![start(1)],
-            leaves: vec![engine_leaves(Duration::from_millis(1500))],
+            drains: vec![engine_leaves(Duration::from_millis(1500))],
             ..Journals::default()
         },
         expected: ViolationCounts {
@@ -306,13 +306,13 @@
         name: "a request whose gateway leaves and whose connection breaks",
         journals: || Journals {
             calls: vec![CallRecord {
-                ending: CallEnding::Broken,
-                answer: AnswerCheck::Beginning,
+                outcome: CallOutcome::Broken,
+                answer: AnswerCheck::Prefix,
                 answer_digest: None,
                 ..call(1)
             }],
-            leaves: vec![leave(
-                LeavingParty::Gateway("gateway-1".to_owned()),
+            drains: vec![leave(
+                DrainTarget::Gateway("gateway-1".to_owned()),
                 Duration::from_millis(1500),
             )],
             ..Journals::default()
@@ -327,8 +327,8 @@
         journals: || Journals {
             calls: vec![failed(1, ResultCode::EngineFailed, RanState::Yes)],
             starts: vec![start(1)],
-            leaves: vec![leave(
-                LeavingParty::Gateway("gateway-2".to_owned()),
+            drains: vec![leave(
+                DrainTarget::Gateway("gateway-2".to_owned()),
                 Duration::from_millis(1500),
             )],
             ..Journals::default()
@@ -340,7 +340,7 @@
         journals: || Journals {
             calls: vec![failed(1, ResultCode::EngineFailed, RanState::Yes)],
             starts: vec![start(1)],
-            leaves: vec![engine_leaves(seconds(3))],
+            drains: vec![engine_leaves(seconds(3))],
             ..Journals::default()
         },
         expected: NONE,
@@ -350,7 +350,10 @@
         journals: || Journals {
             calls: vec![call(1)],
             starts: vec![start_at(1, seconds(10))],
-            changes: vec![rules_out(RuledOut::Endpoint("engine-1".into()), seconds(3))],
+            changes: vec![rules_out(
+                ExcludedTarget::Endpoint("engine-1".into()),
+                seconds(3),
+            )],
             ..Journals::default()
         },
         expected: ViolationCounts {
@@ -364,7 +367,7 @@
             calls: vec![call(1)],
             starts: vec![start_at(1, seconds(10))],
             changes: vec![rules_out(
-                RuledOut::Organisation("outlets".into()),
+                ExcludedTarget::Organisation("outlets".into()),
                 seconds(3),
             )],
             ..Journals::default()
@@ -380,8 +383,8 @@
             calls: vec![call(1), call(2)],
             starts: vec![start_at(1, seconds(9)), start_at(2, seconds(20))],
             changes: vec![ConfigChange {
-                lifted_at: Some(seconds(15)),
-                ..rules_out(RuledOut::Organisation("outlets".into()), seconds(3))
+                reverted_at: Some(seconds(15)),
+                ..rules_out(ExcludedTarget::Organisation("outlets".into()), seconds(3))
             }],
             ..Journals::default()
         },
@@ -390,12 +393,12 @@
     CountCase {
         name: "blocks that nobody waits for",
         journals: || Journals {
-            holdings: vec![
-                HoldingRecord {
+            leaks: vec![
+                LeakRecord {
                     endpoint: "engine-1".into(),
                     blocks: 3,
                 },
-                HoldingRecord {
+                LeakRecord {
                     endpoint: "engine-2".into(),
                     blocks: 4,
                 },
--- a/lovagedock-standin/tests/violations/records.rs
+++ b/lovagedock-standin/tests/violations/records.rs
@@ -4,9 +4,9 @@
 
 use lovagedock::{LengthBucket, RanState, RequestId, ResultCode};
 use lovagedock_standin::load::{
-    AnswerCheck, CallEnding, CallRecord, CallerJournal, ConfigChange, ExecutionJournal,
-    ExecutionRecord, FleetJournal, HoldingRecord, LeaveRecord, LeavingParty, RuledOut,
-    ViolationCounts, ViolationLimits, ViolationNote, count_violations, note_violations,
+    AnswerCheck, CallOutcome, CallRecord, CallerJournal, ConfigChange, DrainRecord, DrainTarget,
+    ExcludedTarget, ExecutionJournal, ExecutionRecord, FleetJournal, LeakRecord, ViolationCounts,
+    ViolationDetail, ViolationLimits, count_violations, list_violations,
 };
 
 pub(crate) const fn seconds(seconds: u64) -> Duration {
@@ -30,8 +30,8 @@
         token_gaps: Vec::new(),
         ended_at: seconds(2),
         deadline: seconds(5),
-        ending: CallEnding::Complete,
-        answer: AnswerCheck::Whole,
+        outcome: CallOutcome::Complete,
+        answer: AnswerCheck::Complete,
         answer_digest: Some([1; 32]),
     }
 }
@@ -50,11 +50,11 @@
 
 pub(crate) fn failed(id: RequestId, code: ResultCode, ran: RanState) -> CallRecord {
     CallRecord {
-        ending: CallEnding::Problem {
+        outcome: CallOutcome::Problem {
             code: code.number(),
             ran,
         },
-        answer: AnswerCheck::Beginning,
+        answer: AnswerCheck::Prefix,
         answer_digest: None,
         ..call(id)
     }
@@ -75,23 +75,23 @@
     }
 }
 
-pub(crate) fn leave(party: LeavingParty, at: Duration) -> LeaveRecord {
-    LeaveRecord {
-        party,
-        began_at: at,
-        gone_at: None,
+pub(crate) fn leave(target: DrainTarget, at: Duration) -> DrainRecord {
+    DrainRecord {
+        target,
+        started_at: at,
+        ended_at: None,
     }
 }
 
-pub(crate) fn engine_leaves(at: Duration) -> LeaveRecord {
-    leave(LeavingParty::Endpoint("engine-1".into()), at)
+pub(crate) fn engine_leaves(at: Duration) -> DrainRecord {
+    leave(DrainTarget::Endpoint("engine-1".into()), at)
 }
 
-pub(crate) fn rules_out(ruled_out: RuledOut, at: Duration) -> ConfigChange {
+pub(crate) fn rules_out(excluded: ExcludedTarget, at: Duration) -> ConfigChange {
     ConfigChange {
         accepted_at: at,
-        lifted_at: None,
-        ruled_out,
+        reverted_at: None,
+        excluded,
     }
 }
 
@@ -99,8 +99,8 @@
 pub(crate) struct Journals {
     pub(crate) calls: Vec<CallRecord>,
     pub(crate) starts: Vec<ExecutionRecord>,
-    pub(crate) holdings: Vec<HoldingRecord>,
-    pub(crate) leaves: Vec<LeaveRecord>,
+    pub(crate) leaks: Vec<LeakRecord>,
+    pub(crate) drains: Vec<DrainRecord>,
     pub(crate) changes: Vec<ConfigChange>,
 }
 
@@ -109,20 +109,20 @@
         self.examine().0
     }
 
-    pub(crate) fn examine(self) -> (ViolationCounts, Vec<ViolationNote>) {
+    pub(crate) fn examine(self) -> (ViolationCounts, Vec<ViolationDetail>) {
         let callers = CallerJournal { calls: self.calls };
         let executions = ExecutionJournal {
             starts: self.starts,
-            holdings: self.holdings,
+            leaks: self.leaks,
         };
         let fleet = FleetJournal {
-            leaves: self.leaves,
+            drains: self.drains,
             changes: self.changes,
         };
         let limits = ViolationLimits::default();
         (
             count_violations(&callers, &executions, &fleet, &limits),
-            note_violations(&callers, &executions, &fleet, &limits),
+            list_violations(&callers, &executions, &fleet, &limits),
         )
     }
 }
