--- a/lovagedock-standin/examples/config_apply.rs
+++ b/lovagedock-standin/examples/config_apply.rs
@@ -1,5 +1,5 @@
-//! Measures what applying and reading a configuration costs at three sizes, and what an edit
-//! costs under other ways to cut it.
+//! Measures the cost of applying and reading configurations of three sizes, and the cost of an
+//! edit for several ways to split the configuration into chunks.
 //!
 //! `cargo run --release -p lovagedock-standin --example config_apply`
 
@@ -23,7 +23,7 @@
 const ROUNDS: usize = 7;
 const EDITS: usize = 100;
 const SEED: u64 = 7;
-/// Bytes that a chunk takes in the root: its hash in quotes and a comma.
+/// Bytes per chunk in the root object: the hash in quotes and a comma.
 const ROOT_BYTES_PER_CHUNK: usize = 67;
 
 #[tokio::main]
--- a/lovagedock-standin/examples/overhead/drive.rs
+++ b/lovagedock-standin/examples/overhead/drive.rs
@@ -1,4 +1,4 @@
-//! Sends requests and times their first tokens.
+//! Sends requests and measures their time to first token.
 
 use std::{
     net::SocketAddr,
@@ -16,15 +16,15 @@
 use serde_json::json;
 use tokio::time::sleep;
 
-/// Tokens of an answer.
+/// Answer tokens per request.
 const ANSWER_TOKENS: u64 = 16;
 const WARM_UP_REQUESTS: usize = 50;
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// About 250 tokens, so that the engine's own part is small.
+/// Repeated [`PROMPT_REPEATS`] times, about 250 tokens: the engine's share of the latency is small.
 const PROMPT: &str = "the log of the Sala, ";
 const PROMPT_REPEATS: usize = 48;
 
-/// Where requests go and what they say.
+/// Address and content of the requests.
 #[derive(Clone)]
 pub(crate) struct CallTarget {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -33,34 +33,34 @@
     body: Bytes,
 }
 
-/// Quantiles of the first token's time.
+/// Quantiles of the time to first token.
 pub(crate) struct FirstTokenTimes {
     /// Median.
     pub(crate) p50: Duration,
-    /// 95 in 100.
+    /// 95th percentile.
     pub(crate) p95: Duration,
 }
 
-/// First tokens with and without our processes, measured in turn.
+/// Time to first token with and without gateway and sidecar, measured alternately.
 pub(crate) struct LatencyFigures {
-    /// Through gateway and sidecar.
+    /// Requests through gateway and sidecar.
     pub(crate) via_gateway: FirstTokenTimes,
-    /// Straight from the engine.
+    /// Requests sent directly to the engine.
     pub(crate) direct: FirstTokenTimes,
 }
 
-/// What came of a load.
+/// Results of a load.
 pub(crate) struct LoadFigures {
-    /// Whole answers.
+    /// Number of complete responses.
     pub(crate) served: u64,
-    /// Others.
+    /// Number of failed requests.
     pub(crate) failed: u64,
-    /// From the first request to the last answer.
+    /// Time from the first request to the last response.
     pub(crate) elapsed: Duration,
 }
 
 impl CallTarget {
-    /// Streamed completions of one prompt.
+    /// Creates a target for streamed completions of one prompt.
     pub(crate) fn new(address: SocketAddr, key: &str, model: &str) -> Self {
         let body = json!({
             "model": model,
@@ -76,7 +76,8 @@
         }
     }
 
-    /// Time to the first piece of the answer, when all of it came.
+    /// Sends a request and returns the time to the first chunk; `None` if the response is
+    /// incomplete.
     async fn call(&self) -> Option<Duration> {
         let request = Request::post(&self.uri)
             .header("authorization", &self.key)
@@ -95,14 +96,14 @@
     }
 }
 
-/// Waits until the target answers whole.
+/// Waits until the target returns a complete response.
 pub(crate) async fn wait_until_served(target: &CallTarget) {
     while target.call().await.is_none() {
         sleep(READY_POLL_INTERVAL).await;
     }
 }
 
-/// Calls both targets in turn, so that whatever else the machine does meets both alike.
+/// Calls both targets alternately, so that other load on the machine affects both alike.
 pub(crate) async fn compare_latency(
     via_gateway: &CallTarget,
     direct: &CallTarget,
@@ -113,7 +114,7 @@
         for (target, times) in [via_gateway, direct].into_iter().zip(&mut times) {
             let time = target.call().await;
             if number >= WARM_UP_REQUESTS {
-                times.push(time.expect("an idle fleet serves"));
+                times.push(time.expect("an idle fleet serves every request"));
             }
         }
     }
@@ -124,7 +125,7 @@
     }
 }
 
-/// Keeps requests in flight for a while.
+/// Keeps `in_flight` requests in flight for `time`.
 pub(crate) async fn load(target: &CallTarget, in_flight: usize, time: Duration) -> LoadFigures {
     let target = Arc::new(target.clone());
     let started = Instant::now();
--- a/lovagedock-standin/examples/overhead/main.rs
+++ b/lovagedock-standin/examples/overhead/main.rs
@@ -1,8 +1,8 @@
-//! What the gateway and the sidecar cost: latency that they add to the engine, requests for each
-//! second of processor time, memory.
+//! Measures the overhead of the gateway and the sidecar: added latency, requests per second of CPU
+//! time, and memory.
 //!
-//! It measures processes that run already, such as the local fleet of docs/OPERATING.md, so that
-//! time and memory can be told apart by process.
+//! It measures running processes, such as the local fleet of docs/OPERATING.md, so that CPU time
+//! and memory can be attributed to each process.
 
 mod drive;
 mod meter;
@@ -13,31 +13,31 @@
 use drive::{CallTarget, LatencyFigures, LoadFigures};
 use meter::ProcessMeter;
 
-/// Measures what the gateway and the sidecar cost.
+/// Measures the overhead of the gateway and the sidecar.
 #[derive(Parser)]
 struct OverheadArguments {
-    /// Callers' address of a running gateway.
+    /// Address on which a running gateway listens for callers.
     #[arg(long, default_value = "127.0.0.1:7001")]
     gateway: SocketAddr,
-    /// Address of the engine stand-in behind it.
+    /// Address of the stand-in engine behind the gateway.
     #[arg(long, default_value = "127.0.0.1:7501")]
     engine: SocketAddr,
-    /// API key for a running gateway.
+    /// API key for the gateway.
     #[arg(long, default_value = "local-key")]
     key: String,
-    /// Model to ask for at a running gateway.
+    /// Model to request.
     #[arg(long, default_value = "local-model")]
     model: String,
-    /// Process to meter, as NAME=PID; may be repeated.
+    /// Process to measure, as NAME=PID; may be repeated.
     #[arg(long = "process", value_name = "NAME=PID", value_parser = meter::parse_process)]
     processes: Vec<ProcessMeter>,
-    /// Requests of each kind for the latency.
+    /// Number of requests to each target for the latency measurement.
     #[arg(long, default_value_t = 500)]
     requests: usize,
-    /// Requests in flight while throughput is measured.
+    /// Number of requests in flight during the throughput measurement.
     #[arg(long, default_value_t = 32)]
     in_flight: usize,
-    /// Seconds for which throughput is measured.
+    /// Duration of the throughput measurement in seconds.
     #[arg(long, default_value_t = 10)]
     seconds: u64,
 }
@@ -68,7 +68,7 @@
     )
     .await;
     println!(
-        "load: {} requests in {:.1} s ({:.0} a second), {} failed, {} in flight",
+        "load: {} requests in {:.1} s ({:.0} per second), {} failed, {} in flight",
         load.served,
         load.elapsed.as_secs_f64(),
         load.served as f64 / load.elapsed.as_secs_f64(),
@@ -104,7 +104,7 @@
     for (meter, before) in meters.iter().zip(before) {
         let spent = meter.processor_time().saturating_sub(*before);
         println!(
-            "{:<10} {:>6.2} s of processor time, {:>6.0} us a request, {:>6.0} requests a second and core",
+            "{:<10} {:>6.2} s of CPU time, {:>6.0} us per request, {:>6.0} requests per second and core",
             meter.name,
             spent.as_secs_f64(),
             spent.as_secs_f64() * 1e6 / load.served as f64,
@@ -118,7 +118,7 @@
         if let Some((resident, highest)) = meter.memory_kib() {
             let mib = |kib: u64| kib as f64 / 1024.0;
             println!(
-                "{title}: {} {:.1} MiB resident, {:.1} MiB at most so far",
+                "{title}: {} {:.1} MiB resident, {:.1} MiB peak",
                 meter.name,
                 mib(resident),
                 mib(highest)
--- a/lovagedock-standin/examples/overhead/meter.rs
+++ b/lovagedock-standin/examples/overhead/meter.rs
@@ -1,29 +1,29 @@
-//! Processor time and memory from `/proc`.
+//! Reads CPU time and memory of processes from `/proc`.
 
 use std::{fs, time::Duration};
 
-/// Clock ticks a second in `/proc`; the kernel's interface has fixed it.
+/// Clock ticks per second in `/proc`, fixed by the kernel's interface.
 const TICKS_PER_SECOND: u64 = 100;
-/// Places of user and system time after the name in a `stat` line.
+/// Indexes of user and system time in a `stat` line, counted after the name in parentheses.
 const USER_TICKS_FIELD: usize = 11;
 const SYSTEM_TICKS_FIELD: usize = 12;
 
-/// Measures one role.
+/// Reads the resource usage of one process.
 #[derive(Clone, Debug)]
 pub(crate) struct ProcessMeter {
-    /// Name in the report.
+    /// Name of the process in the output.
     pub(crate) name: String,
     pid: u32,
 }
 
 impl ProcessMeter {
-    /// Processor time so far.
+    /// CPU time used so far.
     pub(crate) fn processor_time(&self) -> Duration {
         let ticks = ticks_of(self.pid);
         Duration::from_millis(ticks * 1000 / TICKS_PER_SECOND)
     }
 
-    /// Resident memory now and at most so far, of a process.
+    /// Current and peak resident memory in KiB.
     pub(crate) fn memory_kib(&self) -> Option<(u64, u64)> {
         let status = fs::read_to_string(format!("/proc/{}/status", self.pid)).ok()?;
         Some((
@@ -33,10 +33,12 @@
     }
 }
 
-/// Reads `NAME=PID`.
+/// Parses `NAME=PID`.
 pub(crate) fn parse_process(text: &str) -> Result<ProcessMeter, String> {
     let (name, pid) = text.split_once('=').ok_or("expected NAME=PID")?;
-    let pid = pid.parse().map_err(|_| format!("no process id: {pid}"))?;
+    let pid = pid
+        .parse()
+        .map_err(|_| format!("invalid process id: {pid}"))?;
     Ok(ProcessMeter {
         name: name.to_owned(),
         pid,
@@ -45,7 +47,7 @@
 
 fn ticks_of(pid: u32) -> u64 {
     let stat = fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
-    // The name stands in brackets and may hold spaces; numbers follow.
+    // The name is in parentheses and may contain spaces; numbers follow.
     let Some((_, fields)) = stat.rsplit_once(')') else {
         return 0;
     };
--- a/lovagedock-standin/src/bin/lovagedock-demo.rs
+++ b/lovagedock-standin/src/bin/lovagedock-demo.rs
@@ -1,4 +1,4 @@
-//! A whole deployment in one process: the demonstration.
+//! Demo: a complete deployment in one process.
 
 use std::{
     fs,
@@ -18,15 +18,17 @@
 };
 use slog::{Discard, Logger, o};
 
-/// Calls behind violations that are printed at most.
+/// Maximum number of calls behind violations that are printed.
 const MAX_DETAILS: usize = 20;
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Starts stand-ins of the platform and of a deployment's endpoints, the deployment's sidecars and
-/// gateways, applies its configuration, sends its mix of calls and prints what came of them.
+/// Runs a deployment in one process and reports latency, outcomes and violations.
 ///
-/// Exit codes: 0 no violation; 1 violations, or the run failed; 2 wrong arguments; 3 the fault file
-/// has errors.
+/// Starts stand-ins of the platform and of the endpoints, starts the sidecars and gateways, applies
+/// the configuration and sends the mix of calls.
+///
+/// Exit codes: 0 no violations; 1 violations, or the run failed; 2 invalid arguments; 3 errors in
+/// the fault file.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct DemoArgs {
@@ -36,19 +38,19 @@
     /// Deployment to run.
     #[arg(long, value_enum, default_value_t)]
     deployment: Deployment,
-    /// Placement policy instead of the deployment's own.
+    /// Placement policy; replaces the policy of the deployment.
     #[arg(long)]
     policy: Option<String>,
-    /// Timeline of faults, JSON with comments.
+    /// File with a timeline of faults, JSON with comments.
     #[arg(long, value_name = "FILE")]
     faults: Option<PathBuf>,
-    /// Seconds in which calls are sent; the answers to the last come after them.
+    /// Seconds for which calls are sent; the last responses arrive later.
     #[arg(long, default_value_t = 20)]
     seconds: u64,
-    /// Writes the report as JSON.
+    /// Write the report to this file as JSON.
     #[arg(long, value_name = "FILE")]
     report: Option<PathBuf>,
-    /// Prints the daemons' logs.
+    /// Print the logs of the daemons.
     #[arg(long)]
     logs: bool,
 }
@@ -102,10 +104,10 @@
     let endpoints = detail.endpoints.join(", ");
     let outcome = match detail.outcome {
         CallOutcome::Problem { code, ran } => format!("code {code}, ran: {}", ran.as_str()),
-        CallOutcome::Complete => "a clean end".to_owned(),
+        CallOutcome::Complete => "a complete response".to_owned(),
         CallOutcome::Broken => "a broken connection".to_owned(),
         CallOutcome::Unsent => "no connection".to_owned(),
-        CallOutcome::NoOutcome => "no end".to_owned(),
+        CallOutcome::NoOutcome => "no outcome".to_owned(),
     };
     let counter = detail.counter;
     format!("{counter}: request {request} ended with {outcome}; started on [{endpoints}]")
--- a/lovagedock-standin/src/bin/lovagedock-load/experiment.rs
+++ b/lovagedock-standin/src/bin/lovagedock-load/experiment.rs
@@ -1,4 +1,4 @@
-//! Experiments from files.
+//! Runs experiments from files.
 
 use std::{
     env,
@@ -23,12 +23,12 @@
 
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What an experiment is told.
+/// Arguments of the command `experiment`.
 #[derive(Debug, Args)]
 pub(crate) struct ExperimentArgs {
-    /// Experiment, JSON with comments.
+    /// Experiment file, JSON with comments.
     file: PathBuf,
-    /// Directory for the results, which are named after the file.
+    /// Directory for the result files, which are named after the experiment file.
     #[arg(long, value_name = "DIR", default_value = "docs/results")]
     output: PathBuf,
 }
@@ -109,7 +109,7 @@
     stem.to_string_lossy().into_owned()
 }
 
-/// The command as it was typed, without the directory of the program.
+/// Command line of this process, without the directory of the program.
 fn command_line() -> String {
     let arguments = env::args().skip(1);
     let words: Vec<_> = [env!("CARGO_BIN_NAME").to_owned()]
@@ -119,7 +119,7 @@
     words.join(" ")
 }
 
-/// Runs as a task of the run, and ends with its runtime.
+/// Prints the progress from a task on the runtime of the run. The task ends with the runtime.
 fn show_progress(progress: Arc<RunProgress>) {
     if !io::stderr().is_terminal() {
         return;
--- a/lovagedock-standin/src/bin/lovagedock-load/main.rs
+++ b/lovagedock-standin/src/bin/lovagedock-load/main.rs
@@ -14,10 +14,10 @@
     single::{SingleArgs, run_single},
 };
 
-/// Sends a seeded mix of calls to gateways and reports latency, outcomes and broken promises.
+/// Sends a seeded mix of calls to gateways and reports latency, outcomes and violated guarantees.
 ///
-/// Exit codes: 0 no violation; 1 violations, or the run failed; 2 wrong arguments; 3 the mix or the
-/// experiment has errors.
+/// Exit codes: 0 no violations; 1 violations, or the run failed; 2 invalid arguments; 3 errors in
+/// the mix or the experiment.
 #[derive(Debug, Parser)]
 #[command(
     version,
@@ -31,10 +31,10 @@
     single: Option<SingleArgs>,
 }
 
-/// Commands that start a fleet of their own.
+/// Commands that start their own fleet.
 #[derive(Debug, Subcommand)]
 enum OwnFleetCommand {
-    /// Runs policies against each other in one process and writes a table, a plot and the figures.
+    /// Compares policies on a fleet in one process and writes a table, a plot and the raw results.
     Experiment(ExperimentArgs),
 }
 
@@ -44,7 +44,7 @@
         return run_experiment_file(&args);
     }
     let Some(single) = single else {
-        eprintln!("give --mix and --gateway, or a command; see --help");
+        eprintln!("--mix and --gateway, or a command, are required; see --help");
         return ExitStatus::Usage.into();
     };
     match Runtime::new() {
--- a/lovagedock-standin/src/bin/lovagedock-load/single.rs
+++ b/lovagedock-standin/src/bin/lovagedock-load/single.rs
@@ -1,4 +1,4 @@
-//! One run against daemons that serve already.
+//! One run against daemons that are already running.
 
 use std::{
     fs, io,
@@ -20,42 +20,43 @@
 };
 
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
-/// Time after the last answer in which engines may still free what is cancelled.
+/// Time after the last response in which engines may still free the memory of cancelled requests.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// What one run against daemons that serve already is told.
+/// Arguments of a run against daemons that are already running.
 #[derive(Debug, Args)]
 pub(crate) struct SingleArgs {
-    /// Mix of calls, JSON with comments.
+    /// File with the mix of calls, JSON with comments.
     #[arg(long, value_name = "FILE")]
     mix: PathBuf,
-    /// Address where a gateway listens for callers; several may be given.
+    /// Address on which a gateway listens for callers; may be repeated.
     #[arg(long = "gateway", value_name = "ADDRESS", required = true)]
     gateways: Vec<SocketAddr>,
-    /// Stand-in engine whose journal is joined in the end.
+    /// Stand-in engine whose journal is read after the run; may be repeated.
     #[arg(long = "engine", value_name = "NAME=ADDRESS")]
     engines: Vec<StandinTarget>,
-    /// Stand-in service whose journal is joined in the end.
+    /// Stand-in service whose journal is read after the run; may be repeated.
     #[arg(long = "service", value_name = "NAME=ADDRESS")]
     services: Vec<StandinTarget>,
     /// Seed of the plan.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Length of the plan in seconds; the answers to the last calls come after it.
+    /// Duration of the plan in seconds; the last responses arrive later.
     #[arg(long, default_value_t = 30)]
     seconds: u64,
-    /// Model time of the engines that passes in one unit of real time.
+    /// Model time of the engines per unit of real time.
     #[arg(long, default_value_t = 1.0)]
     time_scale: f64,
     /// Name of the placement policy, for the report.
     #[arg(long, default_value = "")]
     policy: String,
-    /// Writes the report as JSON.
+    /// Write the report to this file as JSON.
     #[arg(long, value_name = "FILE")]
     report: Option<PathBuf>,
 }
 
-/// Runs it and reports; `control` is not measured, because the daemons are other processes.
+/// Sends the calls and prints the report. The control-plane overhead is not measured, because the
+/// daemons are other processes.
 pub(crate) async fn run_single(args: &SingleArgs) -> ExitCode {
     let mix: MixSpec = match load_settings(&args.mix) {
         Ok(mix) => mix,
--- a/lovagedock-standin/src/bin/standin-engine.rs
+++ b/lovagedock-standin/src/bin/standin-engine.rs
@@ -1,4 +1,4 @@
-//! Stand-in of a vendor's engine as a program.
+//! Stand-in of a vendor's engine as a separate process.
 
 use std::{net::SocketAddr, process::ExitCode};
 
@@ -6,32 +6,32 @@
 
 use lovagedock_standin::engine::{EngineOptions, EngineStandin, ReportStyle};
 
-/// Stand-in engine: batches in scaled model time and answers deterministic text.
+/// Stand-in engine: simulates batching in scaled model time and returns deterministic text.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct EngineArgs {
-    /// Address to listen at; port 0 takes a free one.
+    /// Address to listen on; with port 0 the system chooses a free port.
     #[arg(long, default_value = "127.0.0.1:0")]
     listen: SocketAddr,
-    /// Model that it runs.
+    /// Name of the served model.
     #[arg(long, default_value = "register-reader")]
     model: String,
-    /// Model time that passes in one unit of real time.
+    /// Model time per unit of real time.
     #[arg(long, default_value_t = 20.0)]
     time_scale: f64,
     /// KV memory in tokens.
     #[arg(long, default_value_t = 400_000)]
     memory_tokens: u64,
-    /// Answer tokens in one event of a stream.
+    /// Answer tokens per stream event.
     #[arg(long, default_value_t = 1)]
     stream_interval: u64,
-    /// End a request when its caller goes away.
+    /// Cancel a request when its caller disconnects.
     #[arg(long)]
     cancel_on_disconnect: bool,
-    /// How it reports its load.
+    /// Format of the load report.
     #[arg(long, value_enum, default_value = "json-report")]
     report: ReportArg,
-    /// Carry out orders whatever their fencing number.
+    /// Execute orders regardless of their fencing number.
     #[arg(long)]
     ignore_fences: bool,
 }
@@ -61,7 +61,7 @@
     let engine = match EngineStandin::start_at(args.listen, options).await {
         Ok(engine) => engine,
         Err(error) => {
-            eprintln!("cannot listen at {}: {error}", args.listen);
+            eprintln!("cannot listen on {}: {error}", args.listen);
             return ExitCode::FAILURE;
         }
     };
--- a/lovagedock-standin/src/bin/standin-platform.rs
+++ b/lovagedock-standin/src/bin/standin-platform.rs
@@ -1,4 +1,4 @@
-//! Runs the stand-in of the platform by itself.
+//! Stand-in of the platform as a separate process.
 
 use std::{io, net::SocketAddr, time::Duration};
 
@@ -9,19 +9,19 @@
 #[derive(Parser)]
 #[command(version)]
 struct PlatformArgs {
-    /// Where to listen; port 0 lets the system choose.
+    /// Address to listen on; with port 0 the system chooses a free port.
     #[arg(long, default_value = "127.0.0.1:8300")]
     listen: SocketAddr,
-    /// Writes a second before it answers 429.
+    /// Maximum writes per second; further writes get a 429 response.
     #[arg(long, default_value_t = 400.0)]
     writes_per_second: f64,
-    /// Reads a second before it answers 429.
+    /// Maximum reads per second; further reads get a 429 response.
     #[arg(long, default_value_t = 2000.0)]
     reads_per_second: f64,
-    /// How far the host list lags behind, in milliseconds.
+    /// Lag of the host list in milliseconds.
     #[arg(long, default_value_t = 5000)]
     host_lag_ms: u64,
-    /// A host that is live from the beginning; may be repeated.
+    /// Host that is live at the start; may be repeated.
     #[arg(long = "host")]
     hosts: Vec<String>,
 }
--- a/lovagedock-standin/src/bin/standin-service.rs
+++ b/lovagedock-standin/src/bin/standin-service.rs
@@ -1,4 +1,4 @@
-//! Stand-in of a plain service as a program.
+//! Stand-in of a plain service as a separate process.
 
 use std::{net::SocketAddr, process::ExitCode, time::Duration};
 
@@ -6,14 +6,14 @@
 
 use lovagedock_standin::service::{ServiceOptions, ServiceStandin};
 
-/// Stand-in service: echoes a digest of each call and keeps a journal at /journal.
+/// Stand-in service: returns a digest of each call and serves its journal at /journal.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct ServiceArgs {
-    /// Address to listen at; port 0 takes a free one.
+    /// Address to listen on; with port 0 the system chooses a free port.
     #[arg(long, default_value = "127.0.0.1:0")]
     listen: SocketAddr,
-    /// Milliseconds that each call takes.
+    /// Duration of each call in milliseconds.
     #[arg(long, default_value_t = 5)]
     service_ms: u64,
 }
@@ -27,7 +27,7 @@
     let service = match ServiceStandin::start_at(args.listen, options).await {
         Ok(service) => service,
         Err(error) => {
-            eprintln!("cannot listen at {}: {error}", args.listen);
+            eprintln!("cannot listen on {}: {error}", args.listen);
             return ExitCode::FAILURE;
         }
     };
--- a/lovagedock-standin/src/demo/deployment.rs
+++ b/lovagedock-standin/src/demo/deployment.rs
@@ -1,4 +1,4 @@
-//! The two example deployments, as they are in `examples/`.
+//! The two example deployments in `examples/`.
 
 use std::{
     fmt::{self, Display, Formatter},
@@ -12,7 +12,7 @@
 
 use crate::load::MixSpec;
 
-/// A deployment with its configuration and its callers.
+/// Example deployment with its configuration and its mix of calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize, ValueEnum)]
 #[serde(rename_all = "snake_case")]
 pub enum Deployment {
@@ -32,10 +32,10 @@
     }
 }
 
-/// Why a deployment cannot be used.
+/// Reason why a deployment cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DeploymentError {
-    /// A file has errors; one line each.
+    /// A file has errors; one line per error.
     Invalid(String),
     /// There is no placement policy of this name.
     UnknownPolicy(String),
@@ -47,7 +47,7 @@
             Self::Invalid(problems) => f.write_str(problems),
             Self::UnknownPolicy(name) => {
                 let names = policy_names().join(", ");
-                write!(f, "no policy {name:?}; there are {names}")
+                write!(f, "unknown policy {name:?}; known policies: {names}")
             }
         }
     }
@@ -56,7 +56,7 @@
 impl std::error::Error for DeploymentError {}
 
 impl Deployment {
-    /// The configuration, with another placement policy if one is given.
+    /// Configuration of the deployment; `policy` replaces its placement policy.
     pub fn config(self, policy: Option<&str>) -> Result<FleetConfig, DeploymentError> {
         let (name, text) = match self {
             Self::Mafraq => (
@@ -81,7 +81,7 @@
         Ok(config)
     }
 
-    /// What the deployment's callers send.
+    /// Mix of calls of the deployment.
     pub fn mix(self) -> Result<MixSpec, DeploymentError> {
         let (name, text) = match self {
             Self::Mafraq => (
--- a/lovagedock-standin/src/demo/injector.rs
+++ b/lovagedock-standin/src/demo/injector.rs
@@ -1,4 +1,5 @@
-//! Brings the faults of a timeline about in a running fleet, and journals what was orderly.
+//! Injects the faults of a timeline into a running fleet and records drains and configuration
+//! changes.
 
 use std::{fmt::Debug, time::Duration};
 
@@ -25,7 +26,7 @@
 
 const LATE_MS: u64 = 500;
 
-/// Carries a timeline out.
+/// Executes a timeline of faults.
 pub(crate) struct FaultInjector<'a> {
     fleet: &'a mut LocalFleet,
     clock: ProcessClock,
@@ -34,7 +35,7 @@
     journal: FleetJournal,
 }
 
-/// One end of a fault on the timeline.
+/// Start or end of a fault on the timeline.
 struct TimelineEntry<'a> {
     at: Duration,
     step: &'a FaultStep,
@@ -42,7 +43,7 @@
 }
 
 impl<'a> FaultInjector<'a> {
-    /// `generation` is that of the configuration in force.
+    /// Creates an injector; `generation` is the generation of the configuration in force.
     pub(crate) fn new(
         fleet: &'a mut LocalFleet,
         generation: Generation,
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Carries out every fault at its time after `start`.
+    /// Starts and ends all faults at their times after `start`.
     pub(crate) async fn run(
         mut self,
         plan: &FaultPlan,
@@ -219,7 +220,8 @@
     }
 
     async fn readmit(&mut self, excluded: &ExcludedTarget) -> Result<(), Report<DemoError>> {
-        // From here on a gateway may have the new configuration before we hear of it.
+        // A gateway may use the new configuration before `apply` returns, so the time is taken
+        // before.
         let now = self.clock.now();
         let mut changes = self.journal.changes.iter_mut();
         if let Some(change) = changes.find(|it| it.excluded == *excluded) {
@@ -228,7 +230,7 @@
         self.apply().await
     }
 
-    /// Applies the deployment's configuration without what is ruled out now.
+    /// Applies the deployment's configuration without the targets that are excluded now.
     async fn apply(&mut self) -> Result<(), Report<DemoError>> {
         let full_config = self.fleet.config.clone();
         let is_excluded = |wanted: &ExcludedTarget| {
@@ -286,5 +288,5 @@
 }
 
 fn unknown_target(name: impl Debug) -> Report<DemoError> {
-    Report::new(DemoError::Fault).attach(format!("the deployment has no such {name:?}"))
+    Report::new(DemoError::Fault).attach(format!("the deployment has no suitable target {name:?}"))
 }
--- a/lovagedock-standin/src/demo/mod.rs
+++ b/lovagedock-standin/src/demo/mod.rs
@@ -1,4 +1,4 @@
-//! The demonstration: a whole deployment in one process, a mix of calls, faults, and the report.
+//! Demo: a complete deployment in one process, with a mix of calls, faults and a report.
 
 mod deployment;
 mod faults;
--- a/lovagedock-standin/src/demo/overhead.rs
+++ b/lovagedock-standin/src/demo/overhead.rs
@@ -1,18 +1,18 @@
-//! What control costs, measured on the idle fleet.
+//! Overhead of the control plane, measured on the idle fleet.
 
 use std::{fs, time::Duration};
 
 use crate::{PlatformCounters, load::ControlOverhead};
 
-/// Ticks a second of the times in `/proc`; fixed by the kernel's interface.
+/// Clock ticks per second of the times in `/proc`, fixed by the kernel's interface.
 const CLOCK_TICKS: f64 = 100.0;
-/// Fields of `/proc/self/stat` after the name in parentheses.
+/// Indexes of fields in `/proc/self/stat`, counted after the name in parentheses.
 const USER_TIME_FIELD: usize = 11;
 const SYSTEM_TIME_FIELD: usize = 12;
 const RESIDENT_LINE: &str = "VmRSS:";
 const KIB_PER_MIB: f64 = 1024.0;
 
-/// A look at the process and the platform.
+/// Sample of the resource usage of this process and of the platform's counters.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ControlSample {
     at: Duration,
@@ -22,7 +22,7 @@
 }
 
 impl ControlSample {
-    /// Looks at this process now.
+    /// Samples this process now.
     pub(crate) fn measure(at: Duration, platform: PlatformCounters) -> Self {
         Self {
             at,
@@ -32,13 +32,13 @@
         }
     }
 
-    /// What `daemons` daemons used between two looks, for each of them.
+    /// Average overhead of each of `daemons` daemons between two samples.
     ///
-    /// The stand-ins share the process, so processor time and memory are upper bounds.
+    /// The stand-ins run in the same process, so CPU time and memory are upper bounds.
     pub(crate) fn overhead_until(&self, later: &Self, daemons: usize) -> ControlOverhead {
         let seconds = (later.at - self.at).as_secs_f64();
         let each = daemons.max(1) as f64;
-        // Both ends of a connection are in this process, and each counts what it moves.
+        // Both ends of a connection are in this process, and each counts the bytes that it moves.
         let bytes = (later.link_bytes - self.link_bytes) as f64;
         ControlOverhead {
             cpu_pct: (later.processor_s - self.processor_s) / seconds * 100.0 / each,
--- a/lovagedock-standin/src/demo/run.rs
+++ b/lovagedock-standin/src/demo/run.rs
@@ -1,4 +1,4 @@
-//! One run of the demonstration.
+//! One run of the demo.
 
 use std::{
     fmt::{self, Display, Formatter},
@@ -24,49 +24,49 @@
     },
 };
 
-/// Model time of the engines in one unit of real time, so that a million tokens fit into a run.
+/// Model time of the engines per unit of real time, chosen so that a million tokens fit into a run.
 pub const TIME_SCALE: f64 = 8.0;
-/// How long the idle fleet is watched for what control costs.
+/// Time for which the control-plane overhead of the idle fleet is measured.
 const IDLE_TIME: Duration = Duration::from_secs(2);
-/// Time after the last answer in which engines may still free what was cancelled.
+/// Time after the last response in which engines may still free the memory of cancelled requests.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
 /// Generation of a fleet's first configuration.
 const FIRST_GENERATION: u64 = 1;
 
-/// What a run is told.
+/// Options of a run.
 #[derive(Clone, Debug)]
 pub struct DemoOptions {
-    /// Which deployment.
+    /// Deployment to run.
     pub deployment: Deployment,
-    /// Placement policy; the deployment's own when absent.
+    /// Placement policy; `None` selects the policy of the deployment.
     pub policy: Option<String>,
     /// Seed of the plan.
     pub seed: u64,
-    /// Length of the plan.
+    /// Duration of the plan.
     pub duration: Duration,
-    /// What goes wrong.
+    /// Faults to inject.
     pub faults: FaultPlan,
-    /// Log of the daemons.
+    /// Logger of the daemons.
     pub log: Logger,
 }
 
-/// What a run found.
+/// Results of a run.
 #[derive(Clone, Debug)]
 pub struct DemoOutcome {
-    /// The figures.
+    /// Report of the run.
     pub report: LoadReport,
-    /// The calls behind the violations that count calls.
+    /// Calls behind the violation counters that count calls.
     pub details: Vec<ViolationDetail>,
 }
 
-/// Why a run failed.
+/// Reason why a run failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DemoError {
     /// The deployment's files have errors.
     Deployment,
     /// The fleet could not start.
     Fleet,
-    /// A fault could not be brought about.
+    /// A fault could not be injected or ended.
     Fault,
     /// The callers could not start.
     Callers,
@@ -77,7 +77,7 @@
         f.write_str(match self {
             Self::Deployment => "the deployment has errors",
             Self::Fleet => "the fleet could not start",
-            Self::Fault => "a fault could not be brought about",
+            Self::Fault => "a fault could not be injected or ended",
             Self::Callers => "the callers could not start",
         })
     }
@@ -85,7 +85,8 @@
 
 impl std::error::Error for DemoError {}
 
-/// Starts the deployment, sends its mix and reports; `watch` gets the numbers that grow.
+/// Starts the deployment, sends its mix of calls and computes the report. `watch` gets the progress
+/// counters.
 pub async fn run_demo(
     options: &DemoOptions,
     watch: impl FnOnce(Arc<RunProgress>),
@@ -101,7 +102,7 @@
     let config = with_scaled_limits(config, TIME_SCALE);
     let policy = config.placement.policy.clone();
     let plan = FleetPlan::new(config, options.log.clone()).with_time_scale(TIME_SCALE);
-    // Before the stand-ins, so that none of their times lies before the clock's zero.
+    // Created before the stand-ins, so that none of their times is before the zero of the clock.
     let clock = ProcessClock::new();
     let mut fleet = LocalFleet::start(plan)
         .await
@@ -179,7 +180,7 @@
     executions
 }
 
-/// Limits by time at the speed of the model's clock: callers come as much faster.
+/// Multiplies rate limits by the time scale, because calls arrive faster by this factor.
 fn with_scaled_limits(mut config: FleetConfig, time_scale: f64) -> FleetConfig {
     for organisation in &mut config.organisations {
         let limits = &mut organisation.limits;
--- a/lovagedock-standin/src/engine/answer.rs
+++ b/lovagedock-standin/src/engine/answer.rs
@@ -1,13 +1,13 @@
-//! The answer that a stand-in engine gives: a pure function of the prompt.
+//! Deterministic answer text of a stand-in engine: a pure function of the prompt.
 
 use serde::Deserialize;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 use lovagedock::prelude::TokenCount;
 
-/// Bytes of prompt or answer text that make one token.
+/// Bytes of prompt or answer text per token.
 pub const BYTES_PER_TOKEN: u64 = 4;
-/// Tokens in one piece of a prompt that the prefix cache keeps as a whole.
+/// Tokens in one chunk of a prompt. The prefix cache stores and evicts whole chunks.
 pub const PREFIX_CHUNK_TOKENS: u64 = 1_024;
 
 const PREFIX_CHUNK_BYTES: usize = (PREFIX_CHUNK_TOKENS * BYTES_PER_TOKEN) as usize;
@@ -16,18 +16,18 @@
 /// One message of a chat.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct ChatMessage {
-    /// Who speaks.
+    /// Role of the author, such as `user`.
     pub role: String,
-    /// What is said.
+    /// Text of the message.
     pub content: String,
 }
 
-/// Recomputes the whole answer to a prompt, so that a load generator can check what it received.
+/// Recomputes the complete answer to a prompt, so that a load generator can check what it received.
 pub fn expected_answer(prompt: &str, max_tokens: TokenCount) -> String {
     answer_text(prompt_digest(prompt), 0, max_tokens)
 }
 
-/// Writes a chat as the prompt that the stand-in engine answers.
+/// Joins the messages of a chat into the prompt that the stand-in engine answers.
 pub fn chat_prompt(messages: &[ChatMessage]) -> String {
     let mut prompt = String::new();
     for message in messages {
@@ -39,12 +39,12 @@
     prompt
 }
 
-/// Tokens of a prompt of the given text; an empty prompt counts as one token.
+/// Number of tokens in a prompt; an empty prompt counts as one token.
 pub fn prompt_tokens(prompt: &str) -> TokenCount {
     (prompt.len() as u64).div_ceil(BYTES_PER_TOKEN).max(1)
 }
 
-/// Hash of each whole piece of a prompt, chained over the pieces before it.
+/// Hashes of the full chunks of a prompt. Each hash also covers all chunks before it.
 pub fn prefix_hashes(prompt: &str) -> Vec<u64> {
     let mut hash = 0;
     prompt
@@ -61,7 +61,7 @@
     xxh3_64(prompt.as_bytes())
 }
 
-/// Text of the answer tokens from `start` up to, not including, `end`.
+/// Text of the answer tokens in `start..end`.
 pub(crate) fn answer_text(digest: u64, start: TokenCount, end: TokenCount) -> String {
     (start..end)
         .flat_map(|index| token_letters(digest, index))
--- a/lovagedock-standin/src/engine/batch.rs
+++ b/lovagedock-standin/src/engine/batch.rs
@@ -1,4 +1,4 @@
-//! Continuous batching in model time, as a pure state machine.
+//! Scheduler with continuous batching in model time, written as a pure state machine.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,85 +12,86 @@
     sequence::{Phase, Sequence, needed_blocks},
 };
 
-/// Counts the requests that an engine took in, over all its lives.
+/// Number that an engine gives to each accepted request. Numbering continues after a crash.
 pub type SequenceNumber = u64;
 
-/// What a sequence is for.
+/// Purpose of a sequence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SequenceKind {
     /// Prefill the prompt, then decode the answer.
     Answer,
-    /// Prefill one part of a longer prompt and hold it until it is cancelled.
+    /// Prefill one part of a longer prompt and hold its state until it is cancelled.
     Segment,
 }
 
-/// One request as the batch sees it.
+/// Request that is submitted to the batch.
 #[derive(Clone, Debug)]
 pub struct SequenceRequest {
-    /// Id that the request came with.
+    /// Id of the request, chosen by the caller.
     pub request_id: Arc<str>,
-    /// What it is for.
+    /// Purpose of the sequence.
     pub kind: SequenceKind,
-    /// Higher goes first.
+    /// Requests with a higher priority enter the batch first.
     pub priority: i32,
-    /// Position of its first own token; those before are held by other engines.
+    /// Position of the first prompt token that this engine prefills. Other engines hold the tokens
+    /// before it.
     pub start: TokenCount,
     /// Prompt tokens that this engine prefills.
     pub prompt_tokens: TokenCount,
-    /// Answer tokens that exist already: their state is prefilled, not decoded.
+    /// Answer tokens that were generated before. Their state is prefilled, not decoded.
     pub resume_offset: TokenCount,
-    /// Answer tokens in all.
+    /// Total number of answer tokens, resumed ones included.
     pub max_tokens: TokenCount,
-    /// Hashes of the prompt's pieces; empty for one that the cache may not serve.
+    /// Hashes of the prompt's chunks; empty if the prefix cache must not be used.
     pub prefix_hashes: Vec<u64>,
-    /// Whether the state came from another engine: nothing is left to prefill, and decoding
-    /// waits for a caller.
+    /// Whether the state was imported from another engine. Nothing is left to prefill then, and
+    /// decoding starts when a caller attaches.
     pub imported: bool,
 }
 
-/// Why a request was not taken.
+/// Reason why a request was not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SubmitError {
-    /// It needs more than the whole memory.
+    /// The request needs more blocks than the engine has in total.
     TooLarge,
-    /// A request with this id, or this segment of it, is there already.
+    /// The engine already has a request with this id, or this segment of it.
     Duplicate,
 }
 
-/// Why a request could not be paused.
+/// Reason why a request could not be paused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PauseError {
-    /// It is not there.
+    /// The engine has no request with this id.
     Missing,
-    /// It waits, is being prefilled, or is a segment.
+    /// The request is waiting or being prefilled.
     NotDecoding,
 }
 
-/// What a step did for one sequence.
+/// Result of a step for one sequence.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StepOutput {
-    /// Number that the request got.
+    /// Number that the engine gave to the request.
     pub number: SequenceNumber,
-    /// Id that the request came with.
+    /// Id of the request, chosen by the caller.
     pub request_id: Arc<str>,
     /// Answer tokens generated so far, resumed ones included.
     pub produced: TokenCount,
-    /// Prompt tokens that the cache spared.
+    /// Prompt tokens that were found in the prefix cache and not prefilled.
     pub cached_tokens: TokenCount,
-    /// Whether all is done.
+    /// Whether the sequence is complete.
     pub finished: bool,
 }
 
-/// Blocks that one request holds.
+/// Memory allocated to one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BlockAllocation {
-    /// Id that the request came with.
+    /// Id of the request, chosen by the caller.
     pub request_id: Arc<str>,
-    /// Blocks; 0 while it waits.
+    /// Allocated blocks; 0 while the request is waiting.
     pub blocks: BlockCount,
 }
 
-/// The scheduler of one engine.
+/// Scheduler of one engine.
 #[derive(Debug)]
 pub struct BatchEngine {
     options: EngineOptions,
@@ -102,7 +103,7 @@
 }
 
 impl BatchEngine {
-    /// An idle engine.
+    /// Creates an idle engine.
     pub fn new(options: EngineOptions, journal: EngineJournal) -> Self {
         Self {
             memory: KvMemory::new(options.memory_tokens),
@@ -114,22 +115,22 @@
         }
     }
 
-    /// Model time: the end of the step that was last begun.
+    /// Current model time: the end of the latest step.
     pub fn now(&self) -> Duration {
         self.now
     }
 
-    /// The engine's memory.
+    /// KV memory of the engine.
     pub fn memory(&self) -> &KvMemory {
         &self.memory
     }
 
-    /// Lets model time pass while there is nothing to do; time never goes back.
+    /// Advances model time while the engine is idle. Time never goes backwards.
     pub fn advance_to(&mut self, now: Duration) {
         self.now = self.now.max(now);
     }
 
-    /// Takes a request in and numbers it; it enters the batch with a later step.
+    /// Accepts a request and returns its number. The request enters the batch in a later step.
     pub fn submit(&mut self, request: SequenceRequest) -> Result<SequenceNumber, SubmitError> {
         let blocks = needed_blocks(&request);
         if blocks > self.memory.total() {
@@ -157,7 +158,8 @@
         Ok(self.arrivals)
     }
 
-    /// Ends a request with its segments and frees their blocks; `false` if nothing is there.
+    /// Removes a request and its segments and frees their blocks. Returns `false` if there are
+    /// none.
     pub fn cancel(&mut self, request_id: &str) -> bool {
         let mut is_found = false;
         while let Some(index) = self.any_position(request_id) {
@@ -167,7 +169,7 @@
         is_found
     }
 
-    /// Loses everything, as a process that dies does.
+    /// Drops all requests and the prefix cache, as a crash of the process does.
     pub fn discard_all(&mut self) {
         while !self.sequences.is_empty() {
             self.remove(0, JournalEvent::Lost);
@@ -175,7 +177,8 @@
         self.memory = KvMemory::new(self.options.memory_tokens);
     }
 
-    /// Stops decoding a request and tells how far it is; it holds its blocks until cancelled.
+    /// Stops decoding a request and returns it with the number of tokens produced so far. The
+    /// request keeps its blocks until it is cancelled.
     pub fn pause(&mut self, request_id: &str) -> Result<(SequenceRequest, TokenCount), PauseError> {
         let index = self.position(request_id).ok_or(PauseError::Missing)?;
         let sequence = &mut self.sequences[index];
@@ -186,14 +189,14 @@
         Ok((sequence.request.clone(), sequence.produced))
     }
 
-    /// Goes on with a paused or imported request.
+    /// Continues decoding a paused or imported request.
     pub fn resume(&mut self, request_id: &str) {
         if let Some(index) = self.position(request_id) {
             self.sequences[index].is_paused = false;
         }
     }
 
-    /// Tokens of a request's segments that are prefilled and held.
+    /// Number of tokens in the request's segments that are prefilled and held.
     pub fn held_tokens(&self, request_id: &str) -> TokenCount {
         self.segments(request_id)
             .filter(|sequence| sequence.phase == Phase::Held)
@@ -201,24 +204,25 @@
             .sum()
     }
 
-    /// Whether the segment at this position is held; `None` if it is not there.
+    /// Whether the segment at this position is prefilled and held; `None` if there is no such
+    /// segment.
     pub fn holds_segment(&self, request_id: &str, start: TokenCount) -> Option<bool> {
         self.segments(request_id)
             .find(|sequence| sequence.request.start == start)
             .map(|sequence| sequence.phase == Phase::Held)
     }
 
-    /// Number of the request that is answered under this id.
+    /// Number of the request with this id; segments are ignored.
     pub fn answer_number(&self, request_id: &str) -> Option<SequenceNumber> {
         self.find(request_id).map(|sequence| sequence.arrival)
     }
 
-    /// Answer tokens that a request has so far.
+    /// Answer tokens generated so far for a request.
     pub fn produced(&self, request_id: &str) -> Option<TokenCount> {
         self.find(request_id).map(|sequence| sequence.produced)
     }
 
-    /// What each request holds, its segments included.
+    /// Memory allocated to each request, its segments included.
     pub fn allocations(&self) -> Vec<BlockAllocation> {
         let mut allocations: Vec<BlockAllocation> = Vec::new();
         for sequence in &self.sequences {
@@ -238,7 +242,7 @@
         allocations
     }
 
-    /// Requests in the batch.
+    /// Number of requests in the batch.
     pub fn running(&self) -> usize {
         self.sequences
             .iter()
@@ -246,7 +250,7 @@
             .count()
     }
 
-    /// Requests that wait to enter the batch.
+    /// Number of requests that wait to enter the batch.
     pub fn waiting(&self) -> usize {
         self.sequences
             .iter()
@@ -259,7 +263,7 @@
         self.memory.take_changes()
     }
 
-    /// Runs one step; `None` if there is nothing to do. Time moves to the end of the step.
+    /// Runs one step and advances model time to its end. Returns `None` if there is nothing to do.
     pub fn step(&mut self, slowdown: f64) -> Option<Vec<StepOutput>> {
         self.admit();
         if self.running() == 0 {
@@ -397,7 +401,8 @@
     }
 }
 
-/// Time to prefill `tokens` from `position` on; attention makes a token dearer by its position.
+/// Time to prefill `tokens` from `position` on. The cost of a token grows with its position because
+/// of attention.
 pub fn prefill_time(options: &EngineOptions, position: TokenCount, tokens: TokenCount) -> Duration {
     let middle = position as f64 + tokens as f64 / 2.0;
     let growth = 1.0 + middle / options.cost_doubling_position as f64;
--- a/lovagedock-standin/src/engine/cache_feed.rs
+++ b/lovagedock-standin/src/engine/cache_feed.rs
@@ -1,4 +1,4 @@
-//! Cache events that are published late and with gaps.
+//! Feed of prefix cache events, published with a delay and with gaps.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -14,7 +14,7 @@
 
 const MAX_EVENTS: usize = 10_000;
 
-/// Events that can still be read.
+/// Latest cache events, up to [`MAX_EVENTS`].
 #[derive(Debug, Default)]
 pub(crate) struct CacheFeed {
     sequence: u64,
@@ -36,7 +36,7 @@
 
 #[derive(Debug, Serialize)]
 struct EventsResponse {
-    /// Number of the newest event that can be read.
+    /// Sequence number of the newest visible event.
     last: u64,
     events: Vec<EventField>,
 }
@@ -90,7 +90,7 @@
 pub(crate) fn events(state: &EngineState, query: &str) -> RouteResult {
     let after = query_value(query, "after").and_then(|value| value.parse().ok());
     let Some(after) = after else {
-        let message = "after has to be a number";
+        let message = "the query parameter `after` must be a number";
         return Err(RouteError::new(StatusCode::BAD_REQUEST, message));
     };
     let core = state.core.lock();
--- a/lovagedock-standin/src/engine/completion.rs
+++ b/lovagedock-standin/src/engine/completion.rs
@@ -1,4 +1,4 @@
-//! Completions: from a request's body to its streamed or whole answer.
+//! Completion routes: from the request body to the streamed or complete response.
 
 use std::{io, sync::Arc};
 
@@ -25,7 +25,7 @@
     state::{EngineState, Progress, ProgressReceiver},
 };
 
-/// Whether a request's model is the engine's, with any adapter on top.
+/// Whether the requested model is the engine's model, with or without an adapter.
 fn is_served_model(model: &str, wanted: &str) -> bool {
     wanted == model || split_model_name(wanted).is_some_and(|(base, _)| base == model)
 }
@@ -106,7 +106,8 @@
     }
 }
 
-/// The request without the `held` tokens of its prompt; the last token is always computed.
+/// Builds the sequence without the `held` prompt tokens, which segments hold already. The last
+/// prompt token is always computed.
 fn sequence_request(
     body: &CompletionBody,
     source: &AnswerSource,
@@ -134,15 +135,16 @@
     match error {
         SubmitError::TooLarge => RouteError::new(
             StatusCode::PAYLOAD_TOO_LARGE,
-            "the request is larger than the memory",
+            "the request does not fit into the memory of the engine",
+        ),
+        SubmitError::Duplicate => RouteError::new(
+            StatusCode::CONFLICT,
+            "a request with this id already exists",
         ),
-        SubmitError::Duplicate => {
-            RouteError::new(StatusCode::CONFLICT, "a request with this id is there")
-        }
     }
 }
 
-/// Turns a request's progress into the bytes of its answer.
+/// Turns the progress of a request into the bytes of its response.
 struct AnswerWriter {
     state: Arc<EngineState>,
     source: AnswerSource,
@@ -154,7 +156,7 @@
 }
 
 impl AnswerWriter {
-    /// The next bytes of a streamed answer; an error breaks the connection.
+    /// Returns the next bytes of a streamed response; an error breaks the connection.
     async fn next_text(&mut self) -> Option<io::Result<String>> {
         if self.is_done {
             return None;
@@ -262,7 +264,7 @@
     }
 }
 
-/// An answer whose body breaks: the caller sees a cut connection.
+/// Response whose body fails, so that the caller sees a broken connection.
 fn aborted_response() -> EngineResponse {
     let error = io::Error::from(io::ErrorKind::ConnectionReset);
     let frames = stream::iter([Err::<Frame<Bytes>, _>(error)]);
--- a/lovagedock-standin/src/engine/driver.rs
+++ b/lovagedock-standin/src/engine/driver.rs
@@ -1,4 +1,6 @@
-//! Runs an engine's steps at the pace of scaled real time.
+//! Runs the engine's steps in real time, scaled by [`EngineOptions::time_scale`].
+//!
+//! [`EngineOptions::time_scale`]: super::options::EngineOptions::time_scale
 
 use std::{sync::Arc, time::Duration};
 
--- a/lovagedock-standin/src/engine/fault.rs
+++ b/lovagedock-standin/src/engine/fault.rs
@@ -1,32 +1,32 @@
-//! Faults that a stand-in engine shows on command.
+//! Faults that can be injected into a stand-in engine.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// What is wrong with the engine at the moment.
+/// Fault that is active in the engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "lowercase")]
 pub enum EngineFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// The process is gone: its memory is lost, its connections break, new ones are refused.
+    /// The process crashed: its memory is lost, its connections break and new ones are refused.
     #[serde(rename = "die")]
     Crash,
-    /// Connections stay open and nothing moves.
+    /// Connections stay open, but the engine makes no progress and sends nothing.
     Hang,
-    /// Every answer starts later than it should.
+    /// Every response starts with a delay.
     Late {
         /// Delay in real milliseconds.
         delay_ms: u64,
     },
-    /// Callers get chunks of another request's answer.
+    /// Callers receive the answer text of another request.
     #[serde(rename = "crossed")]
     SwapsResponses,
-    /// Steps take longer.
+    /// Steps take longer than normal.
     Slow {
-        /// Factor on the time of a step.
+        /// Factor by which the duration of a step is multiplied.
         factor: f64,
     },
 }
@@ -56,7 +56,7 @@
 pub(crate) struct FaultCommand {
     #[serde(flatten)]
     pub(crate) fault: EngineFault,
-    /// Real milliseconds until the fault is over; without it the fault stays.
+    /// Real milliseconds until the fault ends; without it the fault lasts until the next command.
     #[serde(default)]
     pub(crate) for_ms: Option<u64>,
 }
--- a/lovagedock-standin/src/engine/journal.rs
+++ b/lovagedock-standin/src/engine/journal.rs
@@ -1,4 +1,4 @@
-//! What a stand-in saw of each request, to count violations from.
+//! Journal of what happened to each request at a stand-in, used to count violations.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,30 +7,30 @@
 
 use lovagedock::prelude::Epoch;
 
-/// What happened to a request at an engine.
+/// Event in the processing of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JournalEvent {
-    /// It entered the batch.
+    /// The request entered the batch.
     Started,
-    /// It entered the batch to go on with an answer that was begun before.
+    /// The request entered the batch to continue an answer that was started before.
     Resumed,
-    /// A segment of its prompt entered the batch; no answer came of that.
+    /// A segment of the prompt entered the batch; a segment produces no answer.
     Prefilled,
-    /// The whole answer was generated.
+    /// The complete answer was generated.
     Ended,
-    /// It was cancelled, or failed by the engine.
+    /// The request was cancelled, or the engine ended it with an error.
     Cancelled,
-    /// It was in the memory of an engine that died.
+    /// The request was lost because the engine crashed.
     Lost,
 }
 
-/// One line of an engine's journal.
+/// One entry of an engine's journal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JournalEntry {
-    /// Id that the request came with.
+    /// Id of the request, chosen by the caller.
     pub request_id: String,
-    /// What happened.
+    /// Kind of the event.
     pub event: JournalEvent,
     /// Model time since the engine's start.
     pub model_time: Duration,
@@ -38,18 +38,18 @@
     pub bytes: u64,
 }
 
-/// One order that an engine carried out.
+/// One order that an engine executed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderEntry {
-    /// Fencing number that it came with.
+    /// Fencing number of the order.
     pub fence: Epoch,
-    /// What was ordered.
+    /// Description of the order, such as `set_role prefill`.
     pub kind: String,
-    /// Model time at which it took effect.
+    /// Model time at which the order took effect.
     pub model_time: Duration,
 }
 
-/// The journal of one engine; it outlives the engine's deaths.
+/// Journal of one engine. It is kept when the engine crashes.
 #[derive(Clone, Debug, Default)]
 pub struct EngineJournal {
     entries: Arc<Mutex<Vec<JournalEntry>>>,
@@ -57,12 +57,12 @@
 }
 
 impl EngineJournal {
-    /// All entries so far, oldest first.
+    /// All entries, oldest first.
     pub fn entries(&self) -> Vec<JournalEntry> {
         self.entries.lock().clone()
     }
 
-    /// How often `event` happened to a request.
+    /// Number of times that `event` was recorded for a request.
     pub fn count(&self, request_id: &str, event: JournalEvent) -> usize {
         self.entries
             .lock()
@@ -71,7 +71,7 @@
             .count()
     }
 
-    /// All orders that took effect, oldest first.
+    /// All executed orders, oldest first.
     pub fn orders(&self) -> Vec<OrderEntry> {
         self.orders.lock().clone()
     }
--- a/lovagedock-standin/src/engine/load.rs
+++ b/lovagedock-standin/src/engine/load.rs
@@ -1,4 +1,4 @@
-//! Load reports that lag behind, in the styles of two vendors.
+//! Delayed load reports, in the formats of two vendors.
 
 use std::{collections::VecDeque, fmt::Write, time::Duration};
 
@@ -6,7 +6,7 @@
 
 use super::{batch::BatchEngine, memory::BLOCK_TOKENS};
 
-/// Load at one moment.
+/// Load of the engine at one point in time.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub(crate) struct LoadSample {
     #[serde(skip)]
@@ -59,7 +59,7 @@
     }
 }
 
-/// Samples of the recent past.
+/// Recent load samples.
 #[derive(Debug, Default)]
 pub(crate) struct LoadHistory {
     samples: VecDeque<LoadSample>,
@@ -83,7 +83,7 @@
         }
     }
 
-    /// The oldest sample within the lag; what the engine reports as its load.
+    /// The sample that the engine reports as its load: the oldest one within the lag.
     pub(crate) fn reported(&self) -> Option<&LoadSample> {
         self.samples.front()
     }
--- a/lovagedock-standin/src/engine/memory.rs
+++ b/lovagedock-standin/src/engine/memory.rs
@@ -1,4 +1,4 @@
-//! KV memory in blocks, with a prefix cache in what requests leave over.
+//! KV memory in blocks. The prefix cache uses the blocks that no request has allocated.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 
 use super::answer::PREFIX_CHUNK_TOKENS;
 
-/// Tokens in one block.
+/// Tokens per block.
 pub const BLOCK_TOKENS: u64 = 16;
 
 const CHUNK_BLOCKS: BlockCount = PREFIX_CHUNK_TOKENS / BLOCK_TOKENS;
@@ -14,13 +14,13 @@
 /// A change of the prefix cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheChange {
-    /// A piece was stored.
+    /// A chunk was stored.
     Stored(u64),
-    /// A piece was evicted.
+    /// A chunk was evicted.
     Removed(u64),
 }
 
-/// Blocks of one engine.
+/// KV memory of one engine.
 #[derive(Debug)]
 pub struct KvMemory {
     total: BlockCount,
@@ -31,7 +31,7 @@
 }
 
 impl KvMemory {
-    /// Memory for the given number of tokens.
+    /// Creates memory for the given number of tokens.
     pub fn new(tokens: TokenCount) -> Self {
         Self {
             total: tokens / BLOCK_TOKENS,
@@ -42,32 +42,33 @@
         }
     }
 
-    /// Blocks that `tokens` need.
+    /// Number of blocks needed for `tokens`.
     pub fn blocks_for(tokens: TokenCount) -> BlockCount {
         tokens.div_ceil(BLOCK_TOKENS)
     }
 
-    /// Blocks in all.
+    /// Total number of blocks.
     pub fn total(&self) -> BlockCount {
         self.total
     }
 
-    /// Blocks that requests hold.
+    /// Blocks allocated to requests.
     pub fn allocated(&self) -> BlockCount {
         self.allocated
     }
 
-    /// Blocks that the prefix cache fills.
+    /// Blocks used by the prefix cache.
     pub fn cached(&self) -> BlockCount {
         self.cache.len() as u64 * CHUNK_BLOCKS
     }
 
-    /// Hashes of the cached pieces.
+    /// Hashes of the cached chunks.
     pub fn cached_hashes(&self) -> Vec<u64> {
         self.cache.keys().copied().collect()
     }
 
-    /// Takes blocks for a request, evicting cached pieces as needed; `false` if they are not there.
+    /// Allocates blocks for a request and evicts cached chunks as needed. Returns `false` if there
+    /// are not enough blocks.
     pub fn allocate(&mut self, blocks: BlockCount) -> bool {
         if self.allocated + blocks > self.total {
             return false;
@@ -79,12 +80,12 @@
         true
     }
 
-    /// Gives blocks of a request back.
+    /// Frees blocks of a request.
     pub fn free(&mut self, blocks: BlockCount) {
         self.allocated -= blocks;
     }
 
-    /// Tokens of the longest cached prefix; what it finds counts as used.
+    /// Number of tokens in the longest cached prefix. Marks the chunks of that prefix as used.
     pub fn cached_tokens(&mut self, hashes: &[u64]) -> TokenCount {
         let chunks = hashes
             .iter()
@@ -94,7 +95,8 @@
         chunks as u64 * PREFIX_CHUNK_TOKENS
     }
 
-    /// Keeps a prompt's pieces as far as memory is left over, oldest use evicted first.
+    /// Caches the chunks of a prompt as far as unallocated memory allows. Evicts the least recently
+    /// used chunks first.
     pub fn cache_prefix(&mut self, hashes: &[u64]) {
         let room = (self.total - self.allocated) / CHUNK_BLOCKS;
         let cacheable = &hashes[..hashes.len().min(room as usize)];
@@ -114,7 +116,8 @@
         std::mem::take(&mut self.changes)
     }
 
-    /// A piece is of no use without those before it, so the first piece is touched last.
+    /// Marks chunks as used, the first chunk last: a chunk is useless without the chunks before it,
+    /// so the first ones must be evicted last.
     fn mark_used(&mut self, hashes: &[u64]) {
         for hash in hashes.iter().rev() {
             self.clock += 1;
--- a/lovagedock-standin/src/engine/mod.rs
+++ b/lovagedock-standin/src/engine/mod.rs
@@ -1,4 +1,8 @@
-//! Stand-in engine: batches in model time, at the interface of a vendor's engine.
+//! Stand-in engine: simulates batching in model time behind the HTTP interface of a vendor's
+//! engine.
+//!
+//! Model time is the simulated time of the engine. It runs faster than real time by
+//! [`EngineOptions::time_scale`].
 
 mod answer;
 mod batch;
--- a/lovagedock-standin/src/engine/options.rs
+++ b/lovagedock-standin/src/engine/options.rs
@@ -1,4 +1,4 @@
-//! What a stand-in engine is like: its speed, memory and manners.
+//! Options of a stand-in engine: speed, memory and behaviour.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 
 use super::weights::WeightLoadGauge;
 
-/// How an engine tells its load and names the fields of its account.
+/// Format of an engine's load report and of its list of allocations.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ReportStyle {
@@ -19,46 +19,46 @@
     PrometheusReport,
 }
 
-/// Options of a stand-in engine; times are model time unless said otherwise.
+/// Options of a stand-in engine. Times are model time unless stated otherwise.
 #[derive(Clone, Debug)]
 pub struct EngineOptions {
-    /// Model that it runs.
+    /// Name of the served model.
     pub model: String,
     /// Model time that passes in one unit of real time.
     pub time_scale: f64,
-    /// Fixed time of a step.
+    /// Fixed duration of a step.
     pub step_base: Duration,
     /// Time that each decoding sequence adds to a step.
     pub decode_cost: Duration,
-    /// Time of one prompt token at position 0.
+    /// Prefill time of a prompt token at position 0.
     pub prefill_cost: Duration,
-    /// Position at which a prompt token costs twice as much as at position 0.
+    /// Position at which the prefill of a prompt token takes twice as long as at position 0.
     pub cost_doubling_position: TokenCount,
-    /// Prompt tokens that one step prefills at most.
+    /// Maximum number of prompt tokens prefilled in one step.
     pub step_tokens: TokenCount,
-    /// Answer tokens in one event of a stream; the first token is always an event of its own.
+    /// Answer tokens per stream event. The first token is always sent in an event of its own.
     pub stream_interval: TokenCount,
-    /// Sequences in a batch at most.
+    /// Maximum number of sequences in the batch.
     pub max_running: usize,
     /// KV memory in tokens.
     pub memory_tokens: TokenCount,
-    /// Time to move one token's KV state to another engine.
+    /// Time to transfer the KV state of one token to another engine.
     pub transfer_cost: Duration,
-    /// Time to carry out an order to load something.
+    /// Time to execute an order that loads a model or an adapter.
     pub order_time: Duration,
-    /// Counts loads; engines of one fleet share it.
+    /// Counts concurrent loads. The engines of a fleet share one gauge.
     pub weights: WeightLoadGauge,
-    /// Age of the load that it reports.
+    /// Age of the reported load.
     pub load_lag: Duration,
-    /// How it reports its load.
+    /// Format of the load report.
     pub report_style: ReportStyle,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether orders with an outdated fencing number are rejected.
     pub checks_fences: bool,
-    /// Whether a caller that goes away ends its request.
+    /// Whether a request is cancelled when its caller disconnects.
     pub cancels_on_disconnect: bool,
-    /// Delay before a cache event can be read.
+    /// Delay before a cache event becomes visible.
     pub cache_event_delay: Duration,
-    /// Every how many cache events one is lost; 0 loses none.
+    /// Interval of lost cache events: every n-th event is dropped. 0 drops none.
     pub cache_event_gap: u64,
 }
 
--- a/lovagedock-standin/src/engine/order.rs
+++ b/lovagedock-standin/src/engine/order.rs
@@ -1,4 +1,4 @@
-//! Orders to load something or to change the role.
+//! Orders to load a model or an adapter, or to change the role.
 
 use hyper::{Request, StatusCode, body::Incoming};
 use serde::{Deserialize, Serialize};
--- a/lovagedock-standin/src/engine/protocol.rs
+++ b/lovagedock-standin/src/engine/protocol.rs
@@ -1,4 +1,4 @@
-//! Messages of the stand-in engine's HTTP interface.
+//! Request and response bodies of the stand-in engine's HTTP interface.
 
 use std::net::SocketAddr;
 
@@ -35,14 +35,14 @@
     DEFAULT_MAX_TOKENS
 }
 
-/// Where one part of a prompt is held.
+/// Engine that holds one segment of a prompt.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct SegmentLocation {
     pub(crate) engine: SocketAddr,
     pub(crate) tokens: TokenCount,
 }
 
-/// Body of the calls that name one request.
+/// Body of calls that refer to one request.
 #[derive(Debug, Deserialize)]
 pub(crate) struct RequestName {
     pub(crate) request_id: String,
@@ -84,7 +84,7 @@
     pub(crate) finish_reason: Option<&'static str>,
 }
 
-/// The text of a choice under the name that its protocol gives it.
+/// Text of a choice, in the field that the API defines for this kind of response.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum ChoiceText {
@@ -112,7 +112,7 @@
     pub(crate) cached_tokens: TokenCount,
 }
 
-/// The account of an engine that reports in JSON.
+/// List of allocations in the format [`JsonReport`](super::options::ReportStyle::JsonReport).
 #[derive(Debug, Serialize)]
 pub(crate) struct RequestAllocations {
     pub(crate) requests: Vec<RequestAllocation>,
@@ -125,7 +125,8 @@
     pub(crate) block_tokens: u64,
 }
 
-/// The account of an engine that reports in Prometheus text.
+/// List of allocations in the format
+/// [`PrometheusReport`](super::options::ReportStyle::PrometheusReport).
 #[derive(Debug, Serialize)]
 pub(crate) struct SequenceAllocations {
     pub(crate) sequences: Vec<SequenceAllocation>,
--- a/lovagedock-standin/src/engine/render.rs
+++ b/lovagedock-standin/src/engine/render.rs
@@ -1,4 +1,4 @@
-//! Answers as callers see them: server-sent events, or one JSON document.
+//! Renders answers as server-sent events or as one JSON document.
 
 use std::sync::Arc;
 
@@ -11,14 +11,14 @@
     },
 };
 
-/// Last line of a streamed answer.
+/// Last event of a streamed response.
 pub(crate) const STREAM_END: &str = "data: [DONE]\n\n";
-/// A comment line that shows a waiting caller that the engine is alive.
+/// SSE comment that shows a waiting caller that the engine is alive.
 pub(crate) const KEEP_ALIVE: &str = ": keep-alive\n\n";
 
 const FINISHED: &str = "length";
 
-/// Everything about an answer that its text depends on.
+/// Parameters that determine the text of an answer.
 #[derive(Clone, Debug)]
 pub(crate) struct AnswerSource {
     pub(crate) request_id: Arc<str>,
@@ -30,7 +30,7 @@
 }
 
 impl AnswerSource {
-    /// One event with the answer tokens from `start` to `end`.
+    /// Renders one event with the answer tokens in `start..end`.
     pub(crate) fn event(&self, start: TokenCount, end: TokenCount, cached: TokenCount) -> String {
         let text = answer_text(self.digest, start, end);
         let choice = match self.chat {
@@ -45,7 +45,7 @@
         format!("data: {}\n\n", self.json(object, choice, finished, cached))
     }
 
-    /// The whole answer from token `start` on.
+    /// Renders the answer from token `start` on as one JSON document.
     pub(crate) fn completion_json(&self, start: TokenCount, cached: TokenCount) -> String {
         let text = answer_text(self.digest, start, self.max_tokens);
         let choice = match self.chat {
--- a/lovagedock-standin/src/engine/routes.rs
+++ b/lovagedock-standin/src/engine/routes.rs
@@ -1,4 +1,4 @@
-//! The stand-in engine's HTTP interface.
+//! HTTP routes of the stand-in engine.
 
 use std::{io, sync::Arc, time::Duration};
 
@@ -30,7 +30,7 @@
 pub(crate) type EngineResponse = Response<EngineBody>;
 pub(crate) type RouteResult = Result<EngineResponse, RouteError>;
 
-/// Why a call gets an error answer.
+/// Error response of a route.
 #[derive(Debug)]
 pub(crate) struct RouteError {
     status: StatusCode,
@@ -99,7 +99,7 @@
         .map_err(|error| RouteError::new(StatusCode::BAD_REQUEST, &error.to_string()))
 }
 
-/// Value of `name` in a query string.
+/// Value of the parameter `name` in a query string.
 pub(crate) fn query_value<'a>(query: &'a str, name: &str) -> Option<&'a str> {
     query
         .split('&')
--- a/lovagedock-standin/src/engine/running.rs
+++ b/lovagedock-standin/src/engine/running.rs
@@ -1,4 +1,4 @@
-//! Starting a stand-in engine and holding on to it.
+//! Starts a stand-in engine and provides handles to it.
 
 use std::{io, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -9,7 +9,7 @@
     options::EngineOptions, serve, state::EngineState,
 };
 
-/// Entry point of the stand-in engine.
+/// Starts stand-in engines.
 #[derive(Debug)]
 pub struct EngineStandin;
 
@@ -19,7 +19,7 @@
         Self::start_at(SocketAddr::from(([127, 0, 0, 1], 0)), options).await
     }
 
-    /// Starts an engine at the given address.
+    /// Starts an engine that listens on the given address; needs a `tokio` runtime.
     pub async fn start_at(
         address: SocketAddr,
         options: EngineOptions,
@@ -37,35 +37,35 @@
     }
 }
 
-/// An engine that answers; it runs as long as its runtime.
+/// Running engine. It stops with its runtime.
 #[derive(Clone, Debug)]
 pub struct RunningEngine {
-    /// Where it listens.
+    /// Address on which the engine listens.
     pub address: SocketAddr,
-    /// Control from within the process.
+    /// Handle to control the engine within this process.
     pub handle: EngineHandle,
-    /// What it saw of each request.
+    /// Journal of the requests that the engine processed.
     pub journal: EngineJournal,
 }
 
-/// Control of a running engine from within its process.
+/// Controls a running engine within the same process.
 #[derive(Clone, Debug)]
 pub struct EngineHandle {
     state: Arc<EngineState>,
 }
 
 impl EngineHandle {
-    /// Puts a fault in force, or ends it with [`EngineFault::None`].
+    /// Activates a fault, or ends it with [`EngineFault::None`].
     pub fn set_fault(&self, fault: EngineFault) {
         self.state.set_fault(fault);
     }
 
-    /// What each request holds at this moment.
+    /// Memory allocated to each request now.
     pub fn allocations(&self) -> Vec<BlockAllocation> {
         self.state.core.lock().batch.allocations()
     }
 
-    /// Blocks that requests hold at this moment.
+    /// Total number of blocks allocated to requests now.
     pub fn allocated_blocks(&self) -> u64 {
         self.state.core.lock().batch.memory().allocated()
     }
--- a/lovagedock-standin/src/engine/segment.rs
+++ b/lovagedock-standin/src/engine/segment.rs
@@ -1,4 +1,4 @@
-//! Parts of prompts that are longer than one engine's memory.
+//! Segments: parts of a prompt that does not fit into the memory of one engine.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -22,7 +22,7 @@
 
 const HELD_POLL_INTERVAL: Duration = Duration::from_millis(100);
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// Real time after which a holder that does not answer counts as lost.
+/// Real time after which a holder of a segment that does not respond counts as lost.
 const CHECK_TIMEOUT: Duration = Duration::from_secs(2);
 
 #[derive(Debug, Deserialize)]
@@ -41,11 +41,11 @@
     tokens: TokenCount,
 }
 
-/// Prefills a part and answers when it is held.
+/// Prefills a segment and responds when its state is held.
 pub(crate) async fn prefill(state: &EngineState, request: Request<Incoming>) -> RouteResult {
     let body: SegmentBody = read_json(request).await?;
     if body.tokens == 0 || body.prompt_part.is_empty() {
-        let message = "the part is empty";
+        let message = "the segment is empty";
         return Err(RouteError::new(StatusCode::BAD_REQUEST, message));
     }
     let submitted = state
@@ -67,14 +67,15 @@
                 return Err(RouteError::new(StatusCode::INTERNAL_SERVER_ERROR, reason));
             }
             None => {
-                let message = "the engine lost the part";
+                let message = "the engine lost the segment";
                 return Err(RouteError::new(StatusCode::INTERNAL_SERVER_ERROR, message));
             }
         }
     }
 }
 
-/// Asking again for a part that is on its way or held changes nothing.
+/// Waits until a segment that was submitted before is held, so that a repeated call changes
+/// nothing.
 async fn wait_until_held(state: &EngineState, body: &SegmentBody) -> RouteResult {
     loop {
         let held = state
@@ -86,14 +87,14 @@
             Some(true) => return Ok(held_response(state, body.tokens)),
             Some(false) => state.sleep(HELD_POLL_INTERVAL).await,
             None => {
-                let message = "the part was cancelled";
+                let message = "the segment was cancelled";
                 return Err(RouteError::new(StatusCode::INTERNAL_SERVER_ERROR, message));
             }
         }
     }
 }
 
-/// Tells another engine how much of a request's prompt is held here.
+/// Returns to another engine how many tokens of a request's prompt are held here.
 pub(crate) fn held(state: &EngineState, query: &str) -> RouteResult {
     let id = query_value(query, "request_id").unwrap_or_default();
     match state.core.lock().batch.held_tokens(id) {
@@ -134,7 +135,7 @@
     }
 }
 
-/// Watches the holders of a request's other parts while it is decoded here.
+/// Monitors the engines that hold the other segments of a request while this engine decodes it.
 #[derive(Debug)]
 pub(crate) struct SegmentMonitor {
     request_id: Arc<str>,
@@ -149,18 +150,18 @@
         }
     }
 
-    /// Makes sure that every part is held.
+    /// Checks that all segments are still held.
     pub(crate) async fn check(&self) -> Result<(), RouteError> {
         for holder in &self.holders {
             if !is_held(holder.engine, &self.request_id).await {
-                let message = format!("no segment of this request at {}", holder.engine);
+                let message = format!("no segment of this request is held at {}", holder.engine);
                 return Err(RouteError::new(StatusCode::CONFLICT, &message));
             }
         }
         Ok(())
     }
 
-    /// Fails the request when a holder is lost.
+    /// Spawns a task that fails the request when a holder is lost.
     pub(crate) fn spawn(self, state: Arc<EngineState>) {
         if self.holders.is_empty() {
             return;
@@ -172,7 +173,7 @@
                     return;
                 }
                 if self.check().await.is_err() {
-                    let reason = "an engine that held a part of the prompt was lost";
+                    let reason = "an engine that held a segment of the prompt was lost";
                     state.core.lock().fail_request(&self.request_id, reason);
                     return;
                 }
--- a/lovagedock-standin/src/engine/sequence.rs
+++ b/lovagedock-standin/src/engine/sequence.rs
@@ -1,4 +1,4 @@
-//! One request in the batch and the phases that it goes through.
+//! A request in the batch and its phases.
 
 use lovagedock::prelude::{BlockCount, TokenCount};
 
@@ -37,7 +37,7 @@
             return;
         }
         let cached = memory.cached_tokens(&self.request.prefix_hashes);
-        // The last token is always computed: its output starts the answer.
+        // The last prompt token is always computed: its output is the first token of the answer.
         self.cached_tokens = cached.min(self.request.prompt_tokens - 1);
         self.prefilled = self.cached_tokens;
     }
@@ -50,7 +50,8 @@
         self.request.kind == SequenceKind::Segment
     }
 
-    /// Whether a request would stand twice; segments differ by where they start.
+    /// Whether `other` duplicates this request. Segments of one request differ in their start
+    /// position.
     pub(super) fn is_duplicate(&self, other: &SequenceRequest) -> bool {
         let is_same_part = !self.is_segment() || self.request.start == other.start;
         self.has_id(&other.request_id) && self.request.kind == other.kind && is_same_part
@@ -70,7 +71,8 @@
         self.request.prompt_tokens + self.request.resume_offset - self.prefilled
     }
 
-    /// The step that ends the prefill also gives the first token of the answer.
+    /// Enters the next phase. The step that completes the prefill also produces the first answer
+    /// token.
     pub(super) fn finish_prefill(&mut self) {
         self.has_output = true;
         match self.request.kind {
--- a/lovagedock-standin/src/engine/serve.rs
+++ b/lovagedock-standin/src/engine/serve.rs
@@ -1,4 +1,4 @@
-//! Accepts connections, and breaks them when the engine dies.
+//! Accepts connections and breaks them when the engine crashes.
 
 use std::{convert::Infallible, io, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -20,13 +20,13 @@
                     Ok((stream, _)) => {
                         tokio::spawn(serve_connection(state.clone(), stream));
                     }
-                    // Out of descriptors: trying again at once would only spin.
+                    // The process is out of file descriptors. An immediate retry would only spin.
                     Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
                 }
             }
             () = state.crashed() => {
                 drop(listener);
-                // The bound socket keeps the port while connections to it are refused.
+                // The bound socket reserves the port. Without `listen`, connections are refused.
                 let socket = rebind(address)?;
                 state.restarted().await;
                 listener = socket.listen(BACKLOG)?;
--- a/lovagedock-standin/src/engine/state.rs
+++ b/lovagedock-standin/src/engine/state.rs
@@ -24,24 +24,24 @@
 const INITIAL_ROLE: &str = "any";
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a handler hears about its request.
+/// Progress of a request, as sent to its handler.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Progress {
-    /// Answer tokens up to `produced` exist.
+    /// `produced` answer tokens have been generated so far.
     Produced {
         produced: TokenCount,
         cached_tokens: TokenCount,
         finished: bool,
     },
-    /// The request is still there.
+    /// The request is still in progress.
     Alive,
-    /// The request ended without its answer.
+    /// The request ended without a complete answer.
     Failed(&'static str),
 }
 
 pub(crate) type ProgressReceiver = mpsc::UnboundedReceiver<Progress>;
 
-/// State that one lock guards; nothing awaits while it is held.
+/// State protected by one lock. No task awaits while it holds the lock.
 #[derive(Debug)]
 pub(crate) struct EngineCore {
     pub(crate) batch: BatchEngine,
@@ -59,12 +59,12 @@
 #[derive(Debug)]
 struct AnswerEntry {
     source: AnswerSource,
-    /// Absent until a caller attaches to an imported request.
+    /// `None` until a caller attaches to an imported request.
     sender: Option<mpsc::UnboundedSender<Progress>>,
 }
 
 impl AnswerEntry {
-    /// Whether a caller was there once and has gone.
+    /// Sends progress to the caller. Returns whether a caller was attached and has disconnected.
     fn send_progress(&self, progress: Progress) -> bool {
         self.sender
             .as_ref()
@@ -86,12 +86,13 @@
             options,
             last_keep_alive: Duration::ZERO,
         };
-        // An engine reports from its start on, so the first sample is never one of later load.
+        // The engine reports its load from the start, so the first sample must show the idle
+        // engine.
         core.sample_load();
         core
     }
 
-    /// Takes a request in and gives the channel on which its progress is told.
+    /// Submits a request and returns the receiver of its progress.
     pub(crate) fn submit(
         &mut self,
         request: SequenceRequest,
@@ -107,7 +108,7 @@
         Ok(receiver)
     }
 
-    /// Takes over a request from another engine; it waits for a caller to attach.
+    /// Imports a request from another engine. Decoding starts when a caller attaches.
     pub(crate) fn import(
         &mut self,
         request: SequenceRequest,
@@ -122,7 +123,7 @@
         Ok(())
     }
 
-    /// Stops a request and describes it for another engine.
+    /// Pauses a request and returns its state for another engine.
     pub(crate) fn export(&mut self, request_id: &str) -> Result<KvState, PauseError> {
         let (request, produced) = self.batch.pause(request_id)?;
         let number = self.batch.answer_number(request_id);
@@ -131,7 +132,7 @@
         Ok(KvState::new(&entry.source, &request, produced))
     }
 
-    /// Attaches a new caller to a request that is there already; the former one hears no more.
+    /// Attaches a new caller to an existing request. The previous caller receives nothing more.
     pub(crate) fn attach(&mut self, request_id: &str) -> Option<(AnswerSource, ProgressReceiver)> {
         let produced = self.batch.produced(request_id)?;
         let number = self.batch.answer_number(request_id)?;
@@ -147,7 +148,7 @@
         Some((entry.source.clone(), receiver))
     }
 
-    /// Ends a request, telling its caller why.
+    /// Cancels a request and sends the reason to its caller.
     pub(crate) fn fail_request(&mut self, request_id: &str, reason: &'static str) -> bool {
         self.answers.retain(|_, entry| {
             let is_ended = &*entry.source.request_id == request_id;
@@ -159,7 +160,7 @@
         self.batch.cancel(request_id)
     }
 
-    /// Tells callers what a step did for them.
+    /// Sends the results of a step to the callers.
     pub(crate) fn send_outputs(&mut self, outputs: &[StepOutput]) {
         for output in outputs {
             self.send_output(output);
@@ -169,13 +170,13 @@
         self.publish_cache();
     }
 
-    /// Publishes what the cache did since the last call.
+    /// Publishes the changes of the prefix cache since the last call.
     pub(crate) fn publish_cache(&mut self) {
         let changes = self.batch.take_cache_changes();
         self.feed.push(&changes, self.batch.now(), &self.options);
     }
 
-    /// Another request's answer, as a caller gets it while answers are crossed.
+    /// Source of another request's answer, for [`EngineFault::SwapsResponses`].
     pub(crate) fn swapped_source(&self, source: &AnswerSource) -> AnswerSource {
         let other = self
             .answers
@@ -215,7 +216,7 @@
             .unwrap_or_else(|| self.load_now())
     }
 
-    /// Keeps nothing but the journal and the clock.
+    /// Resets everything except the journal and the clock.
     pub(crate) fn reset_after_crash(&mut self) {
         self.batch.discard_all();
         self.answers.clear();
@@ -240,8 +241,8 @@
     }
 
     fn send_output(&mut self, output: &StepOutput) {
-        // By number, not by id: a request that was cancelled and sent again during the step has
-        // nothing of it.
+        // Looked up by number, not by id: a request that was cancelled and submitted again during
+        // the step must not receive the output of its predecessor.
         let Some(entry) = self.answers.get(&output.number) else {
             return;
         };
@@ -254,12 +255,12 @@
         if output.finished {
             self.answers.remove(&output.number);
         } else if is_disconnected && self.options.cancels_on_disconnect {
-            self.fail_request(&output.request_id, "the caller is gone");
+            self.fail_request(&output.request_id, "the caller disconnected");
         }
     }
 }
 
-/// What all tasks of a running engine share.
+/// State shared by all tasks of a running engine.
 #[derive(Debug)]
 pub(crate) struct EngineState {
     pub(crate) address: SocketAddr,
@@ -285,12 +286,12 @@
         }
     }
 
-    /// Model time that real time has reached.
+    /// Model time that corresponds to the current real time.
     pub(crate) fn model_now(&self) -> Duration {
         self.started.elapsed().mul_f64(self.options.time_scale)
     }
 
-    /// Real moment at which a model time is reached.
+    /// Real time at which a model time is reached.
     pub(crate) fn real_instant(&self, model: Duration) -> Instant {
         self.started + self.real_duration(model)
     }
@@ -300,7 +301,7 @@
     }
 
     pub(crate) fn set_fault(&self, fault: EngineFault) {
-        // The connections have to see the fault before their answers lose their senders.
+        // The connections must see the fault before the senders of their progress are dropped.
         self.fault.send_replace(fault);
         if fault == EngineFault::Crash {
             self.core.lock().reset_after_crash();
@@ -308,24 +309,24 @@
         self.wake.notify_one();
     }
 
-    /// Waits for a span of model time.
+    /// Waits for a duration in model time.
     pub(crate) async fn sleep(&self, model: Duration) {
         tokio::time::sleep(self.real_duration(model)).await;
     }
 
-    /// Waits until the engine is dead.
+    /// Waits until the engine crashes.
     pub(crate) async fn crashed(&self) {
         let mut fault = self.fault.subscribe();
         let _ = fault.wait_for(|fault| *fault == EngineFault::Crash).await;
     }
 
-    /// Waits until the engine is not dead.
+    /// Waits until the engine is up again after a crash.
     pub(crate) async fn restarted(&self) {
         let mut fault = self.fault.subscribe();
         let _ = fault.wait_for(|fault| *fault != EngineFault::Crash).await;
     }
 
-    /// Waits while the engine hangs, and as long as it answers late.
+    /// Waits while the engine hangs, then for the delay of [`EngineFault::Late`].
     pub(crate) async fn apply_faults(&self) {
         let mut fault = self.fault.subscribe();
         let _ = fault.wait_for(|fault| !fault.stops_steps()).await;
--- a/lovagedock-standin/src/engine/transfer.rs
+++ b/lovagedock-standin/src/engine/transfer.rs
@@ -1,4 +1,4 @@
-//! KV state on its way to another engine.
+//! Transfer of KV state to another engine.
 
 use hyper::{Request, StatusCode, body::Incoming};
 use serde::{Deserialize, Serialize};
@@ -14,7 +14,7 @@
     state::EngineState,
 };
 
-/// A request as one engine hands it to another.
+/// State of a request, as exported by one engine and imported by another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct KvState {
     request_id: String,
@@ -22,9 +22,9 @@
     chat: bool,
     digest: u64,
     priority: i32,
-    /// Tokens of the whole prompt, for the usage report.
+    /// Tokens of the complete prompt, for the usage report.
     prompt_tokens: TokenCount,
-    /// Tokens of the prompt whose state is here.
+    /// Prompt tokens whose state is transferred.
     held_tokens: TokenCount,
     produced: TokenCount,
     max_tokens: TokenCount,
--- a/lovagedock-standin/src/engine/weights.rs
+++ b/lovagedock-standin/src/engine/weights.rs
@@ -1,11 +1,11 @@
-//! Counts the engines that load from the weight store at once.
+//! Counts concurrent loads from the weight store.
 
 use std::sync::{
     Arc,
     atomic::{AtomicUsize, Ordering},
 };
 
-/// Count that engines share; clones share one.
+/// Gauge of concurrent loads. Clones share one count.
 #[derive(Clone, Debug, Default)]
 pub struct WeightLoadGauge {
     counts: Arc<WeightCounts>,
@@ -18,7 +18,7 @@
 }
 
 impl WeightLoadGauge {
-    /// Most loads at one moment so far.
+    /// Maximum number of concurrent loads so far.
     pub fn max_concurrent_loads(&self) -> usize {
         self.counts.max_loading.load(Ordering::SeqCst)
     }
@@ -32,7 +32,7 @@
     }
 }
 
-/// A load; it ends when this is dropped.
+/// Load in progress. It ends when this guard is dropped.
 pub(crate) struct WeightLoad {
     counts: Arc<WeightCounts>,
 }
--- a/lovagedock-standin/src/experiment/files.rs
+++ b/lovagedock-standin/src/experiment/files.rs
@@ -1,4 +1,4 @@
-//! The files that an experiment leaves.
+//! Result files of an experiment.
 
 use std::{
     fs, io,
@@ -9,9 +9,10 @@
     markdown::render_markdown, plot::render_plot, run::ExperimentRecord, summary::ExperimentSummary,
 };
 
-/// Writes the page, the plot and the raw figures into a directory, which is made if need be.
+/// Writes the Markdown page, the plot and the raw results into a directory, which is created if
+/// needed.
 ///
-/// Returns the files, named after the experiment.
+/// Returns the paths of the files, which are named after the experiment.
 pub fn write_results(directory: &Path, record: &ExperimentRecord) -> io::Result<[PathBuf; 3]> {
     let summary = ExperimentSummary::new(&record.spec.policies, &record.runs);
     let plot = render_plot(&record.name, &summary).map_err(io::Error::other)?;
--- a/lovagedock-standin/src/experiment/markdown.rs
+++ b/lovagedock-standin/src/experiment/markdown.rs
@@ -1,4 +1,4 @@
-//! The results as Markdown.
+//! Results as Markdown.
 
 use std::fmt::{self, Write};
 
@@ -12,7 +12,7 @@
 
 const NO_FIGURE: &str = "-";
 
-/// Writes the page of an experiment.
+/// Renders the Markdown page of an experiment.
 pub fn render_markdown(record: &ExperimentRecord, summary: &ExperimentSummary) -> String {
     let mut text = String::new();
     // Writing to a string cannot fail.
@@ -83,7 +83,7 @@
     writeln!(
         text,
         "Deployment {}; seeds {}; {} s of calls a run; {faults}. All times are the stand-in engines'\n\
-         model time, of which {} s pass in one second of real time; they tell nothing about real\n\
+         model time, of which {} s pass in one second of real time; they say nothing about real\n\
          engines. A cell is the median over the seeds (lowest..highest).",
         spec.deployment,
         seeds.join(", "),
--- a/lovagedock-standin/src/experiment/mod.rs
+++ b/lovagedock-standin/src/experiment/mod.rs
@@ -1,4 +1,4 @@
-//! Experiments: policies against each other over seeds, and the files with what came of them.
+//! Experiments: compare placement policies over several seeds and write the results to files.
 
 mod files;
 mod markdown;
--- a/lovagedock-standin/src/experiment/plot.rs
+++ b/lovagedock-standin/src/experiment/plot.rs
@@ -1,4 +1,4 @@
-//! The results as a plot.
+//! Results as a plot.
 
 use std::fmt::{self, Display, Formatter};
 
@@ -15,7 +15,7 @@
 const Y_LABEL_SIZE: u32 = 80;
 const POINT_SIZE: i32 = 4;
 const LEGEND_WIDTH: i32 = 20;
-/// The axis is this much longer than the figures at each end.
+/// Factor by which the value axis extends beyond the lowest and the highest value.
 const HEADROOM: f64 = 1.5;
 
 /// The plot could not be drawn.
@@ -30,7 +30,7 @@
 
 impl std::error::Error for PlotError {}
 
-/// Draws the median p95 of the first token of each policy by prompt length, as SVG.
+/// Draws the median p95 of the time to first token by prompt length for each policy, as SVG.
 pub fn render_plot(name: &str, summary: &ExperimentSummary) -> Result<String, PlotError> {
     let mut svg = String::new();
     draw(&mut svg, name, summary).map_err(|error| PlotError(error.to_string()))?;
@@ -46,7 +46,7 @@
     root.fill(&WHITE)?;
     let title = format!("{name}: p95 of the first token, median over seeds");
     let (lowest, highest) = value_range(summary);
-    // One place is left free on each side of the buckets.
+    // One position is left free on each side of the buckets.
     let places = -1..LengthBucket::ALL.len() as i32;
     let mut chart = ChartBuilder::on(&root)
         .caption(title, (FONT, TITLE_SIZE))
--- a/lovagedock-standin/src/experiment/run.rs
+++ b/lovagedock-standin/src/experiment/run.rs
@@ -17,23 +17,23 @@
     load::{LoadReport, RunProgress},
 };
 
-/// Longest time that a run's blocking work may take to end.
+/// Time limit for the blocking tasks of a run to end.
 const RUNTIME_SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// An experiment as it was run.
+/// Record of a completed experiment.
 #[derive(Clone, Debug, Serialize)]
 pub struct ExperimentRecord {
     /// Name of the experiment's files.
     pub name: String,
-    /// Command that ran it.
+    /// Command line that ran the experiment.
     pub command: String,
-    /// When it ended, as an HTTP date.
+    /// Time at which the experiment ended, as an HTTP date.
     pub date: String,
-    /// What it was told.
+    /// Specification of the experiment.
     pub spec: ExperimentSpec,
-    /// Model time of the engines in one unit of real time.
+    /// Model time of the engines per unit of real time.
     pub time_scale: f64,
-    /// The runs' reports in the order of the runs.
+    /// Reports in the order of the runs.
     pub runs: Vec<LoadReport>,
 }
 
@@ -46,15 +46,16 @@
 impl Display for ExperimentError {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         let PlannedRun { policy, seed } = &self.run;
-        write!(f, "the run of {policy} with seed {seed} failed")
+        write!(f, "the run of policy {policy} with seed {seed} failed")
     }
 }
 
 impl std::error::Error for ExperimentError {}
 
-/// Runs every policy with every seed, one run after the other; must not be called on a runtime.
+/// Runs every policy with every seed, one run after the other. Must not be called within a `tokio`
+/// runtime.
 ///
-/// `watch` gets each run as it starts, with the numbers that grow.
+/// `watch` is called at the start of each run with its progress counters.
 pub fn run_experiment(
     spec: &ExperimentSpec,
     faults: &FaultPlan,
@@ -72,8 +73,8 @@
             log: log.clone(),
         };
         let error = ExperimentError { run: run.clone() };
-        // A runtime for each run: what a run leaves behind would take processor time from the next
-        // and show in its figures. The stand-ins' tasks end with the runtime.
+        // Each run gets its own runtime, and the stand-ins' tasks end with it. Tasks left over from
+        // a run would take CPU time from the next run and distort its results.
         let runtime = Runtime::new().change_context_lazy(|| error.clone())?;
         let outcome = runtime.block_on(run_demo(&options, |progress| watch(&run, progress)));
         runtime.shutdown_timeout(RUNTIME_SHUTDOWN_TIMEOUT);
--- a/lovagedock-standin/src/experiment/spec.rs
+++ b/lovagedock-standin/src/experiment/spec.rs
@@ -1,4 +1,4 @@
-//! What an experiment file says.
+//! Specification of an experiment.
 
 use std::{collections::BTreeSet, path::PathBuf, time::Duration};
 
@@ -7,19 +7,20 @@
 
 use crate::demo::Deployment;
 
-/// Policies that are run against each other, read from JSON with comments.
+/// Specification of an experiment that compares policies, read from JSON with comments.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ExperimentSpec {
-    /// Which deployment, with its mix of calls.
+    /// Deployment to run, with its mix of calls.
     pub deployment: Deployment,
     /// Names of the placement policies.
     pub policies: Vec<String>,
-    /// Seeds of the calls; every policy runs with each.
+    /// Seeds of the calls. Every policy runs with every seed.
     pub seeds: Vec<u64>,
-    /// Seconds of real time in which one run sends calls.
+    /// Duration of one run's plan in seconds of real time.
     pub seconds: u64,
-    /// Timeline of faults in every run; a relative path starts at the experiment file.
+    /// File with the timeline of faults for every run. A relative path is resolved against the
+    /// directory of the experiment file.
     #[serde(default)]
     pub faults: Option<PathBuf>,
 }
@@ -34,21 +35,23 @@
 }
 
 impl ExperimentSpec {
-    /// What is wrong with the values, one line each.
+    /// Returns one line per invalid value.
     pub fn problems(&self) -> Vec<String> {
         let mut problems = Vec::new();
         let known = policy_names();
         for policy in &self.policies {
             if !known.contains(&policy.as_str()) {
                 let names = known.join(", ");
-                problems.push(format!("policies: no policy {policy:?}; there are {names}"));
+                problems.push(format!(
+                    "policies: unknown policy {policy:?}; known policies: {names}"
+                ));
             }
         }
         if !is_set(&self.policies) {
-            problems.push("policies: must be one or more, each once".to_owned());
+            problems.push("policies: must have at least one value and no duplicates".to_owned());
         }
         if !is_set(&self.seeds) {
-            problems.push("seeds: must be one or more, each once".to_owned());
+            problems.push("seeds: must have at least one value and no duplicates".to_owned());
         }
         if self.seconds == 0 {
             problems.push("seconds: must be at least 1".to_owned());
@@ -56,15 +59,16 @@
         problems
     }
 
-    /// Length of one run's plan.
+    /// Duration of one run's plan.
     pub fn duration(&self) -> Duration {
         Duration::from_secs(self.seconds)
     }
 
-    /// The runs in their order.
+    /// Runs in the order of execution.
     ///
-    /// All policies of a seed follow each other, so that other load on the machine meets all alike.
-    /// Each seed starts with another policy, so that none always has the place after the same one.
+    /// All policies of a seed run consecutively, so that other load on the machine affects them
+    /// alike. Each seed starts with a different policy, so that no policy always runs first
+    /// or always after the same policy.
     pub fn runs(&self) -> Vec<PlannedRun> {
         let mut runs = Vec::with_capacity(self.seeds.len() * self.policies.len());
         for (offset, seed) in self.seeds.iter().enumerate() {
--- a/lovagedock-standin/src/experiment/summary.rs
+++ b/lovagedock-standin/src/experiment/summary.rs
@@ -1,28 +1,28 @@
-//! Medians over seeds, and ratios between policies.
+//! Summary of an experiment: medians over seeds, and ratios between policies.
 
 use lovagedock::LengthBucket;
 use serde::Serialize;
 
 use crate::load::{LengthTable, LoadReport, OutcomeCounts, ViolationCounts};
 
-/// Policies that others are compared with; they ignore length.
+/// Policies that serve as baselines. They ignore the prompt length.
 pub const BASELINES: [&str; 4] = ["least-outstanding", "random", "round-robin", "two-choices"];
 
-/// A figure over several seeds.
+/// Distribution of a value over several seeds.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct SeedSpread {
-    /// Number of seeds that have the figure.
+    /// Number of seeds that have the value.
     pub n: usize,
-    /// Median; the mean of the middle two for an even number.
+    /// Median; the mean of the two middle values for an even number of seeds.
     pub median: f64,
-    /// Lowest.
+    /// Lowest value.
     pub min: f64,
-    /// Highest.
+    /// Highest value.
     pub max: f64,
 }
 
 impl SeedSpread {
-    /// Summarises one value for each seed; `None` without values.
+    /// Summarises one value per seed. Returns `None` if there are no values.
     pub fn new(values: impl IntoIterator<Item = f64>) -> Option<Self> {
         let mut values: Vec<f64> = values.into_iter().collect();
         values.sort_by(f64::total_cmp);
@@ -41,38 +41,38 @@
     }
 }
 
-/// What one policy did over all seeds. Times are milliseconds of model time.
+/// Results of one policy over all seeds. Times are milliseconds of model time.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct PolicySummary {
     /// Name of the policy.
     pub policy: String,
-    /// Number of first tokens over all seeds.
+    /// Number of calls with a first token, over all seeds.
     pub first_tokens: LengthTable<u64>,
-    /// Median first-token time.
+    /// Median time to first token.
     pub p50: LengthTable<Option<SeedSpread>>,
-    /// First-token time that 95 in 100 stay within.
+    /// 95th percentile of the time to first token.
     pub p95: LengthTable<Option<SeedSpread>>,
-    /// `p95` divided by the best baseline's with the same seed.
+    /// `p95` divided by the `p95` of the best baseline with the same seed.
     pub ratio: LengthTable<Option<SeedSpread>>,
-    /// Short prompts' p95 with long prompts, divided by that without.
+    /// p95 of short prompts with long prompts, divided by the p95 without.
     pub short_slowdown: Option<SeedSpread>,
-    /// What became of the calls over all seeds.
+    /// Number of calls by outcome, over all seeds.
     pub outcomes: OutcomeCounts,
-    /// Broken promises over all seeds.
+    /// Violated guarantees, over all seeds.
     pub violations: ViolationCounts,
 }
 
-/// What an experiment found.
+/// Results of an experiment.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ExperimentSummary {
-    /// The baseline with the lowest median p95 in each bucket.
+    /// Baseline with the lowest median p95 in each bucket.
     pub best_baselines: LengthTable<Option<String>>,
-    /// The policies in the order of the experiment.
+    /// Results of the policies, in the order of the experiment.
     pub policies: Vec<PolicySummary>,
 }
 
 impl ExperimentSummary {
-    /// Summarises the runs; a policy without a run has no figures.
+    /// Summarises the runs. A policy without a run has no values.
     pub fn new(policies: &[String], reports: &[LoadReport]) -> Self {
         let best_baselines =
             LengthTable::from_buckets(|bucket| best_baseline(policies, reports, bucket));
@@ -98,7 +98,7 @@
         outcomes += report.outcomes;
         violations += report.violations;
     }
-    // The report has 0 where one of the two parts of the run had no sample.
+    // The value is 0 if one of the two parts of the run had no samples.
     let slowdowns = reports_of(reports, policy).map(|report| report.short_slowdown_p95);
     PolicySummary {
         policy: policy.to_owned(),
@@ -135,8 +135,8 @@
     SeedSpread::new(reports_of(reports, policy).filter_map(|report| p95(report, bucket)))
 }
 
-/// The choice is by the median over seeds: a choice for each seed would compare with the luckiest
-/// run of several.
+/// Returns the baseline with the lowest median p95 over seeds. A choice per seed would compare with
+/// the luckiest of several runs.
 fn best_baseline(
     policies: &[String],
     reports: &[LoadReport],
--- a/lovagedock-standin/src/fleet.rs
+++ b/lovagedock-standin/src/fleet.rs
@@ -1,5 +1,5 @@
-//! A whole fleet in one process: stand-ins for the platform and the endpoints, and the product's
-//! own daemons on loopback ports.
+//! Complete fleet in one process: stand-ins for the platform and the endpoints, and the real
+//! daemons on loopback ports.
 
 use std::{fmt, net::SocketAddr, time::Duration};
 
@@ -28,14 +28,14 @@
 
 const LOOPBACK: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
-/// Looks until the fleet is ready.
+/// Maximum number of polls until the fleet is ready.
 const READY_POLLS: usize = 600;
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Longest time that all gateways, and then all sidecars, may take to stop.
+/// Time limit for all gateways, and then for all sidecars, to stop.
 const STOP_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A fleet could not start.
+/// Error: a fleet could not start or apply its configuration.
 #[derive(Debug)]
 pub struct FleetError;
 
@@ -47,36 +47,36 @@
 
 impl std::error::Error for FleetError {}
 
-/// What a fleet is made of.
+/// Configuration and options of a fleet.
 #[derive(Clone)]
 pub struct FleetPlan {
-    /// The configuration; addresses in it are replaced by free loopback ports.
+    /// Configuration. Its addresses are replaced by free loopback ports.
     pub config: FleetConfig,
-    /// Model time that passes in one unit of real time.
+    /// Model time per unit of real time.
     pub time_scale: f64,
-    /// Time that a plain service takes for a call.
+    /// Duration of a call at a plain service.
     pub service_time: Duration,
-    /// Time between heartbeats of gateways.
+    /// Interval between heartbeats of gateways.
     pub heartbeat: Duration,
-    /// Time without an answer after which a session is given up.
+    /// Time without a response after which a gateway closes a session.
     pub silence_timeout: Duration,
-    /// Longest time that a stopped sidecar waits for its requests; zero cuts them off, as a process
-    /// that is killed does.
+    /// Time limit for a stopping sidecar to complete its requests. Zero aborts them immediately,
+    /// like a killed process.
     pub drain_timeout: Duration,
-    /// Requests that an endpoint gets at once; 0 leaves it to the sidecar's defaults.
+    /// Maximum number of concurrent requests per endpoint; 0 selects the sidecar's default.
     pub concurrency: usize,
-    /// Limits of the gateways towards callers.
+    /// Limits that gateways apply to callers.
     pub limits: CallerLimits,
-    /// How long the lease of a pool lasts.
+    /// Duration of a pool's lease.
     pub lease_duration: Duration,
-    /// Counts what the engines load at once.
+    /// Counts the concurrent loads of all engines.
     pub weights: WeightLoadGauge,
-    /// Log of the daemons.
+    /// Logger of the daemons.
     pub log: Logger,
 }
 
 impl FleetPlan {
-    /// A plan with a time scale of 1 and the daemons' default times.
+    /// Creates a plan with a time scale of 1 and default options.
     pub fn new(config: FleetConfig, log: Logger) -> Self {
         Self {
             config,
@@ -93,50 +93,50 @@
         }
     }
 
-    /// Sets the model time that passes in one unit of real time.
+    /// Sets the model time per unit of real time.
     pub fn with_time_scale(mut self, time_scale: f64) -> Self {
         self.time_scale = time_scale;
         self
     }
 
-    /// Sets the gateways' limits towards callers.
+    /// Sets the limits that gateways apply to callers.
     pub fn with_limits(mut self, limits: CallerLimits) -> Self {
         self.limits = limits;
         self
     }
 
-    /// Sets how long the lease of a pool lasts.
+    /// Sets the duration of a pool's lease.
     pub fn with_lease(mut self, lease_duration: Duration) -> Self {
         self.lease_duration = lease_duration;
         self
     }
 
-    /// Sets how sessions are kept.
+    /// Sets the heartbeat interval and the silence timeout of sessions.
     pub fn with_heartbeat(mut self, heartbeat: Duration, silence_timeout: Duration) -> Self {
         self.heartbeat = heartbeat;
         self.silence_timeout = silence_timeout;
         self
     }
 
-    /// Sets the time that a plain service takes for a call.
+    /// Sets the duration of a call at a plain service.
     pub fn with_service_time(mut self, service_time: Duration) -> Self {
         self.service_time = service_time;
         self
     }
 
-    /// Sets the longest time that a stopped sidecar waits for its requests.
+    /// Sets the time limit for a stopping sidecar to complete its requests.
     pub fn with_drain(mut self, drain_timeout: Duration) -> Self {
         self.drain_timeout = drain_timeout;
         self
     }
 
-    /// Sets how many requests an endpoint gets at once.
+    /// Sets the maximum number of concurrent requests per endpoint.
     pub fn with_concurrency(mut self, concurrency: usize) -> Self {
         self.concurrency = concurrency;
         self
     }
 
-    /// Starts a gateway that is told the platform's base URL and the peers to ask for a
+    /// Starts a gateway with the platform's base URL and the peers from which it can fetch a
     /// configuration.
     pub async fn start_gateway(
         &self,
@@ -158,17 +158,17 @@
     }
 }
 
-/// The endpoint beside a sidecar.
+/// Stand-in of an endpoint.
 #[derive(Clone, Debug)]
 pub enum EndpointStandin {
-    /// A model engine.
+    /// Stand-in of a model engine.
     Engine(RunningEngine),
-    /// A plain service.
+    /// Stand-in of a plain service.
     Service(RunningService),
 }
 
 impl EndpointStandin {
-    /// Where it listens.
+    /// Address on which the stand-in listens.
     pub fn address(&self) -> SocketAddr {
         match self {
             Self::Engine(engine) => engine.address,
@@ -177,46 +177,47 @@
     }
 }
 
-/// One endpoint with its sidecar.
+/// Running endpoint with its sidecar.
 pub struct RunningEndpoint {
-    /// Name in the configuration.
+    /// Id in the configuration.
     pub id: EndpointId,
     /// Host in the configuration.
     pub host: HostId,
-    /// The endpoint itself.
+    /// Stand-in of the endpoint.
     pub standin: EndpointStandin,
-    /// The sidecar, until it is stopped.
+    /// The sidecar; `None` after it has been stopped.
     pub sidecar: Option<Sidecar>,
-    /// Stops the sidecar.
+    /// Context that stops the sidecar.
     pub daemon: DaemonContext,
-    /// What the sidecar was started with; its address is the one that it got.
+    /// Settings of the sidecar, with the address that it was assigned.
     pub settings: SidecarSettings,
 }
 
-/// One gateway.
+/// Running gateway.
 pub struct RunningGateway {
-    /// Name in the configuration.
+    /// Id in the configuration.
     pub id: GatewayId,
     /// The gateway.
     pub gateway: Gateway,
-    /// Stops the gateway.
+    /// Context that stops the gateway.
     pub daemon: DaemonContext,
 }
 
-/// A fleet that serves.
+/// Running fleet.
 pub struct LocalFleet {
-    /// The platform.
+    /// Stand-in of the platform.
     pub platform: RunningPlatform,
     /// Endpoints in the order of the configuration.
     pub endpoints: Vec<RunningEndpoint>,
     /// Gateways in the order of the configuration.
     pub gateways: Vec<RunningGateway>,
-    /// The configuration with the addresses that the processes got.
+    /// Configuration with the addresses that the daemons were assigned.
     pub config: FleetConfig,
 }
 
 impl LocalFleet {
-    /// Starts everything, applies the configuration and waits until it is in force everywhere.
+    /// Starts all parts, applies the configuration and waits until every gateway is connected to
+    /// every endpoint.
     pub async fn start(plan: FleetPlan) -> Result<Self, Report<FleetError>> {
         let hosts = plan.config.pools.iter().flat_map(|pool| &pool.endpoints);
         let platform = PlatformStandin::start(PlatformOptions {
@@ -251,7 +252,7 @@
         Ok(fleet)
     }
 
-    /// Applies the fleet's configuration over the generation that is expected in the store.
+    /// Applies the fleet's configuration if the store has the expected generation.
     pub async fn apply(&self, expected: Generation) -> Result<Generation, Report<FleetError>> {
         let store = ConfigStore::new(std::sync::Arc::new(HttpObjectStore::new(
             &self.platform.url(),
@@ -264,13 +265,13 @@
         }
     }
 
-    /// Stops the daemons, gateways first, and waits for them for a bounded time.
+    /// Stops the daemons, gateways first, and waits for a limited time until they have stopped.
     pub async fn stop(self) {
         for entry in &self.gateways {
             entry.daemon.shutdown.trigger();
         }
         let gateways = self.gateways.into_iter().map(|entry| entry.gateway.wait());
-        // What is cut off here is of no interest to anyone any more.
+        // Nothing waits for requests that are aborted here, so a timeout is ignored.
         let _ended = timeout(STOP_TIMEOUT, join_all(gateways)).await;
         for entry in &self.endpoints {
             entry.daemon.shutdown.trigger();
@@ -291,7 +292,7 @@
             }
             sleep(READY_POLL_INTERVAL).await;
         }
-        Err(Report::new(FleetError).attach("a gateway has not reached all endpoints"))
+        Err(Report::new(FleetError).attach("a gateway did not connect to all endpoints in time"))
     }
 }
 
--- a/lovagedock-standin/src/lib.rs
+++ b/lovagedock-standin/src/lib.rs
@@ -1,4 +1,6 @@
-//! Stand-ins of the platform, of engines and of plain services; the product never depends on them.
+//! Stand-ins of the platform, of engines and of plain services, for tests, load runs and the demo.
+//!
+//! The product does not depend on this crate.
 
 pub mod demo;
 pub mod engine;
--- a/lovagedock-standin/src/load/caller.rs
+++ b/lovagedock-standin/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! Sends calls as callers behind the platform's balancer do, and writes down what they see.
+//! Sends calls in the way of callers behind the platform's load balancer and records the outcomes.
 
 use std::{
     fmt::{self, Display, Formatter},
@@ -31,49 +31,50 @@
     sse::SseParser,
 };
 
-/// Header that names the request in every answer.
+/// Response header with the id of the request.
 const REQUEST_ID_HEADER: &str = "x-request-id";
-/// Header with the time that a call asks for, in milliseconds.
+/// Request header with the deadline of the call in milliseconds.
 const DEADLINE_HEADER: &str = "x-lovagedock-deadline-ms";
 const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 const STREAM_END: &str = "[DONE]";
-/// How long after its deadline a caller still listens, so that a late outcome can be told from none.
+/// Time after the deadline in which a caller still waits, to tell a late outcome from none.
 const OUTCOME_WAIT: Duration = Duration::from_secs(5);
 
-/// An address that callers can send to.
+/// Gateway that callers can send to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GatewayTarget {
-    /// Name in the callers' journal.
+    /// Name of the gateway in the callers' journal.
     pub name: String,
-    /// Where it listens for callers.
+    /// Address on which the gateway listens for callers.
     pub address: SocketAddr,
 }
 
-/// Why no caller can be made.
+/// Reason why a [`CallerClient`] cannot be created.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallerError {
-    /// There is no gateway to call.
+    /// The list of gateways is empty.
     NoGateways,
 }
 
 impl Display for CallerError {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NoGateways => f.write_str("no gateway to call"),
+            Self::NoGateways => f.write_str("the list of gateways is empty"),
         }
     }
 }
 
 impl std::error::Error for CallerError {}
 
-/// A gateway as the platform's balancer knows it.
+/// State of a gateway in the simulated load balancer.
 struct BalancedGateway {
     target: GatewayTarget,
-    /// It said that it is stopping, so the balancer sends it nothing more.
+    /// Whether the gateway reported that it is stopping. The balancer sends no more calls to it.
     is_removed: AtomicBool,
 }
 
-/// Sends calls to gateways in turn, past those that refuse a connection or said that they stop.
+/// Sends calls to the gateways in turn. Skips gateways that refuse connections or reported that
+/// they are stopping.
 pub struct CallerClient {
     client: Client<HttpConnector, Full<Bytes>>,
     gateways: Vec<BalancedGateway>,
@@ -91,7 +92,7 @@
 }
 
 impl CallerClient {
-    /// Creates a client whose journal is on `clock`.
+    /// Creates a client that records times of `clock`.
     pub fn new(gateways: Vec<GatewayTarget>, clock: ProcessClock) -> Result<Self, CallerError> {
         if gateways.is_empty() {
             return Err(CallerError::NoGateways);
@@ -107,7 +108,7 @@
         })
     }
 
-    /// Sends one call and waits until it has ended.
+    /// Sends one call and waits for its outcome.
     pub(crate) async fn call(
         &self,
         mix: &MixSpec,
@@ -138,7 +139,8 @@
         };
         let limit = call.deadline + OUTCOME_WAIT;
         let exchange = self.exchange(call, &organisation.key, &message, &mut record);
-        // On the timeout the record keeps what was seen so far, and its ending is `Nothing`.
+        // After a timeout, the record keeps what was received so far and its outcome is
+        // `NoOutcome`.
         let _ = time::timeout(limit, exchange).await;
         record.ended_at = self.clock.now();
         record
@@ -179,7 +181,8 @@
         }
     }
 
-    /// Takes a gateway that says it is stopping out, as the balancer's health checks would.
+    /// Removes a gateway that reported that it is stopping, as health checks of a balancer would
+    /// do.
     fn remove_if_stopping(&self, record: &CallRecord) {
         let stopping = ResultCode::GatewayStopping.number();
         if !matches!(record.outcome, CallOutcome::Problem { code, .. } if code == stopping) {
@@ -208,7 +211,7 @@
             let request = request_to(gateway.target.address, call, api_key, message);
             match self.client.request(request).await {
                 Ok(response) => return Ok(response),
-                // Nothing was sent, so the balancer may try the next.
+                // No request was sent, so the balancer may try the next gateway.
                 Err(error) if error.is_connect() => continue,
                 Err(_) => return Err(CallOutcome::Broken),
             }
@@ -316,7 +319,7 @@
     let Ok(body) = response.into_body().collect().await else {
         return CallOutcome::Broken;
     };
-    // An error that does not say whether the request ran leaves its caller without knowledge.
+    // If an error does not say whether the request ran, the caller cannot know it.
     parse_problem(&body.to_bytes()).unwrap_or(CallOutcome::Broken)
 }
 
@@ -331,7 +334,7 @@
     error: ProblemBody,
 }
 
-/// Reads a problem document, on its own or as the `error` of a stream's last event.
+/// Parses a problem document, either a plain one or the `error` field of a stream's last event.
 fn parse_problem(bytes: &[u8]) -> Option<CallOutcome> {
     let problem = serde_json::from_slice::<ProblemBody>(bytes)
         .or_else(|_| serde_json::from_slice::<WrappedProblem>(bytes).map(|wrapped| wrapped.error))
--- a/lovagedock-standin/src/load/collect.rs
+++ b/lovagedock-standin/src/load/collect.rs
@@ -1,4 +1,4 @@
-//! Brings the stand-ins' journals onto the clock of the run.
+//! Collects the journals of stand-ins and converts their times to the clock of the run.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -10,24 +10,24 @@
     service::{RunningService, ServiceEntry},
 };
 
-/// How a stand-in's own clock lies on the clock of the run.
+/// Relation between the clock of a stand-in and the clock of the run.
 #[derive(Clone, Copy, Debug)]
 pub struct ClockOrigin {
-    /// When the stand-in started.
+    /// Start of the stand-in, on the clock of the run.
     pub started_at: Timestamp,
-    /// Time of the stand-in that passes in one unit of the run's time.
+    /// Time that passes at the stand-in per unit of the run's time.
     pub time_scale: f64,
 }
 
 impl ClockOrigin {
-    /// The run's time at a time of the stand-in.
+    /// Converts a time of the stand-in to the clock of the run.
     pub fn run_time(&self, local_time: Duration) -> Timestamp {
         self.started_at + local_time.div_f64(self.time_scale)
     }
 }
 
 impl ExecutionJournal {
-    /// Adds what an engine ran, and what it holds now for no request in flight.
+    /// Adds the requests that an engine ran, and the blocks that it leaked.
     pub fn add_engine(
         &mut self,
         endpoint: &EndpointId,
@@ -35,7 +35,8 @@
         origin: ClockOrigin,
     ) {
         self.add_engine_entries(endpoint, &engine.journal.entries(), origin);
-        // The run is over and has settled, so no caller waits for any of these.
+        // The run is over and the engines had time to free memory. No caller waits for a request,
+        // so blocks that are still allocated are leaked.
         let blocks = engine.handle.allocated_blocks();
         if blocks > 0 {
             self.leaks.push(LeakRecord {
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Adds the lines of an engine's journal; a line with an id that is none of ours is left out.
+    /// Adds the entries of an engine's journal. Skips entries whose id is not a valid request id.
     pub fn add_engine_entries(
         &mut self,
         endpoint: &EndpointId,
@@ -69,7 +70,8 @@
                         ended_at: None,
                     });
                 }
-                // The rest of work that began elsewhere; it is no second run of it.
+                // Continues work that started on another engine, so it does not count as a second
+                // start.
                 JournalEvent::Resumed => {}
                 JournalEvent::Ended | JournalEvent::Cancelled | JournalEvent::Lost => {
                     if let Some(index) = open.remove(&request) {
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Adds what a plain service ran.
+    /// Adds the calls that a plain service ran.
     pub fn add_service(
         &mut self,
         endpoint: &EndpointId,
--- a/lovagedock-standin/src/load/fetch.rs
+++ b/lovagedock-standin/src/load/fetch.rs
@@ -1,4 +1,4 @@
-//! Reads the journals of stand-ins that run as programs of their own.
+//! Fetches the journals of stand-ins that run as separate processes.
 
 use std::{io, net::SocketAddr, str::FromStr, time::Duration};
 
@@ -14,12 +14,12 @@
 };
 use crate::{engine::JournalEntry, service::ServiceRun};
 
-/// A stand-in by the name of its endpoint: `NAME=ADDRESS`.
+/// Address of a stand-in with the name of its endpoint, written as `NAME=ADDRESS`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StandinTarget {
-    /// The endpoint.
+    /// Name of the endpoint.
     pub endpoint: EndpointId,
-    /// Where the stand-in listens.
+    /// Address on which the stand-in listens.
     pub address: SocketAddr,
 }
 
@@ -38,10 +38,10 @@
     }
 }
 
-/// Adds the journal of an engine and what it holds now.
+/// Adds the journal of an engine and the blocks that it still has allocated.
 ///
-/// The clock of a program of its own has no known place on the run's clock, so only violations
-/// that need no times can be counted from this journal.
+/// The clock of another process cannot be related to the run's clock. Only violations that do not
+/// depend on times can be counted from this journal.
 pub async fn fetch_engine(
     journal: &mut ExecutionJournal,
     target: &StandinTarget,
@@ -80,7 +80,7 @@
     Ok(())
 }
 
-/// The account of an engine, in either vendor's words.
+/// List of allocations of an engine, in the format of either vendor.
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum EngineAllocations {
--- a/lovagedock-standin/src/load/journal.rs
+++ b/lovagedock-standin/src/load/journal.rs
@@ -1,6 +1,6 @@
-//! What callers, stand-ins and whoever runs the fleet wrote down.
+//! Journals of the callers, of the stand-ins and of changes to the fleet.
 //!
-//! All times of one run are on one clock that starts with the run.
+//! All times of a run are measured on one clock that starts with the run.
 
 use std::time::Duration;
 
@@ -8,163 +8,163 @@
     EndpointId, LengthBucket, OrganisationId, RanState, RequestId, ServiceId, Timestamp,
 };
 
-/// Everything that the callers of one run saw.
+/// Calls of one run, as seen by the callers.
 #[derive(Clone, Debug, Default)]
 pub struct CallerJournal {
-    /// One record for each call, redeliveries included.
+    /// One record per call, redeliveries included.
     pub calls: Vec<CallRecord>,
 }
 
-/// One call as its caller saw it.
+/// One call, as seen by its caller.
 #[derive(Clone, Debug)]
 pub struct CallRecord {
     /// Number of the call in the plan.
     pub number: u64,
-    /// Request id that the answer carried; `None` when no answer came.
+    /// Request id in the response; `None` if there was no response.
     pub request: Option<RequestId>,
-    /// Organisation that called.
+    /// Organisation of the caller.
     pub organisation: OrganisationId,
-    /// Service that was called.
+    /// Called service.
     pub service: ServiceId,
-    /// Length of the prompt; `None` for a plain call.
+    /// Length bucket of the prompt; `None` for a call of a plain service.
     pub bucket: Option<LengthBucket>,
     /// Idempotency key.
     pub key: Option<String>,
-    /// Whether the configuration says that the call must not run twice.
+    /// Whether the configuration forbids to run the call twice.
     pub non_idempotent: bool,
     /// Name of the gateway that the call was sent to.
     pub gateway: String,
-    /// When the plan wanted the call.
+    /// Planned time of the call.
     pub intended_at: Timestamp,
-    /// When it was sent.
+    /// Time at which the call was sent.
     pub sent_at: Timestamp,
-    /// When the first token came; `None` for a whole answer.
+    /// Time of the first token; `None` for a response that is not streamed.
     pub first_token_at: Option<Timestamp>,
-    /// Times between two pieces of a streamed answer.
+    /// Times between consecutive chunks of a streamed response.
     pub token_gaps: Vec<Duration>,
-    /// When the answer ended.
+    /// Time at which the call ended.
     pub ended_at: Timestamp,
-    /// Time that the call asked for, from `sent_at`.
+    /// Deadline of the call, relative to `sent_at`.
     pub deadline: Duration,
-    /// How it ended.
+    /// Outcome of the call.
     pub outcome: CallOutcome,
-    /// Whether the bytes were those of this call's answer.
+    /// Result of the comparison with the expected answer.
     pub answer: AnswerCheck,
-    /// BLAKE3 of the answer's content; `None` unless complete.
+    /// BLAKE3 hash of the answer's content; `None` unless the call is complete.
     pub answer_digest: Option<[u8; 32]>,
 }
 
-/// How a call ended for its caller.
+/// Outcome of a call for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// A clean end.
+    /// The response ended cleanly.
     Complete,
-    /// A problem document or a stream error that says whether the request ran.
+    /// The caller received a problem document or a stream error that says whether the request ran.
     Problem {
         /// Number of the result code.
         code: u16,
-        /// What it says about the run.
+        /// Whether the request ran, as stated in the problem document.
         ran: RanState,
     },
-    /// The connection broke without a clean end.
+    /// The connection broke before the response was complete.
     Broken,
-    /// No connection to any gateway.
+    /// No gateway accepted a connection.
     Unsent,
-    /// Neither an end nor an error within the deadline and the grace.
+    /// The call neither ended nor failed within its deadline and the wait after it.
     NoOutcome,
 }
 
-/// What the bytes of an answer are, compared with the stand-in's rule.
+/// Result of the comparison of an answer with the one that the stand-in must give.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerCheck {
-    /// The whole answer to this request.
+    /// The answer is complete and correct.
     Complete,
-    /// The beginning of the answer to this request, or nothing.
+    /// The answer is empty or a prefix of the correct one.
     Prefix,
-    /// Something else.
+    /// The answer differs from the correct one.
     Different,
-    /// The stand-in has no rule for this call.
+    /// There is no expected answer for this call.
     Unchecked,
 }
 
-/// What the stand-ins ran and hold.
+/// Work that the stand-ins ran, and memory that they leaked.
 #[derive(Clone, Debug, Default)]
 pub struct ExecutionJournal {
-    /// One record for each start.
+    /// One record per start.
     pub starts: Vec<ExecutionRecord>,
-    /// Memory held after the settle time.
+    /// Memory still allocated after the settle time.
     pub leaks: Vec<LeakRecord>,
 }
 
-/// One start at a stand-in.
+/// One start of work at a stand-in.
 #[derive(Clone, Debug)]
 pub struct ExecutionRecord {
-    /// Request id that came with the work.
+    /// Id of the request.
     pub request: RequestId,
-    /// Idempotency key that came with the work.
+    /// Idempotency key of the request.
     pub key: Option<String>,
-    /// Endpoint that ran it.
+    /// Endpoint that ran the work.
     pub endpoint: EndpointId,
-    /// When it started.
+    /// Start time.
     pub started_at: Timestamp,
-    /// When it ended, in whatever way; `None` when it never did.
+    /// Time at which the work completed, failed or was cancelled; `None` if it never ended.
     pub ended_at: Option<Timestamp>,
 }
 
-/// Memory that an engine holds for no request that it has.
+/// Memory of an engine that is allocated without a request in flight.
 #[derive(Clone, Debug)]
 pub struct LeakRecord {
-    /// The engine.
+    /// Endpoint of the engine.
     pub endpoint: EndpointId,
-    /// Blocks without a request.
+    /// Number of leaked blocks.
     pub blocks: u64,
 }
 
-/// What was done to the fleet during the run.
+/// Changes to the fleet during the run.
 #[derive(Clone, Debug, Default)]
 pub struct FleetJournal {
-    /// Endpoints and gateways that left in an orderly way.
+    /// Endpoints and gateways that were drained.
     pub drains: Vec<DrainRecord>,
-    /// Configurations that were accepted during the run.
+    /// Exclusions by configurations that were accepted during the run.
     pub changes: Vec<ConfigChange>,
 }
 
-/// One orderly departure.
+/// One drain of an endpoint or a gateway.
 #[derive(Clone, Debug)]
 pub struct DrainRecord {
-    /// Who left.
+    /// Endpoint or gateway that was drained.
     pub target: DrainTarget,
-    /// When it began to leave.
+    /// Start of the drain.
     pub started_at: Timestamp,
-    /// When it was gone; `None` when it came back or the run ended first.
+    /// End of the drain, when the target serves again; `None` if the run ended first.
     pub ended_at: Option<Timestamp>,
 }
 
-/// Who leaves.
+/// Endpoint or gateway that is drained.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DrainTarget {
     /// An endpoint with its sidecar.
     Endpoint(EndpointId),
-    /// A gateway, by the name that callers write down.
+    /// A gateway, by its name in the callers' journal.
     Gateway(String),
 }
 
-/// What an accepted configuration rules out from then on.
+/// Exclusion by an accepted configuration.
 #[derive(Clone, Debug)]
 pub struct ConfigChange {
-    /// When it was accepted.
+    /// Time at which the configuration was accepted.
     pub accepted_at: Timestamp,
-    /// When a later one allowed it again.
+    /// Time at which a later configuration reverted the exclusion.
     pub reverted_at: Option<Timestamp>,
-    /// What may not start any more.
+    /// Target on which, or for which, no work may start any more.
     pub excluded: ExcludedTarget,
 }
 
-/// What a configuration rules out.
+/// Target that a configuration excludes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ExcludedTarget {
-    /// Any work on the endpoint.
+    /// All work on the endpoint.
     Endpoint(EndpointId),
-    /// Any work of the organisation.
+    /// All work of the organisation.
     Organisation(OrganisationId),
 }
--- a/lovagedock-standin/src/load/message.rs
+++ b/lovagedock-standin/src/load/message.rs
@@ -1,4 +1,4 @@
-//! What a planned call looks like on the wire, and what its answer has to be.
+//! HTTP message of a planned call, and the expected answer.
 
 use bytes::Bytes;
 use lovagedock::{LengthBucket, ServiceId};
@@ -20,7 +20,7 @@
 const CHAT_PATH: &str = "/v1/chat/completions";
 const COMPLETIONS_PATH: &str = "/v1/completions";
 
-/// A call that is ready to be sent.
+/// Call that is ready to be sent.
 #[derive(Clone, Debug)]
 pub(crate) struct CallMessage {
     pub(crate) service: ServiceId,
@@ -33,12 +33,12 @@
     pub(crate) expected_answer: ExpectedAnswer,
 }
 
-/// What the answer has to be.
+/// Answer that a call must get.
 #[derive(Clone, Debug)]
 pub(crate) enum ExpectedAnswer {
-    /// The text of a model's answer.
+    /// Text of a model's answer.
     Text(String),
-    /// The plain service's account of the call.
+    /// Description of the call that the plain service returns.
     Run {
         method: String,
         path: String,
@@ -47,7 +47,7 @@
 }
 
 impl CallMessage {
-    /// Writes the call out.
+    /// Builds the message of a planned call.
     pub(crate) fn new(mix: &MixSpec, call: &PlannedCall) -> Self {
         match &call.body {
             CallBody::Model(call) => model_message(mix, call),
@@ -57,7 +57,7 @@
 }
 
 impl ExpectedAnswer {
-    /// Compares the content of an answer, or what there is of it.
+    /// Compares the received content, which may be incomplete, with the expected answer.
     pub(crate) fn check(&self, content: &[u8]) -> AnswerCheck {
         match self {
             Self::Text(expected) if expected.as_bytes() == content => AnswerCheck::Complete,
@@ -166,7 +166,7 @@
     }
 }
 
-/// The parts of a model's answer that hold text, streamed or whole.
+/// Text fields of a model's response, streamed or complete.
 #[derive(Debug, Default, Deserialize)]
 pub(crate) struct ModelAnswer {
     #[serde(default)]
@@ -174,7 +174,7 @@
 }
 
 impl ModelAnswer {
-    /// The text of the first choice.
+    /// Text of the first choice.
     pub(crate) fn text(&self) -> &str {
         let Some(choice) = self.choices.first() else {
             return "";
@@ -187,7 +187,7 @@
     }
 }
 
-/// One choice of an answer.
+/// One choice of a response.
 #[derive(Debug, Deserialize)]
 pub(crate) struct AnswerChoice {
     #[serde(default)]
--- a/lovagedock-standin/src/load/mix.rs
+++ b/lovagedock-standin/src/load/mix.rs
@@ -1,30 +1,30 @@
-//! What callers send, as a file.
+//! Mix of calls, read from a file.
 
 use lovagedock::{LengthBucket, OrganisationId, ServiceId, TokenCount};
 use rand::{Rng, RngExt};
 use serde::Deserialize;
 
-/// A mix of calls, read from JSON with comments.
+/// Mix of calls that the load generator sends, read from JSON with comments.
 ///
-/// Rates and times are model time: a run against stand-in engines that are sped up is sped up by
-/// the same factor.
+/// Rates and times are model time: a run is sped up by the time scale of the stand-in engines.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MixSpec {
-    /// Name in reports.
+    /// Name of the mix in reports.
     pub name: String,
-    /// Model requests a second, all lengths together.
+    /// Model requests per second over all prompt lengths.
     pub model_requests_per_second: f64,
-    /// First part of the run, in percent, in which no long prompts are sent. The short ones come
-    /// at the same rate in both parts, so that their slowdown can be told.
+    /// Length of the first part of the run in percent. No long prompts are sent in it. Short
+    /// prompts are sent at the same rate in both parts, so that their slowdown by long prompts can
+    /// be measured.
     pub baseline_percent: u8,
-    /// Service of the model requests.
+    /// Service that gets the model requests.
     pub service: ServiceId,
-    /// Name in the `model` field.
+    /// Value of the `model` field.
     pub model: String,
-    /// The lengths and their shares.
+    /// Prompt lengths and their shares.
     pub buckets: Vec<BucketMix>,
-    /// Who calls.
+    /// Organisations that send calls.
     pub organisations: Vec<CallerMix>,
     /// Model requests with an idempotency key.
     #[serde(default)]
@@ -35,24 +35,24 @@
 }
 
 impl MixSpec {
-    /// What is wrong with the values; one line for each error.
+    /// Returns one line per invalid value.
     pub fn problems(&self) -> Vec<String> {
         let mut problems = Vec::new();
         if self.organisations.is_empty() {
-            problems.push("organisations: at least one is needed".to_owned());
+            problems.push("organisations: must not be empty".to_owned());
         }
         if self.baseline_percent > 90 {
-            problems.push("baseline_percent: at most 90".to_owned());
+            problems.push("baseline_percent: must be at most 90".to_owned());
         }
         for caller in self.referenced_callers() {
             if !self.organisations.iter().any(|it| it.id == *caller) {
-                problems.push(format!("callers: no organisation `{caller}`"));
+                problems.push(format!("callers: unknown organisation `{caller}`"));
             }
         }
         for (index, bucket) in self.buckets.iter().enumerate() {
             if bucket.length().is_none() {
                 let name = &bucket.bucket;
-                problems.push(format!("buckets[{index}].bucket: no length `{name}`"));
+                problems.push(format!("buckets[{index}].bucket: unknown length `{name}`"));
             }
         }
         problems
@@ -66,7 +66,7 @@
     }
 }
 
-/// Requests of one range of lengths.
+/// Requests of one bucket of prompt lengths.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BucketMix {
@@ -87,12 +87,12 @@
     /// Prompts that begin with one of a few common texts, in percent.
     #[serde(default)]
     pub common_prefix_percent: u8,
-    /// Time that the request asks for, in milliseconds.
+    /// Deadline of a request in milliseconds.
     pub deadline_ms: u64,
 }
 
 impl BucketMix {
-    /// The bucket, when the name is that of one.
+    /// The length bucket; `None` if the name is unknown.
     pub fn length(&self) -> Option<LengthBucket> {
         let mut lengths = LengthBucket::ALL.into_iter();
         lengths.find(|length| length.as_str() == self.bucket)
@@ -104,25 +104,25 @@
 pub struct TokenRange(pub TokenCount, pub TokenCount);
 
 impl TokenRange {
-    /// Draws a number from the range.
+    /// Samples a number from the range, uniformly.
     pub fn sample(self, random: &mut impl Rng) -> TokenCount {
         random.random_range(self.0..=self.1.max(self.0))
     }
 }
 
-/// An organisation that calls.
+/// Organisation that sends calls.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CallerMix {
-    /// The organisation.
+    /// Id of the organisation.
     pub id: OrganisationId,
-    /// Its API key.
+    /// API key of the organisation.
     pub key: String,
     /// Share of the calls; shares are relative to their sum.
     pub share: f64,
 }
 
-/// Interface of the model requests.
+/// API path of model requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ModelPath {
@@ -133,21 +133,21 @@
     Completions,
 }
 
-/// Model requests that must read the same each time that they are delivered.
+/// Model requests with an idempotency key. Every delivery must return the same answer.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KeyedMix {
-    /// Service that is called.
+    /// Called service.
     pub service: ServiceId,
-    /// Name in the `model` field.
+    /// Value of the `model` field.
     pub model: String,
-    /// Interface that is used.
+    /// API path of the requests.
     #[serde(default)]
     pub path: ModelPath,
     /// Organisations that send these; empty means all.
     #[serde(default)]
     pub callers: Vec<OrganisationId>,
-    /// Requests a second, redeliveries not counted.
+    /// Requests per second, redeliveries not counted.
     pub per_second: f64,
     /// Tokens of the prompt.
     pub prompt_tokens: TokenRange,
@@ -158,9 +158,9 @@
     pub streamed_percent: u8,
     /// Requests that are sent again with the same key, in percent.
     pub repeat_percent: u8,
-    /// When they are sent again, in milliseconds after the first time; `[from, to]`.
+    /// Delay of the repeated delivery after the first one, in milliseconds: `[from, to]`.
     pub repeat_after_ms: (u64, u64),
-    /// Time that the request asks for, in milliseconds.
+    /// Deadline of a request in milliseconds.
     pub deadline_ms: u64,
 }
 
@@ -168,30 +168,30 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlainMix {
-    /// Service that is called.
+    /// Called service.
     pub service: ServiceId,
-    /// Method, such as `GET`.
+    /// HTTP method, such as `GET`.
     pub method: String,
-    /// Path; `{n}` stands for the number of the call.
+    /// Path; `{n}` is replaced by the number of the call.
     pub path: String,
     /// Organisations that send these; empty means all.
     #[serde(default)]
     pub callers: Vec<OrganisationId>,
-    /// Calls a second, repeats not counted.
+    /// Calls per second, repeats not counted.
     pub per_second: f64,
-    /// Bytes of the body.
+    /// Size of the body in bytes.
     #[serde(default)]
     pub body_bytes: usize,
-    /// Whether the call must not run twice; it then carries an idempotency key.
+    /// Whether the call must not run twice. Such a call has an idempotency key.
     #[serde(default)]
     pub non_idempotent: bool,
     /// Calls that are sent again with the same key, in percent.
     #[serde(default)]
     pub repeat_percent: u8,
-    /// When they are sent again, in milliseconds after the first time; `[from, to]`.
+    /// Delay of the repeated delivery after the first one, in milliseconds: `[from, to]`.
     #[serde(default)]
     pub repeat_after_ms: (u64, u64),
-    /// Time that the call asks for, in milliseconds.
+    /// Deadline of a call in milliseconds.
     pub deadline_ms: u64,
 }
 
--- a/lovagedock-standin/src/load/mod.rs
+++ b/lovagedock-standin/src/load/mod.rs
@@ -1,8 +1,8 @@
 //! Load generator: seeded arrivals, callers, journals, violations and the report.
 //!
-//! Arrivals are planned before the run and never wait for answers (open loop). Latency counts from
-//! the planned time, so that a stall of the system shows in the figures of all who would have come
-//! during it.
+//! Arrivals are planned before the run and do not wait for responses (open loop). Latency is
+//! measured from the planned time. A stall of the system therefore shows in the latency of every
+//! call that was planned during the stall.
 
 mod caller;
 mod collect;
--- a/lovagedock-standin/src/load/quantiles.rs
+++ b/lovagedock-standin/src/load/quantiles.rs
@@ -1,4 +1,4 @@
-//! Latency figures as the report shows them.
+//! Latency quantiles and tables by prompt length, as they appear in the report.
 
 use std::time::Duration;
 
@@ -10,21 +10,21 @@
 const SIGNIFICANT_DIGITS: u8 = 3;
 const MICROSECONDS_PER_MILLISECOND: f64 = 1000.0;
 
-/// Quantiles of a latency in milliseconds; all 0 when there are no samples.
+/// Quantiles of a latency in milliseconds; all 0 if there are no samples.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct QuantileSummary {
     /// Number of samples.
     pub n: u64,
-    /// Half of the samples are at most this.
+    /// Median.
     pub p50: f64,
-    /// 95 in 100 are at most this.
+    /// 95th percentile.
     pub p95: f64,
-    /// 99 in 100 are at most this.
+    /// 99th percentile.
     pub p99: f64,
 }
 
 impl QuantileSummary {
-    /// Summarises samples, to three significant digits.
+    /// Summarises samples with a precision of three significant digits.
     pub fn new(samples: impl IntoIterator<Item = Duration>) -> Self {
         let mut histogram =
             Histogram::<u64>::new_with_bounds(1, HIGHEST_MICROSECONDS, SIGNIFICANT_DIGITS)
@@ -48,7 +48,7 @@
     }
 }
 
-/// One value for each bucket of prompt length.
+/// One value per bucket of prompt length.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct LengthTable<T> {
     /// Up to 2,000 tokens.
@@ -66,13 +66,13 @@
     /// Up to 512,000 tokens.
     #[serde(rename = "256k")]
     pub k256: T,
-    /// Longer.
+    /// More than 512,000 tokens.
     #[serde(rename = "1m")]
     pub m1: T,
 }
 
 impl<T> LengthTable<T> {
-    /// Makes the value of each bucket.
+    /// Creates a table by calling `value` for each bucket.
     pub fn from_buckets(mut value: impl FnMut(LengthBucket) -> T) -> Self {
         Self {
             k1: value(LengthBucket::K1),
@@ -84,7 +84,7 @@
         }
     }
 
-    /// The value of one bucket.
+    /// Value of one bucket.
     pub fn get(&self, bucket: LengthBucket) -> &T {
         match bucket {
             LengthBucket::K1 => &self.k1,
--- a/lovagedock-standin/src/load/report.rs
+++ b/lovagedock-standin/src/load/report.rs
@@ -1,4 +1,4 @@
-//! The report of one run.
+//! Report of one run.
 
 use std::{collections::BTreeMap, ops::AddAssign, time::Duration};
 
@@ -13,28 +13,28 @@
 
 /// Version of the report's format.
 const SCHEMA: u32 = 1;
-/// The buckets whose slowdown by long prompts is reported.
+/// Buckets of short prompts, whose slowdown by long prompts is reported.
 const SHORT_BUCKETS: [LengthBucket; 2] = [LengthBucket::K1, LengthBucket::K4];
 
-/// What tells a run from others.
+/// Metadata that identifies a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReportMetadata {
     /// Seed of the plan.
     pub seed: u64,
-    /// Placement policy in force.
+    /// Placement policy of the run.
     pub policy: String,
     /// Name of the mix.
     pub mix: String,
-    /// Length of the plan.
+    /// Duration of the plan.
     pub duration: Duration,
-    /// When the first long prompt could be sent, on the clock of the journal.
+    /// Earliest time of a long prompt, on the clock of the journal.
     pub long_start: Timestamp,
-    /// Model time of the stand-in engines that passes in one unit of real time; latencies are
-    /// reported in model time.
+    /// Model time of the stand-in engines per unit of real time. Latencies are reported in model
+    /// time.
     pub time_scale: f64,
 }
 
-/// The figures of one run.
+/// Results of one run.
 #[derive(Clone, Debug, Serialize)]
 pub struct LoadReport {
     /// Version of the format.
@@ -45,55 +45,55 @@
     pub policy: String,
     /// Name of the mix.
     pub mix: String,
-    /// Length of the plan in seconds.
+    /// Duration of the plan in seconds.
     pub duration_s: f64,
-    /// Model time in one unit of real time; `ttft_ms` and `itl_ms` are model time.
+    /// Model time per unit of real time; `ttft_ms` and `itl_ms` are model time.
     pub time_scale: f64,
-    /// Time from the planned sending to the first token of streamed answers.
+    /// Time from the planned time of a call to the first token of its streamed response.
     pub ttft_ms: LengthTable<QuantileSummary>,
-    /// Time between two pieces of a streamed answer.
+    /// Time between consecutive chunks of a streamed response.
     pub itl_ms: IntervalSummary,
-    /// p95 of the short prompts' first token while long prompts are sent, divided by that before;
-    /// 0 when one of the two parts has no sample.
+    /// p95 of the time to first token of short prompts while long prompts are sent, divided by the
+    /// p95 before; 0 if one of the two parts has no samples.
     pub short_slowdown_p95: f64,
-    /// What became of the calls.
+    /// Number of calls by outcome.
     pub outcomes: OutcomeCounts,
-    /// Calls that did not complete, by length and code.
+    /// Calls that did not complete, by prompt length and result code.
     pub problems: Vec<ProblemCount>,
-    /// Broken promises.
+    /// Violated guarantees.
     pub violations: ViolationCounts,
-    /// What control cost; all 0 where it was not measured.
+    /// Overhead of the control plane; all 0 if it was not measured.
     pub control: ControlOverhead,
     /// Whether `control` was measured.
     pub control_measured: bool,
 }
 
-/// Quantiles of the time between pieces, in milliseconds.
+/// Quantiles of the time between chunks, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct IntervalSummary {
-    /// Half of the gaps are at most this.
+    /// Median.
     pub p50: f64,
-    /// 95 in 100 are at most this.
+    /// 95th percentile.
     pub p95: f64,
 }
 
-/// What became of the calls; they add up to the number sent.
+/// Number of calls by outcome. The sum is the number of calls sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct OutcomeCounts {
-    /// Whole answers.
+    /// Complete responses.
     pub complete: u64,
-    /// Refused as not run, or no gateway could be reached.
+    /// Refused without being run, or no gateway could be reached.
     pub refused_not_run: u64,
-    /// Failed after running.
+    /// Failed after the request ran.
     pub failed: u64,
-    /// It is not known whether they ran.
+    /// Failed, and it is unknown whether the request ran.
     pub unknown: u64,
-    /// Out of their time.
+    /// Ended by their deadline.
     pub timed_out: u64,
 }
 
 impl OutcomeCounts {
-    /// Counts the calls of a journal.
+    /// Counts the calls of a journal by outcome.
     pub fn new(journal: &CallerJournal) -> Self {
         let mut counts = Self::default();
         for call in &journal.calls {
@@ -102,7 +102,7 @@
         counts
     }
 
-    /// All calls.
+    /// Total number of calls.
     pub fn total(&self) -> u64 {
         self.complete + self.refused_not_run + self.failed + self.unknown + self.timed_out
     }
@@ -132,34 +132,34 @@
     }
 }
 
-/// Calls of one length that ended with one code.
+/// Number of calls with one prompt length and one result code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct ProblemCount {
-    /// Length of the prompt; `plain` for a plain call.
+    /// Length bucket of the prompt; `plain` for a call of a plain service.
     pub bucket: &'static str,
-    /// Number of the result code; 0 when the connection broke or nothing came.
+    /// Number of the result code; 0 if there was no connection, it broke, or nothing was received.
     pub code: u16,
-    /// How many.
+    /// Number of calls.
     pub n: u64,
 }
 
-/// What the system's own processes used for control.
+/// Resources that gateways and sidecars use for the control plane, without serving calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct ControlOverhead {
-    /// Processor time, in percent of one core.
+    /// CPU time in percent of one core.
     pub cpu_pct: f64,
-    /// Resident memory.
+    /// Resident memory in MiB.
     pub rss_mb: f64,
-    /// Bytes that one process sends and receives for control.
+    /// Bytes per second that one process sends and receives.
     pub bytes_per_s: f64,
-    /// Reads of the platform's store by all processes, waiting watches included.
+    /// Reads of the platform's store per second by all processes, waiting watches included.
     pub store_reads_per_s: f64,
-    /// Writes to the platform's store by all processes.
+    /// Writes to the platform's store per second by all processes.
     pub store_writes_per_s: f64,
 }
 
 impl LoadReport {
-    /// Computes the figures of a run; `control` is `None` where it was not measured.
+    /// Computes the report of a run; `control` is `None` if it was not measured.
     pub fn new(
         metadata: &ReportMetadata,
         journal: &CallerJournal,
--- a/lovagedock-standin/src/load/runner.rs
+++ b/lovagedock-standin/src/load/runner.rs
@@ -1,4 +1,4 @@
-//! Sends every planned call at its time.
+//! Sends each planned call at its planned time.
 
 use std::{
     sync::{
@@ -20,10 +20,11 @@
     schedule::PlannedCall,
 };
 
-/// How long before its time a call is written out, so that a large body does not delay it.
+/// Time before the planned time at which the message of a call is built, so that building a large
+/// body does not delay the call.
 const PREPARATION_LEAD: Duration = Duration::from_millis(300);
 
-/// Numbers that grow during a run, for whoever shows them.
+/// Counters of a run in progress, for display.
 #[derive(Debug, Default)]
 pub struct RunProgress {
     planned: AtomicU64,
@@ -33,7 +34,7 @@
 }
 
 impl RunProgress {
-    /// One line for a terminal.
+    /// Formats the counters as one line for a terminal.
     pub fn status_line(&self) -> String {
         let get = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         let (sent, ended, complete) = (get(&self.sent), get(&self.ended), get(&self.complete));
@@ -53,7 +54,7 @@
     }
 }
 
-/// Runs a plan.
+/// Sends the calls of a plan.
 pub struct LoadRunner {
     mix: Arc<MixSpec>,
     client: Arc<CallerClient>,
@@ -62,7 +63,7 @@
 }
 
 impl LoadRunner {
-    /// Creates a runner; `clock` has to be the client's.
+    /// Creates a runner; `clock` must be the clock of the client.
     pub fn new(mix: MixSpec, client: CallerClient, clock: ProcessClock) -> Self {
         Self {
             mix: Arc::new(mix),
@@ -72,12 +73,13 @@
         }
     }
 
-    /// Numbers of the run, also while it goes on.
+    /// Counters of the run; they can be read while it is in progress.
     pub fn progress(&self) -> Arc<RunProgress> {
         self.progress.clone()
     }
 
-    /// Sends every call, the plan's zero being `start` on the clock, and waits for the last end.
+    /// Sends all calls and waits for their outcomes. `start` is the time on the clock at which the
+    /// plan starts.
     pub async fn run(&self, plan: Vec<PlannedCall>, start: Timestamp) -> CallerJournal {
         let planned = plan.len() as u64;
         self.progress.planned.store(planned, Ordering::Relaxed);
@@ -108,7 +110,7 @@
                 let call = call.clone();
                 tokio::task::spawn_blocking(move || CallMessage::new(&mix, &call)).await
             };
-            let message = prepared.expect("writing a call out does not panic");
+            let message = prepared.expect("building the message of a call does not panic");
             sleep_until(&clock, intended_at).await;
             progress.sent.fetch_add(1, Ordering::Relaxed);
             let record = client.call(&mix, &call, message, intended_at).await;
--- a/lovagedock-standin/src/load/schedule.rs
+++ b/lovagedock-standin/src/load/schedule.rs
@@ -1,4 +1,4 @@
-//! Plans every call of a run before the run.
+//! Plans all calls of a run before it starts.
 
 use std::time::Duration;
 
@@ -12,61 +12,62 @@
     prompt::PromptSeed,
 };
 
-/// Prompts of this length and longer are left out of the first part of a run.
+/// Prompts of this length or longer are not sent in the first part of a run.
 const LONG_BUCKET: LengthBucket = LengthBucket::K64;
-/// Texts that prompts have in common.
+/// Number of common texts with which prompts can begin.
 const COMMON_TEXTS: u16 = 8;
-/// Part of the second part of a run in which the longest prompts are sent, so that they can end.
+/// Share of the second part of a run in which long prompts are sent. They are not sent later, so
+/// that they can complete.
 const LONG_SENDING_SHARE: f64 = 0.7;
 
-/// One call that will be sent at its time, whatever became of the others.
+/// Call that is sent at its planned time, independent of the outcome of other calls.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedCall {
-    /// Number in the order of time, from 0.
+    /// Number of the call in the order of time, from 0.
     pub number: u64,
-    /// When it is sent.
+    /// Planned time of the call.
     pub at: Timestamp,
     /// Index of the organisation in the mix.
     pub organisation: usize,
-    /// Idempotency key; a repeat has that of the first delivery.
+    /// Idempotency key; a repeat has the key of the first delivery.
     pub key: Option<String>,
-    /// Time that it asks for.
+    /// Deadline of the call.
     pub deadline: Duration,
-    /// What it sends.
+    /// Content of the call.
     pub body: CallBody,
 }
 
-/// What a call sends.
+/// Content of a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallBody {
-    /// A request to a model.
+    /// A model request.
     Model(ModelCall),
     /// A call of a plain service.
     Plain {
         /// Index in [`MixSpec::plain`].
         plain: usize,
-        /// Number that stands in its path and body; a repeat has that of the first delivery.
+        /// Number in the path and the body; a repeat has the number of the first delivery.
         subject: u64,
     },
 }
 
-/// A request to a model.
+/// Model request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ModelCall {
-    /// Index in [`MixSpec::keyed`]; `None` for an ordinary request.
+    /// Index in [`MixSpec::keyed`]; `None` for a request without an idempotency key.
     pub keyed: Option<usize>,
-    /// Interface that is used.
+    /// API path of the request.
     pub path: ModelPath,
-    /// What the prompt is made from.
+    /// Parameters of the prompt text.
     pub prompt: PromptSeed,
-    /// Most tokens of the answer.
+    /// Maximum number of answer tokens.
     pub answer_tokens: TokenCount,
-    /// Whether the answer is streamed.
+    /// Whether the response is streamed.
     pub streamed: bool,
 }
 
 impl PlannedCall {
-    /// Speeds the call up, as the stand-in engines are sped up.
+    /// Divides the planned time and the deadline by the time scale of the stand-in engines.
     pub fn with_time_scale(mut self, time_scale: f64) -> Self {
         self.at = self.at.div_f64(time_scale);
         self.deadline = self.deadline.div_f64(time_scale);
@@ -74,15 +75,15 @@
     }
 }
 
-/// When the first long prompt may be sent in a run of this length.
+/// Earliest time of a long prompt in a run of this duration.
 pub fn long_start(mix: &MixSpec, duration: Duration) -> Timestamp {
     duration.mul_f64(f64::from(mix.baseline_percent) / 100.0)
 }
 
-/// Plans the calls of one run in the order of time.
+/// Plans the calls of one run, in the order of time.
 ///
-/// The same mix, seed and duration give the same plan. Each bucket with a share gets at least one
-/// request, so that no length is missing from a report.
+/// The same mix, seed and duration result in the same plan. Each bucket with a share gets at least
+/// one request, so that no length is missing from a report.
 pub fn plan_calls(mix: &MixSpec, seed: u64, duration: Duration) -> Vec<PlannedCall> {
     let mut planner = Planner {
         mix,
@@ -117,8 +118,9 @@
 }
 
 impl Planner<'_> {
-    /// Numbers of requests are fixed by the shares and only their times are drawn: two seeds then
-    /// differ in the order of arrivals, not in how much long work there happens to be.
+    /// Plans the requests without an idempotency key. Their number is fixed by the shares and only
+    /// their times are random, so that two seeds differ in the order of arrivals but not in the
+    /// amount of long work.
     fn plan_ordinary(&mut self) {
         let mix = self.mix;
         let total_share: f64 = mix.buckets.iter().map(|bucket| bucket.share).sum();
@@ -137,7 +139,7 @@
                 }
                 false => (Duration::ZERO, self.duration),
             };
-            // The rate is that of the whole second part, also where sending ends early.
+            // The rate applies to the complete second part, although sending ends earlier.
             let sending = match length >= LONG_BUCKET {
                 true => self.duration - baseline,
                 false => self.duration,
@@ -224,7 +226,8 @@
         }
     }
 
-    /// Sends a call, and perhaps again: a caller that lost the answer, or did not wait for it.
+    /// Adds a call and, by chance, a repeat of it. A repeat represents a caller that lost the
+    /// response or did not wait for it.
     fn push_with_repeat(&mut self, call: PlannedCall, repeat_percent: u8, after_ms: (u64, u64)) {
         if sample_percent(&mut self.random, repeat_percent) {
             let after = self
@@ -237,7 +240,7 @@
         self.calls.push(call);
     }
 
-    /// Poisson arrivals over the run; at least one when the rate is not zero.
+    /// Samples Poisson arrivals over the run; at least one if the rate is not zero.
     fn arrivals(&mut self, per_second: f64) -> Vec<Timestamp> {
         let Ok(gaps) = Exp::new(per_second) else {
             return Vec::new();
@@ -261,7 +264,7 @@
         arrivals
     }
 
-    /// Draws one of the callers, or one of all when there are none, by their shares.
+    /// Samples an organisation by share, from `callers` or from all organisations if it is empty.
     fn sample_organisation(&mut self, callers: &[OrganisationId]) -> usize {
         let chosen: Vec<(usize, f64)> = self
             .mix
--- a/lovagedock-standin/src/load/sse.rs
+++ b/lovagedock-standin/src/load/sse.rs
@@ -1,27 +1,27 @@
-//! Takes server-sent events out of a stream of bytes.
+//! Parser of server-sent events.
 
-/// One event of a stream.
+/// Event of a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SseEvent {
-    /// Name; empty when the event has none.
+    /// Name of the event; empty if it has none.
     pub name: String,
     /// Data lines, joined by line feeds.
     pub data: String,
 }
 
-/// Collects bytes and gives the events that are whole.
+/// Incremental parser that buffers bytes until an event is complete.
 #[derive(Debug, Default)]
 pub struct SseParser {
     buffer: Vec<u8>,
 }
 
 impl SseParser {
-    /// Creates a parser at the beginning of a stream.
+    /// Creates a parser for a new stream.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes bytes and returns the events that they complete.
+    /// Adds bytes and returns the events that are complete.
     pub fn push(&mut self, bytes: &[u8]) -> Vec<SseEvent> {
         self.buffer.extend_from_slice(bytes);
         let mut events = Vec::new();
@@ -32,7 +32,7 @@
         events
     }
 
-    /// Whether an event has begun and not ended.
+    /// Whether the buffer holds the beginning of an incomplete event.
     pub fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
@@ -55,7 +55,7 @@
                 }
                 event.data.push_str(value);
             }
-            // An empty field is a comment, which servers send to keep a connection open.
+            // A line with an empty field name is a comment, which servers send as a keep-alive.
             _ => continue,
         }
         has_field = true;
--- a/lovagedock-standin/src/load/table.rs
+++ b/lovagedock-standin/src/load/table.rs
@@ -1,4 +1,4 @@
-//! The report as text for people.
+//! Report as a text table.
 
 use std::fmt::Write;
 
@@ -6,7 +6,7 @@
 
 use super::report::LoadReport;
 
-/// Writes the report as a table.
+/// Renders the report as a text table.
 pub fn render_table(report: &LoadReport) -> String {
     let mut text = String::new();
     // Writing to a string cannot fail.
@@ -50,7 +50,7 @@
     )?;
     writeln!(
         text,
-        "short prompts with long ones / without: {:.2}",
+        "p95 of short prompts with long prompts / without: {:.2}",
         report.short_slowdown_p95
     )?;
     write_outcomes(text, report)
@@ -70,7 +70,7 @@
         writeln!(text, "  {name:<22}{count:>8}")?;
     }
     for problem in &report.problems {
-        let title = ResultCode::from_number(problem.code).map_or("no answer", ResultCode::title);
+        let title = ResultCode::from_number(problem.code).map_or("no response", ResultCode::title);
         writeln!(
             text,
             "    {:<8}{:>8}  {} {title}",
--- a/lovagedock-standin/src/load/violations.rs
+++ b/lovagedock-standin/src/load/violations.rs
@@ -1,7 +1,7 @@
-//! Counts broken promises in the journals of one run.
+//! Counts violated guarantees in the journals of one run.
 //!
-//! The product's word about itself is taken only where it is the promise: what it told the caller.
-//! Whether that was true is read from the stand-ins' journals, joined by request id.
+//! Statements of the product about itself are used only where they are the guarantee: the response
+//! to the caller. The stand-ins' journals, joined by request id, show whether they were true.
 
 use std::{collections::HashMap, ops::AddAssign, time::Duration};
 
@@ -13,38 +13,38 @@
     ExecutionJournal, ExecutionRecord, FleetJournal,
 };
 
-/// Number of times that each promise was broken; all are always reported.
+/// Number of violations of each guarantee. All counters are always reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct ViolationCounts {
-    /// Sent, and neither finished nor failed by its deadline.
+    /// Calls that were sent and neither completed nor failed by their deadline.
     pub no_outcome_in_time: u64,
-    /// Clean end on an incomplete answer.
+    /// Responses that ended cleanly although the answer was incomplete.
     pub cut_answers: u64,
-    /// Bytes that are not those of the request's own answer.
+    /// Responses with bytes that do not belong to the answer to the request.
     pub wrong_answers: u64,
-    /// Refused as not run, yet a stand-in saw it start.
+    /// Calls that were refused as not run although a stand-in recorded a start.
     pub ran_after_not_run: u64,
-    /// Starts of non-idempotent work after its first.
+    /// Starts of non-idempotent work after the first one.
     pub ran_twice: u64,
-    /// Redeliveries with other bytes than the first delivery.
+    /// Redeliveries whose bytes differ from the first delivery.
     pub differing_redelivery: u64,
-    /// Starts on an endpoint that had been leaving for longer than the limit.
+    /// Starts on an endpoint that had been draining for longer than the limit.
     pub work_after_leaving: u64,
-    /// Requests in flight that an orderly departure cut off.
+    /// Requests in flight that were aborted by the drain of an endpoint or a gateway.
     pub cut_by_shutdown: u64,
-    /// Starts that a configuration had ruled out for longer than the limit.
+    /// Starts that a configuration had excluded for longer than the limit.
     pub stale_config: u64,
-    /// Blocks held with no request left.
+    /// Blocks that are still allocated without a request.
     pub leaked_blocks: u64,
 }
 
 impl ViolationCounts {
-    /// All violations together.
+    /// Total number of violations.
     pub fn total(&self) -> u64 {
         self.named().iter().map(|(_, count)| count).sum()
     }
 
-    /// Each counter with its name in reports.
+    /// All counters with their names in reports.
     pub fn named(&self) -> [(&'static str, u64); 10] {
         [
             ("no_outcome_in_time", self.no_outcome_in_time),
@@ -76,15 +76,15 @@
     }
 }
 
-/// Times within which a promise is not broken yet.
+/// Tolerances within which a guarantee does not count as violated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ViolationLimits {
-    /// How much later than its deadline an outcome may reach the caller; the way over the network
-    /// and the scheduling of a busy machine.
+    /// Maximum delay of an outcome after the deadline. It covers the network and the scheduling
+    /// delays of a busy machine.
     pub outcome_grace: Duration,
-    /// How long after it began to leave an endpoint may get new work.
+    /// Time after the start of its drain in which an endpoint may still get new work.
     pub drain_grace: Duration,
-    /// How long after its acceptance a configuration may not be in force.
+    /// Time after its acceptance in which a configuration may not be in force yet.
     pub config_grace: Duration,
 }
 
@@ -98,7 +98,7 @@
     }
 }
 
-/// Counts every kind of violation in the journals of one run.
+/// Counts the violations of each guarantee in the journals of one run.
 pub fn count_violations(
     callers: &CallerJournal,
     executions: &ExecutionJournal,
@@ -120,20 +120,20 @@
     }
 }
 
-/// One call that a promise was broken to.
+/// Call that is counted as a violation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ViolationDetail {
     /// Name of the counter.
     pub counter: &'static str,
-    /// Request id, if the caller knows it.
+    /// Request id, if the caller received it.
     pub request: Option<RequestId>,
-    /// How the call ended for its caller.
+    /// Outcome of the call for its caller.
     pub outcome: CallOutcome,
-    /// Endpoints that started it, in the order of the journals.
+    /// Endpoints that started the request, in the order of the journals.
     pub endpoints: Vec<EndpointId>,
 }
 
-/// Names the calls behind the counters that count calls, for whoever looks into them.
+/// Lists the calls behind the counters that count calls, for diagnosis.
 pub fn list_violations(
     callers: &CallerJournal,
     executions: &ExecutionJournal,
@@ -213,9 +213,11 @@
         refused && !self.starts_for(call).is_empty()
     }
 
-    /// A redelivery has another request id than the first delivery, and a call whose connection
-    /// broke has none that its caller knows. So starts are grouped by the key where the stand-in
-    /// or the caller knows it, and by request id otherwise.
+    /// Counts the starts of non-idempotent work after the first one.
+    ///
+    /// A redelivery has another request id than the first delivery, and the caller does not know
+    /// the id of a call whose connection broke. Starts are therefore grouped by the idempotency key
+    /// if the stand-in or the caller knows it, and by request id otherwise.
     fn ran_twice(&self) -> u64 {
         let keyed: HashMap<&str, &CallRecord> = self
             .calls
@@ -271,7 +273,7 @@
         is_aborted(call) && drains.any(|drain| self.was_in_flight(call, drain))
     }
 
-    /// Whether the call was at the leaving party when the departure began.
+    /// Whether the call was in flight at the target when its drain started.
     fn was_in_flight(&self, call: &CallRecord, drain: &DrainRecord) -> bool {
         match &drain.target {
             DrainTarget::Gateway(name) => {
@@ -327,8 +329,8 @@
     call.outcome == CallOutcome::Complete && call.answer == AnswerCheck::Prefix
 }
 
-/// Whether work that had begun was lost: neither delivered, nor refused as not run, nor out of its
-/// own time.
+/// Whether work that had started was lost: it was neither delivered, nor refused as not run, nor
+/// ended by its own deadline.
 fn is_aborted(call: &CallRecord) -> bool {
     let deadline_passed = call.ended_at >= call.sent_at + call.deadline;
     match call.outcome {
--- a/lovagedock-standin/src/platform/faults.rs
+++ b/lovagedock-standin/src/platform/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of the stand-in platform on command.
+//! Faults that can be injected into the stand-in platform.
 
 use std::time::Duration;
 
@@ -7,17 +7,18 @@
 
 const DEFAULT_DELAY_MS: u64 = 5_000;
 
-/// What goes wrong.
+/// Kind of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// Nothing.
+    /// No fault.
     None,
-    /// Connections are cut before the call has any effect.
+    /// Connections are closed before the call has any effect.
     Down,
-    /// Calls wait before they take effect, and take effect even when the caller has gone.
+    /// Calls are delayed before they take effect. They take effect even if the caller has
+    /// disconnected.
     Slow,
-    /// Writes take effect and the connection is cut in place of an answer.
+    /// Writes take effect, but the connection is closed instead of sending a response.
     LoseConfirmations,
 }
 
@@ -25,21 +26,21 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultCommand {
-    /// What goes wrong.
+    /// Kind of the fault.
     pub fault: FaultKind,
-    /// For how long; absent means until the next order.
+    /// Duration of the fault in milliseconds; without it the fault lasts until the next command.
     #[serde(default)]
     pub for_ms: Option<u64>,
-    /// Share of the calls that are hit, from 0 to 1.
+    /// Share of the calls that are affected, from 0 to 1.
     #[serde(default = "whole_share")]
     pub share: f64,
-    /// How long slow calls wait.
+    /// Delay of slow calls in milliseconds.
     #[serde(default = "default_delay_ms")]
     pub delay_ms: u64,
 }
 
 impl FaultCommand {
-    /// An order that hits every call until the next order.
+    /// Creates a command that affects every call until the next command.
     pub fn new(fault: FaultKind) -> Self {
         Self {
             fault,
@@ -50,7 +51,7 @@
     }
 }
 
-/// The order in force.
+/// State of the active fault.
 #[derive(Debug)]
 pub(crate) struct FaultState {
     command: FaultCommand,
@@ -58,7 +59,7 @@
     accumulated_share: f64,
 }
 
-/// What happens to one call.
+/// Effect of the active fault on one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FaultEffect {
     NoFault,
@@ -82,8 +83,8 @@
         self.accumulated_share = 0.0;
     }
 
-    /// Decides the fate of a call. Shares are dealt out evenly and not by chance, so that a test
-    /// sees the same calls hit in every run.
+    /// Decides the effect of the active fault on a call. The affected calls are spread evenly and
+    /// not at random, so that the same calls are affected in every run of a test.
     pub(crate) fn effect(&mut self, is_write: bool, now: Timestamp) -> FaultEffect {
         let over = self.expires_at.is_some_and(|expires_at| now >= expires_at);
         let effect = match self.command.fault {
--- a/lovagedock-standin/src/platform/hosts.rs
+++ b/lovagedock-standin/src/platform/hosts.rs
@@ -1,11 +1,11 @@
-//! The lagging host list of the stand-in platform.
+//! Host list of the stand-in platform, which lags behind the actual state.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use lovagedock::Timestamp;
 use lovagedock_platform::{HostEntry, HostList, HostState};
 
-/// What became of hosts, and when.
+/// History of the changes of host states.
 #[derive(Debug)]
 pub(crate) struct HostHistory {
     lag: Duration,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Records a change; `None` for a host that is gone.
+    /// Records a change of a host; `None` if the host is gone.
     pub(crate) fn record(&mut self, host: &str, state: Option<HostState>, now: Timestamp) {
         self.changes.push(HostChange {
             at: now,
@@ -38,7 +38,7 @@
         });
     }
 
-    /// The list as it was a lag ago.
+    /// Returns the list as it was before the lag.
     pub(crate) fn list(&self, now: Timestamp) -> HostList {
         let mut hosts: BTreeMap<&str, HostState> = self
             .initial
--- a/lovagedock-standin/src/platform/mod.rs
+++ b/lovagedock-standin/src/platform/mod.rs
@@ -1,7 +1,7 @@
-//! A small stand-in of the platform: object store, host list and weight store over HTTP.
+//! Stand-in of the platform: object store, host list and weight store over HTTP.
 //!
-//! It enforces the rates and the size of values, counts every call, lets the host list lag, and
-//! misbehaves on command (`POST /v1/faults`).
+//! It enforces the rate limits and the maximum value size, counts all calls, delays the host list
+//! and simulates faults (`POST /v1/faults`).
 
 mod faults;
 mod hosts;
@@ -21,25 +21,26 @@
 use routes::handle_call;
 use state::SharedPlatform;
 
-/// The stand-in of the platform.
+/// Starts stand-ins of the platform.
 pub struct PlatformStandin;
 
-/// How the stand-in behaves.
+/// Options of the stand-in.
 #[derive(Clone, Debug)]
 pub struct PlatformOptions {
-    /// Where it listens; port 0 lets the system choose.
+    /// Address to listen on; with port 0 the system chooses a free port.
     pub listen: SocketAddr,
-    /// Writes a second before it answers 429.
+    /// Maximum writes per second; further writes get a 429 response.
     pub writes_per_second: f64,
-    /// Reads a second, lists and waiting watches included, before it answers 429.
+    /// Maximum reads per second, lists and waiting watches included; further reads get a 429
+    /// response.
     pub reads_per_second: f64,
-    /// Loads a second from the weight store before it answers 429.
+    /// Maximum loads per second from the weight store; further loads get a 429 response.
     pub weight_loads_per_second: f64,
-    /// Bytes of each weight file.
+    /// Size of each weight file in bytes.
     pub weight_bytes: usize,
-    /// How far the host list lags behind.
+    /// Lag of the host list.
     pub host_lag: Duration,
-    /// Hosts that are live from the beginning.
+    /// Hosts that are live at the start.
     pub hosts: Vec<String>,
 }
 
@@ -57,11 +58,11 @@
     }
 }
 
-/// A stand-in that runs until it is dropped or stopped.
+/// Running stand-in of the platform. It stops when it is dropped.
 pub struct RunningPlatform {
-    /// Where it listens.
+    /// Address on which the stand-in listens.
     pub address: SocketAddr,
-    /// Its task.
+    /// Task that accepts connections.
     pub handle: JoinHandle<()>,
     platform: Arc<SharedPlatform>,
 }
@@ -82,37 +83,37 @@
 }
 
 impl RunningPlatform {
-    /// Base of its URLs, without a `/` at the end.
+    /// Base URL, without a trailing `/`.
     pub fn url(&self) -> String {
         format!("http://{}", self.address)
     }
 
-    /// Calls so far, as `GET /v1/counters` tells them.
+    /// Counters of the calls so far, as returned by `GET /v1/counters`.
     pub fn counters(&self) -> PlatformCounters {
         self.platform.counters()
     }
 
-    /// Gives the same order as `POST /v1/faults`.
+    /// Activates a fault, like `POST /v1/faults`.
     pub fn set_fault(&self, command: FaultCommand) {
         self.platform.set_fault(command);
     }
 
-    /// What its store holds now.
+    /// Copies the contents of the store.
     pub fn snapshot_store(&self) -> ObjectTable {
         self.platform.copy()
     }
 
-    /// Lets its store come back from a copy.
+    /// Restores the store from a copy.
     pub fn restore_store(&self, copy: ObjectTable) {
         self.platform.restore(copy);
     }
 
-    /// Lets the calls go on that a slow fault holds back now, before their delay has passed.
+    /// Continues the calls that [`FaultKind::Slow`] delays now, before their delay has passed.
     pub fn release_delayed(&self) {
         self.platform.release_delayed();
     }
 
-    /// Ends it and all its connections.
+    /// Stops the stand-in and closes all its connections.
     pub fn stop(&self) {
         self.handle.abort();
     }
@@ -135,7 +136,7 @@
         let platform = Arc::clone(&platform);
         connections.spawn(async move {
             let service = service_fn(move |request| handle_call(Arc::clone(&platform), request));
-            // An error ends the connection without an answer, which is how answers get lost.
+            // An error closes the connection without a response. Faults use this to lose responses.
             let _ended = hyper::server::conn::http1::Builder::new()
                 .timer(TokioTimer::new())
                 .serve_connection(TokioIo::new(stream), service)
--- a/lovagedock-standin/src/platform/routes.rs
+++ b/lovagedock-standin/src/platform/routes.rs
@@ -23,7 +23,7 @@
 
 type HttpResponse = Response<Full<Bytes>>;
 
-/// Answers one call; an error cuts the connection.
+/// Handles one call; an error closes the connection.
 pub(crate) async fn handle_call(
     platform: Arc<SharedPlatform>,
     request: Request<Incoming>,
@@ -31,8 +31,8 @@
     let Some(class) = classify(&request) else {
         return Ok(handle_control(&platform, request).await);
     };
-    // Read whole also when it will be refused: an answer before the end of the body makes the
-    // caller see a reset connection in place of the refusal.
+    // The body is read completely even if the call will be rejected. After a response before the
+    // end of the body, the caller would see a connection reset instead of the response.
     let call = match read_call(request).await {
         Ok(call) => call,
         Err(error) => return Ok(error_response(&error)),
@@ -57,8 +57,8 @@
     Ok(result.unwrap_or_else(|error| error_response(&error)))
 }
 
-/// Carries a write out in a task of its own: a caller that gives up does not undo it, which is
-/// what makes a slow write take effect after its writer stopped waiting.
+/// Performs a write in a separate task, so that it is not cancelled when the caller disconnects.
+/// A slow write can therefore take effect after its writer has stopped waiting.
 async fn write_detached(
     platform: Arc<SharedPlatform>,
     call: ReceivedCall,
@@ -71,7 +71,7 @@
     task.await.map_err(io::Error::other)
 }
 
-/// A call that has been read whole.
+/// Call whose body has been read completely.
 struct ReceivedCall {
     method: Method,
     path: String,
@@ -157,7 +157,7 @@
     Ok(with_version(empty_response(StatusCode::OK), version))
 }
 
-/// Orders to the stand-in itself, which no fault hits.
+/// Handles calls that control the stand-in itself. Faults do not affect them.
 async fn handle_control(platform: &SharedPlatform, request: Request<Incoming>) -> HttpResponse {
     let path = request.uri().path().to_owned();
     if request.method() == Method::GET && path == "/v1/counters" {
@@ -286,5 +286,5 @@
 }
 
 fn disconnect_error() -> io::Error {
-    io::Error::other("cut by a fault")
+    io::Error::other("connection closed by an injected fault")
 }
--- a/lovagedock-standin/src/platform/state.rs
+++ b/lovagedock-standin/src/platform/state.rs
@@ -1,4 +1,4 @@
-//! State of the stand-in platform behind one lock.
+//! State of the stand-in platform, protected by one lock.
 
 use std::time::Duration;
 
@@ -21,39 +21,40 @@
     hosts::HostHistory,
 };
 
-/// A waiting watch takes one read of the rate each time this much of its wait has begun.
+/// Interval at which a waiting watch is charged one read of the rate limit, after the read for its
+/// start.
 const WATCH_CHARGE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Calls that reached the stand-in; what `GET /v1/counters` answers.
+/// Counters of the calls to the stand-in; the response of `GET /v1/counters`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlatformCounters {
     /// Reads of one object.
     pub reads: u64,
-    /// Lists.
+    /// Lists of keys.
     pub lists: u64,
     /// Puts and deletes.
     pub writes: u64,
-    /// Watches begun.
+    /// Started watches.
     pub watches: u64,
-    /// Watches that wait at this moment.
+    /// Watches that are waiting now.
     pub waiting_watches: u64,
     /// Reads of the host list.
     pub host_reads: u64,
     /// Loads from the weight store.
     pub weight_loads: u64,
-    /// Calls refused because of a rate.
+    /// Calls rejected by a rate limit.
     pub rate_limited: u64,
-    /// Calls that a fault hit.
+    /// Calls affected by a fault.
     pub faulted: u64,
-    /// Calls that a fault holds back at this moment.
+    /// Calls that are delayed by a fault now.
     pub delayed_calls: u64,
-    /// Bytes of the values put.
+    /// Total size of the written values in bytes.
     pub bytes_written: u64,
-    /// Bytes of the values read.
+    /// Total size of the read values in bytes.
     pub bytes_read: u64,
 }
 
-/// Kinds of calls, each with its counter and rate.
+/// Class of a call, which determines its counter and its rate limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallClass {
     Read,
@@ -64,7 +65,7 @@
     Weights,
 }
 
-/// The stand-in's state, shared by its connections.
+/// State of the stand-in, shared by its connections.
 pub(crate) struct SharedPlatform {
     started: Instant,
     inner: Mutex<PlatformState>,
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Counts a call, then takes its share of the rate and decides its fate.
+    /// Counts a call, decides the effect of the active fault and applies the rate limit.
     pub(crate) fn admit(&self, class: CallClass) -> Result<FaultEffect, StoreError> {
         let now = self.now();
         let mut state = self.inner.lock();
@@ -154,19 +155,20 @@
         self.inner.lock().table.list(prefix)
     }
 
-    /// What it holds now.
+    /// Copies the contents of the store.
     pub(crate) fn copy(&self) -> ObjectTable {
         self.inner.lock().table.clone()
     }
 
-    /// Comes back from a copy: what was written since is gone and its revisions are given out again.
+    /// Restores the store from a copy. Later writes are lost, and their revisions are assigned
+    /// again.
     pub(crate) fn restore(&self, copy: ObjectTable) {
         let mut state = self.inner.lock();
         state.table = copy;
         self.changed.send_replace(state.table.revision());
     }
 
-    /// Waits for a change; a watch that has to wait takes further reads from the rate.
+    /// Waits for a change. A waiting watch is charged further reads of the rate limit.
     pub(crate) async fn watch(
         &self,
         prefix: &str,
@@ -215,7 +217,7 @@
         self.inner.lock().faults.set(command, now);
     }
 
-    /// Holds a slow call back until its delay has passed or it is released.
+    /// Delays a slow call until its delay has passed or it is released.
     pub(crate) async fn delay(&self, effect: FaultEffect) -> Option<GaugeGuard<'_>> {
         let FaultEffect::Delay(delay) = effect else {
             return None;
@@ -225,7 +227,7 @@
         Some(gauged)
     }
 
-    /// Lets the calls go on that are held back now.
+    /// Continues all calls that are delayed now.
     pub(crate) fn release_delayed(&self) {
         self.release_signal.notify_waiters();
     }
@@ -269,10 +271,10 @@
     }
 }
 
-/// Which of the counters tells calls under way.
+/// Selects the counter of calls in progress.
 type CallGauge = fn(&mut PlatformCounters) -> &mut u64;
 
-/// Counts a call while it is under way, also when its caller goes away.
+/// Guard that counts a call while it is in progress, even if its caller disconnects.
 pub(crate) struct GaugeGuard<'a> {
     platform: &'a SharedPlatform,
     gauge: CallGauge,
--- a/lovagedock-standin/src/service/mod.rs
+++ b/lovagedock-standin/src/service/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in of a plain HTTP service: echoes a digest of each call and journals what it ran.
+//! Stand-in of a plain HTTP service: returns a digest of each call and records it in a journal.
 
 mod routes;
 mod running;
--- a/lovagedock-standin/src/service/routes.rs
+++ b/lovagedock-standin/src/service/routes.rs
@@ -1,4 +1,4 @@
-//! The stand-in service's HTTP interface.
+//! HTTP routes of the stand-in service.
 
 use std::{
     convert::Infallible,
@@ -41,7 +41,7 @@
                     Ok((stream, _)) => {
                         tokio::spawn(serve_connection(state.clone(), stream));
                     }
-                    // Out of descriptors: trying again at once would only spin.
+                    // The process is out of file descriptors. An immediate retry would only spin.
                     Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
                 }
             }
--- a/lovagedock-standin/src/service/running.rs
+++ b/lovagedock-standin/src/service/running.rs
@@ -1,4 +1,4 @@
-//! Starting a stand-in service and reading what it ran.
+//! Starts a stand-in service and provides its journal.
 
 use std::{
     io,
@@ -16,40 +16,40 @@
 
 use super::routes;
 
-/// Options of a stand-in service; times are real.
+/// Options of a stand-in service. Times are real time.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceOptions {
-    /// How long each call takes.
+    /// Duration of each call.
     pub service_time: Duration,
 }
 
-/// One call that ran.
+/// Call that the service ran.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceRun {
-    /// Value of `x-request-id`; empty if there was none.
+    /// Value of the header `x-request-id`; empty if it was absent.
     pub request_id: String,
     /// HTTP method.
     pub method: String,
-    /// Path with its query.
+    /// Path with the query.
     pub path: String,
-    /// XXH3 of the body, 16 hexadecimal digits.
+    /// XXH3 hash of the body as 16 hexadecimal digits.
     pub body_digest: String,
 }
 
-/// One call with what its answer does not tell; times are since the service's start.
+/// Journal entry of a call. Times are relative to the start of the service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceEntry {
-    /// The call.
+    /// The call, as returned in its response.
     pub run: ServiceRun,
-    /// Value of `idempotency-key`.
+    /// Value of the header `idempotency-key`.
     pub key: Option<String>,
-    /// When it began.
+    /// Start time.
     pub started_at: Duration,
-    /// When it ended; `None` while it runs, and when its caller went away first.
+    /// End time; `None` while the call runs, and if its caller disconnected before the end.
     pub ended_at: Option<Duration>,
 }
 
-/// Every call that the service began, in order.
+/// Journal of all calls that the service started, in order.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceJournal {
     entries: Arc<Mutex<Vec<ServiceEntry>>>,
@@ -62,12 +62,12 @@
         entries.iter().map(|entry| entry.run.clone()).collect()
     }
 
-    /// All calls so far, with their keys and times.
+    /// All calls so far, with idempotency keys and times.
     pub fn entries(&self) -> Vec<ServiceEntry> {
         self.entries.lock().clone()
     }
 
-    /// Records a call that begins and returns its place in the journal.
+    /// Records the start of a call and returns its index in the journal.
     pub(crate) fn record_start(&self, entry: ServiceEntry) -> usize {
         let mut entries = self.entries.lock();
         entries.push(entry);
@@ -79,7 +79,7 @@
     }
 }
 
-/// Entry point of the stand-in service.
+/// Starts stand-in services.
 #[derive(Debug)]
 pub struct ServiceStandin;
 
@@ -89,7 +89,7 @@
         Self::start_at(SocketAddr::from(([127, 0, 0, 1], 0)), options).await
     }
 
-    /// Starts a service at the given address.
+    /// Starts a service that listens on the given address; needs a `tokio` runtime.
     pub async fn start_at(
         address: SocketAddr,
         options: ServiceOptions,
@@ -112,23 +112,23 @@
     }
 }
 
-/// A service that answers; it runs as long as its runtime.
+/// Running service. It stops with its runtime.
 #[derive(Clone, Debug)]
 pub struct RunningService {
-    /// Where it listens.
+    /// Address on which the service listens.
     pub address: SocketAddr,
-    /// What it ran.
+    /// Journal of the calls.
     pub journal: ServiceJournal,
     state: Arc<ServiceState>,
 }
 
 impl RunningService {
-    /// Time since the start, on which the journal's times are.
+    /// Time since the start, the time base of the journal.
     pub fn uptime(&self) -> Duration {
         self.state.started.elapsed()
     }
 
-    /// Breaks all connections and refuses new ones, as a process that died.
+    /// Breaks all connections and refuses new ones, like a crashed process.
     pub fn kill(&self) {
         self.state.is_killed.send_replace(true);
     }
--- a/lovagedock-standin/tests/experiment.rs
+++ b/lovagedock-standin/tests/experiment.rs
@@ -155,17 +155,17 @@
         ProblemCase {
             name: "no policy",
             spec: spec(&[], &[1]),
-            expected: "policies: must be one or more, each once",
+            expected: "policies: must have at least one value and no duplicates",
         },
         ProblemCase {
             name: "a policy twice",
             spec: spec(&["random", "random"], &[1]),
-            expected: "policies: must be one or more, each once",
+            expected: "policies: must have at least one value and no duplicates",
         },
         ProblemCase {
             name: "a seed twice",
             spec: spec(&["random"], &[1, 2, 1]),
-            expected: "seeds: must be one or more, each once",
+            expected: "seeds: must have at least one value and no duplicates",
         },
         ProblemCase {
             name: "no time",
@@ -175,7 +175,7 @@
         ProblemCase {
             name: "an unknown policy",
             spec: spec(&["best"], &[1]),
-            expected: "policies: no policy \"best\"; there are \
+            expected: "policies: unknown policy \"best\"; known policies: \
                        least-outstanding, length-aware, random, round-robin, two-choices",
         },
     ];
@@ -221,7 +221,7 @@
         Made by `lovagedock-load experiment sample.jsonc` on Wed, 02 Dec 2026 12:00:00 GMT.
 
         Deployment mafraq; seeds 1, 2; 12 s of calls a run; no faults. All times are the stand-in engines'
-        model time, of which 8 s pass in one second of real time; they tell nothing about real
+        model time, of which 8 s pass in one second of real time; they say nothing about real
         engines. A cell is the median over the seeds (lowest..highest).
 
         ## First token, p95 (ms of model time)
