--- a/lovagedock-standin/examples/overhead/drive.rs
+++ b/lovagedock-standin/examples/overhead/drive.rs
@@ -42,7 +42,7 @@
 }
 
 /// Time to first token with and without gateway and sidecar, measured alternately.
-pub(crate) struct LatencyFigures {
+pub(crate) struct LatencyResult {
     /// Requests through gateway and sidecar.
     pub(crate) via_gateway: FirstTokenTimes,
     /// Requests sent directly to the engine.
@@ -50,7 +50,7 @@
 }
 
 /// Results of a load.
-pub(crate) struct LoadFigures {
+pub(crate) struct LoadResult {
     /// Number of complete responses.
     pub(crate) served: u64,
     /// Number of failed requests.
@@ -108,7 +108,7 @@
     via_gateway: &CallTarget,
     direct: &CallTarget,
     requests: usize,
-) -> LatencyFigures {
+) -> LatencyResult {
     let mut times = [Vec::new(), Vec::new()];
     for number in 0..WARM_UP_REQUESTS + requests {
         for (target, times) in [via_gateway, direct].into_iter().zip(&mut times) {
@@ -119,14 +119,14 @@
         }
     }
     let [via_gateway, direct] = times.map(quantiles);
-    LatencyFigures {
+    LatencyResult {
         via_gateway,
         direct,
     }
 }
 
 /// Keeps `in_flight` requests in flight for `time`.
-pub(crate) async fn load(target: &CallTarget, in_flight: usize, time: Duration) -> LoadFigures {
+pub(crate) async fn load(target: &CallTarget, in_flight: usize, time: Duration) -> LoadResult {
     let target = Arc::new(target.clone());
     let started = Instant::now();
     let callers: Vec<_> = (0..in_flight)
@@ -144,18 +144,18 @@
             })
         })
         .collect();
-    let mut figures = LoadFigures {
+    let mut result = LoadResult {
         served: 0,
         failed: 0,
         elapsed: Duration::ZERO,
     };
     for caller in callers {
         let (served, failed) = caller.await.expect("a caller does not panic");
-        figures.served += served;
-        figures.failed += failed;
+        result.served += served;
+        result.failed += failed;
     }
-    figures.elapsed = started.elapsed();
-    figures
+    result.elapsed = started.elapsed();
+    result
 }
 
 fn quantiles(mut times: Vec<Duration>) -> FirstTokenTimes {
--- a/lovagedock-standin/examples/overhead/main.rs
+++ b/lovagedock-standin/examples/overhead/main.rs
@@ -10,7 +10,7 @@
 use std::{net::SocketAddr, time::Duration};
 
 use clap::Parser;
-use drive::{CallTarget, LatencyFigures, LoadFigures};
+use drive::{CallTarget, LatencyResult, LoadResult};
 use meter::ProcessMeter;
 
 /// Measures the overhead of the gateway and the sidecar.
@@ -79,7 +79,7 @@
     print_memory("memory after the load", meters);
 }
 
-fn print_latency(latency: &LatencyFigures) {
+fn print_latency(latency: &LatencyResult) {
     println!("first token, ms      p50      p95");
     let row = |name: &str, p50: Duration, p95: Duration| {
         let ms = |time: Duration| time.as_secs_f64() * 1e3;
@@ -100,7 +100,7 @@
     );
 }
 
-fn print_processor_time(load: &LoadFigures, meters: &[ProcessMeter], before: &[Duration]) {
+fn print_processor_time(load: &LoadResult, meters: &[ProcessMeter], before: &[Duration]) {
     for (meter, before) in meters.iter().zip(before) {
         let spent = meter.processor_time().saturating_sub(*before);
         println!(
--- a/lovagedock-standin/src/bin/lovagedock-demo.rs
+++ b/lovagedock-standin/src/bin/lovagedock-demo.rs
@@ -76,7 +76,7 @@
         faults,
         log: logger(args.logs),
     };
-    let DemoOutcome { report, details } = match run_demo(&options, watch).await {
+    let DemoOutcome { report, details } = match run_demo(&options, show_progress).await {
         Ok(outcome) => outcome,
         Err(report) => {
             eprintln!("{report:?}");
@@ -113,8 +113,8 @@
     format!("{counter}: request {request} ended with {outcome}; started on [{endpoints}]")
 }
 
-fn logger(wanted: bool) -> Logger {
-    if !wanted {
+fn logger(enabled: bool) -> Logger {
+    if !enabled {
         return Logger::root(Discard, o!());
     }
     let settings = LogSettings {
@@ -132,7 +132,7 @@
     fs::write(file, text)
 }
 
-fn watch(progress: Arc<RunProgress>) {
+fn show_progress(progress: Arc<RunProgress>) {
     if !io::stderr().is_terminal() {
         return;
     }
--- a/lovagedock-standin/src/bin/lovagedock-load/single.rs
+++ b/lovagedock-standin/src/bin/lovagedock-load/single.rs
@@ -81,9 +81,9 @@
 }
 
 async fn run(args: &SingleArgs, mix: MixSpec) -> Result<LoadReport, Report<io::Error>> {
-    let real = Duration::from_secs(args.seconds);
-    let model = real.mul_f64(args.time_scale);
-    let plan = plan_calls(&mix, args.seed, model)
+    let real_time = Duration::from_secs(args.seconds);
+    let model_time = real_time.mul_f64(args.time_scale);
+    let plan = plan_calls(&mix, args.seed, model_time)
         .into_iter()
         .map(|call| call.with_time_scale(args.time_scale))
         .collect();
@@ -91,10 +91,10 @@
     let client = CallerClient::new(gateway_targets(&args.gateways), clock)
         .map_err(|error| Report::new(io::Error::other(error)))?;
     let runner = LoadRunner::new(mix.clone(), client, clock);
-    let shown = tokio::spawn(show_progress(runner.progress()));
+    let progress_task = tokio::spawn(show_progress(runner.progress()));
     let start = clock.now();
     let callers = runner.run(plan, start).await;
-    shown.abort();
+    progress_task.abort();
     let executions = collect_journals(args).await?;
     let violations = count_violations(
         &callers,
@@ -106,8 +106,8 @@
         seed: args.seed,
         policy: args.policy.clone(),
         mix: mix.name.clone(),
-        duration: real,
-        long_start: start + long_start(&mix, real),
+        duration: real_time,
+        long_start: start + long_start(&mix, real_time),
         time_scale: args.time_scale,
     };
     let report = LoadReport::new(&metadata, &callers, violations, None);
--- a/lovagedock-standin/src/demo/injector.rs
+++ b/lovagedock-standin/src/demo/injector.rs
@@ -233,9 +233,9 @@
     /// Applies the deployment's configuration without the targets that are excluded now.
     async fn apply(&mut self) -> Result<(), Report<DemoError>> {
         let full_config = self.fleet.config.clone();
-        let is_excluded = |wanted: &ExcludedTarget| {
+        let is_excluded = |target: &ExcludedTarget| {
             let mut changes = self.journal.changes.iter();
-            changes.any(|it| it.reverted_at.is_none() && it.excluded == *wanted)
+            changes.any(|it| it.reverted_at.is_none() && it.excluded == *target)
         };
         let mut config = full_config.clone();
         for pool in &mut config.pools {
--- a/lovagedock-standin/src/demo/run.rs
+++ b/lovagedock-standin/src/demo/run.rs
@@ -27,7 +27,7 @@
 /// Model time of the engines per unit of real time, chosen so that a million tokens fit into a run.
 pub const TIME_SCALE: f64 = 8.0;
 /// Time for which the control-plane overhead of the idle fleet is measured.
-const IDLE_TIME: Duration = Duration::from_secs(2);
+const IDLE_MEASUREMENT_TIME: Duration = Duration::from_secs(2);
 /// Time after the last response in which engines may still free the memory of cancelled requests.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
 /// Generation of a fleet's first configuration.
@@ -85,11 +85,11 @@
 
 impl std::error::Error for DemoError {}
 
-/// Starts the deployment, sends its mix of calls and computes the report. `watch` gets the progress
-/// counters.
+/// Starts the deployment, sends its mix of calls and computes the report. `on_start` gets the
+/// progress counters.
 pub async fn run_demo(
     options: &DemoOptions,
-    watch: impl FnOnce(Arc<RunProgress>),
+    on_start: impl FnOnce(Arc<RunProgress>),
 ) -> Result<DemoOutcome, Report<DemoError>> {
     let config = options
         .deployment
@@ -117,7 +117,7 @@
     let client =
         CallerClient::new(gateway_targets(&fleet), clock).change_context(DemoError::Callers)?;
     let runner = LoadRunner::new(mix.clone(), client, clock);
-    watch(runner.progress());
+    on_start(runner.progress());
     let start = clock.now();
     let injector = FaultInjector::new(&mut fleet, FIRST_GENERATION, clock, options.log.clone());
     let (callers, faults) = tokio::join!(
@@ -147,7 +147,7 @@
 
 async fn measure_control(fleet: &LocalFleet, clock: &ProcessClock) -> ControlOverhead {
     let before = ControlSample::measure(clock.now(), fleet.platform.counters());
-    time::sleep(IDLE_TIME).await;
+    time::sleep(IDLE_MEASUREMENT_TIME).await;
     let after = ControlSample::measure(clock.now(), fleet.platform.counters());
     before.overhead_until(&after, fleet.endpoints.len() + fleet.gateways.len())
 }
--- a/lovagedock-standin/src/engine/batch.rs
+++ b/lovagedock-standin/src/engine/batch.rs
@@ -162,7 +162,7 @@
     /// none.
     pub fn cancel(&mut self, request_id: &str) -> bool {
         let mut is_found = false;
-        while let Some(index) = self.any_position(request_id) {
+        while let Some(index) = self.position_with_segments(request_id) {
             self.remove(index, JournalEvent::Cancelled);
             is_found = true;
         }
@@ -388,7 +388,7 @@
             .position(|sequence| !sequence.is_segment() && sequence.has_id(request_id))
     }
 
-    fn any_position(&self, request_id: &str) -> Option<usize> {
+    fn position_with_segments(&self, request_id: &str) -> Option<usize> {
         self.sequences
             .iter()
             .position(|sequence| sequence.has_id(request_id))
--- a/lovagedock-standin/src/engine/completion.rs
+++ b/lovagedock-standin/src/engine/completion.rs
@@ -26,8 +26,8 @@
 };
 
 /// Whether the requested model is the engine's model, with or without an adapter.
-fn is_served_model(model: &str, wanted: &str) -> bool {
-    wanted == model || split_model_name(wanted).is_some_and(|(base, _)| base == model)
+fn is_served_model(model: &str, requested: &str) -> bool {
+    requested == model || split_model_name(requested).is_some_and(|(base, _)| base == model)
 }
 
 pub(crate) async fn complete(
@@ -47,11 +47,11 @@
     let source = answer_source(&body, chat);
     let remote_tokens: TokenCount = holders.iter().map(|holder| holder.tokens).sum();
     let local_tokens = state.core.lock().batch.held_tokens(&source.request_id);
-    let watch = SegmentMonitor::new(source.request_id.clone(), holders);
-    watch.check().await?;
+    let monitor = SegmentMonitor::new(source.request_id.clone(), holders);
+    monitor.check().await?;
     let request = sequence_request(&body, &source, remote_tokens + local_tokens);
-    let writer = open(&state, body.resume_offset, request, source)?;
-    watch.spawn(state.clone());
+    let writer = open_answer(&state, body.resume_offset, request, source)?;
+    monitor.spawn(state.clone());
     state.wake.notify_one();
     if body.stream {
         return Ok(streamed_response(writer));
@@ -59,7 +59,7 @@
     full_response(writer).await
 }
 
-fn open(
+fn open_answer(
     state: &Arc<EngineState>,
     start: TokenCount,
     request: SequenceRequest,
@@ -207,8 +207,8 @@
     }
 
     fn response_source(&self) -> AnswerSource {
-        let crossed = *self.state.fault.borrow() == EngineFault::SwapsResponses;
-        match crossed {
+        let is_swapped = *self.state.fault.borrow() == EngineFault::SwapsResponses;
+        match is_swapped {
             true => self.state.core.lock().swapped_source(&self.source),
             false => self.source.clone(),
         }
--- a/lovagedock-standin/src/engine/driver.rs
+++ b/lovagedock-standin/src/engine/driver.rs
@@ -8,7 +8,7 @@
 
 const IDLE_INTERVAL: Duration = Duration::from_millis(500);
 
-pub(crate) async fn drive(state: Arc<EngineState>) {
+pub(crate) async fn run_steps(state: Arc<EngineState>) {
     loop {
         wait_until_running(&state).await;
         let slowdown = state.fault.borrow().slowdown();
--- a/lovagedock-standin/src/engine/memory.rs
+++ b/lovagedock-standin/src/engine/memory.rs
@@ -98,8 +98,8 @@
     /// Caches the chunks of a prompt as far as unallocated memory allows. Evicts the least recently
     /// used chunks first.
     pub fn cache_prefix(&mut self, hashes: &[u64]) {
-        let room = (self.total - self.allocated) / CHUNK_BLOCKS;
-        let cacheable = &hashes[..hashes.len().min(room as usize)];
+        let free_chunks = (self.total - self.allocated) / CHUNK_BLOCKS;
+        let cacheable = &hashes[..hashes.len().min(free_chunks as usize)];
         for hash in cacheable {
             if !self.cache.contains_key(hash) {
                 self.changes.push(CacheChange::Stored(*hash));
--- a/lovagedock-standin/src/engine/protocol.rs
+++ b/lovagedock-standin/src/engine/protocol.rs
@@ -44,7 +44,7 @@
 
 /// Body of calls that refer to one request.
 #[derive(Debug, Deserialize)]
-pub(crate) struct RequestName {
+pub(crate) struct RequestIdBody {
     pub(crate) request_id: String,
 }
 
@@ -71,13 +71,13 @@
     pub(crate) object: &'static str,
     pub(crate) created: u64,
     pub(crate) model: &'a str,
-    pub(crate) choices: [AnswerChoice; 1],
+    pub(crate) choices: [CompletionChoice; 1],
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub(crate) usage: Option<AnswerUsage>,
+    pub(crate) usage: Option<CompletionUsage>,
 }
 
 #[derive(Debug, Serialize)]
-pub(crate) struct AnswerChoice {
+pub(crate) struct CompletionChoice {
     pub(crate) index: u32,
     #[serde(flatten)]
     pub(crate) text: ChoiceText,
@@ -89,18 +89,18 @@
 #[serde(rename_all = "lowercase")]
 pub(crate) enum ChoiceText {
     Text(String),
-    Delta(AnswerMessage),
-    Message(AnswerMessage),
+    Delta(CompletionMessage),
+    Message(CompletionMessage),
 }
 
 #[derive(Debug, Serialize)]
-pub(crate) struct AnswerMessage {
+pub(crate) struct CompletionMessage {
     pub(crate) role: &'static str,
     pub(crate) content: String,
 }
 
 #[derive(Clone, Copy, Debug, Serialize)]
-pub(crate) struct AnswerUsage {
+pub(crate) struct CompletionUsage {
     pub(crate) prompt_tokens: TokenCount,
     pub(crate) completion_tokens: TokenCount,
     pub(crate) total_tokens: TokenCount,
--- a/lovagedock-standin/src/engine/render.rs
+++ b/lovagedock-standin/src/engine/render.rs
@@ -7,7 +7,8 @@
 use super::{
     answer::answer_text,
     protocol::{
-        AnswerChoice, AnswerMessage, AnswerUsage, CachedUsage, ChoiceText, CompletionResponse,
+        CachedUsage, ChoiceText, CompletionChoice, CompletionMessage, CompletionResponse,
+        CompletionUsage,
     },
 };
 
@@ -66,7 +67,7 @@
         finished: bool,
         cached: TokenCount,
     ) -> String {
-        let choice = AnswerChoice {
+        let choice = CompletionChoice {
             index: 0,
             text,
             finish_reason: finished.then_some(FINISHED),
@@ -82,8 +83,8 @@
         serde_json::to_string(&answer).unwrap_or_default()
     }
 
-    fn usage(&self, cached: TokenCount) -> AnswerUsage {
-        AnswerUsage {
+    fn usage(&self, cached: TokenCount) -> CompletionUsage {
+        CompletionUsage {
             prompt_tokens: self.prompt_tokens,
             completion_tokens: self.max_tokens,
             total_tokens: self.prompt_tokens + self.max_tokens,
@@ -94,8 +95,8 @@
     }
 }
 
-fn assistant(content: String) -> AnswerMessage {
-    AnswerMessage {
+fn assistant(content: String) -> CompletionMessage {
+    CompletionMessage {
         role: "assistant",
         content,
     }
--- a/lovagedock-standin/src/engine/routes.rs
+++ b/lovagedock-standin/src/engine/routes.rs
@@ -18,8 +18,8 @@
     options::ReportStyle,
     order,
     protocol::{
-        CancelResponse, ErrorBody, ErrorDetail, RequestAllocation, RequestAllocations, RequestName,
-        SequenceAllocation, SequenceAllocations,
+        CancelResponse, ErrorBody, ErrorDetail, RequestAllocation, RequestAllocations,
+        RequestIdBody, SequenceAllocation, SequenceAllocations,
     },
     segment,
     state::EngineState,
@@ -153,11 +153,11 @@
 }
 
 async fn cancel(state: &EngineState, request: Request<Incoming>) -> RouteResult {
-    let name: RequestName = read_json(request).await?;
+    let body: RequestIdBody = read_json(request).await?;
     let cancelled = state
         .core
         .lock()
-        .fail_request(&name.request_id, "the request was cancelled");
+        .fail_request(&body.request_id, "the request was cancelled");
     state.wake.notify_one();
     Ok(json_response(&CancelResponse { cancelled }))
 }
--- a/lovagedock-standin/src/engine/running.rs
+++ b/lovagedock-standin/src/engine/running.rs
@@ -27,7 +27,7 @@
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
         let state = Arc::new(EngineState::new(address, options));
-        tokio::spawn(driver::drive(state.clone()));
+        tokio::spawn(driver::run_steps(state.clone()));
         tokio::spawn(serve::serve(state.clone(), listener));
         Ok(RunningEngine {
             address,
--- a/lovagedock-standin/src/engine/state.rs
+++ b/lovagedock-standin/src/engine/state.rs
@@ -50,20 +50,20 @@
     pub(crate) adapters: Vec<String>,
     pub(crate) fence: Epoch,
     pub(crate) feed: CacheFeed,
-    answers: HashMap<SequenceNumber, AnswerEntry>,
+    active_requests: HashMap<SequenceNumber, ActiveRequest>,
     load_history: LoadHistory,
     options: EngineOptions,
     last_keep_alive: Duration,
 }
 
 #[derive(Debug)]
-struct AnswerEntry {
+struct ActiveRequest {
     source: AnswerSource,
     /// `None` until a caller attaches to an imported request.
     sender: Option<mpsc::UnboundedSender<Progress>>,
 }
 
-impl AnswerEntry {
+impl ActiveRequest {
     /// Sends progress to the caller. Returns whether a caller was attached and has disconnected.
     fn send_progress(&self, progress: Progress) -> bool {
         self.sender
@@ -81,7 +81,7 @@
             adapters: Vec::new(),
             fence: 0,
             feed: CacheFeed::default(),
-            answers: HashMap::new(),
+            active_requests: HashMap::new(),
             load_history: LoadHistory::default(),
             options,
             last_keep_alive: Duration::ZERO,
@@ -100,11 +100,11 @@
     ) -> Result<ProgressReceiver, SubmitError> {
         let number = self.batch.submit(request)?;
         let (sender, receiver) = mpsc::unbounded_channel();
-        let entry = AnswerEntry {
+        let entry = ActiveRequest {
             source,
             sender: Some(sender),
         };
-        self.answers.insert(number, entry);
+        self.active_requests.insert(number, entry);
         Ok(receiver)
     }
 
@@ -115,11 +115,11 @@
         source: AnswerSource,
     ) -> Result<(), SubmitError> {
         let number = self.batch.submit(request)?;
-        let entry = AnswerEntry {
+        let entry = ActiveRequest {
             source,
             sender: None,
         };
-        self.answers.insert(number, entry);
+        self.active_requests.insert(number, entry);
         Ok(())
     }
 
@@ -127,7 +127,7 @@
     pub(crate) fn export(&mut self, request_id: &str) -> Result<KvState, PauseError> {
         let (request, produced) = self.batch.pause(request_id)?;
         let number = self.batch.answer_number(request_id);
-        let entry = number.and_then(|number| self.answers.get(&number));
+        let entry = number.and_then(|number| self.active_requests.get(&number));
         let entry = entry.ok_or(PauseError::Missing)?;
         Ok(KvState::new(&entry.source, &request, produced))
     }
@@ -136,7 +136,7 @@
     pub(crate) fn attach(&mut self, request_id: &str) -> Option<(AnswerSource, ProgressReceiver)> {
         let produced = self.batch.produced(request_id)?;
         let number = self.batch.answer_number(request_id)?;
-        let entry = self.answers.get_mut(&number)?;
+        let entry = self.active_requests.get_mut(&number)?;
         let (sender, receiver) = mpsc::unbounded_channel();
         let _ = sender.send(Progress::Produced {
             produced,
@@ -150,7 +150,7 @@
 
     /// Cancels a request and sends the reason to its caller.
     pub(crate) fn fail_request(&mut self, request_id: &str, reason: &'static str) -> bool {
-        self.answers.retain(|_, entry| {
+        self.active_requests.retain(|_, entry| {
             let is_ended = &*entry.source.request_id == request_id;
             if is_ended {
                 entry.send_progress(Progress::Failed(reason));
@@ -179,7 +179,7 @@
     /// Source of another request's answer, for [`EngineFault::SwapsResponses`].
     pub(crate) fn swapped_source(&self, source: &AnswerSource) -> AnswerSource {
         let other = self
-            .answers
+            .active_requests
             .values()
             .map(|entry| &entry.source)
             .find(|other| other.request_id != source.request_id);
@@ -219,7 +219,7 @@
     /// Resets everything except the journal and the clock.
     pub(crate) fn reset_after_crash(&mut self) {
         self.batch.discard_all();
-        self.answers.clear();
+        self.active_requests.clear();
         self.load_history.clear();
         self.adapters.clear();
         self.role = INITIAL_ROLE.to_owned();
@@ -235,7 +235,7 @@
             return;
         }
         self.last_keep_alive = now;
-        for entry in self.answers.values() {
+        for entry in self.active_requests.values() {
             entry.send_progress(Progress::Alive);
         }
     }
@@ -243,7 +243,7 @@
     fn send_output(&mut self, output: &StepOutput) {
         // Looked up by number, not by id: a request that was cancelled and submitted again during
         // the step must not receive the output of its predecessor.
-        let Some(entry) = self.answers.get(&output.number) else {
+        let Some(entry) = self.active_requests.get(&output.number) else {
             return;
         };
         let progress = Progress::Produced {
@@ -253,7 +253,7 @@
         };
         let is_disconnected = entry.send_progress(progress);
         if output.finished {
-            self.answers.remove(&output.number);
+            self.active_requests.remove(&output.number);
         } else if is_disconnected && self.options.cancels_on_disconnect {
             self.fail_request(&output.request_id, "the caller disconnected");
         }
--- a/lovagedock-standin/src/engine/transfer.rs
+++ b/lovagedock-standin/src/engine/transfer.rs
@@ -8,7 +8,7 @@
 use super::{
     batch::{PauseError, SequenceKind, SequenceRequest},
     completion::submit_route_error,
-    protocol::RequestName,
+    protocol::RequestIdBody,
     render::AnswerSource,
     routes::{RouteError, RouteResult, json_response, read_json},
     state::EngineState,
@@ -85,8 +85,8 @@
 }
 
 pub(crate) async fn export(state: &EngineState, request: Request<Incoming>) -> RouteResult {
-    let name: RequestName = read_json(request).await?;
-    let exported = state.core.lock().export(&name.request_id);
+    let body: RequestIdBody = read_json(request).await?;
+    let exported = state.core.lock().export(&body.request_id);
     let kv_state = exported.map_err(|error| match error {
         PauseError::Missing => RouteError::new(StatusCode::NOT_FOUND, "no such request"),
         PauseError::NotDecoding => {
--- a/lovagedock-standin/src/experiment/files.rs
+++ b/lovagedock-standin/src/experiment/files.rs
@@ -16,12 +16,12 @@
 pub fn write_results(directory: &Path, record: &ExperimentRecord) -> io::Result<[PathBuf; 3]> {
     let summary = ExperimentSummary::new(&record.spec.policies, &record.runs);
     let plot = render_plot(&record.name, &summary).map_err(io::Error::other)?;
-    let figures = serde_json::to_string_pretty(record).map_err(io::Error::other)?;
+    let results = serde_json::to_string_pretty(record).map_err(io::Error::other)?;
     let page = render_markdown(record, &summary);
     fs::create_dir_all(directory)?;
     let file = |extension: &str| directory.join(format!("{}.{extension}", record.name));
     let files = [file("md"), file("svg"), file("json")];
-    for (path, text) in files.iter().zip([page, plot, figures]) {
+    for (path, text) in files.iter().zip([page, plot, results]) {
         fs::write(path, text)?;
     }
     Ok(files)
--- a/lovagedock-standin/src/experiment/markdown.rs
+++ b/lovagedock-standin/src/experiment/markdown.rs
@@ -10,7 +10,7 @@
 };
 use crate::load::{LengthTable, ViolationCounts};
 
-const NO_FIGURE: &str = "-";
+const NO_VALUE: &str = "-";
 
 /// Renders the Markdown page of an experiment.
 pub fn render_markdown(record: &ExperimentRecord, summary: &ExperimentSummary) -> String {
@@ -50,7 +50,7 @@
         format!(
             "{} / {}",
             bucket.as_str(),
-            best_baseline.unwrap_or(NO_FIGURE)
+            best_baseline.unwrap_or(NO_VALUE)
         )
     });
     let titles = titles.each_ref().map(String::as_str);
@@ -154,13 +154,13 @@
 }
 
 fn milliseconds(spread: &Option<SeedSpread>) -> String {
-    spread.map_or(NO_FIGURE.to_owned(), |it| {
+    spread.map_or(NO_VALUE.to_owned(), |it| {
         format!("{:.0} ({:.0}..{:.0})", it.median, it.min, it.max)
     })
 }
 
 fn ratio(spread: &Option<SeedSpread>) -> String {
-    spread.map_or(NO_FIGURE.to_owned(), |it| {
+    spread.map_or(NO_VALUE.to_owned(), |it| {
         format!("{:.2} ({:.2}..{:.2})", it.median, it.min, it.max)
     })
 }
--- a/lovagedock-standin/src/experiment/run.rs
+++ b/lovagedock-standin/src/experiment/run.rs
@@ -55,12 +55,12 @@
 /// Runs every policy with every seed, one run after the other. Must not be called within a `tokio`
 /// runtime.
 ///
-/// `watch` is called at the start of each run with its progress counters.
+/// `on_run_start` is called at the start of each run with its progress counters.
 pub fn run_experiment(
     spec: &ExperimentSpec,
     faults: &FaultPlan,
     log: &Logger,
-    mut watch: impl FnMut(&PlannedRun, Arc<RunProgress>),
+    mut on_run_start: impl FnMut(&PlannedRun, Arc<RunProgress>),
 ) -> Result<Vec<LoadReport>, Report<ExperimentError>> {
     let mut reports = Vec::new();
     for run in spec.runs() {
@@ -76,7 +76,7 @@
         // Each run gets its own runtime, and the stand-ins' tasks end with it. Tasks left over from
         // a run would take CPU time from the next run and distort its results.
         let runtime = Runtime::new().change_context_lazy(|| error.clone())?;
-        let outcome = runtime.block_on(run_demo(&options, |progress| watch(&run, progress)));
+        let outcome = runtime.block_on(run_demo(&options, |progress| on_run_start(&run, progress)));
         runtime.shutdown_timeout(RUNTIME_SHUTDOWN_TIMEOUT);
         reports.push(outcome.change_context(error)?.report);
     }
--- a/lovagedock-standin/src/load/caller.rs
+++ b/lovagedock-standin/src/load/caller.rs
@@ -25,7 +25,7 @@
 
 use super::{
     journal::{AnswerCheck, CallOutcome, CallRecord},
-    message::{CallMessage, ModelAnswer},
+    message::{CallMessage, ModelResponse},
     mix::MixSpec,
     schedule::PlannedCall,
     sse::SseParser,
@@ -166,7 +166,7 @@
             self.remove_if_stopping(record);
             return;
         }
-        let mut reader = AnswerReader {
+        let mut reader = ResponseReader {
             clock: &self.clock,
             content: Vec::new(),
             last_chunk_at: None,
@@ -220,13 +220,13 @@
     }
 }
 
-struct AnswerReader<'a> {
+struct ResponseReader<'a> {
     clock: &'a ProcessClock,
     content: Vec<u8>,
     last_chunk_at: Option<Timestamp>,
 }
 
-impl AnswerReader<'_> {
+impl ResponseReader<'_> {
     async fn read_stream(
         &mut self,
         mut response: Response<Incoming>,
@@ -255,10 +255,10 @@
     }
 
     fn add_chunk(&mut self, data: &str, record: &mut CallRecord) {
-        let Ok(answer) = serde_json::from_str::<ModelAnswer>(data) else {
+        let Ok(chunk) = serde_json::from_str::<ModelResponse>(data) else {
             return;
         };
-        if answer.text().is_empty() {
+        if chunk.text().is_empty() {
             return;
         }
         let now = self.clock.now();
@@ -267,7 +267,7 @@
             None => record.first_token_at = Some(now),
         }
         self.last_chunk_at = Some(now);
-        self.content.extend_from_slice(answer.text().as_bytes());
+        self.content.extend_from_slice(chunk.text().as_bytes());
     }
 
     async fn read_body(
@@ -283,7 +283,7 @@
             self.content = bytes.to_vec();
             return CallOutcome::Complete;
         }
-        if let Ok(answer) = serde_json::from_slice::<ModelAnswer>(&bytes) {
+        if let Ok(answer) = serde_json::from_slice::<ModelResponse>(&bytes) {
             self.content = answer.text().as_bytes().to_vec();
         }
         CallOutcome::Complete
--- a/lovagedock-standin/src/load/collect.rs
+++ b/lovagedock-standin/src/load/collect.rs
@@ -21,7 +21,7 @@
 
 impl ClockOrigin {
     /// Converts a time of the stand-in to the clock of the run.
-    pub fn run_time(&self, local_time: Duration) -> Timestamp {
+    pub fn to_run_time(&self, local_time: Duration) -> Timestamp {
         self.started_at + local_time.div_f64(self.time_scale)
     }
 }
@@ -58,7 +58,7 @@
             let Some(request) = parse_request_id(&entry.request_id) else {
                 continue;
             };
-            let at = origin.run_time(entry.model_time);
+            let at = origin.to_run_time(entry.model_time);
             match entry.event {
                 JournalEvent::Started | JournalEvent::Prefilled => {
                     open.insert(request, self.starts.len());
@@ -106,7 +106,7 @@
         request: parse_request_id(&entry.run.request_id).unwrap_or_default(),
         key: entry.key.clone(),
         endpoint: endpoint.clone(),
-        started_at: origin.run_time(entry.started_at),
-        ended_at: entry.ended_at.map(|ended| origin.run_time(ended)),
+        started_at: origin.to_run_time(entry.started_at),
+        ended_at: entry.ended_at.map(|ended| origin.to_run_time(ended)),
     }
 }
--- a/lovagedock-standin/src/load/message.rs
+++ b/lovagedock-standin/src/load/message.rs
@@ -168,12 +168,12 @@
 
 /// Text fields of a model's response, streamed or complete.
 #[derive(Debug, Default, Deserialize)]
-pub(crate) struct ModelAnswer {
+pub(crate) struct ModelResponse {
     #[serde(default)]
-    pub(crate) choices: Vec<AnswerChoice>,
+    pub(crate) choices: Vec<ResponseChoice>,
 }
 
-impl ModelAnswer {
+impl ModelResponse {
     /// Text of the first choice.
     pub(crate) fn text(&self) -> &str {
         let Some(choice) = self.choices.first() else {
@@ -189,17 +189,17 @@
 
 /// One choice of a response.
 #[derive(Debug, Deserialize)]
-pub(crate) struct AnswerChoice {
+pub(crate) struct ResponseChoice {
     #[serde(default)]
     text: Option<String>,
     #[serde(default)]
-    delta: Option<AnswerText>,
+    delta: Option<MessageText>,
     #[serde(default)]
-    message: Option<AnswerText>,
+    message: Option<MessageText>,
 }
 
 #[derive(Debug, Deserialize)]
-struct AnswerText {
+struct MessageText {
     #[serde(default)]
     content: Option<String>,
 }
--- a/lovagedock-standin/src/load/report.rs
+++ b/lovagedock-standin/src/load/report.rs
@@ -222,8 +222,8 @@
         .iter()
         .filter(|call| is_included(call))
         .filter_map(|call| {
-            let waited = call.first_token_at?.saturating_sub(call.intended_at);
-            Some(waited.mul_f64(metadata.time_scale))
+            let ttft = call.first_token_at?.saturating_sub(call.intended_at);
+            Some(ttft.mul_f64(metadata.time_scale))
         });
     QuantileSummary::new(samples)
 }
--- a/lovagedock-standin/src/load/schedule.rs
+++ b/lovagedock-standin/src/load/schedule.rs
@@ -93,7 +93,7 @@
         next_unique: 0,
         calls: Vec::new(),
     };
-    planner.plan_ordinary();
+    planner.plan_unkeyed();
     for (index, keyed) in mix.keyed.iter().enumerate() {
         planner.plan_keyed(index, keyed);
     }
@@ -121,7 +121,7 @@
     /// Plans the requests without an idempotency key. Their number is fixed by the shares and only
     /// their times are random, so that two seeds differ in the order of arrivals but not in the
     /// amount of long work.
-    fn plan_ordinary(&mut self) {
+    fn plan_unkeyed(&mut self) {
         let mix = self.mix;
         let total_share: f64 = mix.buckets.iter().map(|bucket| bucket.share).sum();
         let baseline = self
@@ -134,8 +134,8 @@
             let rate = mix.model_requests_per_second * bucket.share / total_share;
             let (from, to) = match length >= LONG_BUCKET {
                 true => {
-                    let second = self.duration - baseline;
-                    (baseline, baseline + second.mul_f64(LONG_SENDING_SHARE))
+                    let second_part = self.duration - baseline;
+                    (baseline, baseline + second_part.mul_f64(LONG_SENDING_SHARE))
                 }
                 false => (Duration::ZERO, self.duration),
             };
@@ -147,13 +147,13 @@
             let count = (rate * sending.as_secs_f64()).round().max(1.0) as u64;
             for _ in 0..count {
                 let at = sample_between(&mut self.random, from, to);
-                self.push_ordinary(bucket, at);
+                self.push_unkeyed(bucket, at);
             }
         }
         self.calls.shuffle(&mut self.random);
     }
 
-    fn push_ordinary(&mut self, bucket: &BucketMix, at: Timestamp) {
+    fn push_unkeyed(&mut self, bucket: &BucketMix, at: Timestamp) {
         let tokens = bucket.prompt_tokens.sample(&mut self.random);
         let common = sample_percent(&mut self.random, bucket.common_prefix_percent)
             .then(|| self.random.random_range(0..COMMON_TEXTS));
@@ -161,7 +161,7 @@
             keyed: None,
             path: ModelPath::Chat,
             prompt: PromptSeed {
-                unique: self.unique(),
+                unique: self.next_unique_seed(),
                 common,
                 tokens,
             },
@@ -181,7 +181,7 @@
 
     fn plan_keyed(&mut self, index: usize, keyed: &KeyedMix) {
         for at in self.arrivals(keyed.per_second) {
-            let unique = self.unique();
+            let unique = self.next_unique_seed();
             let body = CallBody::Model(ModelCall {
                 keyed: Some(index),
                 path: keyed.path,
@@ -207,7 +207,7 @@
 
     fn plan_plain(&mut self, index: usize, plain: &PlainMix) {
         for at in self.arrivals(plain.per_second) {
-            let subject = self.unique();
+            let subject = self.next_unique_seed();
             let key = plain
                 .non_idempotent
                 .then(|| format!("call-{index}-{}-{subject}", self.seed));
@@ -266,7 +266,7 @@
 
     /// Samples an organisation by share, from `callers` or from all organisations if it is empty.
     fn sample_organisation(&mut self, callers: &[OrganisationId]) -> usize {
-        let chosen: Vec<(usize, f64)> = self
+        let candidates: Vec<(usize, f64)> = self
             .mix
             .organisations
             .iter()
@@ -274,18 +274,18 @@
             .filter(|(_, caller)| callers.is_empty() || callers.contains(&caller.id))
             .map(|(index, caller)| (index, caller.share))
             .collect();
-        let total: f64 = chosen.iter().map(|(_, share)| share).sum();
-        let mut rest = self.random.random_range(0.0..total.max(f64::MIN_POSITIVE));
-        for (index, share) in &chosen {
-            rest -= share;
-            if rest < 0.0 {
+        let total: f64 = candidates.iter().map(|(_, share)| share).sum();
+        let mut remaining = self.random.random_range(0.0..total.max(f64::MIN_POSITIVE));
+        for (index, share) in &candidates {
+            remaining -= share;
+            if remaining < 0.0 {
                 return *index;
             }
         }
-        chosen.last().map_or(0, |(index, _)| *index)
+        candidates.last().map_or(0, |(index, _)| *index)
     }
 
-    fn unique(&mut self) -> u64 {
+    fn next_unique_seed(&mut self) -> u64 {
         self.next_unique += 1;
         (self.seed << 32) | self.next_unique
     }
--- a/lovagedock-standin/src/load/violations.rs
+++ b/lovagedock-standin/src/load/violations.rs
@@ -143,7 +143,7 @@
     let joined = JoinedJournals::new(callers, executions);
     let mut details = Vec::new();
     for call in joined.calls {
-        let broken = [
+        let is_violated = [
             ("no_outcome_in_time", outcome_is_late(call, limits)),
             ("cut_answers", is_truncated(call)),
             ("wrong_answers", call.answer == AnswerCheck::Different),
@@ -152,7 +152,9 @@
         ];
         let endpoints = joined.starts_for(call).iter();
         let endpoints: Vec<EndpointId> = endpoints.map(|start| start.endpoint.clone()).collect();
-        let counters = broken.into_iter().filter(|(_, broken)| *broken);
+        let counters = is_violated
+            .into_iter()
+            .filter(|(_, is_violated)| *is_violated);
         details.extend(counters.map(|(counter, _)| ViolationDetail {
             counter,
             request: call.request,
@@ -189,12 +191,15 @@
         }
     }
 
-    fn count_calls(&self, broken: impl Fn(&CallRecord) -> bool) -> u64 {
-        self.calls.iter().filter(|call| broken(call)).count() as u64
+    fn count_calls(&self, is_violated: impl Fn(&CallRecord) -> bool) -> u64 {
+        self.calls.iter().filter(|call| is_violated(call)).count() as u64
     }
 
-    fn count_starts(&self, broken: impl Fn(&ExecutionRecord) -> bool) -> u64 {
-        self.starts.iter().filter(|start| broken(start)).count() as u64
+    fn count_starts(&self, is_violated: impl Fn(&ExecutionRecord) -> bool) -> u64 {
+        self.starts
+            .iter()
+            .filter(|start| is_violated(start))
+            .count() as u64
     }
 
     fn starts_for(&self, call: &CallRecord) -> &[&'a ExecutionRecord] {
--- a/lovagedock-standin/src/platform/faults.rs
+++ b/lovagedock-standin/src/platform/faults.rs
@@ -86,9 +86,9 @@
     /// Decides the effect of the active fault on a call. The affected calls are spread evenly and
     /// not at random, so that the same calls are affected in every run of a test.
     pub(crate) fn effect(&mut self, is_write: bool, now: Timestamp) -> FaultEffect {
-        let over = self.expires_at.is_some_and(|expires_at| now >= expires_at);
+        let has_expired = self.expires_at.is_some_and(|expires_at| now >= expires_at);
         let effect = match self.command.fault {
-            _ if over => return FaultEffect::NoFault,
+            _ if has_expired => return FaultEffect::NoFault,
             FaultKind::None => return FaultEffect::NoFault,
             FaultKind::LoseConfirmations if !is_write => return FaultEffect::NoFault,
             FaultKind::LoseConfirmations => FaultEffect::ResponseLost,
