--- a/lovagedock-standin/src/engine/protocol.rs
+++ b/lovagedock-standin/src/engine/protocol.rs
@@ -1,4 +1,4 @@
-//! Messages of the stand-in engine's HTTP interface.
+//! Request and response bodies of the stand-in engine's HTTP interface.
 
 use std::net::SocketAddr;
 
@@ -35,21 +35,21 @@
     DEFAULT_MAX_TOKENS
 }
 
-/// Where one part of a prompt is held.
+/// Engine that holds one segment of a prompt.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct SegmentLocation {
     pub(crate) engine: SocketAddr,
     pub(crate) tokens: TokenCount,
 }
 
-/// Body of the calls that name one request.
+/// Body of calls that refer to one request.
 #[derive(Debug, Deserialize)]
-pub(crate) struct RequestName {
+pub(crate) struct RequestIdBody {
     pub(crate) request_id: String,
 }
 
 #[derive(Debug, Serialize)]
-pub(crate) struct CancelAnswer {
+pub(crate) struct CancelResponse {
     pub(crate) cancelled: bool,
 }
 
@@ -66,41 +66,41 @@
 }
 
 #[derive(Debug, Serialize)]
-pub(crate) struct CompletionAnswer<'a> {
+pub(crate) struct CompletionResponse<'a> {
     pub(crate) id: &'a str,
     pub(crate) object: &'static str,
     pub(crate) created: u64,
     pub(crate) model: &'a str,
-    pub(crate) choices: [AnswerChoice; 1],
+    pub(crate) choices: [CompletionChoice; 1],
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub(crate) usage: Option<AnswerUsage>,
+    pub(crate) usage: Option<CompletionUsage>,
 }
 
 #[derive(Debug, Serialize)]
-pub(crate) struct AnswerChoice {
+pub(crate) struct CompletionChoice {
     pub(crate) index: u32,
     #[serde(flatten)]
     pub(crate) text: ChoiceText,
     pub(crate) finish_reason: Option<&'static str>,
 }
 
-/// The text of a choice under the name that its protocol gives it.
+/// Text of a choice, in the field that the API defines for this kind of response.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum ChoiceText {
     Text(String),
-    Delta(AnswerMessage),
-    Message(AnswerMessage),
+    Delta(CompletionMessage),
+    Message(CompletionMessage),
 }
 
 #[derive(Debug, Serialize)]
-pub(crate) struct AnswerMessage {
+pub(crate) struct CompletionMessage {
     pub(crate) role: &'static str,
     pub(crate) content: String,
 }
 
 #[derive(Clone, Copy, Debug, Serialize)]
-pub(crate) struct AnswerUsage {
+pub(crate) struct CompletionUsage {
     pub(crate) prompt_tokens: TokenCount,
     pub(crate) completion_tokens: TokenCount,
     pub(crate) total_tokens: TokenCount,
@@ -112,27 +112,28 @@
     pub(crate) cached_tokens: TokenCount,
 }
 
-/// The account of an engine that reports in JSON.
+/// List of allocations in the format [`JsonReport`](super::options::ReportStyle::JsonReport).
 #[derive(Debug, Serialize)]
-pub(crate) struct RequestAccount {
-    pub(crate) requests: Vec<RequestHolding>,
+pub(crate) struct RequestAllocations {
+    pub(crate) requests: Vec<RequestAllocation>,
 }
 
 #[derive(Debug, Serialize)]
-pub(crate) struct RequestHolding {
+pub(crate) struct RequestAllocation {
     pub(crate) request_id: String,
     pub(crate) blocks: u64,
     pub(crate) block_tokens: u64,
 }
 
-/// The account of an engine that reports in Prometheus text.
+/// List of allocations in the format
+/// [`PrometheusReport`](super::options::ReportStyle::PrometheusReport).
 #[derive(Debug, Serialize)]
-pub(crate) struct SequenceAccount {
-    pub(crate) sequences: Vec<SequenceHolding>,
+pub(crate) struct SequenceAllocations {
+    pub(crate) sequences: Vec<SequenceAllocation>,
 }
 
 #[derive(Debug, Serialize)]
-pub(crate) struct SequenceHolding {
+pub(crate) struct SequenceAllocation {
     pub(crate) id: String,
     pub(crate) kv_tokens: TokenCount,
 }
--- a/lovagedock-standin/src/engine/segment.rs
+++ b/lovagedock-standin/src/engine/segment.rs
@@ -1,4 +1,4 @@
-//! Parts of prompts that are longer than one engine's memory.
+//! Segments: parts of a prompt that does not fit into the memory of one engine.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -13,16 +13,16 @@
 
 use super::{
     batch::{SequenceKind, SequenceRequest, SubmitError},
-    completion::refusal,
+    completion::submit_route_error,
     protocol::SegmentLocation,
     render::AnswerSource,
-    routes::{EngineAnswer, RouteError, RouteResult, json_answer, query_value, read_json},
+    routes::{EngineResponse, RouteError, RouteResult, json_response, query_value, read_json},
     state::{EngineState, Progress},
 };
 
-const HELD_INTERVAL: Duration = Duration::from_millis(100);
+const HELD_POLL_INTERVAL: Duration = Duration::from_millis(100);
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// Real time after which a holder that does not answer counts as lost.
+/// Real time after which a holder of a segment that does not respond counts as lost.
 const CHECK_TIMEOUT: Duration = Duration::from_secs(2);
 
 #[derive(Debug, Deserialize)]
@@ -36,16 +36,16 @@
 }
 
 #[derive(Debug, Serialize)]
-struct SegmentAnswer {
+struct SegmentResponse {
     engine: SocketAddr,
     tokens: TokenCount,
 }
 
-/// Prefills a part and answers when it is held.
+/// Prefills a segment and responds when its state is held.
 pub(crate) async fn prefill(state: &EngineState, request: Request<Incoming>) -> RouteResult {
     let body: SegmentBody = read_json(request).await?;
     if body.tokens == 0 || body.prompt_part.is_empty() {
-        let message = "the part is empty";
+        let message = "the segment is empty";
         return Err(RouteError::new(StatusCode::BAD_REQUEST, message));
     }
     let submitted = state
@@ -55,26 +55,27 @@
     if submitted.as_ref().err() == Some(&SubmitError::Duplicate) {
         return wait_until_held(state, &body).await;
     }
-    let mut receiver = submitted.map_err(refusal)?;
+    let mut receiver = submitted.map_err(submit_route_error)?;
     state.wake.notify_one();
     loop {
         match receiver.recv().await {
             Some(Progress::Alive) => {}
             Some(Progress::Produced { .. }) => {
-                return Ok(held_answer(state, body.tokens));
+                return Ok(held_response(state, body.tokens));
             }
             Some(Progress::Failed(reason)) => {
                 return Err(RouteError::new(StatusCode::INTERNAL_SERVER_ERROR, reason));
             }
             None => {
-                let message = "the engine lost the part";
+                let message = "the engine lost the segment";
                 return Err(RouteError::new(StatusCode::INTERNAL_SERVER_ERROR, message));
             }
         }
     }
 }
 
-/// Asking again for a part that is on its way or held changes nothing.
+/// Waits until a segment that was submitted before is held, so that a repeated call changes
+/// nothing.
 async fn wait_until_held(state: &EngineState, body: &SegmentBody) -> RouteResult {
     loop {
         let held = state
@@ -83,27 +84,27 @@
             .batch
             .holds_segment(&body.request_id, body.start);
         match held {
-            Some(true) => return Ok(held_answer(state, body.tokens)),
-            Some(false) => state.sleep(HELD_INTERVAL).await,
+            Some(true) => return Ok(held_response(state, body.tokens)),
+            Some(false) => state.sleep(HELD_POLL_INTERVAL).await,
             None => {
-                let message = "the part was cancelled";
+                let message = "the segment was cancelled";
                 return Err(RouteError::new(StatusCode::INTERNAL_SERVER_ERROR, message));
             }
         }
     }
 }
 
-/// Tells another engine how much of a request's prompt is held here.
+/// Returns to another engine how many tokens of a request's prompt are held here.
 pub(crate) fn held(state: &EngineState, query: &str) -> RouteResult {
     let id = query_value(query, "request_id").unwrap_or_default();
     match state.core.lock().batch.held_tokens(id) {
         0 => Err(RouteError::new(StatusCode::NOT_FOUND, "no such segment")),
-        tokens => Ok(held_answer(state, tokens)),
+        tokens => Ok(held_response(state, tokens)),
     }
 }
 
-fn held_answer(state: &EngineState, tokens: TokenCount) -> EngineAnswer {
-    json_answer(&SegmentAnswer {
+fn held_response(state: &EngineState, tokens: TokenCount) -> EngineResponse {
+    json_response(&SegmentResponse {
         engine: state.address,
         tokens,
     })
@@ -134,14 +135,14 @@
     }
 }
 
-/// Watches the holders of a request's other parts while it is decoded here.
+/// Monitors the engines that hold the other segments of a request while this engine decodes it.
 #[derive(Debug)]
-pub(crate) struct SegmentWatch {
+pub(crate) struct SegmentMonitor {
     request_id: Arc<str>,
     holders: Vec<SegmentLocation>,
 }
 
-impl SegmentWatch {
+impl SegmentMonitor {
     pub(crate) fn new(request_id: Arc<str>, holders: Vec<SegmentLocation>) -> Self {
         Self {
             request_id,
@@ -149,18 +150,18 @@
         }
     }
 
-    /// Makes sure that every part is held.
+    /// Checks that all segments are still held.
     pub(crate) async fn check(&self) -> Result<(), RouteError> {
         for holder in &self.holders {
             if !is_held(holder.engine, &self.request_id).await {
-                let message = format!("no segment of this request at {}", holder.engine);
+                let message = format!("no segment of this request is held at {}", holder.engine);
                 return Err(RouteError::new(StatusCode::CONFLICT, &message));
             }
         }
         Ok(())
     }
 
-    /// Fails the request when a holder is lost.
+    /// Spawns a task that fails the request when a holder is lost.
     pub(crate) fn spawn(self, state: Arc<EngineState>) {
         if self.holders.is_empty() {
             return;
@@ -172,8 +173,8 @@
                     return;
                 }
                 if self.check().await.is_err() {
-                    let reason = "an engine that held a part of the prompt was lost";
-                    state.core.lock().end(&self.request_id, reason);
+                    let reason = "an engine that held a segment of the prompt was lost";
+                    state.core.lock().fail_request(&self.request_id, reason);
                     return;
                 }
             }
@@ -182,12 +183,12 @@
 }
 
 async fn is_held(engine: SocketAddr, request_id: &str) -> bool {
-    tokio::time::timeout(CHECK_TIMEOUT, ask(engine, request_id))
+    tokio::time::timeout(CHECK_TIMEOUT, fetch_segment_status(engine, request_id))
         .await
         .is_ok_and(|status| status == Some(StatusCode::OK))
 }
 
-async fn ask(engine: SocketAddr, request_id: &str) -> Option<StatusCode> {
+async fn fetch_segment_status(engine: SocketAddr, request_id: &str) -> Option<StatusCode> {
     let stream = TcpStream::connect(engine).await.ok()?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
     tokio::spawn(connection);
--- a/lovagedock-standin/src/engine/sequence.rs
+++ b/lovagedock-standin/src/engine/sequence.rs
@@ -1,4 +1,4 @@
-//! One request in the batch and the phases that it goes through.
+//! A request in the batch and its phases.
 
 use lovagedock::prelude::{BlockCount, TokenCount};
 
@@ -25,19 +25,19 @@
     pub(super) prefilled: TokenCount,
     pub(super) produced: TokenCount,
     pub(super) cached_tokens: TokenCount,
-    pub(super) advanced: bool,
-    pub(super) is_parked: bool,
+    pub(super) has_output: bool,
+    pub(super) is_paused: bool,
 }
 
 impl Sequence {
-    pub(super) fn enter(&mut self, memory: &mut KvMemory) {
+    pub(super) fn enter_batch(&mut self, memory: &mut KvMemory) {
         self.phase = Phase::Prefilling;
         if self.request.imported {
             self.phase = Phase::Decoding;
             return;
         }
         let cached = memory.cached_tokens(&self.request.prefix_hashes);
-        // The last token is always computed: its output starts the answer.
+        // The last prompt token is always computed: its output is the first token of the answer.
         self.cached_tokens = cached.min(self.request.prompt_tokens - 1);
         self.prefilled = self.cached_tokens;
     }
@@ -50,8 +50,9 @@
         self.request.kind == SequenceKind::Segment
     }
 
-    /// Whether a request would stand twice; segments differ by where they start.
-    pub(super) fn is_same(&self, other: &SequenceRequest) -> bool {
+    /// Whether `other` duplicates this request. Segments of one request differ in their start
+    /// position.
+    pub(super) fn is_duplicate(&self, other: &SequenceRequest) -> bool {
         let is_same_part = !self.is_segment() || self.request.start == other.start;
         self.has_id(&other.request_id) && self.request.kind == other.kind && is_same_part
     }
@@ -66,13 +67,14 @@
         }
     }
 
-    pub(super) fn prefill_left(&self) -> TokenCount {
+    pub(super) fn remaining_prefill(&self) -> TokenCount {
         self.request.prompt_tokens + self.request.resume_offset - self.prefilled
     }
 
-    /// The step that ends the prefill also gives the first token of the answer.
+    /// Enters the next phase. The step that completes the prefill also produces the first answer
+    /// token.
     pub(super) fn finish_prefill(&mut self) {
-        self.advanced = true;
+        self.has_output = true;
         match self.request.kind {
             SequenceKind::Segment => self.phase = Phase::Held,
             SequenceKind::Answer => {
@@ -83,7 +85,7 @@
     }
 
     pub(super) fn is_active(&self) -> bool {
-        !self.is_parked && matches!(self.phase, Phase::Prefilling | Phase::Decoding)
+        !self.is_paused && matches!(self.phase, Phase::Prefilling | Phase::Decoding)
     }
 
     pub(super) fn is_finished(&self) -> bool {
@@ -93,7 +95,7 @@
         }
     }
 
-    pub(super) fn held_blocks(&self) -> BlockCount {
+    pub(super) fn allocated_blocks(&self) -> BlockCount {
         match self.phase {
             Phase::Waiting => 0,
             _ => self.blocks,
--- a/lovagedock-standin/src/experiment/files.rs
+++ b/lovagedock-standin/src/experiment/files.rs
@@ -1,4 +1,4 @@
-//! The files that an experiment leaves.
+//! Result files of an experiment.
 
 use std::{
     fs, io,
@@ -6,21 +6,22 @@
 };
 
 use super::{
-    plot::render_plot, run::ExperimentRecord, summary::ExperimentSummary, table::render_markdown,
+    markdown::render_markdown, plot::render_plot, run::ExperimentRecord, summary::ExperimentSummary,
 };
 
-/// Writes the page, the plot and the raw figures into a directory, which is made if need be.
+/// Writes the Markdown page, the plot and the raw results into a directory, which is created if
+/// needed.
 ///
-/// Returns the files, named after the experiment.
+/// Returns the paths of the files, which are named after the experiment.
 pub fn write_results(directory: &Path, record: &ExperimentRecord) -> io::Result<[PathBuf; 3]> {
     let summary = ExperimentSummary::new(&record.spec.policies, &record.runs);
     let plot = render_plot(&record.name, &summary).map_err(io::Error::other)?;
-    let figures = serde_json::to_string_pretty(record).map_err(io::Error::other)?;
+    let results = serde_json::to_string_pretty(record).map_err(io::Error::other)?;
     let page = render_markdown(record, &summary);
     fs::create_dir_all(directory)?;
     let file = |extension: &str| directory.join(format!("{}.{extension}", record.name));
     let files = [file("md"), file("svg"), file("json")];
-    for (path, text) in files.iter().zip([page, plot, figures]) {
+    for (path, text) in files.iter().zip([page, plot, results]) {
         fs::write(path, text)?;
     }
     Ok(files)
--- a/lovagedock-standin/src/experiment/table.rs
+++ b/lovagedock-standin/src/experiment/markdown.rs
@@ -1,4 +1,4 @@
-//! The results as Markdown.
+//! Results as Markdown.
 
 use std::fmt::{self, Write};
 
@@ -10,9 +10,9 @@
 };
 use crate::load::{LengthTable, ViolationCounts};
 
-const NO_FIGURE: &str = "-";
+const NO_VALUE: &str = "-";
 
-/// Writes the page of an experiment.
+/// Renders the Markdown page of an experiment.
 pub fn render_markdown(record: &ExperimentRecord, summary: &ExperimentSummary) -> String {
     let mut text = String::new();
     // Writing to a string cannot fail.
@@ -46,8 +46,12 @@
          runs with the same seed.\n"
     )?;
     let titles = LengthBucket::ALL.map(|bucket| {
-        let best = summary.best_baselines.get(bucket).as_deref();
-        format!("{} / {}", bucket.as_str(), best.unwrap_or(NO_FIGURE))
+        let best_baseline = summary.best_baselines.get(bucket).as_deref();
+        format!(
+            "{} / {}",
+            bucket.as_str(),
+            best_baseline.unwrap_or(NO_VALUE)
+        )
     });
     let titles = titles.each_ref().map(String::as_str);
     write_lengths(text, &titles, policies, |policy| &policy.ratio, ratio)?;
@@ -79,7 +83,7 @@
     writeln!(
         text,
         "Deployment {}; seeds {}; {} s of calls a run; {faults}. All times are the stand-in engines'\n\
-         model time, of which {} s pass in one second of real time; they tell nothing about real\n\
+         model time, of which {} s pass in one second of real time; they say nothing about real\n\
          engines. A cell is the median over the seeds (lowest..highest).",
         spec.deployment,
         seeds.join(", "),
@@ -150,13 +154,13 @@
 }
 
 fn milliseconds(spread: &Option<SeedSpread>) -> String {
-    spread.map_or(NO_FIGURE.to_owned(), |it| {
+    spread.map_or(NO_VALUE.to_owned(), |it| {
         format!("{:.0} ({:.0}..{:.0})", it.median, it.min, it.max)
     })
 }
 
 fn ratio(spread: &Option<SeedSpread>) -> String {
-    spread.map_or(NO_FIGURE.to_owned(), |it| {
+    spread.map_or(NO_VALUE.to_owned(), |it| {
         format!("{:.2} ({:.2}..{:.2})", it.median, it.min, it.max)
     })
 }
--- a/lovagedock-standin/src/experiment/summary.rs
+++ b/lovagedock-standin/src/experiment/summary.rs
@@ -1,28 +1,28 @@
-//! Medians over seeds, and ratios between policies.
+//! Summary of an experiment: medians over seeds, and ratios between policies.
 
 use lovagedock::LengthBucket;
 use serde::Serialize;
 
 use crate::load::{LengthTable, LoadReport, OutcomeCounts, ViolationCounts};
 
-/// Policies that others are compared with; they ignore length.
+/// Policies that serve as baselines. They ignore the prompt length.
 pub const BASELINES: [&str; 4] = ["least-outstanding", "random", "round-robin", "two-choices"];
 
-/// A figure over several seeds.
+/// Distribution of a value over several seeds.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct SeedSpread {
-    /// Number of seeds that have the figure.
+    /// Number of seeds that have the value.
     pub n: usize,
-    /// Median; the mean of the middle two for an even number.
+    /// Median; the mean of the two middle values for an even number of seeds.
     pub median: f64,
-    /// Lowest.
+    /// Lowest value.
     pub min: f64,
-    /// Highest.
+    /// Highest value.
     pub max: f64,
 }
 
 impl SeedSpread {
-    /// Summarises one value for each seed; `None` without values.
+    /// Summarises one value per seed. Returns `None` if there are no values.
     pub fn new(values: impl IntoIterator<Item = f64>) -> Option<Self> {
         let mut values: Vec<f64> = values.into_iter().collect();
         values.sort_by(f64::total_cmp);
@@ -41,40 +41,41 @@
     }
 }
 
-/// What one policy did over all seeds. Times are milliseconds of model time.
+/// Results of one policy over all seeds. Times are milliseconds of model time.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct PolicySummary {
     /// Name of the policy.
     pub policy: String,
-    /// Number of first tokens over all seeds.
+    /// Number of calls with a first token, over all seeds.
     pub first_tokens: LengthTable<u64>,
-    /// Median first-token time.
+    /// Median time to first token.
     pub p50: LengthTable<Option<SeedSpread>>,
-    /// First-token time that 95 in 100 stay within.
+    /// 95th percentile of the time to first token.
     pub p95: LengthTable<Option<SeedSpread>>,
-    /// `p95` divided by the best baseline's with the same seed.
+    /// `p95` divided by the `p95` of the best baseline with the same seed.
     pub ratio: LengthTable<Option<SeedSpread>>,
-    /// Short prompts' p95 with long prompts, divided by that without.
+    /// p95 of short prompts with long prompts, divided by the p95 without.
     pub short_slowdown: Option<SeedSpread>,
-    /// What became of the calls over all seeds.
+    /// Number of calls by outcome, over all seeds.
     pub outcomes: OutcomeCounts,
-    /// Broken promises over all seeds.
+    /// Violated guarantees, over all seeds.
     pub violations: ViolationCounts,
 }
 
-/// What an experiment found.
+/// Results of an experiment.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ExperimentSummary {
-    /// The baseline with the lowest median p95 in each bucket.
+    /// Baseline with the lowest median p95 in each bucket.
     pub best_baselines: LengthTable<Option<String>>,
-    /// The policies in the order of the experiment.
+    /// Results of the policies, in the order of the experiment.
     pub policies: Vec<PolicySummary>,
 }
 
 impl ExperimentSummary {
-    /// Summarises the runs; a policy without a run has no figures.
+    /// Summarises the runs. A policy without a run has no values.
     pub fn new(policies: &[String], reports: &[LoadReport]) -> Self {
-        let best_baselines = LengthTable::from_buckets(|bucket| best(policies, reports, bucket));
+        let best_baselines =
+            LengthTable::from_buckets(|bucket| best_baseline(policies, reports, bucket));
         let policies = policies
             .iter()
             .map(|policy| summarise(policy, reports, &best_baselines))
@@ -93,27 +94,27 @@
 ) -> PolicySummary {
     let mut outcomes = OutcomeCounts::default();
     let mut violations = ViolationCounts::default();
-    for report in of_policy(reports, policy) {
+    for report in reports_of(reports, policy) {
         outcomes += report.outcomes;
         violations += report.violations;
     }
-    // The report has 0 where one of the two parts of the run had no sample.
-    let slowdowns = of_policy(reports, policy).map(|report| report.short_slowdown_p95);
+    // The value is 0 if one of the two parts of the run had no samples.
+    let slowdowns = reports_of(reports, policy).map(|report| report.short_slowdown_p95);
     PolicySummary {
         policy: policy.to_owned(),
         first_tokens: LengthTable::from_buckets(|bucket| {
-            of_policy(reports, policy)
+            reports_of(reports, policy)
                 .map(|report| report.ttft_ms.get(bucket).n)
                 .sum()
         }),
         p50: LengthTable::from_buckets(|bucket| {
-            let sampled = of_policy(reports, policy).map(|report| report.ttft_ms.get(bucket));
+            let sampled = reports_of(reports, policy).map(|report| report.ttft_ms.get(bucket));
             SeedSpread::new(sampled.filter(|row| row.n > 0).map(|row| row.p50))
         }),
         p95: LengthTable::from_buckets(|bucket| p95_spread(reports, policy, bucket)),
         ratio: LengthTable::from_buckets(|bucket| {
-            let best = best_baselines.get(bucket).as_deref()?;
-            ratio_spread(reports, policy, best, bucket)
+            let best_baseline = best_baselines.get(bucket).as_deref()?;
+            ratio_spread(reports, policy, best_baseline, bucket)
         }),
         short_slowdown: SeedSpread::new(slowdowns.filter(|slowdown| *slowdown > 0.0)),
         outcomes,
@@ -121,7 +122,7 @@
     }
 }
 
-fn of_policy<'a>(reports: &'a [LoadReport], policy: &str) -> impl Iterator<Item = &'a LoadReport> {
+fn reports_of<'a>(reports: &'a [LoadReport], policy: &str) -> impl Iterator<Item = &'a LoadReport> {
     reports.iter().filter(move |report| report.policy == policy)
 }
 
@@ -131,12 +132,16 @@
 }
 
 fn p95_spread(reports: &[LoadReport], policy: &str, bucket: LengthBucket) -> Option<SeedSpread> {
-    SeedSpread::new(of_policy(reports, policy).filter_map(|report| p95(report, bucket)))
+    SeedSpread::new(reports_of(reports, policy).filter_map(|report| p95(report, bucket)))
 }
 
-/// The choice is by the median over seeds: a choice for each seed would compare with the luckiest
-/// run of several.
-fn best(policies: &[String], reports: &[LoadReport], bucket: LengthBucket) -> Option<String> {
+/// Returns the baseline with the lowest median p95 over seeds. A choice per seed would compare with
+/// the luckiest of several runs.
+fn best_baseline(
+    policies: &[String],
+    reports: &[LoadReport],
+    bucket: LengthBucket,
+) -> Option<String> {
     policies
         .iter()
         .filter(|policy| BASELINES.contains(&policy.as_str()))
@@ -151,8 +156,8 @@
     baseline: &str,
     bucket: LengthBucket,
 ) -> Option<SeedSpread> {
-    let ratios = of_policy(reports, policy).filter_map(|report| {
-        let same_seed = of_policy(reports, baseline).find(|other| other.seed == report.seed)?;
+    let ratios = reports_of(reports, policy).filter_map(|report| {
+        let same_seed = reports_of(reports, baseline).find(|other| other.seed == report.seed)?;
         Some(p95(report, bucket)? / p95(same_seed, bucket)?)
     });
     SeedSpread::new(ratios)
--- a/lovagedock-standin/src/fleet.rs
+++ b/lovagedock-standin/src/fleet.rs
@@ -1,5 +1,5 @@
-//! A whole fleet in one process: stand-ins for the platform and the endpoints, and the product's
-//! own daemons on loopback ports.
+//! Complete fleet in one process: stand-ins for the platform and the endpoints, and the real
+//! daemons on loopback ports.
 
 use std::{fmt, net::SocketAddr, time::Duration};
 
@@ -21,21 +21,21 @@
 use tokio::time::{sleep, timeout};
 
 use crate::{
-    PlatformOptions, PlatformStandin, RunningStandin,
-    engine::{EngineOptions, EngineStandin, ReportStyle, RunningEngine, WeightGauge},
+    PlatformOptions, PlatformStandin, RunningPlatform,
+    engine::{EngineOptions, EngineStandin, ReportStyle, RunningEngine, WeightLoadGauge},
     service::{RunningService, ServiceOptions, ServiceStandin},
 };
 
 const LOOPBACK: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
-/// Looks until the fleet is ready.
-const READY_LOOKS: usize = 600;
-const READY_PAUSE: Duration = Duration::from_millis(25);
+/// Maximum number of polls until the fleet is ready.
+const READY_POLLS: usize = 600;
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Longest time that all gateways, and then all sidecars, may take to stop.
-const STOP_TIME: Duration = Duration::from_secs(5);
+/// Time limit for all gateways, and then for all sidecars, to stop.
+const STOP_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A fleet could not start.
+/// Error: a fleet could not start or apply its configuration.
 #[derive(Debug)]
 pub struct FleetError;
 
@@ -47,96 +47,96 @@
 
 impl std::error::Error for FleetError {}
 
-/// What a fleet is made of.
+/// Configuration and options of a fleet.
 #[derive(Clone)]
 pub struct FleetPlan {
-    /// The configuration; addresses in it are replaced by free loopback ports.
+    /// Configuration. Its addresses are replaced by free loopback ports.
     pub config: FleetConfig,
-    /// Model time that passes in one unit of real time.
+    /// Model time per unit of real time.
     pub time_scale: f64,
-    /// Time that a plain service takes for a call.
+    /// Duration of a call at a plain service.
     pub service_time: Duration,
-    /// Time between heartbeats of gateways.
+    /// Interval between heartbeats of gateways.
     pub heartbeat: Duration,
-    /// Time without an answer after which a session is given up.
-    pub silence: Duration,
-    /// Longest time that a stopped sidecar waits for its requests; zero cuts them off, as a process
-    /// that is killed does.
-    pub drain: Duration,
-    /// Requests that an endpoint gets at once; 0 leaves it to the sidecar's defaults.
+    /// Time without a response after which a gateway closes a session.
+    pub silence_timeout: Duration,
+    /// Time limit for a stopping sidecar to complete its requests. Zero aborts them immediately,
+    /// like a killed process.
+    pub drain_timeout: Duration,
+    /// Maximum number of concurrent requests per endpoint; 0 selects the sidecar's default.
     pub concurrency: usize,
-    /// Limits of the gateways towards callers.
+    /// Limits that gateways apply to callers.
     pub limits: CallerLimits,
-    /// How long the lease of a pool lasts.
-    pub lease: Duration,
-    /// Counts what the engines load at once.
-    pub weights: WeightGauge,
-    /// Log of the daemons.
+    /// Duration of a pool's lease.
+    pub lease_duration: Duration,
+    /// Counts the concurrent loads of all engines.
+    pub weights: WeightLoadGauge,
+    /// Logger of the daemons.
     pub log: Logger,
 }
 
 impl FleetPlan {
-    /// A plan with a time scale of 1 and the daemons' default times.
+    /// Creates a plan with a time scale of 1 and default options.
     pub fn new(config: FleetConfig, log: Logger) -> Self {
         Self {
             config,
             time_scale: 1.0,
             service_time: Duration::from_millis(5),
             heartbeat: Duration::from_millis(500),
-            silence: Duration::from_secs(2),
-            drain: Duration::from_secs(60),
+            silence_timeout: Duration::from_secs(2),
+            drain_timeout: Duration::from_secs(60),
             concurrency: 0,
             limits: CallerLimits::default(),
-            lease: Duration::from_secs(30),
-            weights: WeightGauge::default(),
+            lease_duration: Duration::from_secs(30),
+            weights: WeightLoadGauge::default(),
             log,
         }
     }
 
-    /// Sets the model time that passes in one unit of real time.
+    /// Sets the model time per unit of real time.
     pub fn with_time_scale(mut self, time_scale: f64) -> Self {
         self.time_scale = time_scale;
         self
     }
 
-    /// Sets the gateways' limits towards callers.
+    /// Sets the limits that gateways apply to callers.
     pub fn with_limits(mut self, limits: CallerLimits) -> Self {
         self.limits = limits;
         self
     }
 
-    /// Sets how long the lease of a pool lasts.
-    pub fn with_lease(mut self, lease: Duration) -> Self {
-        self.lease = lease;
+    /// Sets the duration of a pool's lease.
+    pub fn with_lease(mut self, lease_duration: Duration) -> Self {
+        self.lease_duration = lease_duration;
         self
     }
 
-    /// Sets how sessions are kept.
-    pub fn with_heartbeat(mut self, heartbeat: Duration, silence: Duration) -> Self {
+    /// Sets the heartbeat interval and the silence timeout of sessions.
+    pub fn with_heartbeat(mut self, heartbeat: Duration, silence_timeout: Duration) -> Self {
         self.heartbeat = heartbeat;
-        self.silence = silence;
+        self.silence_timeout = silence_timeout;
         self
     }
 
-    /// Sets the time that a plain service takes for a call.
+    /// Sets the duration of a call at a plain service.
     pub fn with_service_time(mut self, service_time: Duration) -> Self {
         self.service_time = service_time;
         self
     }
 
-    /// Sets the longest time that a stopped sidecar waits for its requests.
-    pub fn with_drain(mut self, drain: Duration) -> Self {
-        self.drain = drain;
+    /// Sets the time limit for a stopping sidecar to complete its requests.
+    pub fn with_drain(mut self, drain_timeout: Duration) -> Self {
+        self.drain_timeout = drain_timeout;
         self
     }
 
-    /// Sets how many requests an endpoint gets at once.
+    /// Sets the maximum number of concurrent requests per endpoint.
     pub fn with_concurrency(mut self, concurrency: usize) -> Self {
         self.concurrency = concurrency;
         self
     }
 
-    /// Starts a gateway that is told the platform's base URL and the peers to ask for a
+    /// Starts a gateway with the platform's base URL and the peers from which it can fetch a
     /// configuration.
     pub async fn start_gateway(
         &self,
@@ -158,17 +158,17 @@
     }
 }
 
-/// The endpoint beside a sidecar.
+/// Stand-in of an endpoint.
 #[derive(Clone, Debug)]
 pub enum EndpointStandin {
-    /// A model engine.
+    /// Stand-in of a model engine.
     Engine(RunningEngine),
-    /// A plain service.
+    /// Stand-in of a plain service.
     Service(RunningService),
 }
 
 impl EndpointStandin {
-    /// Where it listens.
+    /// Address on which the stand-in listens.
     pub fn address(&self) -> SocketAddr {
         match self {
             Self::Engine(engine) => engine.address,
@@ -177,46 +177,47 @@
     }
 }
 
-/// One endpoint with its sidecar.
+/// Running endpoint with its sidecar.
 pub struct RunningEndpoint {
-    /// Name in the configuration.
+    /// Id in the configuration.
     pub id: EndpointId,
     /// Host in the configuration.
     pub host: HostId,
-    /// The endpoint itself.
+    /// Stand-in of the endpoint.
     pub standin: EndpointStandin,
-    /// The sidecar, until it is stopped.
+    /// The sidecar; `None` after it has been stopped.
     pub sidecar: Option<Sidecar>,
-    /// Stops the sidecar.
+    /// Context that stops the sidecar.
     pub daemon: DaemonContext,
-    /// What the sidecar was started with; its address is the one that it got.
+    /// Settings of the sidecar, with the address that it was assigned.
     pub settings: SidecarSettings,
 }
 
-/// One gateway.
+/// Running gateway.
 pub struct RunningGateway {
-    /// Name in the configuration.
+    /// Id in the configuration.
     pub id: GatewayId,
     /// The gateway.
     pub gateway: Gateway,
-    /// Stops the gateway.
+    /// Context that stops the gateway.
     pub daemon: DaemonContext,
 }
 
-/// A fleet that serves.
+/// Running fleet.
 pub struct LocalFleet {
-    /// The platform.
-    pub platform: RunningStandin,
+    /// Stand-in of the platform.
+    pub platform: RunningPlatform,
     /// Endpoints in the order of the configuration.
     pub endpoints: Vec<RunningEndpoint>,
     /// Gateways in the order of the configuration.
     pub gateways: Vec<RunningGateway>,
-    /// The configuration with the addresses that the processes got.
+    /// Configuration with the addresses that the daemons were assigned.
     pub config: FleetConfig,
 }
 
 impl LocalFleet {
-    /// Starts everything, applies the configuration and waits until it is in force everywhere.
+    /// Starts all parts, applies the configuration and waits until every gateway is connected to
+    /// every endpoint.
     pub async fn start(plan: FleetPlan) -> Result<Self, Report<FleetError>> {
         let hosts = plan.config.pools.iter().flat_map(|pool| &pool.endpoints);
         let platform = PlatformStandin::start(PlatformOptions {
@@ -247,11 +248,11 @@
             config,
         };
         fleet.apply(0).await?;
-        fleet.ready().await?;
+        fleet.wait_until_ready().await?;
         Ok(fleet)
     }
 
-    /// Applies the fleet's configuration over the generation that is expected in the store.
+    /// Applies the fleet's configuration if the store has the expected generation.
     pub async fn apply(&self, expected: Generation) -> Result<Generation, Report<FleetError>> {
         let store = ConfigStore::new(std::sync::Arc::new(HttpObjectStore::new(
             &self.platform.url(),
@@ -264,24 +265,24 @@
         }
     }
 
-    /// Stops the daemons, gateways first, and waits for them for a bounded time.
+    /// Stops the daemons, gateways first, and waits for a limited time until they have stopped.
     pub async fn stop(self) {
         for entry in &self.gateways {
             entry.daemon.shutdown.trigger();
         }
         let gateways = self.gateways.into_iter().map(|entry| entry.gateway.wait());
-        // What is cut off here is of no interest to anyone any more.
-        let _ended = timeout(STOP_TIME, join_all(gateways)).await;
+        // Nothing waits for requests that are aborted here, so a timeout is ignored.
+        let _ended = timeout(STOP_TIMEOUT, join_all(gateways)).await;
         for entry in &self.endpoints {
             entry.daemon.shutdown.trigger();
         }
         let sidecars = self.endpoints.into_iter().filter_map(|entry| entry.sidecar);
-        let _ended = timeout(STOP_TIME, join_all(sidecars.map(Sidecar::wait))).await;
+        let _ended = timeout(STOP_TIMEOUT, join_all(sidecars.map(Sidecar::wait))).await;
     }
 
     /// Waits until every gateway is connected to every endpoint.
-    pub async fn ready(&self) -> Result<(), Report<FleetError>> {
-        for _ in 0..READY_LOOKS {
+    pub async fn wait_until_ready(&self) -> Result<(), Report<FleetError>> {
+        for _ in 0..READY_POLLS {
             if self
                 .gateways
                 .iter()
@@ -289,9 +290,9 @@
             {
                 return Ok(());
             }
-            sleep(READY_PAUSE).await;
+            sleep(READY_POLL_INTERVAL).await;
         }
-        Err(Report::new(FleetError).attach("a gateway has not reached all endpoints"))
+        Err(Report::new(FleetError).attach("a gateway did not connect to all endpoints in time"))
     }
 }
 
@@ -372,7 +373,7 @@
         endpoint: spec.id.clone(),
         gateways: SessionSettings {
             address: LOOPBACK,
-            transport: plain(),
+            transport: plain_transport(),
             silence_ms: 3_000,
         },
         admin: admin(),
@@ -385,7 +386,7 @@
             concurrency: plan.concurrency,
         },
         log: LogSettings::default(),
-        drain_ms: plan.drain.as_millis() as u64,
+        drain_ms: plan.drain_timeout.as_millis() as u64,
         linger_ms: (3 * plan.heartbeat).as_millis() as u64,
     }
 }
@@ -393,7 +394,7 @@
 fn gateway_settings(plan: &FleetPlan, spec: &GatewaySpec, platform: String) -> GatewaySettings {
     let listener = || ListenerSettings {
         address: LOOPBACK,
-        transport: plain(),
+        transport: plain_transport(),
     };
     GatewaySettings {
         name: spec.id.clone(),
@@ -401,10 +402,10 @@
         callers: listener(),
         peers: listener(),
         links: LinkSettings {
-            transport: plain(),
+            transport: plain_transport(),
             workers: 1,
             heartbeat_ms: plan.heartbeat.as_millis() as u64,
-            silence_ms: plan.silence.as_millis() as u64,
+            silence_ms: plan.silence_timeout.as_millis() as u64,
             reconnect_ms: 100,
         },
         seed_peers: Vec::new(),
@@ -413,12 +414,12 @@
         log: LogSettings::default(),
         limits: plan.limits.clone(),
         orders: OrderSettings {
-            lease_ms: plan.lease.as_millis() as u64,
+            lease_ms: plan.lease_duration.as_millis() as u64,
         },
     }
 }
 
-fn plain() -> TransportSettings {
+fn plain_transport() -> TransportSettings {
     TransportSettings::PlainTcp(PlainConsent::Demo)
 }
 
@@ -426,6 +427,6 @@
     AdminSettings {
         address: LOOPBACK,
         operator_token: None,
-        transport: plain(),
+        transport: plain_transport(),
     }
 }
--- a/lovagedock-standin/src/load/caller.rs
+++ b/lovagedock-standin/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! Sends calls as callers behind the platform's balancer do, and writes down what they see.
+//! Sends calls in the way of callers behind the platform's load balancer and records the outcomes.
 
 use std::{
     fmt::{self, Display, Formatter},
@@ -24,56 +24,57 @@
 use tokio::time;
 
 use super::{
-    journal::{AnswerCheck, CallEnding, CallRecord},
-    message::{CallMessage, ModelAnswer},
+    journal::{AnswerCheck, CallOutcome, CallRecord},
+    message::{CallMessage, ModelResponse},
     mix::MixSpec,
     schedule::PlannedCall,
     sse::SseParser,
 };
 
-/// Header that names the request in every answer.
+/// Response header with the id of the request.
 const REQUEST_ID_HEADER: &str = "x-request-id";
-/// Header with the time that a call asks for, in milliseconds.
+/// Request header with the deadline of the call in milliseconds.
 const DEADLINE_HEADER: &str = "x-lovagedock-deadline-ms";
 const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 const STREAM_END: &str = "[DONE]";
-/// How long after its deadline a caller still listens, so that a late outcome can be told from none.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Time after the deadline in which a caller still waits, to tell a late outcome from none.
+const OUTCOME_WAIT: Duration = Duration::from_secs(5);
 
-/// An address that callers can send to.
+/// Gateway that callers can send to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GatewayTarget {
-    /// Name in the callers' journal.
+    /// Name of the gateway in the callers' journal.
     pub name: String,
-    /// Where it listens for callers.
+    /// Address on which the gateway listens for callers.
     pub address: SocketAddr,
 }
 
-/// Why no caller can be made.
+/// Reason why a [`CallerClient`] cannot be created.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallerError {
-    /// There is no gateway to call.
+    /// The list of gateways is empty.
     NoGateways,
 }
 
 impl Display for CallerError {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NoGateways => f.write_str("no gateway to call"),
+            Self::NoGateways => f.write_str("the list of gateways is empty"),
         }
     }
 }
 
 impl std::error::Error for CallerError {}
 
-/// A gateway as the platform's balancer knows it.
+/// State of a gateway in the simulated load balancer.
 struct BalancedGateway {
     target: GatewayTarget,
-    /// It said that it is stopping, so the balancer sends it nothing more.
-    is_out: AtomicBool,
+    /// Whether the gateway reported that it is stopping. The balancer sends no more calls to it.
+    is_removed: AtomicBool,
 }
 
-/// Sends calls to gateways in turn, past those that refuse a connection or said that they stop.
+/// Sends calls to the gateways in turn. Skips gateways that refuse connections or reported that
+/// they are stopping.
 pub struct CallerClient {
     client: Client<HttpConnector, Full<Bytes>>,
     gateways: Vec<BalancedGateway>,
@@ -85,13 +86,13 @@
     fn new(target: GatewayTarget) -> Self {
         Self {
             target,
-            is_out: AtomicBool::new(false),
+            is_removed: AtomicBool::new(false),
         }
     }
 }
 
 impl CallerClient {
-    /// Creates a client whose journal is on `clock`.
+    /// Creates a client that records times of `clock`.
     pub fn new(gateways: Vec<GatewayTarget>, clock: ProcessClock) -> Result<Self, CallerError> {
         if gateways.is_empty() {
             return Err(CallerError::NoGateways);
@@ -107,7 +108,7 @@
         })
     }
 
-    /// Sends one call and waits until it has ended.
+    /// Sends one call and waits for its outcome.
     pub(crate) async fn call(
         &self,
         mix: &MixSpec,
@@ -132,13 +133,14 @@
             token_gaps: Vec::new(),
             ended_at: sent_at,
             deadline: call.deadline,
-            ending: CallEnding::Nothing,
-            answer: AnswerCheck::Beginning,
+            outcome: CallOutcome::NoOutcome,
+            answer: AnswerCheck::Prefix,
             answer_digest: None,
         };
-        let limit = call.deadline + PATIENCE;
+        let limit = call.deadline + OUTCOME_WAIT;
         let exchange = self.exchange(call, &organisation.key, &message, &mut record);
-        // On the timeout the record keeps what was seen so far, and its ending is `Nothing`.
+        // After a timeout, the record keeps what was received so far and its outcome is
+        // `NoOutcome`.
         let _ = time::timeout(limit, exchange).await;
         record.ended_at = self.clock.now();
         record
@@ -153,41 +155,42 @@
     ) {
         let response = match self.send(call, api_key, message, record).await {
             Ok(response) => response,
-            Err(ending) => {
-                record.ending = ending;
+            Err(outcome) => {
+                record.outcome = outcome;
                 return;
             }
         };
         record.request = request_id(response.headers());
         if !response.status().is_success() {
-            record.ending = read_problem(response).await;
-            self.heed(record);
+            record.outcome = read_problem(response).await;
+            self.remove_if_stopping(record);
             return;
         }
-        let mut reader = AnswerReader {
+        let mut reader = ResponseReader {
             clock: &self.clock,
             content: Vec::new(),
-            last_piece_at: None,
+            last_chunk_at: None,
         };
-        record.ending = match message.streamed {
+        record.outcome = match message.streamed {
             true => reader.read_stream(response, record).await,
-            false => reader.read_whole(response, message).await,
+            false => reader.read_body(response, message).await,
         };
-        record.answer = message.rule.check(&reader.content);
-        if record.ending == CallEnding::Complete {
+        record.answer = message.expected_answer.check(&reader.content);
+        if record.outcome == CallOutcome::Complete {
             record.answer_digest = Some(*blake3::hash(&reader.content).as_bytes());
         }
     }
 
-    /// Takes a gateway that says it is stopping out, as the balancer's health checks would.
-    fn heed(&self, record: &CallRecord) {
+    /// Removes a gateway that reported that it is stopping, as health checks of a balancer would
+    /// do.
+    fn remove_if_stopping(&self, record: &CallRecord) {
         let stopping = ResultCode::GatewayStopping.number();
-        if !matches!(record.ending, CallEnding::Problem { code, .. } if code == stopping) {
+        if !matches!(record.outcome, CallOutcome::Problem { code, .. } if code == stopping) {
             return;
         }
         let mut gateways = self.gateways.iter();
         if let Some(gateway) = gateways.find(|it| it.target.name == record.gateway) {
-            gateway.is_out.store(true, Ordering::Relaxed);
+            gateway.is_removed.store(true, Ordering::Relaxed);
         }
     }
 
@@ -197,93 +200,93 @@
         api_key: &str,
         message: &CallMessage,
         record: &mut CallRecord,
-    ) -> Result<Response<Incoming>, CallEnding> {
+    ) -> Result<Response<Incoming>, CallOutcome> {
         let first = self.next.fetch_add(1, Ordering::Relaxed);
-        for turn in 0..self.gateways.len() {
-            let gateway = &self.gateways[(first + turn) % self.gateways.len()];
-            if gateway.is_out.load(Ordering::Relaxed) {
+        for offset in 0..self.gateways.len() {
+            let gateway = &self.gateways[(first + offset) % self.gateways.len()];
+            if gateway.is_removed.load(Ordering::Relaxed) {
                 continue;
             }
             record.gateway.clone_from(&gateway.target.name);
             let request = request_to(gateway.target.address, call, api_key, message);
             match self.client.request(request).await {
                 Ok(response) => return Ok(response),
-                // Nothing was sent, so the balancer may try the next.
+                // No request was sent, so the balancer may try the next gateway.
                 Err(error) if error.is_connect() => continue,
-                Err(_) => return Err(CallEnding::Broken),
+                Err(_) => return Err(CallOutcome::Broken),
             }
         }
-        Err(CallEnding::Unsent)
+        Err(CallOutcome::Unsent)
     }
 }
 
-struct AnswerReader<'a> {
+struct ResponseReader<'a> {
     clock: &'a ProcessClock,
     content: Vec<u8>,
-    last_piece_at: Option<Timestamp>,
+    last_chunk_at: Option<Timestamp>,
 }
 
-impl AnswerReader<'_> {
+impl ResponseReader<'_> {
     async fn read_stream(
         &mut self,
         mut response: Response<Incoming>,
         record: &mut CallRecord,
-    ) -> CallEnding {
+    ) -> CallOutcome {
         let mut parser = SseParser::new();
-        let mut ending = CallEnding::Broken;
+        let mut outcome = CallOutcome::Broken;
         while let Some(frame) = response.body_mut().frame().await {
             let Ok(frame) = frame else {
-                return ending;
+                return outcome;
             };
             let Ok(bytes) = frame.into_data() else {
                 continue;
             };
             for event in parser.push(&bytes) {
                 if event.data == STREAM_END {
-                    ending = CallEnding::Complete;
+                    outcome = CallOutcome::Complete;
                 } else if let Some(problem) = parse_problem(event.data.as_bytes()) {
-                    ending = problem;
+                    outcome = problem;
                 } else {
-                    self.add_piece(&event.data, record);
+                    self.add_chunk(&event.data, record);
                 }
             }
         }
-        ending
+        outcome
     }
 
-    fn add_piece(&mut self, data: &str, record: &mut CallRecord) {
-        let Ok(answer) = serde_json::from_str::<ModelAnswer>(data) else {
+    fn add_chunk(&mut self, data: &str, record: &mut CallRecord) {
+        let Ok(chunk) = serde_json::from_str::<ModelResponse>(data) else {
             return;
         };
-        if answer.text().is_empty() {
+        if chunk.text().is_empty() {
             return;
         }
         let now = self.clock.now();
-        match self.last_piece_at {
+        match self.last_chunk_at {
             Some(last) => record.token_gaps.push(now.saturating_sub(last)),
             None => record.first_token_at = Some(now),
         }
-        self.last_piece_at = Some(now);
-        self.content.extend_from_slice(answer.text().as_bytes());
+        self.last_chunk_at = Some(now);
+        self.content.extend_from_slice(chunk.text().as_bytes());
     }
 
-    async fn read_whole(
+    async fn read_body(
         &mut self,
         response: Response<Incoming>,
         message: &CallMessage,
-    ) -> CallEnding {
+    ) -> CallOutcome {
         let Ok(body) = response.into_body().collect().await else {
-            return CallEnding::Broken;
+            return CallOutcome::Broken;
         };
         let bytes = body.to_bytes();
         if message.bucket.is_none() {
             self.content = bytes.to_vec();
-            return CallEnding::Complete;
+            return CallOutcome::Complete;
         }
-        if let Ok(answer) = serde_json::from_slice::<ModelAnswer>(&bytes) {
+        if let Ok(answer) = serde_json::from_slice::<ModelResponse>(&bytes) {
             self.content = answer.text().as_bytes().to_vec();
         }
-        CallEnding::Complete
+        CallOutcome::Complete
     }
 }
 
@@ -312,12 +315,12 @@
     parse_request_id(value.to_str().ok()?)
 }
 
-async fn read_problem(response: Response<Incoming>) -> CallEnding {
+async fn read_problem(response: Response<Incoming>) -> CallOutcome {
     let Ok(body) = response.into_body().collect().await else {
-        return CallEnding::Broken;
+        return CallOutcome::Broken;
     };
-    // An error that does not say whether the request ran leaves its caller without knowledge.
-    parse_problem(&body.to_bytes()).unwrap_or(CallEnding::Broken)
+    // If an error does not say whether the request ran, the caller cannot know it.
+    parse_problem(&body.to_bytes()).unwrap_or(CallOutcome::Broken)
 }
 
 #[derive(Deserialize)]
@@ -331,12 +334,12 @@
     error: ProblemBody,
 }
 
-/// Reads a problem document, on its own or as the `error` of a stream's last event.
-fn parse_problem(bytes: &[u8]) -> Option<CallEnding> {
+/// Parses a problem document, either a plain one or the `error` field of a stream's last event.
+fn parse_problem(bytes: &[u8]) -> Option<CallOutcome> {
     let problem = serde_json::from_slice::<ProblemBody>(bytes)
         .or_else(|_| serde_json::from_slice::<WrappedProblem>(bytes).map(|wrapped| wrapped.error))
         .ok()?;
-    Some(CallEnding::Problem {
+    Some(CallOutcome::Problem {
         code: problem.code,
         ran: problem.ran,
     })
--- a/lovagedock-standin/src/load/fetch.rs
+++ b/lovagedock-standin/src/load/fetch.rs
@@ -1,4 +1,4 @@
-//! Reads the journals of stand-ins that run as programs of their own.
+//! Fetches the journals of stand-ins that run as separate processes.
 
 use std::{io, net::SocketAddr, str::FromStr, time::Duration};
 
@@ -10,16 +10,16 @@
 
 use super::{
     collect::ClockOrigin,
-    journal::{ExecutionJournal, ExecutionRecord, HoldingRecord},
+    journal::{ExecutionJournal, ExecutionRecord, LeakRecord},
 };
 use crate::{engine::JournalEntry, service::ServiceRun};
 
-/// A stand-in by the name of its endpoint: `NAME=ADDRESS`.
+/// Address of a stand-in with the name of its endpoint, written as `NAME=ADDRESS`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StandinTarget {
-    /// The endpoint.
+    /// Name of the endpoint.
     pub endpoint: EndpointId,
-    /// Where the stand-in listens.
+    /// Address on which the stand-in listens.
     pub address: SocketAddr,
 }
 
@@ -38,10 +38,10 @@
     }
 }
 
-/// Adds the journal of an engine and what it holds now.
+/// Adds the journal of an engine and the blocks that it still has allocated.
 ///
-/// The clock of a program of its own has no known place on the run's clock, so only violations
-/// that need no times can be counted from this journal.
+/// The clock of another process cannot be related to the run's clock. Only violations that do not
+/// depend on times can be counted from this journal.
 pub async fn fetch_engine(
     journal: &mut ExecutionJournal,
     target: &StandinTarget,
@@ -52,10 +52,10 @@
         time_scale: 1.0,
     };
     journal.add_engine_entries(&target.endpoint, &entries, origin);
-    let account: EngineAccount = get(target.address, "/v1/requests").await?;
-    let blocks = account.blocks();
+    let allocations: EngineAllocations = get(target.address, "/v1/requests").await?;
+    let blocks = allocations.blocks();
     if blocks > 0 {
-        journal.holdings.push(HoldingRecord {
+        journal.leaks.push(LeakRecord {
             endpoint: target.endpoint.clone(),
             blocks,
         });
@@ -80,10 +80,10 @@
     Ok(())
 }
 
-/// The account of an engine, in either vendor's words.
+/// List of allocations of an engine, in the format of either vendor.
 #[derive(Deserialize)]
 #[serde(untagged)]
-enum EngineAccount {
+enum EngineAllocations {
     Blocks { requests: Vec<BlockEntry> },
     Tokens { sequences: Vec<TokenEntry> },
 }
@@ -98,7 +98,7 @@
     kv_tokens: u64,
 }
 
-impl EngineAccount {
+impl EngineAllocations {
     fn blocks(&self) -> u64 {
         match self {
             Self::Blocks { requests } => requests.iter().map(|entry| entry.blocks).sum(),
--- a/lovagedock-standin/src/platform/faults.rs
+++ b/lovagedock-standin/src/platform/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of the stand-in platform on command.
+//! Faults that can be injected into the stand-in platform.
 
 use std::time::Duration;
 
@@ -7,39 +7,40 @@
 
 const DEFAULT_DELAY_MS: u64 = 5_000;
 
-/// What goes wrong.
+/// Kind of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// Nothing.
+    /// No fault.
     None,
-    /// Connections are cut before the call has any effect.
+    /// Connections are closed before the call has any effect.
     Down,
-    /// Calls wait before they take effect, and take effect even when the caller has gone.
+    /// Calls are delayed before they take effect. They take effect even if the caller has
+    /// disconnected.
     Slow,
-    /// Writes take effect and the connection is cut in place of an answer.
+    /// Writes take effect, but the connection is closed instead of sending a response.
     LoseConfirmations,
 }
 
 /// Body of `POST /v1/faults`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct FaultOrder {
-    /// What goes wrong.
+pub struct FaultCommand {
+    /// Kind of the fault.
     pub fault: FaultKind,
-    /// For how long; absent means until the next order.
+    /// Duration of the fault in milliseconds; without it the fault lasts until the next command.
     #[serde(default)]
     pub for_ms: Option<u64>,
-    /// Share of the calls that are hit, from 0 to 1.
+    /// Share of the calls that are affected, from 0 to 1.
     #[serde(default = "whole_share")]
     pub share: f64,
-    /// How long slow calls wait.
+    /// Delay of slow calls in milliseconds.
     #[serde(default = "default_delay_ms")]
     pub delay_ms: u64,
 }
 
-impl FaultOrder {
-    /// An order that hits every call until the next order.
+impl FaultCommand {
+    /// Creates a command that affects every call until the next command.
     pub fn new(fault: FaultKind) -> Self {
         Self {
             fault,
@@ -50,56 +51,56 @@
     }
 }
 
-/// The order in force.
+/// State of the active fault.
 #[derive(Debug)]
 pub(crate) struct FaultState {
-    order: FaultOrder,
-    until: Option<Timestamp>,
-    carried: f64,
+    command: FaultCommand,
+    expires_at: Option<Timestamp>,
+    accumulated_share: f64,
 }
 
-/// What happens to one call.
+/// Effect of the active fault on one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum CallFate {
-    Served,
-    Cut,
-    Delayed(Duration),
-    AnswerLost,
+pub(crate) enum FaultEffect {
+    NoFault,
+    Disconnect,
+    Delay(Duration),
+    ResponseLost,
 }
 
 impl FaultState {
     pub(crate) fn new() -> Self {
         Self {
-            order: FaultOrder::new(FaultKind::None),
-            until: None,
-            carried: 0.0,
+            command: FaultCommand::new(FaultKind::None),
+            expires_at: None,
+            accumulated_share: 0.0,
         }
     }
 
-    pub(crate) fn set(&mut self, order: FaultOrder, now: Timestamp) {
-        self.until = order.for_ms.map(|ms| now + Duration::from_millis(ms));
-        self.order = order;
-        self.carried = 0.0;
+    pub(crate) fn set(&mut self, command: FaultCommand, now: Timestamp) {
+        self.expires_at = command.for_ms.map(|ms| now + Duration::from_millis(ms));
+        self.command = command;
+        self.accumulated_share = 0.0;
     }
 
-    /// Decides the fate of a call. Shares are dealt out evenly and not by chance, so that a test
-    /// sees the same calls hit in every run.
-    pub(crate) fn fate(&mut self, is_write: bool, now: Timestamp) -> CallFate {
-        let over = self.until.is_some_and(|until| now >= until);
-        let fate = match self.order.fault {
-            _ if over => return CallFate::Served,
-            FaultKind::None => return CallFate::Served,
-            FaultKind::LoseConfirmations if !is_write => return CallFate::Served,
-            FaultKind::LoseConfirmations => CallFate::AnswerLost,
-            FaultKind::Down => CallFate::Cut,
-            FaultKind::Slow => CallFate::Delayed(Duration::from_millis(self.order.delay_ms)),
+    /// Decides the effect of the active fault on a call. The affected calls are spread evenly and
+    /// not at random, so that the same calls are affected in every run of a test.
+    pub(crate) fn effect(&mut self, is_write: bool, now: Timestamp) -> FaultEffect {
+        let has_expired = self.expires_at.is_some_and(|expires_at| now >= expires_at);
+        let effect = match self.command.fault {
+            _ if has_expired => return FaultEffect::NoFault,
+            FaultKind::None => return FaultEffect::NoFault,
+            FaultKind::LoseConfirmations if !is_write => return FaultEffect::NoFault,
+            FaultKind::LoseConfirmations => FaultEffect::ResponseLost,
+            FaultKind::Down => FaultEffect::Disconnect,
+            FaultKind::Slow => FaultEffect::Delay(Duration::from_millis(self.command.delay_ms)),
         };
-        self.carried += self.order.share;
-        if self.carried < 1.0 {
-            return CallFate::Served;
+        self.accumulated_share += self.command.share;
+        if self.accumulated_share < 1.0 {
+            return FaultEffect::NoFault;
         }
-        self.carried -= 1.0;
-        fate
+        self.accumulated_share -= 1.0;
+        effect
     }
 }
 
