--- a/lovagedock/examples/compare/fleet.rs
+++ b/lovagedock/examples/compare/fleet.rs
@@ -170,7 +170,7 @@
                 Event::Prefilled { engine, start } => self.prefilled(now, engine, start),
                 Event::Decoded { request } => self.decoded(now, request),
                 Event::Snapshot => self.snapshot(now),
-                Event::Report(reports, taken) => self.report(now, &reports, taken),
+                Event::Report(reports, taken_at) => self.report(now, &reports, taken_at),
             }
         }
         let refused: u64 = self.result.refused.iter().sum();
@@ -195,9 +195,9 @@
         }
     }
 
-    fn report(&mut self, now: f64, reports: &[Arc<EndpointReport>], taken: f64) {
+    fn report(&mut self, now: f64, reports: &[Arc<EndpointReport>], taken_at: f64) {
         for gateway in &mut self.gateways {
-            gateway.sent.retain(|(at, _, _)| *at >= taken);
+            gateway.sent.retain(|(at, _, _)| *at >= taken_at);
             for (id, report) in self.ids.iter().zip(reports) {
                 let mut unreported = SentWork::default();
                 for (_, _, work) in gateway.sent.iter().filter(|(_, to, _)| to == id) {
--- a/lovagedock/examples/subset.rs
+++ b/lovagedock/examples/subset.rs
@@ -11,7 +11,7 @@
 
 fn main() {
     println!(
-        "| gateways x endpoints | plan ms | subset least/mean/most | change | sessions moved | of all |"
+        "| gateways x endpoints | plan ms | subset min/mean/max | change | sessions moved | of all |"
     );
     println!("|---|---|---|---|---|---|");
     for (gateways, endpoints) in [(200, 1_250), (400, 2_500), (800, 5_000), (1_600, 10_000)] {
@@ -31,8 +31,8 @@
         .collect();
     let total: usize = sizes.iter().sum();
     let mean = total as f64 / sizes.len() as f64;
-    let least = sizes.iter().min().copied().unwrap_or(0);
-    let most = sizes.iter().max().copied().unwrap_or(0);
+    let min = sizes.iter().min().copied().unwrap_or(0);
+    let max = sizes.iter().max().copied().unwrap_or(0);
     let before = sessions(&plan, &gateways, &endpoints);
     let changes = [
         (
@@ -61,7 +61,7 @@
         let moved = after.difference(&before).count();
         let share = 100.0 * moved as f64 / total as f64;
         println!(
-            "| {gateway_count} x {endpoint_count} | {elapsed:.0} | {least}/{mean:.1}/{most} | {name} | {moved} | {share:.2}% |"
+            "| {gateway_count} x {endpoint_count} | {elapsed:.0} | {min}/{mean:.1}/{max} | {name} | {moved} | {share:.2}% |"
         );
     }
 }
--- a/lovagedock/src/endpoint/answers.rs
+++ b/lovagedock/src/endpoint/answers.rs
@@ -24,36 +24,36 @@
 #[derive(Debug)]
 pub(crate) struct AnswerTable {
     retention: Duration,
-    count: usize,
-    bytes: u64,
-    held_bytes: u64,
+    max_count: usize,
+    max_bytes: u64,
+    retained_bytes: u64,
     answers: BTreeMap<RequestId, EndedAnswer>,
     order: VecDeque<RequestId>,
 }
 
 impl AnswerTable {
     /// Creates an empty table with these bounds.
-    pub(crate) fn new(retention: Duration, count: usize, bytes: u64) -> Self {
+    pub(crate) fn new(retention: Duration, max_count: usize, max_bytes: u64) -> Self {
         Self {
             retention,
-            count,
-            bytes,
-            held_bytes: 0,
+            max_count,
+            max_bytes,
+            retained_bytes: 0,
             answers: BTreeMap::new(),
             order: VecDeque::new(),
         }
     }
 
     /// Replaces the bounds. Answers beyond them are removed by the next expiry.
-    pub(crate) fn set_bounds(&mut self, retention: Duration, count: usize, bytes: u64) {
+    pub(crate) fn set_bounds(&mut self, retention: Duration, max_count: usize, max_bytes: u64) {
         self.retention = retention;
-        self.count = count;
-        self.bytes = bytes;
+        self.max_count = max_count;
+        self.max_bytes = max_bytes;
     }
 
     /// Adds an answer. Each request ends only once.
     pub(crate) fn insert(&mut self, now: Timestamp, key: AttemptKey, end: AnswerEnd) {
-        self.held_bytes += end.length;
+        self.retained_bytes += end.length;
         let expires_at = now + self.retention;
         let answer = EndedAnswer {
             key,
@@ -84,7 +84,7 @@
                 break;
             };
             if let Some(answer) = self.answers.remove(&request) {
-                self.held_bytes -= answer.end.length;
+                self.retained_bytes -= answer.end.length;
                 expired.push(answer);
             }
         }
@@ -103,7 +103,8 @@
     }
 
     fn oldest_is_due(&self, now: Timestamp) -> bool {
-        let over_bounds = self.answers.len() > self.count || self.held_bytes > self.bytes;
+        let over_bounds =
+            self.answers.len() > self.max_count || self.retained_bytes > self.max_bytes;
         over_bounds || self.next_due().is_some_and(|due| due <= now)
     }
 }
--- a/lovagedock/src/endpoint/attempt_control.rs
+++ b/lovagedock/src/endpoint/attempt_control.rs
@@ -14,7 +14,7 @@
         if key.incarnation != self.incarnation {
             return self.push_verdict(key, RevokeVerdict::OtherLife);
         }
-        let phase = self.table.get(&key.request).map(|entry| entry.phase);
+        let phase = self.requests.get(&key.request).map(|entry| entry.phase);
         let verdict = match phase {
             Some(RequestPhase::Starting | RequestPhase::Running) => RevokeVerdict::Running,
             Some(RequestPhase::Queued) => {
@@ -47,12 +47,12 @@
             };
             self.revoked.insert(now, key.request, tombstone);
         }
-        let waits = self.table.get(&key.request);
-        if waits.is_some_and(|entry| entry.key.attempt <= key.attempt) {
+        let entry = self.requests.get(&key.request);
+        if entry.is_some_and(|entry| entry.key.attempt <= key.attempt) {
             let end = AnswerEnd::new(ResultCode::Revoked);
             return self.finish(now, key.request, end, false);
         }
-        if waits.is_none() {
+        if entry.is_none() {
             self.close_reservation(now, key);
         }
     }
@@ -61,7 +61,7 @@
         if key.incarnation != self.incarnation || self.answers.get(key.request).is_some() {
             return;
         }
-        let Some(entry) = self.table.get(&key.request) else {
+        let Some(entry) = self.requests.get(&key.request) else {
             return self.revoke_unstarted(now, key);
         };
         if key.attempt < entry.key.attempt || !entry.ends_without_sink() {
@@ -76,7 +76,7 @@
         let Some(end) = end else {
             return self.actions.push(EndpointAction::NotFound(key));
         };
-        if let Some(entry) = self.table.get_mut(&key.request) {
+        if let Some(entry) = self.requests.get_mut(&key.request) {
             entry.sink_lost = None;
             self.schedule_due(key.request);
         }
@@ -85,7 +85,7 @@
     }
 
     fn resumable(&self, key: AttemptKey, offset: u64) -> Option<Option<AnswerEnd>> {
-        if let Some(entry) = self.table.get(&key.request) {
+        if let Some(entry) = self.requests.get(&key.request) {
             return (entry.key == key && offset <= entry.delivered).then_some(None);
         }
         let answer = self.answers.get(key.request)?;
@@ -94,7 +94,7 @@
     }
 
     pub(super) fn record_sink_loss(&mut self, now: Timestamp, key: AttemptKey) {
-        let Some(entry) = self.table.get_mut(&key.request) else {
+        let Some(entry) = self.requests.get_mut(&key.request) else {
             return;
         };
         if entry.key != key {
--- a/lovagedock/src/endpoint/core.rs
+++ b/lovagedock/src/endpoint/core.rs
@@ -39,7 +39,7 @@
     pub(super) limits: EndpointLimits,
     pub(super) safeguards: EndpointSafeguards,
     pub(super) shares: BTreeMap<OrganisationId, OrganisationShare>,
-    pub(super) table: BTreeMap<RequestId, RequestEntry>,
+    pub(super) requests: BTreeMap<RequestId, RequestEntry>,
     /// Requests that have started and not ended.
     pub(super) started: BTreeSet<RequestId>,
     pub(super) queue: AdmissionQueue,
@@ -73,7 +73,7 @@
             incarnation,
             safeguards: EndpointSafeguards::default(),
             shares: BTreeMap::new(),
-            table: BTreeMap::new(),
+            requests: BTreeMap::new(),
             started: BTreeSet::new(),
             queue: AdmissionQueue::default(),
             ledger: MemoryLedger::new(limits.memory_tokens),
@@ -135,7 +135,7 @@
             EndpointEvent::Reserve { key, tokens, hold } => self.reserve(now, key, tokens, hold),
             EndpointEvent::Renew { key, hold } => self.renew(now, key, hold),
             EndpointEvent::Release(key) => self.release(now, key),
-            EndpointEvent::Drain(leaving) => self.drain(now, leaving),
+            EndpointEvent::Drain(draining) => self.drain(now, draining),
             EndpointEvent::Configure { limits, shares } => self.configure(now, limits, shares),
             EndpointEvent::Tick => {}
         }
@@ -143,7 +143,7 @@
 
     fn start_next(&mut self, now: Timestamp) {
         while self.may_start(now) && self.started.len() < self.concurrency() {
-            let running = || self.started.iter().filter_map(|id| self.table.get(id));
+            let running = || self.started.iter().filter_map(|id| self.requests.get(id));
             let free_at = |need| predict_free(now, need, running(), &self.ledger);
             let capacity = EngineCapacity {
                 memory: self.ledger.memory(),
@@ -154,7 +154,7 @@
             let Some(work) = self.queue.pop(now, capacity, &self.limits, reserve) else {
                 return;
             };
-            let Some(entry) = self.table.get_mut(&work.request) else {
+            let Some(entry) = self.requests.get_mut(&work.request) else {
                 continue;
             };
             self.ledger
@@ -169,21 +169,21 @@
     }
 
     fn may_start(&self, now: Timestamp) -> bool {
-        let leaving = self.draining && self.safeguards.drain_queue;
-        self.engine_up && !leaving && self.knows_engine_state(now)
+        let draining = self.draining && self.safeguards.drain_queue;
+        self.engine_up && !draining && self.engine_state_known(now)
     }
 
     /// Whether the engine has reported its allocations, or the time to wait for them is over.
     ///
     /// After a restart of this sidecar, earlier work may still run on the engine. A start before
     /// the first report could run a request twice or exceed the memory.
-    pub(super) fn knows_engine_state(&self, now: Timestamp) -> bool {
-        self.ledger.memory() == 0 || self.ledger.knows_allocations() || self.allocations_due <= now
+    pub(super) fn engine_state_known(&self, now: Timestamp) -> bool {
+        self.ledger.memory() == 0 || self.ledger.allocations_known() || self.allocations_due <= now
     }
 
     /// Returns the requests that have started and not ended.
     pub(super) fn running(&self) -> impl Iterator<Item = &RequestEntry> {
-        self.started.iter().filter_map(|id| self.table.get(id))
+        self.started.iter().filter_map(|id| self.requests.get(id))
     }
 
     /// Returns the maximum number of running requests.
@@ -194,10 +194,10 @@
         self.limits.concurrency
     }
 
-    fn drain(&mut self, now: Timestamp, leaving: bool) {
-        self.draining = leaving;
+    fn drain(&mut self, now: Timestamp, draining: bool) {
+        self.draining = draining;
         self.drained_reported = false;
-        if !leaving || !self.safeguards.drain_queue {
+        if !draining || !self.safeguards.drain_queue {
             return;
         }
         // Queued requests must not start once the endpoint has announced that it drains. They are
@@ -206,7 +206,7 @@
     }
 
     fn report_drained(&mut self) {
-        let empty = self.table.is_empty() && self.ledger.reserved() == 0;
+        let empty = self.requests.is_empty() && self.ledger.reserved() == 0;
         if !self.draining || self.drained_reported || !empty {
             return;
         }
--- a/lovagedock/src/endpoint/engine.rs
+++ b/lovagedock/src/endpoint/engine.rs
@@ -82,7 +82,8 @@
     /// Frees the memory of a request that had already ended when the engine reported its end. The
     /// end of an attempt that does not hold the memory has no effect.
     fn release_after_late_end(&mut self, key: AttemptKey) {
-        let known = self.table.contains_key(&key.request) || self.ledger.is_reserved(key.request);
+        let known =
+            self.requests.contains_key(&key.request) || self.ledger.is_reserved(key.request);
         if !known && key.incarnation == self.incarnation {
             self.free_memory(key.request);
         }
@@ -106,12 +107,12 @@
             return;
         }
         let orphans: Vec<_> = self.ledger.orphans().collect();
-        let waits = |request: &RequestId| {
-            let entry = self.table.get(request);
+        let is_queued = |request: &RequestId| {
+            let entry = self.requests.get(request);
             entry.is_some_and(RequestEntry::is_queued)
         };
-        let waiting: Vec<_> = orphans.into_iter().filter(waits).collect();
-        for request in waiting {
+        let queued: Vec<_> = orphans.into_iter().filter(is_queued).collect();
+        for request in queued {
             let end = AnswerEnd::new(ResultCode::EndpointLost)
                 .with_detail("an earlier run of the request is being cancelled on the engine");
             self.finish(now, request, end, false);
@@ -212,12 +213,12 @@
     /// Returns the entry of a started attempt. Bytes and ends of other attempts, or of requests
     /// that have already ended, never reach a caller.
     fn started_entry(&mut self, key: AttemptKey) -> Option<&mut RequestEntry> {
-        let entry = self.table.get_mut(&key.request)?;
+        let entry = self.requests.get_mut(&key.request)?;
         (entry.started == Some(key)).then_some(entry)
     }
 
     fn learn_speed(&mut self, now: Timestamp, request: RequestId, answer: &EngineAnswer) {
-        let Some(entry) = self.table.get(&request) else {
+        let Some(entry) = self.requests.get(&request) else {
             return;
         };
         let Some(first) = entry.first_bytes_at else {
--- a/lovagedock/src/endpoint/expiry.rs
+++ b/lovagedock/src/endpoint/expiry.rs
@@ -16,7 +16,7 @@
         self.revoked.expire(now);
         self.refused.expire(now);
         self.expire_requests(now);
-        self.forget_answers(now);
+        self.expire_answers(now);
         self.expire_reservations(now);
         self.collect_memory(now);
     }
@@ -32,7 +32,7 @@
     }
 
     pub(super) fn expire_request(&mut self, now: Timestamp, request: RequestId) {
-        let Some(entry) = self.table.get(&request) else {
+        let Some(entry) = self.requests.get(&request) else {
             return;
         };
         let grace = self.limits.resume_grace;
@@ -62,7 +62,7 @@
 
     /// Sets the time of the next decision about a request.
     pub(super) fn schedule_due(&mut self, request: RequestId) {
-        let Some(entry) = self.table.get_mut(&request) else {
+        let Some(entry) = self.requests.get_mut(&request) else {
             return;
         };
         self.due.remove(&DueRequest {
@@ -82,8 +82,8 @@
 
     pub(super) fn schedule_wake(&mut self) {
         let request = self.due.first().map(|due| due.at);
-        let waits = self.queue.len() > 0 && !self.knows_engine_state(self.now);
-        let allocations = waits.then_some(self.allocations_due);
+        let waits_for_allocations = self.queue.len() > 0 && !self.engine_state_known(self.now);
+        let allocations = waits_for_allocations.then_some(self.allocations_due);
         let answer = self.answers.next_due();
         let collects = self.engine_up && self.safeguards.orphan_collection;
         let memory = self.ledger.next_due().filter(|_| collects);
--- a/lovagedock/src/endpoint/finish.rs
+++ b/lovagedock/src/endpoint/finish.rs
@@ -25,7 +25,7 @@
         mut end: AnswerEnd,
         engine_done: bool,
     ) {
-        let Some(entry) = self.table.remove(&request) else {
+        let Some(entry) = self.requests.remove(&request) else {
             return;
         };
         self.due.remove(&DueRequest {
@@ -42,7 +42,7 @@
         } else {
             self.close_memory(now, request);
         }
-        if self.table.is_empty() {
+        if self.requests.is_empty() {
             self.queue.reset_tags();
         }
         let key = entry.key;
@@ -52,16 +52,16 @@
         });
         if end.ran != RanState::No {
             self.answers.insert(now, key, end);
-            return self.forget_answers(now);
+            return self.expire_answers(now);
         }
-        self.remember_refusal(now, key, &end);
+        self.record_refusal(now, key, &end);
         self.actions.push(EndpointAction::ForgetAnswer(key));
     }
 
     /// Returns the end of a request that no caller is waiting for.
     pub(super) fn abandoned_end(&self, request: RequestId, detail: &str) -> AnswerEnd {
         let queued = self
-            .table
+            .requests
             .get(&request)
             .is_some_and(|entry| entry.is_queued());
         let ran = if queued { RanState::No } else { RanState::Yes };
@@ -70,7 +70,7 @@
             .with_detail(detail)
     }
 
-    pub(super) fn remember_refusal(&mut self, now: Timestamp, key: AttemptKey, end: &AnswerEnd) {
+    pub(super) fn record_refusal(&mut self, now: Timestamp, key: AttemptKey, end: &AnswerEnd) {
         if !self.safeguards.tombstones {
             return;
         }
@@ -82,18 +82,18 @@
         self.refused.insert(now, key.request, tombstone);
     }
 
-    pub(super) fn forget_answers(&mut self, now: Timestamp) {
+    pub(super) fn expire_answers(&mut self, now: Timestamp) {
         for answer in self.answers.expire(now) {
             // A submit that arrives after this must not run the request a second time.
             let end = AnswerEnd::new(ResultCode::AnswerLost).with_ran(answer.end.ran);
-            self.remember_refusal(now, answer.key, &end);
+            self.record_refusal(now, answer.key, &end);
             self.actions.push(EndpointAction::ForgetAnswer(answer.key));
         }
     }
 
     /// Ends all queued requests.
     pub(super) fn finish_queued(&mut self, now: Timestamp, code: ResultCode) {
-        let queued = self.table.values().filter(|entry| entry.is_queued());
+        let queued = self.requests.values().filter(|entry| entry.is_queued());
         let queued: Vec<_> = queued.map(|entry| entry.key.request).collect();
         for request in queued {
             self.finish(now, request, AnswerEnd::new(code), false);
--- a/lovagedock/src/endpoint/ledger.rs
+++ b/lovagedock/src/endpoint/ledger.rs
@@ -111,7 +111,7 @@
 
     /// Whether the engine has reported its allocations since the sidecar started or last lost the
     /// engine.
-    pub fn knows_allocations(&self) -> bool {
+    pub fn allocations_known(&self) -> bool {
         self.allocations_known
     }
 
--- a/lovagedock/src/endpoint/reconcile.rs
+++ b/lovagedock/src/endpoint/reconcile.rs
@@ -36,14 +36,17 @@
     /// or again.
     pub fn collect(&mut self, now: Timestamp, grace: Duration, retry: Duration) -> Vec<RequestId> {
         let allocations_known = self.allocations_known;
-        let lost = |lease: &MemoryLease| match lease.state {
+        let is_unconfirmed = |lease: &MemoryLease| match lease.state {
             LeaseState::Closing { since, .. } => !allocations_known && since + grace <= now,
             _ => false,
         };
         // There is no way to check the memory of an engine that neither lists its allocations nor
         // confirms cancellations. The lease is removed after the grace period, since a lost
         // confirmation would otherwise occupy the memory for good.
-        let unconfirmed = self.leases.iter().filter(|(_, lease)| lost(lease));
+        let unconfirmed = self
+            .leases
+            .iter()
+            .filter(|(_, lease)| is_unconfirmed(lease));
         let unconfirmed: Vec<_> = unconfirmed.map(|(request, _)| *request).collect();
         for request in unconfirmed {
             self.release(request);
--- a/lovagedock/src/endpoint/reserve.rs
+++ b/lovagedock/src/endpoint/reserve.rs
@@ -21,16 +21,16 @@
             if !enough || key.attempt < reservation.attempt || !self.is_own_incarnation(key) {
                 return self.refuse_reservation(key);
             }
-            return self.hold_reservation(now, key, tokens, hold);
+            return self.grant_reservation(now, key, tokens, hold);
         }
         if !self.may_reserve(now, key, tokens) {
             return self.refuse_reservation(key);
         }
         self.queue.record_external_grant(key.request, tokens);
-        self.hold_reservation(now, key, tokens, hold);
+        self.grant_reservation(now, key, tokens, hold);
     }
 
-    fn hold_reservation(
+    fn grant_reservation(
         &mut self,
         now: Timestamp,
         key: AttemptKey,
@@ -51,11 +51,11 @@
     /// A span that waited here while holding memory on other engines could deadlock with another
     /// span.
     fn may_reserve(&self, now: Timestamp, key: AttemptKey, tokens: TokenCount) -> bool {
-        let known = self.table.contains_key(&key.request)
+        let known = self.requests.contains_key(&key.request)
             || self.ledger.lease(key.request).is_some()
             || self.ledger.is_orphan(key.request)
             || self.tombstone_refusal(key).is_some();
-        let serving = self.engine_up && !self.draining && self.knows_engine_state(now);
+        let serving = self.engine_up && !self.draining && self.engine_state_known(now);
         let fits = tokens <= self.ledger.free();
         let percent = TokenCount::from(self.limits.span_share_percent);
         let share = self.ledger.memory() * percent / 100;
@@ -73,7 +73,7 @@
     /// Memory held by spans, both reserved and running.
     fn span_tokens(&self) -> TokenCount {
         let running = self
-            .table
+            .requests
             .values()
             .filter(|entry| !entry.order.span.is_empty());
         let leases = running.filter_map(|entry| self.ledger.lease(entry.key.request));
@@ -84,7 +84,7 @@
         if !self.holds_reservation(key) {
             return self.refuse_reservation(key);
         }
-        self.hold_reservation(now, key, 0, hold);
+        self.grant_reservation(now, key, 0, hold);
     }
 
     pub(super) fn release(&mut self, now: Timestamp, key: AttemptKey) {
--- a/lovagedock/src/endpoint/snapshot.rs
+++ b/lovagedock/src/endpoint/snapshot.rs
@@ -142,7 +142,7 @@
             all: slot,
             short: slot,
         };
-        for entry in self.table.values() {
+        for entry in self.requests.values() {
             let left = entry.prefill_left(now);
             backlog.all += left;
             if long_tokens == 0 || entry.order.prompt_tokens < long_tokens {
@@ -171,7 +171,7 @@
 
     /// Returns the newest attempt of a queued or running request.
     pub fn current_attempt(&self, request: RequestId) -> Option<AttemptKey> {
-        self.table.get(&request).map(|entry| entry.key)
+        self.requests.get(&request).map(|entry| entry.key)
     }
 
     /// Returns the newest attempts of all running requests.
@@ -186,7 +186,7 @@
             load: self.load(),
             waiting_head: self.queue.waiting_head().map(format_request_id),
             orphans: self.ledger.orphans().map(format_request_id).collect(),
-            requests: self.table.values().map(request_snapshot).collect(),
+            requests: self.requests.values().map(request_snapshot).collect(),
         }
     }
 }
--- a/lovagedock/src/endpoint/submit.rs
+++ b/lovagedock/src/endpoint/submit.rs
@@ -31,7 +31,7 @@
         self.apply_share(&mut order);
         match self.admission_error(now, &order) {
             Some(end) => {
-                self.remember_refusal(now, key, &end);
+                self.record_refusal(now, key, &end);
                 self.refuse(key, end);
             }
             None => self.admit(now, order),
@@ -49,7 +49,7 @@
     /// second time while the first run continues, and the caller would get two mixed answers or a
     /// receipt twice.
     fn resolve_duplicate(&mut self, key: AttemptKey) -> bool {
-        if let Some(entry) = self.table.get_mut(&key.request) {
+        if let Some(entry) = self.requests.get_mut(&key.request) {
             if key.attempt < entry.key.attempt {
                 let ran = match entry.phase {
                     RequestPhase::Queued => RanState::No,
@@ -186,7 +186,7 @@
         let key = order.key;
         if self.queue.len() >= self.limits.queue_length && !self.shed_lower(now, &order) {
             let end = AnswerEnd::new(ResultCode::Shed).with_retry_after(self.retry_after());
-            self.remember_refusal(now, key, &end);
+            self.record_refusal(now, key, &end);
             return self.refuse(key, end);
         }
         let need = self.need(&order);
@@ -208,7 +208,7 @@
             },
         );
         let entry = RequestEntry::new(now, order, need, cost, deadline);
-        self.table.insert(key.request, entry);
+        self.requests.insert(key.request, entry);
         self.schedule_due(key.request);
         self.actions.push(EndpointAction::Accept(key));
     }
--- a/lovagedock/src/endpoint/tombstones.rs
+++ b/lovagedock/src/endpoint/tombstones.rs
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 pub(crate) struct TombstoneTable {
     retention: Duration,
-    count: usize,
+    max_count: usize,
     tombstones: BTreeMap<RequestId, StoredTombstone>,
     order: VecDeque<ExpiryMark>,
     forgotten_early: u64,
@@ -60,10 +60,10 @@
 
 impl TombstoneTable {
     /// Creates an empty table with these bounds.
-    pub(crate) fn new(retention: Duration, count: usize) -> Self {
+    pub(crate) fn new(retention: Duration, max_count: usize) -> Self {
         Self {
             retention,
-            count,
+            max_count,
             tombstones: BTreeMap::new(),
             order: VecDeque::new(),
             forgotten_early: 0,
@@ -71,9 +71,9 @@
     }
 
     /// Replaces the bounds.
-    pub(crate) fn set_bounds(&mut self, retention: Duration, count: usize) {
+    pub(crate) fn set_bounds(&mut self, retention: Duration, max_count: usize) {
         self.retention = retention;
-        self.count = count;
+        self.max_count = max_count;
         self.trim();
     }
 
@@ -127,7 +127,7 @@
     }
 
     fn trim(&mut self) {
-        while self.order.len() > self.count {
+        while self.order.len() > self.max_count {
             if self.drop_oldest() {
                 self.forgotten_early += 1;
             }
--- a/lovagedock/src/limits/limiter.rs
+++ b/lovagedock/src/limits/limiter.rs
@@ -173,7 +173,7 @@
             return Vec::new();
         }
         self.peers.record_sent(now, self.sequence);
-        let peers: Vec<GatewayId> = self.peers.names().cloned().collect();
+        let peers: Vec<GatewayId> = self.peers.ids().cloned().collect();
         let report = |peer: GatewayId| LimitAction::Report {
             report: self.report_to(&peer),
             peer,
@@ -246,7 +246,7 @@
             Some(others) if own > 0 => own as f64 / (own + others) as f64,
             _ => 0.0,
         };
-        let equal = 1.0 / self.peers.gateways() as f64;
+        let equal = 1.0 / self.peers.gateway_count() as f64;
         let variable = match self.peers.stage() {
             ShareStage::ByDemand => by_demand,
             ShareStage::Minimum | ShareStage::Silent => by_demand.min(equal),
--- a/lovagedock/src/limits/peers.rs
+++ b/lovagedock/src/limits/peers.rs
@@ -94,11 +94,11 @@
         self.stage
     }
 
-    pub(super) fn gateways(&self) -> usize {
+    pub(super) fn gateway_count(&self) -> usize {
         self.peers.len() + 1
     }
 
-    pub(super) fn names(&self) -> impl Iterator<Item = &GatewayId> {
+    pub(super) fn ids(&self) -> impl Iterator<Item = &GatewayId> {
         self.peers.keys()
     }
 
--- a/lovagedock/src/outlier.rs
+++ b/lovagedock/src/outlier.rs
@@ -253,11 +253,11 @@
 impl OutlierRecord {
     fn eject(&mut self, now: Timestamp, settings: &OutlierSettings) {
         let doublings = self.ejections.min(MAX_DOUBLINGS);
-        let length = settings.base_ejection * (1 << doublings);
+        let duration = settings.base_ejection * (1 << doublings);
         self.ejections = self.ejections.saturating_add(1);
         self.failures = 0;
         self.state = OutlierState::Ejected {
-            until: now + length.min(settings.max_ejection),
+            until: now + duration.min(settings.max_ejection),
         };
     }
 }
--- a/lovagedock/src/placement/layout.rs
+++ b/lovagedock/src/placement/layout.rs
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 struct LayoutDomain {
     id: DomainId,
-    usable: usize,
+    accepting: usize,
 }
 
 impl PoolLayout {
@@ -42,8 +42,8 @@
     /// Whether long prompts may use the endpoint if they may use `share` of each failure domain.
     pub(super) fn in_long_share(&self, index: usize, share: f64) -> bool {
         let entry = &self.entries[index];
-        let usable = self.domains[entry.domain].usable;
-        entry.rank < long_count(usable, share)
+        let accepting = self.domains[entry.domain].accepting;
+        entry.rank < long_count(accepting, share)
     }
 
     fn matches(&self, pool: &PoolView<'_>) -> bool {
@@ -67,10 +67,10 @@
                 rank: usize::MAX,
             });
         }
-        self.rank_usable();
+        self.rank_accepting();
     }
 
-    fn rank_usable(&mut self) {
+    fn rank_accepting(&mut self) {
         let mut order: Vec<(u64, usize)> = self
             .entries
             .iter()
@@ -82,8 +82,8 @@
         for (_, index) in order {
             let entry = &mut self.entries[index];
             let domain = &mut self.domains[entry.domain];
-            entry.rank = domain.usable;
-            domain.usable += 1;
+            entry.rank = domain.accepting;
+            domain.accepting += 1;
         }
     }
 
@@ -92,7 +92,7 @@
         known.unwrap_or_else(|| {
             self.domains.push(LayoutDomain {
                 id: id.clone(),
-                usable: 0,
+                accepting: 0,
             });
             self.domains.len() - 1
         })
@@ -108,7 +108,7 @@
 
 /// Number of endpoints that long prompts may use. It is rounded down in favour of short prompts,
 /// but is at least one, so that long prompts can be placed even in the smallest failure domain.
-fn long_count(usable: usize, share: f64) -> usize {
-    let count = (usable as f64 * share) as usize;
-    count.clamp(1, usable.max(1))
+fn long_count(accepting: usize, share: f64) -> usize {
+    let count = (accepting as f64 * share) as usize;
+    count.clamp(1, accepting.max(1))
 }
--- a/lovagedock/src/placement/length_aware.rs
+++ b/lovagedock/src/placement/length_aware.rs
@@ -136,8 +136,8 @@
         };
         let cost = cost_of(&pool.endpoints[first]);
         let prefill = cost.prefill_seconds(request.prompt_tokens, 0);
-        let each = prefill / members.len() as f64;
-        let first_token = queues[members.len() - 1] + each;
+        let prefill_per_member = prefill / members.len() as f64;
+        let first_token = queues[members.len() - 1] + prefill_per_member;
         let finish = first_token + learned_decode_seconds(request, &pool.endpoints[first]);
         if let Some(refusal) = refuse_if_late(finish, request) {
             return refusal;
@@ -330,12 +330,12 @@
 }
 
 fn pool_activity(pool: &PoolView<'_>) -> PoolActivity {
-    let mut usable = 0_u32;
+    let mut accepting = 0_u32;
     let mut busy = 0_u32;
     let mut all = 0.0;
     let mut short = 0.0;
     for view in pool.endpoints.iter().filter(|view| view.accepts_work()) {
-        usable += 1;
+        accepting += 1;
         let Some(report) = &view.report else {
             continue;
         };
@@ -346,7 +346,7 @@
         }
     }
     PoolActivity {
-        busy: f64::from(busy) / f64::from(usable.max(1)),
+        busy: f64::from(busy) / f64::from(accepting.max(1)),
         overtaking: (all > 0.0).then(|| (1.0 - short / all).clamp(0.0, 1.0)),
     }
 }
--- a/lovagedock/src/placement/span.rs
+++ b/lovagedock/src/placement/span.rs
@@ -88,8 +88,8 @@
     let mut parts = vec![0; selected.len()];
     let mut remaining = need;
     for (assigned, position) in smallest_first.into_iter().enumerate() {
-        let others = (selected.len() - assigned) as TokenCount;
-        parts[position] = remaining.div_ceil(others).min(selected[position].1);
+        let unassigned = (selected.len() - assigned) as TokenCount;
+        parts[position] = remaining.div_ceil(unassigned).min(selected[position].1);
         remaining -= parts[position];
     }
     let members = selected.iter().zip(parts);
--- a/lovagedock/src/subset.rs
+++ b/lovagedock/src/subset.rs
@@ -134,8 +134,8 @@
         let mut table = LoadTable::new(gateways);
         for domain in domains {
             let count = endpoints.iter().filter(|e| e.domain == domain.id).count();
-            let picks = count * self.settings.own_domain_gateways.min(domain.members.len());
-            let limit = self.load_limit(picks, domain.members.len());
+            let assignments = count * self.settings.own_domain_gateways.min(domain.members.len());
+            let limit = self.load_limit(assignments, domain.members.len());
             for (gateway, _) in &domain.members {
                 table.limits[*gateway] = limit;
             }
@@ -149,7 +149,7 @@
         gateways: usize,
         endpoints: &[SubsetMember],
     ) -> LoadTable {
-        let picks = endpoints
+        let assignments = endpoints
             .iter()
             .map(|endpoint| {
                 let own = domains.iter().find(|domain| domain.id == endpoint.domain);
@@ -159,13 +159,13 @@
             })
             .sum();
         let mut table = LoadTable::new(gateways);
-        table.limits.fill(self.load_limit(picks, gateways));
+        table.limits.fill(self.load_limit(assignments, gateways));
         table
     }
 
-    fn load_limit(&self, picks: usize, gateways: usize) -> usize {
+    fn load_limit(&self, assignments: usize, gateways: usize) -> usize {
         let slack = 100 + self.settings.slack_percent;
-        (picks * slack).div_ceil(100 * gateways.max(1)).max(1)
+        (assignments * slack).div_ceil(100 * gateways.max(1)).max(1)
     }
 }
 
--- a/lovagedock/tests/endpoint_properties.rs
+++ b/lovagedock/tests/endpoint_properties.rs
@@ -90,7 +90,7 @@
                 drain_queue: false,
                 ..on
             },
-            expected: Violation::StartedWhileLeaving,
+            expected: Violation::StartedWhileDraining,
         },
     ]
 }
--- a/lovagedock/tests/endpoint_scenarios.rs
+++ b/lovagedock/tests/endpoint_scenarios.rs
@@ -1,8 +1,8 @@
 //! Scripted scenarios of a sidecar with gateway requests, engine events and faults.
 //!
-//! The scripts are in `scenarios/endpoint`. The directive `world` starts a sidecar. The directive
-//! `run` applies one event per line, each with its time, and prints the resulting actions of the
-//! sidecar with their times.
+//! The scripts are in `scenarios/endpoint`. The directive `scenario` starts a sidecar. The
+//! directive `run` applies one event per line, each with its time, and prints the resulting actions
+//! of the sidecar with their times.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -211,7 +211,7 @@
         Some("interactive") => PriorityTier::Interactive,
         _ => PriorityTier::Standard,
     };
-    let spans = line.words.contains(&"span");
+    let is_span = line.words.contains(&"span");
     WorkOrder {
         key: line.key(1),
         service: "service".into(),
@@ -228,7 +228,11 @@
         answer_tokens: line.number("answer", 0),
         non_idempotent: line.words.contains(&"non-idempotent"),
         predicted: Duration::ZERO,
-        span: if spans { vec!["a".into()] } else { Vec::new() },
+        span: if is_span {
+            vec!["a".into()]
+        } else {
+            Vec::new()
+        },
     }
 }
 
@@ -301,11 +305,14 @@
     walk("tests/scenarios/endpoint", |file| {
         let mut scenario = None;
         file.run(|case| match case.directive.as_str() {
-            "world" => {
+            "scenario" => {
                 scenario = Some(Scenario::new(case));
                 String::new()
             }
-            "run" => scenario.as_mut().expect("world first").run(&case.input),
+            "run" => scenario
+                .as_mut()
+                .expect("the directive `scenario` must come first")
+                .run(&case.input),
             other => panic!("unknown directive: {other}"),
         });
     });
--- a/lovagedock/tests/limit_properties.rs
+++ b/lovagedock/tests/limit_properties.rs
@@ -52,7 +52,7 @@
     in_flight: u32,
 }
 
-fn run_phases(phases: &[Phase], delays: &[u64], hold_ms: u64) -> Excess {
+fn run_phases(phases: &[Phase], delays: &[u64], request_duration_ms: u64) -> Excess {
     let mut group = GatewayGroup::new(GATEWAYS, delays.to_vec());
     let mut requests = LeakyBucket::new(f64::from(LIMITS.requests_per_second));
     let mut tokens = LeakyBucket::new(LIMITS.tokens_per_minute as f64 / 60.0);
@@ -66,7 +66,7 @@
             group.restart(index);
         }
         for _ in 0..PHASE_STEPS {
-            group.step(&phase.arrivals, hold_ms);
+            group.step(&phase.arrivals, request_duration_ms);
             requests.add(group.admitted_in_step as f64);
             tokens.add((group.admitted_in_step * REQUEST_TOKENS) as f64);
             for kind in [
@@ -108,11 +108,16 @@
         ..ProptestConfig::default()
     };
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
-    let hold_ms = prop_oneof![Just(600u64), Just(4000u64)];
-    let strategy = (phases(), prop::collection::vec(1..400u64, 7), hold_ms);
-    let outcome =
-        TestRunner::new_with_rng(config, rng).run(&strategy, |(phases, delays, hold_ms)| {
-            let excess = run_phases(&phases, &delays, hold_ms);
+    let request_duration_ms = prop_oneof![Just(600u64), Just(4000u64)];
+    let strategy = (
+        phases(),
+        prop::collection::vec(1..400u64, 7),
+        request_duration_ms,
+    );
+    let outcome = TestRunner::new_with_rng(config, rng).run(
+        &strategy,
+        |(phases, delays, request_duration_ms)| {
+            let excess = run_phases(&phases, &delays, request_duration_ms);
             let restarts = phases
                 .iter()
                 .filter(|phase| phase.restart.is_some())
@@ -140,7 +145,8 @@
                 "{excess:?}"
             );
             Ok(())
-        });
+        },
+    );
     if let Err(error) = outcome {
         panic!("{error}");
     }
@@ -152,7 +158,7 @@
     cut_off: Option<usize>,
     stage: ShareStage,
     /// Minimum number of requests admitted per second.
-    at_least: f64,
+    min_per_second: f64,
 }
 
 // Measures how much of the limit is used within ten seconds, after ten seconds of the same demand.
@@ -164,28 +170,28 @@
             arrivals: [10, 0, 0, 0],
             cut_off: None,
             stage: ShareStage::ByDemand,
-            at_least: 80.0,
+            min_per_second: 80.0,
         },
         ShareCase {
             name: "demand spread",
             arrivals: [10, 10, 10, 10],
             cut_off: None,
             stage: ShareStage::ByDemand,
-            at_least: 90.0,
+            min_per_second: 90.0,
         },
         ShareCase {
             name: "an unreachable peer: equal shares, the share of the peer is unused",
             arrivals: [10, 10, 10, 0],
             cut_off: Some(3),
             stage: ShareStage::Equal,
-            at_least: 70.0,
+            min_per_second: 70.0,
         },
         ShareCase {
             name: "an unreachable peer, all demand at one gateway: only its equal share",
             arrivals: [10, 0, 0, 0],
             cut_off: Some(3),
             stage: ShareStage::Equal,
-            at_least: 23.0,
+            min_per_second: 23.0,
         },
     ];
     for case in cases {
@@ -213,7 +219,7 @@
             case.name
         );
         assert!(
-            admitted >= case.at_least,
+            admitted >= case.min_per_second,
             "{}: {admitted} a second",
             case.name
         );
--- a/lovagedock/tests/limit_support/mod.rs
+++ b/lovagedock/tests/limit_support/mod.rs
@@ -84,7 +84,7 @@
     }
 
     /// Runs one step: delivers messages, ends requests, adds new requests and runs due exchanges.
-    pub(crate) fn step(&mut self, arrivals: &[u64], hold_ms: u64) {
+    pub(crate) fn step(&mut self, arrivals: &[u64], request_duration_ms: u64) {
         self.now += STEP_MS;
         self.admitted_in_step = 0;
         self.deliver();
@@ -92,7 +92,7 @@
         for (index, arrivals) in arrivals.iter().enumerate().take(self.gateways.len()) {
             self.end_requests(index);
             for _ in 0..*arrivals {
-                self.arrive(index, hold_ms);
+                self.arrive(index, request_duration_ms);
             }
             // Gateways run their exchanges at different times.
             if (self.now / STEP_MS + 3 * index as u64).is_multiple_of(10) {
@@ -102,13 +102,13 @@
         }
     }
 
-    fn arrive(&mut self, index: usize, hold_ms: u64) {
+    fn arrive(&mut self, index: usize, request_duration_ms: u64) {
         let now = Duration::from_millis(self.now);
         let gateway = &mut self.gateways[index];
         match gateway.limiter.admit(now, &organisation(), REQUEST_TOKENS) {
             LimitDecision::Admitted => {
                 gateway.admitted += 1;
-                gateway.ends.push(self.now + hold_ms);
+                gateway.ends.push(self.now + request_duration_ms);
                 self.admitted_in_step += 1;
             }
             LimitDecision::Refused { .. } => gateway.refused += 1,
--- a/lovagedock/tests/loaded_memory.rs
+++ b/lovagedock/tests/loaded_memory.rs
@@ -15,7 +15,7 @@
     EngineDown,
 }
 
-struct MemoryCase {
+struct ArtifactsCase {
     name: &'static str,
     steps: Vec<Step>,
     /// Model, adapters, and `?` if the outcome of a model load is unknown.
@@ -30,9 +30,9 @@
     LoadOrder::Adapter(Artifact::new(ADAPTER, version))
 }
 
-fn cases() -> Vec<MemoryCase> {
+fn cases() -> Vec<ArtifactsCase> {
     use Step::{Begin, Confirm, EngineDown, Report, Withdraw};
-    let case = |name, expected, steps| MemoryCase {
+    let case = |name, expected, steps| ArtifactsCase {
         name,
         steps,
         expected,
@@ -85,36 +85,36 @@
     ]
 }
 
-fn show(memory: &LoadedArtifacts) -> String {
-    let Some(set) = memory.current() else {
+fn show(loaded: &LoadedArtifacts) -> String {
+    let Some(set) = loaded.current() else {
         return "nothing".to_owned();
     };
     let artifacts = std::iter::once(&set.model).chain(&set.adapters);
     let mut shown: Vec<String> = artifacts
-        .map(|it| format!("{}={}", it.id, it.version))
+        .map(|artifact| format!("{}={}", artifact.id, artifact.version))
         .collect();
-    if memory.is_unsettled() {
+    if loaded.is_unsettled() {
         shown.push("?".to_owned());
     }
     shown.join(" ")
 }
 
 #[test]
-fn loaded_memory_follows_orders_and_reports() {
+fn loaded_artifacts_follow_orders_and_reports() {
     for case in cases() {
-        let mut memory = LoadedArtifacts::new();
+        let mut loaded = LoadedArtifacts::new();
         for step in case.steps {
             match step {
                 Step::Report(at, model, adapters) => {
                     let adapters: Vec<String> = adapters.iter().map(ToString::to_string).collect();
-                    memory.report(Duration::from_secs(at), model, &adapters);
+                    loaded.report(Duration::from_secs(at), model, &adapters);
                 }
-                Step::Begin(order) => memory.begin(&order),
-                Step::Confirm(at, order) => memory.confirm(Duration::from_secs(at), order),
-                Step::Withdraw => memory.withdraw(),
-                Step::EngineDown => memory.forget(),
+                Step::Begin(order) => loaded.begin(&order),
+                Step::Confirm(at, order) => loaded.confirm(Duration::from_secs(at), order),
+                Step::Withdraw => loaded.withdraw(),
+                Step::EngineDown => loaded.forget(),
             }
         }
-        assert_eq!(show(&memory), case.expected, "{}", case.name);
+        assert_eq!(show(&loaded), case.expected, "{}", case.name);
     }
 }
--- a/lovagedock/tests/placement.rs
+++ b/lovagedock/tests/placement.rs
@@ -114,8 +114,8 @@
     sent.record_sent(&id(0), work);
     let mut ejected = pool(2, |_| idle_report());
     ejected.set_ejected(&id(0), true);
-    let mut leaving = pool(2, |_| idle_report());
-    leaving.set_usable(&id(0), false);
+    let mut unusable = pool(2, |_| idle_report());
+    unusable.set_usable(&id(0), false);
     let cases = [
         Case {
             name: "own failure domain",
@@ -182,7 +182,7 @@
         },
         Case {
             name: "draining or without a session",
-            pool: leaving,
+            pool: unusable,
             prompt: 1_000,
             expected: "e01",
         },
--- a/lovagedock/tests/retry_budget.rs
+++ b/lovagedock/tests/retry_budget.rs
@@ -18,23 +18,23 @@
     struct OutageCase {
         requests: u32,
         successes: u32,
-        most_retries: u32,
+        max_retries: u32,
     }
     let cases = [
         OutageCase {
             requests: 1000,
             successes: 0,
-            most_retries: 30,
+            max_retries: 30,
         },
         OutageCase {
             requests: 1000,
             successes: 500,
-            most_retries: 80,
+            max_retries: 80,
         },
         OutageCase {
             requests: 1000,
             successes: 1000,
-            most_retries: 130,
+            max_retries: 130,
         },
     ];
     for case in cases {
@@ -48,9 +48,9 @@
             retries += u32::from(budget.try_consume(now));
         }
         assert!(
-            retries <= case.most_retries,
+            retries <= case.max_retries,
             "{retries} of {}",
-            case.most_retries
+            case.max_retries
         );
         assert!(
             retries >= 20,
--- a/lovagedock/tests/subset.rs
+++ b/lovagedock/tests/subset.rs
@@ -103,7 +103,7 @@
         let endpoints = members("e", endpoints, domains);
         let planner = SubsetPlanner::new(SETTINGS);
         let plan = planner.plan(&gateways, &endpoints);
-        let mut picks = 0;
+        let mut assignments = 0;
         for (index, endpoint) in endpoints.iter().enumerate() {
             let chosen = plan.gateways_of(index);
             let distinct: BTreeSet<_> = chosen.iter().collect();
@@ -116,12 +116,12 @@
                 .filter(|domain| **domain != endpoint.domain)
                 .collect();
             prop_assert_eq!(elsewhere.len(), 2.min(domains - 1), "other gateways spread over failure domains");
-            picks += chosen.len();
+            assignments += chosen.len();
         }
-        let mean = picks as f64 / gateways.len() as f64;
-        let most = (0..gateways.len()).map(|g| plan.endpoints_of(g).len()).max().unwrap_or(0);
+        let mean = assignments as f64 / gateways.len() as f64;
+        let max_load = (0..gateways.len()).map(|g| plan.endpoints_of(g).len()).max().unwrap_or(0);
         // Domains may differ by one endpoint; the rest of the bound is slack and rounding.
-        prop_assert!(most as f64 <= mean * 1.1 * 1.2 + 4.0, "{most} of mean {mean}");
+        prop_assert!(max_load as f64 <= mean * 1.1 * 1.2 + 4.0, "{max_load} of mean {mean}");
 
         let lost = lost % gateways.len();
         let mut fewer = gateways.clone();
--- a/lovagedock/tests/support/endpoint_simulation.rs
+++ b/lovagedock/tests/support/endpoint_simulation.rs
@@ -25,7 +25,7 @@
 pub(crate) enum Violation {
     StartedTwice,
     StartedAfterNotRun,
-    StartedWhileLeaving,
+    StartedWhileDraining,
     LedgerInconsistent,
     NoEndInTime,
     EndedTwice,
@@ -57,7 +57,7 @@
     engine: BTreeMap<RequestId, EngineRun>,
     last_allocations: Vec<EngineAllocation>,
     last_end: Option<EndpointEvent>,
-    lose_cancels: u32,
+    cancels_to_lose: u32,
     pending: Vec<EndpointEvent>,
     remaining: Duration,
     open: BTreeMap<RequestId, OpenRequest>,
@@ -83,7 +83,7 @@
             engine: BTreeMap::new(),
             last_allocations: Vec::new(),
             last_end: None,
-            lose_cancels: 0,
+            cancels_to_lose: 0,
             pending: Vec::new(),
             remaining: Duration::ZERO,
             open: BTreeMap::new(),
@@ -102,7 +102,7 @@
         for step in steps {
             self.apply_step(step);
         }
-        self.lose_cancels = 0;
+        self.cancels_to_lose = 0;
         self.advance(self.now + SETTLE);
         if !self.engine.is_empty() || self.core.ledger().leased() > 0 {
             self.violations.insert(Violation::NotEmptyAtEnd);
@@ -150,8 +150,8 @@
             Step::StaleAllocations => self.handle_event(EndpointEvent::EngineAllocations(
                 self.last_allocations.clone(),
             )),
-            Step::LoseCancels(count) => self.lose_cancels = *count,
-            Step::EngineDies => {
+            Step::LoseCancels(count) => self.cancels_to_lose = *count,
+            Step::EngineCrashes => {
                 self.engine.clear();
                 self.reconnect_engine();
             }
@@ -167,9 +167,9 @@
             }
             Step::Release(key) => self.handle_event(EndpointEvent::Release(attempt_key(key))),
             Step::Segment(key) => self.segment(attempt_key(key)),
-            Step::Drain(leaving) => {
-                self.draining = *leaving;
-                self.handle_event(EndpointEvent::Drain(*leaving));
+            Step::Drain(draining) => {
+                self.draining = *draining;
+                self.handle_event(EndpointEvent::Drain(*draining));
             }
         }
     }
@@ -311,11 +311,11 @@
     }
 
     fn allocations(&self) -> Vec<EngineAllocation> {
-        let holdings = self.engine.iter().map(|(request, run)| EngineAllocation {
+        let allocations = self.engine.iter().map(|(request, run)| EngineAllocation {
             request: *request,
             tokens: run.tokens,
         });
-        holdings.collect()
+        allocations.collect()
     }
 
     fn handle_event(&mut self, event: EndpointEvent) {
@@ -383,13 +383,13 @@
             self.violations.insert(Violation::StartedAfterNotRun);
         }
         if self.draining {
-            self.violations.insert(Violation::StartedWhileLeaving);
+            self.violations.insert(Violation::StartedWhileDraining);
         }
-        let segment = |run: &EngineRun| !self.starts.contains(&run.key);
-        let beside = self.engine.get(&key.request);
-        let beside = beside.is_some_and(|run| !segment(run));
-        let again = !self.ran.insert(key.request);
-        if !self.starts.insert(*key) || beside || again {
+        let is_segment = |run: &EngineRun| !self.starts.contains(&run.key);
+        let existing = self.engine.get(&key.request);
+        let already_running = existing.is_some_and(|run| !is_segment(run));
+        let already_ran = !self.ran.insert(key.request);
+        if !self.starts.insert(*key) || already_running || already_ran {
             self.violations.insert(Violation::StartedTwice);
         }
         let run = EngineRun {
@@ -403,8 +403,8 @@
 
     fn check_cancel(&mut self, request: RequestId) {
         self.unowned_since.insert(request, self.now);
-        if self.lose_cancels > 0 {
-            self.lose_cancels -= 1;
+        if self.cancels_to_lose > 0 {
+            self.cancels_to_lose -= 1;
             return;
         }
         let Some(run) = self.engine.remove(&request) else {
