--- a/lovagedock/benches/admission.rs
+++ b/lovagedock/benches/admission.rs
@@ -1,4 +1,4 @@
-//! Cost of one admission and of one start at a sidecar by the number of queued requests.
+//! Time of one admission and of one start at a sidecar by the number of queued requests.
 
 use std::{hint::black_box, time::Duration};
 
--- a/lovagedock/examples/compare/engine.rs
+++ b/lovagedock/examples/compare/engine.rs
@@ -128,7 +128,8 @@
         self.queue.retain(|job| !job.expired(now));
         let free = ENGINE_MEMORY - self.used;
         let head_fits = self.queue.front()?.missing_memory() <= free;
-        // An interrupted job continues if the first job must wait for the memory that it holds.
+        // An interrupted job continues if the first job must wait for memory that the interrupted
+        // one holds.
         let at = match head_fits {
             true => 0,
             false => self
--- a/lovagedock/examples/compare/main.rs
+++ b/lovagedock/examples/compare/main.rs
@@ -3,7 +3,8 @@
 //! `cargo run --release -p lovagedock --example compare -- [LOAD] [SEEDS] [fifo|short-first]
 //! [SHARE] [POLICY|all] [GATEWAYS]` prints one row per policy: the p95 first-token time of each
 //! bucket in seconds of virtual time (median over the seeds), the slowdown of short prompts with
-//! its range, and the numbers of refused and late requests.
+//! its range, and the numbers of refused and late requests. If the environment variable
+//! `TOKENS_ONLY` is set, reports contain token counts but no predicted waiting times.
 
 mod engine;
 mod fleet;
--- a/lovagedock/src/cost/prefill.rs
+++ b/lovagedock/src/cost/prefill.rs
@@ -142,7 +142,8 @@
 const STEADY_GAIN: f64 = 0.01;
 /// An observation is divided by at least this share of the prediction.
 const MIN_OBSERVED_RATIO: f64 = 0.5;
-/// Number of consecutive clipped residuals after which the engine counts as changed.
+/// Number of consecutive clipped residuals of the same sign after which the speed of the engine
+/// counts as changed.
 const CHANGE_STREAK: i32 = 6;
 /// Variance of the relative error of one observation.
 const NOISE_VARIANCE: f64 = 0.01;
--- a/lovagedock/src/endpoint/engine.rs
+++ b/lovagedock/src/endpoint/engine.rs
@@ -101,7 +101,8 @@
         self.end_orphaned_requests(now);
     }
 
-    /// Ends queued requests that still run on the engine since before this sidecar's start.
+    /// Ends queued requests whose earlier run, from before this sidecar's start, continues on the
+    /// engine.
     fn end_orphaned_requests(&mut self, now: Timestamp) {
         if !self.safeguards.single_run {
             return;
@@ -200,8 +201,8 @@
         self.queue.record_end(request);
     }
 
-    /// Tells the engine to free the memory of a request. The lease is kept until the memory is
-    /// free.
+    /// Cancels a request on the engine so that its memory is freed. The lease is kept until the
+    /// memory is free.
     pub(super) fn close_memory(&mut self, now: Timestamp, request: RequestId) {
         self.queue.record_end(request);
         let retry = self.limits.cancel_retry;
--- a/lovagedock/src/endpoint/entry.rs
+++ b/lovagedock/src/endpoint/entry.rs
@@ -13,7 +13,7 @@
 pub(crate) enum RequestPhase {
     /// The request is queued and has not run.
     Queued,
-    /// The engine was told to start the request and has not confirmed. The request may be running.
+    /// The start was sent to the engine and has not been confirmed. The request may be running.
     Starting,
     /// The engine is running the request.
     Running,
@@ -40,7 +40,7 @@
     pub(crate) due: Timestamp,
     /// Time since which the answer has no sink.
     pub(crate) sink_lost: Option<Timestamp>,
-    /// Time at which the engine was told to start the request.
+    /// Time at which the start was sent to the engine.
     pub(crate) started_at: Timestamp,
     /// Time at which the first bytes of the answer were received.
     pub(crate) first_bytes_at: Option<Timestamp>,
--- a/lovagedock/src/endpoint/expiry.rs
+++ b/lovagedock/src/endpoint/expiry.rs
@@ -54,7 +54,7 @@
         if entry.latest_start().is_some_and(|at| at <= now) {
             let end = AnswerEnd::new(ResultCode::NoCapacity)
                 .with_retry_after(self.retry_after())
-                .with_detail("cannot finish before the deadline after its time in the queue");
+                .with_detail("waited too long in the queue to finish before the deadline");
             return self.finish(now, request, end, false);
         }
         self.schedule_due(request);
--- a/lovagedock/src/endpoint/finish.rs
+++ b/lovagedock/src/endpoint/finish.rs
@@ -84,7 +84,8 @@
 
     pub(super) fn expire_answers(&mut self, now: Timestamp) {
         for answer in self.answers.expire(now) {
-            // A submit that arrives after this must not run the request a second time.
+            // A submit that arrives after the answer is deleted must not run the request a second
+            // time.
             let end = AnswerEnd::new(ResultCode::AnswerLost).with_ran(answer.end.ran);
             self.record_refusal(now, answer.key, &end);
             self.actions.push(EndpointAction::ForgetAnswer(answer.key));
--- a/lovagedock/src/endpoint/ledger.rs
+++ b/lovagedock/src/endpoint/ledger.rs
@@ -16,9 +16,9 @@
         /// Time at which the reservation expires without renewal.
         expires_at: Timestamp,
     },
-    /// The request has ended and the engine has been instructed to free the memory.
+    /// The request has ended and a cancellation has been sent so that the engine frees the memory.
     Closing {
-        /// Time at which the engine was told for the first time.
+        /// Time at which the first cancellation was requested.
         since: Timestamp,
         /// Time at which the cancellation is repeated.
         retry_at: Timestamp,
--- a/lovagedock/src/endpoint/limits.rs
+++ b/lovagedock/src/endpoint/limits.rs
@@ -109,7 +109,7 @@
 
 /// Switches for individual safeguards, so that tests can show that each one is needed.
 ///
-/// All are on by default. Only tests have a reason to switch one off.
+/// All are on by default and are switched off only in tests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointSafeguards {
     /// Record tombstones for attempts that must not run.
--- a/lovagedock/src/endpoint/messages.rs
+++ b/lovagedock/src/endpoint/messages.rs
@@ -183,9 +183,10 @@
 /// An action for the daemon.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndpointAction {
-    /// Tell the gateway that the request is accepted: it is queued, running or already answered.
+    /// Report to the gateway that the request is accepted: it is queued, running or already
+    /// answered.
     Accept(AttemptKey),
-    /// Tell the gateway that the attempt is refused.
+    /// Report to the gateway that the attempt is refused.
     Refuse {
         /// The attempt.
         key: AttemptKey,
@@ -196,7 +197,7 @@
     Start(AttemptKey),
     /// Cancel all work of the request on the engine and free its memory.
     CancelOnEngine(RequestId),
-    /// Send bytes of the answer to the sink, if there is one.
+    /// Send bytes of the answer to the sink, the connection that receives it, if there is one.
     Deliver {
         /// Attempt whose sink receives the answer.
         key: AttemptKey,
@@ -229,16 +230,16 @@
         /// The end of the answer, if it has ended.
         end: Option<AnswerEnd>,
     },
-    /// Tell the requesting connection that there is nothing to resume.
+    /// Report on the requesting connection that there is nothing to resume.
     NotFound(AttemptKey),
-    /// Tell the gateway that the memory is reserved.
+    /// Report to the gateway that the memory is reserved.
     GrantReservation {
         /// The attempt that holds the reservation.
         key: AttemptKey,
         /// Memory that is still free, in tokens.
         free_tokens: TokenCount,
     },
-    /// Tell the gateway that the memory is not reserved or no longer reserved.
+    /// Report to the gateway that the memory is not reserved or no longer reserved.
     RefuseReservation {
         /// The attempt that requested the memory.
         key: AttemptKey,
--- a/lovagedock/src/endpoint/mod.rs
+++ b/lovagedock/src/endpoint/mod.rs
@@ -1,7 +1,8 @@
 //! Decisions of a sidecar: admission, memory accounting, and the outcome of each request.
 //!
 //! All requests to an endpoint go through its sidecar. The sidecar is therefore the only process
-//! that can tell whether a request has run, account for the engine's memory, and order the queue.
+//! that can determine whether a request has run, account for the engine's memory, and order the
+//! queue.
 //! [`EndpointCore`] combines the parts.
 
 mod answers;
--- a/lovagedock/src/endpoint/speed.rs
+++ b/lovagedock/src/endpoint/speed.rs
@@ -1,4 +1,4 @@
-//! Learned speed of the engine.
+//! Reported and learned speed of the engine.
 
 use std::time::Duration;
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// Learned speed of an engine. Predictions are zero until something is known.
+/// Speed of an engine. Predictions are zero until parameters have been reported or learned.
 ///
 /// Parameters reported by the engine take precedence over learned ones.
 #[derive(Clone, Debug)]
@@ -103,7 +103,7 @@
     }
 
     /// Predicts a run whose first `prefilled` prompt tokens are already prefilled on the engines of
-    /// a span. All times are zero until something is known.
+    /// a span. All times are zero until parameters have been reported or learned.
     pub(crate) fn predict(
         &self,
         prompt: TokenCount,
--- a/lovagedock/src/endpoint/submit.rs
+++ b/lovagedock/src/endpoint/submit.rs
@@ -46,8 +46,8 @@
     /// runs twice. Returns whether the attempt was handled.
     ///
     /// Otherwise a retry through another gateway or on a new connection would start the request a
-    /// second time while the first run continues, and the caller would get two mixed answers or a
-    /// receipt twice.
+    /// second time while the first run continues. The caller would get two mixed answers, or an
+    /// effect such as a receipt would occur twice.
     fn resolve_duplicate(&mut self, key: AttemptKey) -> bool {
         if let Some(entry) = self.requests.get_mut(&key.request) {
             if key.attempt < entry.key.attempt {
@@ -97,8 +97,8 @@
         Some(AnswerEnd::new(tombstone.code).with_ran(tombstone.ran))
     }
 
-    /// Applies the configuration of this sidecar, which takes precedence over an older one at the
-    /// gateway.
+    /// Applies the sidecar's own configuration. It takes precedence over that of the gateway, which
+    /// may be older.
     fn apply_share(&self, order: &mut WorkOrder) {
         if let Some(share) = self.shares.get(&order.organisation) {
             order.tier = order.tier.min(share.highest_tier);
@@ -120,7 +120,8 @@
             return Some(AnswerEnd::new(ResultCode::ExpiredWaiting));
         }
         if self.safeguards.single_run && self.ledger.is_orphan(order.key.request) {
-            // The engine still holds a run from before this sidecar's start.
+            // The engine still holds memory of a run from before this sidecar's start or from
+            // before the engine was last unreachable.
             let end = AnswerEnd::new(ResultCode::EndpointLost);
             return Some(
                 end.with_detail("an earlier run of the request is being cancelled on the engine"),
--- a/lovagedock/src/limits/demand.rs
+++ b/lovagedock/src/limits/demand.rs
@@ -4,7 +4,7 @@
 
 use crate::ids::TokenCount;
 
-/// Demand for each limit within one exchange.
+/// Demand for each limit in the interval between two exchanges of reports with the peers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct DemandVector {
     pub(super) requests: u64,
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Demand for concurrency: the requests in flight and those that arrived.
+    /// Demand for concurrency: the requests in flight and those that arrived in the interval.
     pub(super) fn concurrency_demand(&self) -> u64 {
         self.requests + u64::from(self.in_flight)
     }
--- a/lovagedock/src/limits/limiter.rs
+++ b/lovagedock/src/limits/limiter.rs
@@ -38,7 +38,7 @@
     },
 }
 
-/// Enforces the limits of organisations over all gateways together.
+/// Enforces the limits of organisations across all gateways.
 ///
 /// Each gateway has a share of each limit. Shares follow the demand that gateways report to each
 /// other, and their sum never exceeds one. Within any period `w`, all gateways together admit at
--- a/lovagedock/src/limits/mod.rs
+++ b/lovagedock/src/limits/mod.rs
@@ -1,4 +1,4 @@
-//! Limits of organisations, enforced over all gateways together without a store write per request.
+//! Limits of organisations, enforced across all gateways without a store write per request.
 
 mod bucket;
 mod demand;
--- a/lovagedock/src/outlier.rs
+++ b/lovagedock/src/outlier.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// An event at an endpoint.
+/// An event for an outlier detector.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OutlierEvent {
     /// The endpoint joined the pool.
@@ -191,7 +191,8 @@
                 }
                 Vec::new()
             }
-            // The request was sent before the ejection, so its success says nothing about new ones.
+            // The request was sent before the ejection, so its success does not show that new
+            // requests would succeed.
             OutlierState::Ejected { .. } | OutlierState::AwaitingProbe => Vec::new(),
         }
     }
--- a/lovagedock/src/placement/layout.rs
+++ b/lovagedock/src/placement/layout.rs
@@ -1,4 +1,4 @@
-//! The order in which the endpoints of a pool are opened to long prompts.
+//! The order in which the endpoints of a pool become available to long prompts.
 
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -6,11 +6,13 @@
 
 use super::types::{EndpointView, PoolView};
 
-/// The usable endpoints of each failure domain in an order that is the same on all gateways.
+/// The endpoints of each failure domain that accept work, in an order that is the same on all
+/// gateways.
 ///
 /// Long prompts may use the first endpoints of each failure domain. Endpoints are ordered by a
-/// hash of their ids. Gateways that observe different mixes of prompts therefore use sets of which
-/// one contains the other, and adding or removing a host changes at most one member of the set.
+/// hash of their ids. If gateways observe different mixes of prompts, the smaller of their sets is
+/// therefore a subset of the larger one. Adding or removing a host changes at most one member of
+/// the set.
 #[derive(Debug, Default)]
 pub(super) struct PoolLayout {
     entries: Vec<LayoutEntry>,
@@ -28,11 +30,13 @@
 #[derive(Debug)]
 struct LayoutDomain {
     id: DomainId,
+    /// Number of endpoints that accept work.
     accepting: usize,
 }
 
 impl PoolLayout {
-    /// Recomputes the order if endpoints were added or removed, or accept work now or no longer.
+    /// Recomputes the order if an endpoint was added or removed, or started or stopped accepting
+    /// work.
     pub(super) fn refresh(&mut self, pool: &PoolView<'_>) {
         if !self.matches(pool) {
             self.rebuild(pool);
--- a/lovagedock/src/placement/length_aware.rs
+++ b/lovagedock/src/placement/length_aware.rs
@@ -177,6 +177,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Candidate {
     index: usize,
+    /// Time to the first token plus penalties. The lowest score is the best.
     score: f64,
     first_token: f64,
     finish: f64,
@@ -297,7 +298,7 @@
     pieces.map_or(0, |last| (last as u64 + 1) * PREFIX_PIECE_TOKENS)
 }
 
-/// Expected wait for memory held by other requests, in seconds. It lasts until the present work is
+/// Expected wait for memory held by other requests, in seconds: the time until the current work is
 /// prefilled and a typical answer has ended. Zero if there is enough free memory.
 fn memory_wait(now: Timestamp, request: &PlacementRequest<'_>, view: &EndpointView) -> f64 {
     let Some(report) = &view.report else {
@@ -364,8 +365,8 @@
         .collect()
 }
 
-/// Refuses a request that is predicted to finish after its deadline. The retry time is the time by
-/// which it would be late.
+/// Refuses a request that is predicted to finish after its deadline. The retry time is the
+/// predicted delay past the deadline, within [`MIN_RETRY_AFTER`] and [`MAX_RETRY_AFTER`].
 fn refuse_if_late(finish: f64, request: &PlacementRequest<'_>) -> Option<PlacementChoice> {
     let excess = finish - request.remaining.as_secs_f64();
     (excess > 0.0).then(|| PlacementChoice::Refuse {
@@ -396,8 +397,8 @@
 /// Number of tokens that are assumed to precede a chunk of a long prompt.
 const CHUNK_CONTEXT_TOKENS: TokenCount = 200_000;
 /// Number of steps by which a long prefill is counted to delay a short prompt. The value only
-/// breaks ties. With a whole step or two, short prompts pile up on the few engines without a long
-/// prefill and wait there for each other, and the `policy_comparison` test fails.
+/// breaks ties. With a value of 1 or 2, short prompts queue behind each other on the few engines
+/// without a long prefill, and the `policy_comparison` test fails.
 const INTERFERENCE_STEPS: f64 = 0.25;
 /// Number of candidates kept for the random choice.
 const SHORTLIST_LENGTH: usize = 8;
--- a/lovagedock/src/placement/mix.rs
+++ b/lovagedock/src/placement/mix.rs
@@ -31,9 +31,9 @@
 
 /// Reduces the share of long prompts while short prompts wait too long.
 ///
-/// A fully busy pool looks the same at any degree of overload, so its utilisation does not show
-/// how much capacity short prompts need. Their waiting time does. The share shrinks while they
-/// wait too long and recovers at a lower rate.
+/// The utilisation of a fully busy pool is the same at any degree of overload, so it does not show
+/// how much capacity short prompts need. Their waiting time does. The share shrinks while short
+/// prompts wait too long and recovers at a lower rate.
 #[derive(Debug)]
 struct ShareThrottle {
     factor: f64,
@@ -108,9 +108,10 @@
     /// Returns the share of a pool that long prompts may use, at most `limit`. Returns `limit`
     /// until at least [`MIX_MIN_SECONDS`] of prefill time have been recorded.
     ///
-    /// Short prompts keep enough endpoints for a utilisation of [`SHORT_TARGET_UTILISATION`]. If
-    /// the rest is too little for the long prompts, they get up to what they need, as long as the
-    /// utilisation of the endpoints for short prompts does not exceed [`SHORT_MAX_UTILISATION`].
+    /// Enough endpoints are kept for short prompts to hold their utilisation at
+    /// [`SHORT_TARGET_UTILISATION`]. If the rest is too little for the long prompts, the share of
+    /// long prompts grows up to what they need, as long as the utilisation of the endpoints for
+    /// short prompts does not exceed [`SHORT_MAX_UTILISATION`].
     /// Short prompts that overtake long ones on the engines need fewer endpoints of their own.
     pub(super) fn long_share(&self, limit: f64) -> f64 {
         if self.all_seconds < MIX_MIN_SECONDS {
--- a/lovagedock/src/placement/span.rs
+++ b/lovagedock/src/placement/span.rs
@@ -32,7 +32,8 @@
 /// little memory.
 ///
 /// Only memory that is free now is counted at first. If that is not enough, all memory for spans
-/// is counted, and the span backs off until the endpoints have free memory.
+/// is counted, and the reservations are retried with a backoff until the endpoints have free
+/// memory.
 pub(super) fn select_span(
     request: &PlacementRequest<'_>,
     pool: &PoolView<'_>,
--- a/lovagedock/src/retry.rs
+++ b/lovagedock/src/retry.rs
@@ -12,7 +12,7 @@
     /// Retries per second that are allowed without any success, so that a service with little
     /// traffic can retry.
     pub floor_per_second: f64,
-    /// Maximum number of unused retries. Because of it only recent successes count.
+    /// Maximum number of unused retries. The maximum ensures that only recent successes count.
     pub capacity: f64,
 }
 
--- a/lovagedock/src/subset.rs
+++ b/lovagedock/src/subset.rs
@@ -45,9 +45,9 @@
 /// Plans the subsets of a fleet.
 ///
 /// All processes with the same list of members compute the same plan. The gateways are ranked for
-/// each endpoint by rendezvous hashing, and the endpoint gets the best ones that are not full. The
-/// limit on a gateway's load balances the subsets. The hashing keeps most of the plan unchanged
-/// when members are added or removed.
+/// each endpoint by rendezvous hashing, and the endpoint is assigned the highest-ranked gateways
+/// that are below their load limit. The limit on a gateway's load balances the subsets. The hashing
+/// keeps most of the plan unchanged when members are added or removed.
 #[derive(Clone, Debug, Default)]
 pub struct SubsetPlanner {
     settings: SubsetSettings,
@@ -178,7 +178,8 @@
 }
 
 impl GatewayDomain {
-    /// Selects the `count` best gateways for an endpoint and prefers those that are not full.
+    /// Selects the `count` highest-ranked gateways for an endpoint and prefers those below their
+    /// load limit.
     fn select_gateways(
         &self,
         endpoint: u64,
--- a/lovagedock/tests/endpoint_admission.rs
+++ b/lovagedock/tests/endpoint_admission.rs
@@ -144,7 +144,8 @@
         }
         let started = simulation.started.get(&long.unwrap());
         assert_eq!(started.is_some(), case.starts, "reserve: {}", case.reserve);
-        // It arrives at 2 s and may be bypassed for 2 s, and each bypassing request runs for 1 s.
+        // The long prompt arrives at 2 s and may be bypassed for 2 s, and each bypassing request
+        // runs for 1 s.
         let bound = Duration::from_secs(5);
         assert!(started.is_none_or(|at| *at <= bound), "{started:?}");
     }
--- a/lovagedock/tests/endpoint_properties.rs
+++ b/lovagedock/tests/endpoint_properties.rs
@@ -32,10 +32,11 @@
 proptest! {
     #![proptest_config(config())]
 
-    // Gateways submit, repeat and revoke requests and disconnect. The engine confirms, answers,
-    // refuses, ends and loses cancellations. The sidecar restarts and drains. No request starts
-    // twice or after it was reported as not run, each request gets one end by its deadline, the
-    // ledger is consistent, and no memory stays without an owner.
+    // Gateways submit, repeat and revoke requests and disconnect. The engine confirms starts,
+    // produces bytes, refuses and ends requests, loses cancellations, crashes and reconnects. The
+    // sidecar restarts and drains. No request starts twice or after it was reported as not run,
+    // each request gets one end by its deadline, the ledger is consistent, and no memory stays
+    // without an owner.
     #[test]
     fn invariants_hold_over_random_schedules(steps in schedules(LENGTH)) {
         let simulation = EndpointSimulation::new(EndpointSafeguards::default()).run(&steps);
--- a/lovagedock/tests/limit_properties.rs
+++ b/lovagedock/tests/limit_properties.rs
@@ -1,4 +1,4 @@
-//! All gateways together keep an organisation's limits within the documented burst.
+//! An organisation's limits hold across all gateways within the documented burst.
 
 mod limit_support;
 
