--- a/lovagedock/src/outlier.rs
+++ b/lovagedock/src/outlier.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// An event at an endpoint.
+/// An event for an outlier detector.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OutlierEvent {
     /// The endpoint joined the pool.
@@ -191,7 +191,8 @@
                 }
                 Vec::new()
             }
-            // The request was sent before the ejection, so its success says nothing about new ones.
+            // The request was sent before the ejection, so its success does not show that new
+            // requests would succeed.
             OutlierState::Ejected { .. } | OutlierState::AwaitingProbe => Vec::new(),
         }
     }
@@ -253,11 +254,11 @@
 impl OutlierRecord {
     fn eject(&mut self, now: Timestamp, settings: &OutlierSettings) {
         let doublings = self.ejections.min(MAX_DOUBLINGS);
-        let length = settings.base_ejection * (1 << doublings);
+        let duration = settings.base_ejection * (1 << doublings);
         self.ejections = self.ejections.saturating_add(1);
         self.failures = 0;
         self.state = OutlierState::Ejected {
-            until: now + length.min(settings.max_ejection),
+            until: now + duration.min(settings.max_ejection),
         };
     }
 }
--- a/lovagedock/src/placement/layout.rs
+++ b/lovagedock/src/placement/layout.rs
@@ -1,4 +1,4 @@
-//! The order in which the endpoints of a pool are opened to long prompts.
+//! The order in which the endpoints of a pool become available to long prompts.
 
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -6,11 +6,13 @@
 
 use super::types::{EndpointView, PoolView};
 
-/// The usable endpoints of each failure domain in an order that is the same on all gateways.
+/// The endpoints of each failure domain that accept work, in an order that is the same on all
+/// gateways.
 ///
 /// Long prompts may use the first endpoints of each failure domain. Endpoints are ordered by a
-/// hash of their ids. Gateways that observe different mixes of prompts therefore use sets of which
-/// one contains the other, and adding or removing a host changes at most one member of the set.
+/// hash of their ids. If gateways observe different mixes of prompts, the smaller of their sets is
+/// therefore a subset of the larger one. Adding or removing a host changes at most one member of
+/// the set.
 #[derive(Debug, Default)]
 pub(super) struct PoolLayout {
     entries: Vec<LayoutEntry>,
@@ -28,11 +30,13 @@
 #[derive(Debug)]
 struct LayoutDomain {
     id: DomainId,
-    usable: usize,
+    /// Number of endpoints that accept work.
+    accepting: usize,
 }
 
 impl PoolLayout {
-    /// Recomputes the order if endpoints were added or removed, or accept work now or no longer.
+    /// Recomputes the order if an endpoint was added or removed, or started or stopped accepting
+    /// work.
     pub(super) fn refresh(&mut self, pool: &PoolView<'_>) {
         if !self.matches(pool) {
             self.rebuild(pool);
@@ -42,8 +46,8 @@
     /// Whether long prompts may use the endpoint if they may use `share` of each failure domain.
     pub(super) fn in_long_share(&self, index: usize, share: f64) -> bool {
         let entry = &self.entries[index];
-        let usable = self.domains[entry.domain].usable;
-        entry.rank < long_count(usable, share)
+        let accepting = self.domains[entry.domain].accepting;
+        entry.rank < long_count(accepting, share)
     }
 
     fn matches(&self, pool: &PoolView<'_>) -> bool {
@@ -67,10 +71,10 @@
                 rank: usize::MAX,
             });
         }
-        self.rank_usable();
+        self.rank_accepting();
     }
 
-    fn rank_usable(&mut self) {
+    fn rank_accepting(&mut self) {
         let mut order: Vec<(u64, usize)> = self
             .entries
             .iter()
@@ -82,8 +86,8 @@
         for (_, index) in order {
             let entry = &mut self.entries[index];
             let domain = &mut self.domains[entry.domain];
-            entry.rank = domain.usable;
-            domain.usable += 1;
+            entry.rank = domain.accepting;
+            domain.accepting += 1;
         }
     }
 
@@ -92,7 +96,7 @@
         known.unwrap_or_else(|| {
             self.domains.push(LayoutDomain {
                 id: id.clone(),
-                usable: 0,
+                accepting: 0,
             });
             self.domains.len() - 1
         })
@@ -108,7 +112,7 @@
 
 /// Number of endpoints that long prompts may use. It is rounded down in favour of short prompts,
 /// but is at least one, so that long prompts can be placed even in the smallest failure domain.
-fn long_count(usable: usize, share: f64) -> usize {
-    let count = (usable as f64 * share) as usize;
-    count.clamp(1, usable.max(1))
+fn long_count(accepting: usize, share: f64) -> usize {
+    let count = (accepting as f64 * share) as usize;
+    count.clamp(1, accepting.max(1))
 }
