--- a/lovagedock-cli/src/arguments.rs
+++ b/lovagedock-cli/src/arguments.rs
@@ -114,6 +114,6 @@
     #[arg(long)]
     pub nonce: Option<String>,
     /// How long to try the platform's store, in milliseconds.
-    #[arg(long, value_name = "MS", default_value_t = 10_000)]
-    pub patience_ms: u64,
+    #[arg(long = "patience-ms", value_name = "MS", default_value_t = 10_000)]
+    pub timeout_ms: u64,
 }
--- a/lovagedock-cli/src/port.rs
+++ b/lovagedock-cli/src/client.rs
@@ -12,11 +12,11 @@
 use tokio::time::timeout;
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-const MAX_ANSWER_BYTES: usize = 64 << 20;
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
 /// Asks processes as an operator.
 #[async_trait]
-pub trait ProcessPort: Send + Sync {
+pub trait ProcessClient: Send + Sync {
     /// Makes one call and returns the JSON document of its answer.
     async fn call(
         &self,
@@ -66,12 +66,12 @@
 }
 
 /// Speaks HTTP to processes, one connection a call.
-pub struct HttpProcessPort {
+pub struct HttpProcessClient {
     transport: Transport,
     token: Option<String>,
 }
 
-impl HttpProcessPort {
+impl HttpProcessClient {
     /// A port over `transport` whose writes carry `token`.
     pub fn new(transport: Transport, token: Option<String>) -> Self {
         Self { transport, token }
@@ -111,7 +111,7 @@
         let exchange = async {
             let response = sender.send_request(request).await.map_err(no_answer)?;
             let status = response.status();
-            let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES)
+            let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
                 .collect()
                 .await;
             let body = body.map_err(|error| no_answer(io::Error::other(error)))?;
@@ -131,7 +131,7 @@
 }
 
 #[async_trait]
-impl ProcessPort for HttpProcessPort {
+impl ProcessClient for HttpProcessClient {
     async fn call(
         &self,
         address: SocketAddr,
--- a/lovagedock-cli/src/config.rs
+++ b/lovagedock-cli/src/config.rs
@@ -58,7 +58,7 @@
 }
 
 /// Old chunks that one apply deletes at most; more than a file of 25,000 organisations has.
-const COLLECTED_CHUNKS: usize = 256;
+const MAX_DELETED_CHUNKS: usize = 256;
 
 pub(crate) async fn apply_files(
     runner: &CommandRunner,
@@ -73,11 +73,11 @@
     let expected = arguments.expect_generation;
     let request = ApplyRequest::new(bytes, expected, &arguments.author, nonce.clone())
         .with_submitted_at(&httpdate::fmt_http_date(SystemTime::now()))
-        .with_patience(Duration::from_millis(arguments.patience_ms));
+        .with_patience(Duration::from_millis(arguments.timeout_ms));
     Ok(match store.apply(&request).await {
         ApplyOutcome::Accepted { generation } => {
             // Old chunks that stay for want of an answer are deleted after the next apply.
-            let _later = store.collect_chunks(COLLECTED_CHUNKS).await;
+            let _retried_later = store.collect_chunks(MAX_DELETED_CHUNKS).await;
             report_accepted(generation)
         }
         ApplyOutcome::Conflict { winner, author } => {
--- a/lovagedock-cli/src/lib.rs
+++ b/lovagedock-cli/src/lib.rs
@@ -5,11 +5,11 @@
 //! and the way to processes from outside, so that tests can put fakes in their place.
 
 mod arguments;
+mod client;
 mod codes;
 mod config;
 mod files;
-mod fleet;
-mod port;
+mod processes;
 mod report;
 mod runner;
 mod settings;
@@ -17,8 +17,8 @@
 mod status;
 
 pub use arguments::{ApplyArguments, CommandArguments, CommandLine, OutputFormat};
+pub use client::{HttpProcessClient, ProcessClient, ProcessError, ProcessMethod};
 pub use codes::codes_page;
-pub use port::{HttpProcessPort, ProcessError, ProcessMethod, ProcessPort};
 pub use report::{CommandReport, ExitStatus};
 pub use runner::CommandRunner;
 pub use settings::{OperatorSettings, ProcessAddress};
--- a/lovagedock-cli/src/fleet.rs
+++ b/lovagedock-cli/src/processes.rs
@@ -4,7 +4,7 @@
 use serde_json::{Value, json};
 
 use crate::{
-    port::{ProcessError, ProcessMethod},
+    client::{ProcessError, ProcessMethod},
     report::{CommandReport, ExitStatus},
     runner::{CommandRunner, report_settings},
 };
@@ -17,35 +17,38 @@
         let value = json!({ "error": "not a request id" });
         return Ok(CommandReport::new(ExitStatus::Usage, text, value));
     };
-    let port = runner.process_port()?;
+    let client = runner.process_client()?;
     let path = format!("/explain/{}", format_request_id(id));
-    let mut unheard = Vec::new();
+    let mut failed_gateways = Vec::new();
     for gateway in &runner.settings.gateways {
-        match port.call(gateway.address, ProcessMethod::Get, &path).await {
+        match client
+            .call(gateway.address, ProcessMethod::Get, &path)
+            .await
+        {
             Ok(document) => {
                 let text = format!("gateway {}\n{}", gateway.id, explain_text(&document));
                 let value = json!({ "gateway": gateway.id, "request": document });
                 return Ok(CommandReport::new(ExitStatus::Done, text, value));
             }
-            Err(ProcessError::Refused(problem)) if is_forgotten(&problem) => {}
-            Err(error) => unheard.push(format!("{} ({error})", gateway.id)),
+            Err(ProcessError::Refused(problem)) if is_unknown_request(&problem) => {}
+            Err(error) => failed_gateways.push(format!("{} ({error})", gateway.id)),
         }
     }
     let id = format_request_id(id);
-    if unheard.is_empty() {
+    if failed_gateways.is_empty() {
         let text = format!("no gateway of the settings remembers request {id}\n");
         let value = json!({ "error": "unknown request" });
         return Ok(CommandReport::new(ExitStatus::Refused, text, value));
     }
     let text = format!(
         "not found, but not all could be asked: {}\n",
-        unheard.join(", ")
+        failed_gateways.join(", ")
     );
-    let value = json!({ "error": "not all gateways could be asked", "unheard": unheard });
+    let value = json!({ "error": "not all gateways could be asked", "unheard": failed_gateways });
     Ok(CommandReport::new(ExitStatus::Unreachable, text, value))
 }
 
-fn is_forgotten(problem: &Value) -> bool {
+fn is_unknown_request(problem: &Value) -> bool {
     problem["code"] == ResultCode::UnknownService.number()
 }
 
@@ -64,8 +67,8 @@
     }
     for step in steps {
         let at = step["at_ms"].as_u64().unwrap_or_default();
-        let words = step["step"].as_str().unwrap_or_default();
-        text += &format!("{at:>10} ms  {words}\n");
+        let description = step["step"].as_str().unwrap_or_default();
+        text += &format!("{at:>10} ms  {description}\n");
     }
     text
 }
@@ -100,7 +103,7 @@
         let error = format!("{process:?} is neither an address nor a process of the settings");
         return Err(report_settings(error));
     };
-    let result = runner.process_port()?.call(address, method, path).await;
+    let result = runner.process_client()?.call(address, method, path).await;
     result.map_err(|error| report_call(process, method, &error))
 }
 
--- a/lovagedock-cli/src/runner.rs
+++ b/lovagedock-cli/src/runner.rs
@@ -10,9 +10,9 @@
 
 use crate::{
     arguments::{CommandArguments, CommandLine},
+    client::{HttpProcessClient, ProcessClient},
     codes::show_code,
-    config, files, fleet,
-    port::{HttpProcessPort, ProcessPort},
+    config, files, processes,
     report::{CommandReport, ExitStatus},
     settings::OperatorSettings,
     status,
@@ -22,7 +22,7 @@
 pub struct CommandRunner {
     pub(crate) settings: OperatorSettings,
     store: Option<Arc<dyn ObjectStore>>,
-    port: Option<Arc<dyn ProcessPort>>,
+    client: Option<Arc<dyn ProcessClient>>,
 }
 
 impl CommandRunner {
@@ -36,17 +36,17 @@
             let store: Arc<dyn ObjectStore> = Arc::new(HttpObjectStore::new(url));
             store
         });
-        let mut port: Option<Arc<dyn ProcessPort>> = None;
+        let mut client: Option<Arc<dyn ProcessClient>> = None;
         if let Some(transport) = &settings.transport {
             let transport = Transport::new(transport)
                 .map_err(|report| report_settings(format!("transport: {report}")))?;
             let token = settings.operator_token.clone();
-            port = Some(Arc::new(HttpProcessPort::new(transport, token)));
+            client = Some(Arc::new(HttpProcessClient::new(transport, token)));
         }
         Ok(Self {
             settings,
             store,
-            port,
+            client,
         })
     }
 
@@ -57,8 +57,8 @@
     }
 
     /// Uses another way to processes.
-    pub fn with_port(mut self, port: Arc<dyn ProcessPort>) -> Self {
-        self.port = Some(port);
+    pub fn with_client(mut self, client: Arc<dyn ProcessClient>) -> Self {
+        self.client = Some(client);
         self
     }
 
@@ -70,10 +70,12 @@
             CommandArguments::Apply(arguments) => config::apply_files(self, arguments).await,
             CommandArguments::Get => config::get_config(self).await,
             CommandArguments::Status => status::show_status(self).await,
-            CommandArguments::Explain { request } => fleet::explain_request(self, request).await,
-            CommandArguments::Dump { process } => fleet::dump_process(self, process).await,
+            CommandArguments::Explain { request } => {
+                processes::explain_request(self, request).await
+            }
+            CommandArguments::Dump { process } => processes::dump_process(self, process).await,
             CommandArguments::Drain { process, undo } => {
-                fleet::drain_process(self, process, *undo).await
+                processes::drain_process(self, process, *undo).await
             }
             CommandArguments::Code { number } => Ok(show_code(*number)),
             CommandArguments::Schema => Ok(show_schema()),
@@ -89,9 +91,9 @@
         }
     }
 
-    pub(crate) fn process_port(&self) -> Result<&dyn ProcessPort, CommandReport> {
+    pub(crate) fn process_client(&self) -> Result<&dyn ProcessClient, CommandReport> {
         let missing = || report_settings("`transport` is not set".to_owned());
-        self.port.as_deref().ok_or_else(missing)
+        self.client.as_deref().ok_or_else(missing)
     }
 }
 
--- a/lovagedock-cli/src/status.rs
+++ b/lovagedock-cli/src/status.rs
@@ -7,8 +7,8 @@
 use serde_json::{Value, json};
 
 use crate::{
+    client::{ProcessError, ProcessMethod},
     config::report_load,
-    port::{ProcessError, ProcessMethod},
     report::{CommandReport, ExitStatus, format_table},
     runner::CommandRunner,
     settings::ProcessAddress,
@@ -18,15 +18,15 @@
 
 /// What `status` needs of a gateway's answer; a newer gateway may tell more.
 #[derive(Deserialize)]
-struct GatewayAnswer {
+struct GatewayStatus {
     generation: Generation,
     #[serde(default)]
-    endpoints: Vec<EndpointAnswer>,
+    endpoints: Vec<EndpointStatus>,
 }
 
 /// What a gateway last heard from one sidecar.
 #[derive(Deserialize)]
-struct EndpointAnswer {
+struct EndpointStatus {
     endpoint: String,
     #[serde(default)]
     generation: Generation,
@@ -49,10 +49,10 @@
     let mut lines = Vec::new();
     let mut sidecars: BTreeMap<String, Option<Generation>> = BTreeMap::new();
     for gateway in &runner.settings.gateways {
-        match ask_gateway(runner, gateway).await? {
-            Ok(answer) => {
-                note_sidecars(&mut sidecars, &answer.endpoints);
-                lines.push(gateway_line(gateway, Some(answer.generation), None));
+        match query_gateway(runner, gateway).await? {
+            Ok(response) => {
+                record_sidecars(&mut sidecars, &response.endpoints);
+                lines.push(gateway_line(gateway, Some(response.generation), None));
             }
             Err(error) => lines.push(gateway_line(gateway, None, Some(error.to_string()))),
         }
@@ -78,29 +78,29 @@
     }
 }
 
-async fn ask_gateway(
+async fn query_gateway(
     runner: &CommandRunner,
     gateway: &ProcessAddress,
-) -> Result<Result<GatewayAnswer, ProcessError>, CommandReport> {
-    let port = runner.process_port()?;
-    let answer = port
+) -> Result<Result<GatewayStatus, ProcessError>, CommandReport> {
+    let client = runner.process_client()?;
+    let response = client
         .call(gateway.address, ProcessMethod::Get, "/status")
         .await;
-    Ok(answer.and_then(|document| {
+    Ok(response.and_then(|document| {
         serde_json::from_value(document).map_err(|error| ProcessError::NoAnswer(error.to_string()))
     }))
 }
 
 /// Several gateways tell of one sidecar: the newest generation is what it has, since a process
 /// never goes back.
-fn note_sidecars(
+fn record_sidecars(
     sidecars: &mut BTreeMap<String, Option<Generation>>,
-    endpoints: &[EndpointAnswer],
+    endpoints: &[EndpointStatus],
 ) {
     for endpoint in endpoints {
-        let told = endpoint.connected.then_some(endpoint.generation);
+        let reported = endpoint.connected.then_some(endpoint.generation);
         let known = sidecars.entry(endpoint.endpoint.clone()).or_default();
-        *known = (*known).max(told);
+        *known = (*known).max(reported);
     }
 }
 
@@ -156,7 +156,7 @@
 }
 
 fn line_row(line: &ProcessLine, accepted: Option<Generation>) -> Vec<String> {
-    let shown = line
+    let generation_text = line
         .generation
         .map_or("-".to_owned(), |generation| generation.to_string());
     let in_force = match (line.generation, accepted, &line.error) {
@@ -165,5 +165,10 @@
         (_, _, Some(error)) => error.clone(),
         _ => "unknown".to_owned(),
     };
-    vec![line.process.clone(), line.role.to_owned(), shown, in_force]
+    vec![
+        line.process.clone(),
+        line.role.to_owned(),
+        generation_text,
+        in_force,
+    ]
 }
--- a/lovagedock-cli/tests/cli/apply.rs
+++ b/lovagedock-cli/tests/cli/apply.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use super::common::{ScriptedPort, new_runner, run, show};
+use super::common::{ScriptedClient, new_runner, run, show};
 use expect_test::{Expect, expect};
 use lovagedock_cli::ExitStatus;
 use lovagedock_platform::{
@@ -26,22 +26,22 @@
 struct ApplyStep {
     fault: Option<StoreFault>,
     line: String,
-    sees: Expect,
+    expected: Expect,
 }
 
-fn step(line: &str, sees: Expect) -> ApplyStep {
+fn step(line: &str, expected: Expect) -> ApplyStep {
     ApplyStep {
         fault: None,
         line: line.to_owned(),
-        sees,
+        expected,
     }
 }
 
-fn faulty(fault: StoreFault, line: &str, sees: Expect) -> ApplyStep {
+fn faulty_step(fault: StoreFault, line: &str, expected: Expect) -> ApplyStep {
     ApplyStep {
         fault: Some(fault),
         line: line.to_owned(),
-        sees,
+        expected,
     }
 }
 
@@ -54,7 +54,7 @@
 
 async fn check_steps(steps: Vec<ApplyStep>) {
     let store = Arc::new(MemoryStore::new());
-    let runner = new_runner(store.clone(), ScriptedPort::default());
+    let runner = new_runner(store.clone(), ScriptedClient::default());
     for step in steps {
         if let Some(StoreFault {
             kind,
@@ -67,12 +67,12 @@
         }
         let report = run(&runner, &step.line).await;
         store.clear_faults();
-        step.sees.assert_eq(&show(&report));
+        step.expected.assert_eq(&show(&report));
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_accepted_file_is_what_get_and_diff_see() {
+async fn get_and_diff_show_the_accepted_file() {
     check_steps(vec![
         step(
             "get",
@@ -118,9 +118,9 @@
 /// Two operators apply at the same moment, both on generation 0. One is accepted; the other gets
 /// a conflict that names the winner and what the own file would change now. Nothing is merged.
 #[tokio::test(start_paused = true)]
-async fn the_slower_of_two_operators_gets_a_conflict() {
+async fn the_second_of_two_concurrent_applies_gets_a_conflict() {
     let store = Arc::new(MemoryStore::new());
-    let runner = new_runner(store.clone(), ScriptedPort::default());
+    let runner = new_runner(store.clone(), ScriptedClient::default());
     let first = run(&runner, &apply(LOCAL, "asha", 0, "n1")).await;
     assert_eq!(first.status.number(), 0);
     let second = run(&runner, &apply(MAFRAQ, "biju", 0, "n2")).await;
@@ -142,7 +142,7 @@
 /// The write of the root takes effect and its answer is lost. The store answers reads, so the
 /// nonce in the root settles it: the operator reads "accepted", and nothing is applied twice.
 #[tokio::test(start_paused = true)]
-async fn a_lost_confirmation_is_settled_by_the_nonce() {
+async fn a_lost_confirmation_is_resolved_by_the_nonce() {
     let lost = StoreFault {
         kind: CallKind::Write,
         key_prefix: ROOT,
@@ -150,7 +150,7 @@
         fault: MemoryFault::LoseAnswer,
     };
     check_steps(vec![
-        faulty(
+        faulty_step(
             lost,
             &apply(LOCAL, "asha", 0, "n1"),
             expect![[r#"
@@ -175,7 +175,7 @@
 #[tokio::test(start_paused = true)]
 async fn an_outage_after_the_write_leaves_the_outcome_unknown() {
     let store = Arc::new(MemoryStore::new());
-    let runner = new_runner(store.clone(), ScriptedPort::default());
+    let runner = new_runner(store.clone(), ScriptedClient::default());
     // The base is read once before the write.
     store.script_fault(CallKind::Read, ROOT, 1, ALWAYS, MemoryFault::Down);
     store.script_fault(CallKind::Write, ROOT, 0, 1, MemoryFault::LoseAnswer);
@@ -216,17 +216,17 @@
         times: ALWAYS,
         fault: MemoryFault::Down,
     };
-    let fresh = format!("apply {LOCAL} --author asha --expect-generation 0 --patience-ms 500");
+    let apply_line = format!("apply {LOCAL} --author asha --expect-generation 0 --patience-ms 500");
     check_steps(vec![
-        faulty(
+        faulty_step(
             down(),
-            &fresh,
+            &apply_line,
             expect![[r#"
             exit 5
             not accepted: the store is unavailable (4004)
         "#]],
         ),
-        faulty(
+        faulty_step(
             down(),
             "get",
             expect![[r#"
@@ -234,7 +234,7 @@
             the configuration could not be read: the store is unavailable (4004)
         "#]],
         ),
-        faulty(
+        faulty_step(
             down(),
             &format!("diff {LOCAL}"),
             expect![[r#"
@@ -243,7 +243,7 @@
         "#]],
         ),
         step(
-            &fresh,
+            &apply_line,
             expect![[r#"
             exit 0
             accepted as generation 1
@@ -284,9 +284,9 @@
 /// Operators apply file after file. Without collection each leaves its chunks in the platform's
 /// store for good; the newest and those that slow readers may still need stay.
 #[tokio::test(start_paused = true)]
-async fn applies_leave_no_chunks_that_nobody_needs() {
+async fn applies_delete_unused_chunks() {
     let store = Arc::new(MemoryStore::new());
-    let runner = new_runner(store.clone(), ScriptedPort::default());
+    let runner = new_runner(store.clone(), ScriptedClient::default());
     let text = std::fs::read_to_string(LOCAL).expect("the example");
     let file = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("collected.jsonc");
     let mut sizes = Vec::new();
--- a/lovagedock-cli/tests/cli/commands.rs
+++ b/lovagedock-cli/tests/cli/commands.rs
@@ -2,7 +2,7 @@
 
 use std::{fs, sync::Arc};
 
-use super::common::{ScriptedPort, new_runner, run, show};
+use super::common::{ScriptedClient, new_runner, run, show};
 use clap::Parser;
 use expect_test::{Expect, expect, expect_file};
 use lovagedock_cli::{CommandLine, ProcessError, codes_page};
@@ -18,15 +18,15 @@
 /// A command line, what the processes answer, and what the operator sees.
 struct CommandCase {
     line: &'static str,
-    port: ScriptedPort,
-    sees: Expect,
+    client: ScriptedClient,
+    expected: Expect,
 }
 
 async fn check_cases(cases: Vec<CommandCase>) {
     for case in cases {
-        let runner = new_runner(Arc::new(MemoryStore::new()), case.port);
+        let runner = new_runner(Arc::new(MemoryStore::new()), case.client);
         let report = run(&runner, case.line).await;
-        case.sees.assert_eq(&show(&report));
+        case.expected.assert_eq(&show(&report));
     }
 }
 
@@ -35,11 +35,11 @@
     Err(ProcessError::Refused(problem))
 }
 
-fn silent() -> Result<serde_json::Value, ProcessError> {
+fn no_answer() -> Result<serde_json::Value, ProcessError> {
     Err(ProcessError::NoAnswer("timeout".to_owned()))
 }
 
-fn trail() -> serde_json::Value {
+fn explain_document() -> serde_json::Value {
     json!({
         "request_id": REQUEST,
         "service": "assistant",
@@ -52,16 +52,16 @@
 }
 
 #[tokio::test]
-async fn processes_answer_or_not() {
-    let port = ScriptedPort::default;
+async fn commands_report_process_responses() {
+    let client = ScriptedClient::default;
     let dump = json!({ "dump_version": 1 });
     check_cases(vec![
         CommandCase {
             line: "explain 000000000000000000000000000000ab",
-            port: port()
-                .with_answer(GATEWAY_1, EXPLAIN, refused(1004))
-                .with_answer(GATEWAY_2, EXPLAIN, Ok(trail())),
-            sees: expect![[r#"
+            client: client()
+                .with_response(GATEWAY_1, EXPLAIN, refused(1004))
+                .with_response(GATEWAY_2, EXPLAIN, Ok(explain_document())),
+            expected: expect![[r#"
                 exit 0
                 gateway gateway-2
                 prompt_tokens: 1200
@@ -73,34 +73,34 @@
         },
         CommandCase {
             line: "explain 000000000000000000000000000000ab",
-            port: port()
-                .with_answer(GATEWAY_1, EXPLAIN, refused(1004))
-                .with_answer(GATEWAY_2, EXPLAIN, refused(1004)),
-            sees: expect![[r#"
+            client: client()
+                .with_response(GATEWAY_1, EXPLAIN, refused(1004))
+                .with_response(GATEWAY_2, EXPLAIN, refused(1004)),
+            expected: expect![[r#"
                 exit 1
                 no gateway of the settings remembers request 000000000000000000000000000000ab
             "#]],
         },
         CommandCase {
             line: "explain 000000000000000000000000000000ab",
-            port: port().with_answer(GATEWAY_1, EXPLAIN, refused(1004)),
-            sees: expect![[r#"
+            client: client().with_response(GATEWAY_1, EXPLAIN, refused(1004)),
+            expected: expect![[r#"
                 exit 5
                 not found, but not all could be asked: gateway-2 (unreachable: connection refused)
             "#]],
         },
         CommandCase {
             line: "explain 12",
-            port: port(),
-            sees: expect![[r#"
+            client: client(),
+            expected: expect![[r#"
                 exit 2
                 "12" is no request id; it has 32 hexadecimal digits
             "#]],
         },
         CommandCase {
             line: "dump engine-1",
-            port: port().with_answer(SIDECAR, "/dump", Ok(dump.clone())),
-            sees: expect![[r#"
+            client: client().with_response(SIDECAR, "/dump", Ok(dump.clone())),
+            expected: expect![[r#"
                 exit 0
                 {
                   "dump_version": 1
@@ -109,8 +109,8 @@
         },
         CommandCase {
             line: "dump 127.0.0.1:9",
-            port: port().with_answer("127.0.0.1:9", "/dump", Ok(dump)),
-            sees: expect![[r#"
+            client: client().with_response("127.0.0.1:9", "/dump", Ok(dump)),
+            expected: expect![[r#"
                 exit 0
                 {
                   "dump_version": 1
@@ -119,40 +119,40 @@
         },
         CommandCase {
             line: "dump engine-9",
-            port: port(),
-            sees: expect![[r#"
+            client: client(),
+            expected: expect![[r#"
                 exit 2
                 settings: "engine-9" is neither an address nor a process of the settings
             "#]],
         },
         CommandCase {
             line: "dump gateway-1",
-            port: port(),
-            sees: expect![[r#"
+            client: client(),
+            expected: expect![[r#"
                 exit 5
                 gateway-1: unreachable: connection refused
             "#]],
         },
         CommandCase {
             line: "dump gateway-1",
-            port: port().with_answer(GATEWAY_1, "/dump", silent()),
-            sees: expect![[r#"
+            client: client().with_response(GATEWAY_1, "/dump", no_answer()),
+            expected: expect![[r#"
                 exit 5
                 gateway-1: no answer: timeout
             "#]],
         },
         CommandCase {
             line: "drain engine-1",
-            port: port().with_answer(SIDECAR, "/drain", Ok(json!({ "draining": true }))),
-            sees: expect![[r#"
+            client: client().with_response(SIDECAR, "/drain", Ok(json!({ "draining": true }))),
+            expected: expect![[r#"
                 exit 0
                 engine-1 is draining
             "#]],
         },
         CommandCase {
             line: "drain engine-1 --undo",
-            port: port().with_answer(SIDECAR, "/undrain", Ok(json!({ "draining": false }))),
-            sees: expect![[r#"
+            client: client().with_response(SIDECAR, "/undrain", Ok(json!({ "draining": false }))),
+            expected: expect![[r#"
                 exit 0
                 engine-1 takes work
             "#]],
@@ -160,16 +160,16 @@
         // The call may have been carried out: a drain without an answer is not "not done".
         CommandCase {
             line: "drain engine-1",
-            port: port().with_answer(SIDECAR, "/drain", silent()),
-            sees: expect![[r#"
+            client: client().with_response(SIDECAR, "/drain", no_answer()),
+            expected: expect![[r#"
                 exit 4
                 engine-1: no answer: timeout
             "#]],
         },
         CommandCase {
             line: "drain engine-1",
-            port: port().with_answer(SIDECAR, "/drain", refused(1002)),
-            sees: expect![[r#"
+            client: client().with_response(SIDECAR, "/drain", refused(1002)),
+            expected: expect![[r#"
                 exit 1
                 engine-1: refused with 1002, no such thing: not here
             "#]],
@@ -181,7 +181,7 @@
 /// Generation 1 is accepted. One gateway has it and tells of a sidecar that is behind; the other
 /// gateway cannot be asked, and a sidecar that nobody has a session to is not counted.
 #[tokio::test(start_paused = true)]
-async fn status_counts_who_has_the_accepted_generation() {
+async fn status_counts_processes_with_the_accepted_generation() {
     let answer = json!({
         "gateway": "gateway-1",
         "generation": 1,
@@ -193,8 +193,8 @@
         ],
     });
     let store = Arc::new(MemoryStore::new());
-    let port = ScriptedPort::default().with_answer(GATEWAY_1, "/status", Ok(answer));
-    let runner = new_runner(store.clone(), port);
+    let client = ScriptedClient::default().with_response(GATEWAY_1, "/status", Ok(answer));
+    let runner = new_runner(store.clone(), client);
     run(
         &runner,
         "apply ../examples/local/fleet.jsonc --author asha --expect-generation 0",
@@ -234,24 +234,24 @@
     check_cases(vec![
         CommandCase {
             line: "check ../examples/mafraq",
-            port: ScriptedPort::default(),
-            sees: expect![[r#"
+            client: ScriptedClient::default(),
+            expected: expect![[r#"
                 exit 0
                 valid: 3 services, 2 pools, 23 endpoints, 3 gateways, 10 organisations
             "#]],
         },
         CommandCase {
             line: "check ../examples/none.jsonc",
-            port: ScriptedPort::default(),
-            sees: expect![[r#"
+            client: ScriptedClient::default(),
+            expected: expect![[r#"
                 exit 2
                 ../examples/none.jsonc: No such file or directory (os error 2)
             "#]],
         },
         CommandCase {
             line: "check Cargo.toml",
-            port: ScriptedPort::default(),
-            sees: expect![[r#"
+            client: ScriptedClient::default(),
+            expected: expect![[r#"
                 exit 1
                 Cargo.toml:1:2: found text that does not parse (Unexpected token), expected JSON with comments
                 1 problem
@@ -259,8 +259,8 @@
         },
         CommandCase {
             line: "code 2001",
-            port: ScriptedPort::default(),
-            sees: expect![[r#"
+            client: ScriptedClient::default(),
+            expected: expect![[r#"
                 exit 0
                 CODE  HTTP  RAN  TITLE
                 2001  503   no   no endpoint can finish the request in time
@@ -268,8 +268,8 @@
         },
         CommandCase {
             line: "code 9",
-            port: ScriptedPort::default(),
-            sees: expect![[r#"
+            client: ScriptedClient::default(),
+            expected: expect![[r#"
                 exit 1
                 no result code has the number 9
             "#]],
@@ -302,7 +302,7 @@
 /// What `schema` prints is what is published.
 #[tokio::test]
 async fn schema_is_the_published_one() {
-    let runner = new_runner(Arc::new(MemoryStore::new()), ScriptedPort::default());
+    let runner = new_runner(Arc::new(MemoryStore::new()), ScriptedClient::default());
     let report = run(&runner, "schema").await;
     let published = fs::read_to_string("../docs/schema/config.schema.json").expect("the schema");
     assert_eq!(report.text, published);
--- a/lovagedock-cli/tests/cli/common.rs
+++ b/lovagedock-cli/tests/cli/common.rs
@@ -5,50 +5,50 @@
 use async_trait::async_trait;
 use clap::Parser;
 use lovagedock_cli::{
-    CommandLine, CommandReport, CommandRunner, OperatorSettings, ProcessError, ProcessMethod,
-    ProcessPort,
+    CommandLine, CommandReport, CommandRunner, OperatorSettings, ProcessClient, ProcessError,
+    ProcessMethod,
 };
 use lovagedock_platform::MemoryStore;
 use serde_json::Value;
 
 /// Answers calls from a list; what is not in it cannot be reached.
 #[derive(Default)]
-pub(crate) struct ScriptedPort {
-    answers: HashMap<(SocketAddr, &'static str), Result<Value, ProcessError>>,
+pub(crate) struct ScriptedClient {
+    responses: HashMap<(SocketAddr, &'static str), Result<Value, ProcessError>>,
 }
 
-impl ScriptedPort {
+impl ScriptedClient {
     /// Adds an answer to calls of `path` at `address`.
-    pub(crate) fn with_answer(
+    pub(crate) fn with_response(
         mut self,
         address: &str,
         path: &'static str,
-        answer: Result<Value, ProcessError>,
+        response: Result<Value, ProcessError>,
     ) -> Self {
         let address = address.parse().expect("an address");
-        self.answers.insert((address, path), answer);
+        self.responses.insert((address, path), response);
         self
     }
 }
 
 #[async_trait]
-impl ProcessPort for ScriptedPort {
+impl ProcessClient for ScriptedClient {
     async fn call(
         &self,
         address: SocketAddr,
         _method: ProcessMethod,
         path: &str,
     ) -> Result<Value, ProcessError> {
-        let mut answers = self.answers.iter();
-        match answers.find(|((at, name), _)| *at == address && *name == path) {
-            Some((_, answer)) => answer.clone(),
+        let mut responses = self.responses.iter();
+        match responses.find(|((at, name), _)| *at == address && *name == path) {
+            Some((_, response)) => response.clone(),
             None => Err(ProcessError::Unreachable("connection refused".to_owned())),
         }
     }
 }
 
 /// A runner with two gateways and one sidecar in its settings.
-pub(crate) fn new_runner(store: Arc<MemoryStore>, port: ScriptedPort) -> CommandRunner {
+pub(crate) fn new_runner(store: Arc<MemoryStore>, client: ScriptedClient) -> CommandRunner {
     let text = r#"{
         "gateways": [
             { "id": "gateway-1", "address": "127.0.0.1:7301" },
@@ -58,7 +58,7 @@
     }"#;
     let settings: OperatorSettings = serde_json::from_str(text).expect("sound settings");
     let runner = CommandRunner::new(settings).expect("no files to read");
-    runner.with_store(store).with_port(Arc::new(port))
+    runner.with_store(store).with_client(Arc::new(client))
 }
 
 /// Runs a command line as it would be typed after `lovagedock`.
--- a/lovagedock-cli/tests/cli/http_port.rs
+++ b/lovagedock-cli/tests/cli/http_client.rs
@@ -7,16 +7,16 @@
 use expect_test::expect;
 use lovagedock_cli::{CommandRunner, OperatorSettings};
 use lovagedock_daemon::{
-    AdminCall, AdminMethod, AdminReply, AdminRoute, AdminServer, AdminSettings, AdminSurface,
+    AdminCall, AdminHandler, AdminMethod, AdminReply, AdminRoute, AdminServer, AdminSettings,
     DaemonContext,
 };
 use serde_json::{Value, json};
 use slog::{Discard, Logger, o};
 
-struct DrainSurface;
+struct DrainHandler;
 
 #[async_trait]
-impl AdminSurface for DrainSurface {
+impl AdminHandler for DrainHandler {
     fn ready(&self) -> bool {
         true
     }
@@ -58,8 +58,8 @@
     });
     let settings: AdminSettings = serde_json::from_value(settings).expect("sound settings");
     let context = DaemonContext::new(Logger::root(Discard, o!()));
-    let surface = Arc::new(DrainSurface);
-    let server = AdminServer::start("test", &settings, surface, &context).await;
+    let handler = Arc::new(DrainHandler);
+    let server = AdminServer::start("test", &settings, handler, &context).await;
     let server = server.expect("it listens");
     let wrong = runner_with_token(server.address(), "wrong");
     let right = runner_with_token(server.address(), "right");
--- a/lovagedock-cli/tests/cli/main.rs
+++ b/lovagedock-cli/tests/cli/main.rs
@@ -3,5 +3,5 @@
 mod apply;
 mod commands;
 mod common;
-mod http_port;
+mod http_client;
 mod settings;
--- a/lovagedock-cli/tests/cli/settings.rs
+++ b/lovagedock-cli/tests/cli/settings.rs
@@ -12,7 +12,7 @@
     name: &'static str,
     settings: &'static str,
     line: &'static str,
-    sees: Expect,
+    expected: Expect,
 }
 
 fn write_settings(name: &str, text: &str) -> PathBuf {
@@ -28,7 +28,7 @@
             name: "sound",
             settings: include_str!("../../../examples/local/settings/operator.jsonc"),
             line: "--check-settings",
-            sees: expect![[r#"
+            expected: expect![[r#"
                 exit 0
                 the settings are valid
             "#]],
@@ -37,7 +37,7 @@
             name: "misspelt",
             settings: "{\n  \"platfrom\": \"http://127.0.0.1:1\"\n}",
             line: "--check-settings",
-            sees: expect![[r#"
+            expected: expect![[r#"
                 exit 2
                 settings: FILE:2:3: platfrom: unknown field `platfrom`, expected one of `platform`, `gateways`, `sidecars`, `operator_token`, `transport`; did you mean `platform`?
             "#]],
@@ -46,7 +46,7 @@
             name: "without-platform",
             settings: "{}",
             line: "get",
-            sees: expect![[r#"
+            expected: expect![[r#"
                 exit 2
                 settings: `platform` is not set
             "#]],
@@ -55,7 +55,7 @@
             name: "without-transport",
             settings: "{}",
             line: "dump 127.0.0.1:1",
-            sees: expect![[r#"
+            expected: expect![[r#"
                 exit 2
                 settings: `transport` is not set
             "#]],
@@ -65,7 +65,7 @@
             settings: "{ \"transport\": { \"tls\": { \"certificate_file\": \"none.pem\", \
                        \"key_file\": \"none.key\" } } }",
             line: "status",
-            sees: expect![[r#"
+            expected: expect![[r#"
                 exit 2
                 settings: transport: a TLS file cannot be read
             "#]],
@@ -74,7 +74,7 @@
             name: "not-needed",
             settings: "{}",
             line: "code 1000",
-            sees: expect![[r#"
+            expected: expect![[r#"
                 exit 0
                 CODE  HTTP  RAN  TITLE
                 1000  200   yes  complete
@@ -88,6 +88,7 @@
         let line = CommandLine::try_parse_from(words.chain(case.line.split(' ')));
         let report = run_line(&line.expect(case.name));
         fs::remove_file(&file).expect("the file is there");
-        case.sees.assert_eq(&show(&report).replace(&shown, "FILE"));
+        case.expected
+            .assert_eq(&show(&report).replace(&shown, "FILE"));
     }
 }
--- a/lovagedock-daemon/examples/make_keys.rs
+++ b/lovagedock-daemon/examples/make_keys.rs
@@ -20,7 +20,7 @@
 const AUTHORITY_NAME: &str = "lovagedock example authority";
 const OWNER_ONLY: u32 = 0o600;
 
-type Outcome<T> = Result<T, Box<dyn Error>>;
+type KeyResult<T> = Result<T, Box<dyn Error>>;
 
 #[derive(Parser)]
 struct KeyArguments {
@@ -34,7 +34,7 @@
     names: Vec<String>,
 }
 
-fn main() -> Outcome<()> {
+fn main() -> KeyResult<()> {
     let arguments = KeyArguments::parse();
     fs::create_dir_all(&arguments.folder)?;
     let authority = open_authority(&arguments.folder)?;
@@ -50,7 +50,7 @@
     Ok(())
 }
 
-fn open_authority(folder: &Path) -> Outcome<Issuer<'static, KeyPair>> {
+fn open_authority(folder: &Path) -> KeyResult<Issuer<'static, KeyPair>> {
     let file = folder.join(ROOTS_KEY_FILE);
     if file.exists() {
         let key = KeyPair::from_pem(&fs::read_to_string(file)?)?;
@@ -64,7 +64,7 @@
     Ok(Issuer::new(params, key))
 }
 
-fn authority_params() -> Outcome<CertificateParams> {
+fn authority_params() -> KeyResult<CertificateParams> {
     let mut params = CertificateParams::new(Vec::new())?;
     // A name of its own: with the same subject as its issuer, OpenSSL takes a certificate for a
     // self-signed one and refuses it.
@@ -75,7 +75,7 @@
     Ok(params)
 }
 
-fn write_key(path: &Path, key: &KeyPair) -> Outcome<()> {
+fn write_key(path: &Path, key: &KeyPair) -> KeyResult<()> {
     let mut options = OpenOptions::new();
     options.write(true).create(true).truncate(true);
     let mut file = options.mode(OWNER_ONLY).open(path)?;
--- a/lovagedock-daemon/src/admin.rs
+++ b/lovagedock-daemon/src/admin.rs
@@ -33,7 +33,7 @@
 
 /// What a daemon shows to operators beside health, metrics and dump.
 #[async_trait]
-pub trait AdminSurface: Send + Sync + 'static {
+pub trait AdminHandler: Send + Sync + 'static {
     /// Whether the daemon can take work; `/readyz` tells it.
     fn ready(&self) -> bool;
 
--- a/lovagedock-daemon/src/admin/routes.rs
+++ b/lovagedock-daemon/src/admin/routes.rs
@@ -10,7 +10,7 @@
     hyper::body::Bytes as BodyBytes,
 };
 
-use super::{AdminCall, AdminMethod, AdminReply, AdminRoute, AdminSurface, DUMP_VERSION};
+use super::{AdminCall, AdminHandler, AdminMethod, AdminReply, AdminRoute, DUMP_VERSION};
 use crate::{MetricsHandle, ProcessClock};
 
 const JSON: &str = "application/json";
@@ -20,7 +20,7 @@
 /// What the operators' paths answer from.
 pub(super) struct AdminState {
     pub(super) process: &'static str,
-    pub(super) surface: Arc<dyn AdminSurface>,
+    pub(super) handler: Arc<dyn AdminHandler>,
     pub(super) metrics: MetricsHandle,
     pub(super) clock: ProcessClock,
     /// Digest of the token, so that a comparison takes the same time for any guess.
@@ -38,17 +38,17 @@
 
 impl AdminState {
     /// Answers one request.
-    pub(super) async fn answer(&self, request: AdminRequest) -> Response<BodyBytes> {
-        if let Some(response) = self.answer_common(&request) {
+    pub(super) async fn handle(&self, request: AdminRequest) -> Response<BodyBytes> {
+        if let Some(response) = self.handle_common(&request) {
             return response;
         }
-        let Some((route, argument)) = self.find(&request) else {
+        let Some((route, argument)) = self.find_route(&request) else {
             return problem(
                 ResultCode::UnknownService,
                 &format!("no {} {}", request.method, request.path),
             );
         };
-        if route.method == AdminMethod::Post && !self.may_write(&request) {
+        if route.method == AdminMethod::Post && !self.is_write_authorised(&request) {
             return problem(
                 ResultCode::Unauthenticated,
                 "this call needs the operators' token",
@@ -59,13 +59,13 @@
             argument,
             body: request.body,
         };
-        match self.surface.call(call).await {
+        match self.handler.call(call).await {
             AdminReply::Json(value) => respond(StatusCode::OK, JSON, value.to_string()),
             AdminReply::Problem { code, detail } => problem(code, &detail),
         }
     }
 
-    fn answer_common(&self, request: &AdminRequest) -> Option<Response<BodyBytes>> {
+    fn handle_common(&self, request: &AdminRequest) -> Option<Response<BodyBytes>> {
         if request.method != Method::GET {
             return None;
         }
@@ -83,7 +83,7 @@
     }
 
     fn readiness(&self) -> Response<BodyBytes> {
-        let ready = self.surface.ready();
+        let ready = self.handler.ready();
         let status = match ready {
             true => StatusCode::OK,
             false => StatusCode::SERVICE_UNAVAILABLE,
@@ -97,14 +97,14 @@
             "process": self.process,
             "version": env!("CARGO_PKG_VERSION"),
             "uptime_ms": self.clock.now().as_millis() as u64,
-            "ready": self.surface.ready(),
-            "state": self.surface.dump(),
+            "ready": self.handler.ready(),
+            "state": self.handler.dump(),
         });
         document.to_string()
     }
 
-    fn find(&self, request: &AdminRequest) -> Option<(AdminRoute, String)> {
-        self.surface.routes().iter().find_map(|route| {
+    fn find_route(&self, request: &AdminRequest) -> Option<(AdminRoute, String)> {
+        self.handler.routes().iter().find_map(|route| {
             let method = match route.method {
                 AdminMethod::Get => Method::GET,
                 AdminMethod::Post => Method::POST,
@@ -119,7 +119,7 @@
 
     // Failure: a write from anybody who can reach the port would drain the fleet. Without a token
     // only somebody who is on the host already can write, which gains him nothing.
-    fn may_write(&self, request: &AdminRequest) -> bool {
+    fn is_write_authorised(&self, request: &AdminRequest) -> bool {
         let Some(expected) = &self.token else {
             return request.peer.ip().is_loopback();
         };
--- a/lovagedock-daemon/src/admin/server.rs
+++ b/lovagedock-daemon/src/admin/server.rs
@@ -26,7 +26,7 @@
 };
 
 use super::{
-    AdminSettings, AdminSurface,
+    AdminHandler, AdminSettings,
     routes::{AdminRequest, AdminState, problem},
 };
 use crate::{DaemonContext, Transport};
@@ -34,7 +34,7 @@
 const MAX_CONNECTIONS: usize = 64;
 const MAX_BODY_BYTES: u64 = 1024 * 1024;
 const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 const UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Serves operators until it is dropped.
@@ -50,7 +50,7 @@
     pub async fn start(
         process: &'static str,
         settings: &AdminSettings,
-        surface: Arc<dyn AdminSurface>,
+        handler: Arc<dyn AdminHandler>,
         context: &DaemonContext,
     ) -> Result<Self, Report<io::Error>> {
         let transport = Transport::new(&settings.transport)
@@ -64,7 +64,7 @@
         let address = listener.local_addr().map_err(Report::new)?;
         let state = Arc::new(AdminState {
             process,
-            surface,
+            handler,
             metrics: context.metrics.clone(),
             clock: context.clock,
             token: settings
@@ -74,7 +74,12 @@
         });
         let metrics = context.metrics.clone();
         let tasks = vec![
-            tokio::spawn(accept_forever(listener, transport, state, context.clone())),
+            tokio::spawn(accept_connections(
+                listener,
+                transport,
+                state,
+                context.clone(),
+            )),
             tokio::spawn(async move {
                 let mut ticks = time::interval(UPKEEP_INTERVAL);
                 loop {
@@ -100,15 +105,15 @@
     }
 }
 
-async fn accept_forever(
+async fn accept_connections(
     listener: TcpListener,
     transport: Transport,
     state: Arc<AdminState>,
     context: DaemonContext,
 ) {
-    let places = Arc::new(Semaphore::new(MAX_CONNECTIONS));
+    let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
-        let Ok(place) = places.clone().acquire_owned().await else {
+        let Ok(permit) = permits.clone().acquire_owned().await else {
             return;
         };
         let (stream, peer) = match listener.accept().await {
@@ -117,7 +122,7 @@
             // a pause the loop would take a core.
             Err(error) => {
                 warn!(context.logger, "cannot accept operators"; "error" => %error);
-                time::sleep(ACCEPT_PAUSE).await;
+                time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
@@ -129,7 +134,7 @@
             if let Err(error) = served {
                 debug!(logger, "operators' connection ended"; "peer" => %peer, "error" => %error);
             }
-            drop(place);
+            drop(permit);
         });
     }
 }
@@ -168,7 +173,7 @@
                     authorization,
                     body,
                 };
-                async move { state.answer(request).await }
+                async move { state.handle(request).await }
             },
         )
         .recover(|rejection: Rejection| async move {
@@ -191,25 +196,25 @@
 fn limited_body() -> impl Filter<Extract = (Bytes,), Error = Rejection> + Clone {
     warp::header::optional::<u64>("content-length")
         .and(warp::body::stream())
-        .and_then(|length: Option<u64>, pieces| async move {
+        .and_then(|length: Option<u64>, chunks| async move {
             if length.is_some_and(|length| length > MAX_BODY_BYTES) {
                 return Err(warp::reject::custom(BodyTooLarge));
             }
-            read_limited(pieces).await
+            read_limited(chunks).await
         })
 }
 
 async fn read_limited<B: Buf>(
-    pieces: impl Stream<Item = Result<B, warp::Error>>,
+    chunks: impl Stream<Item = Result<B, warp::Error>>,
 ) -> Result<Bytes, Rejection> {
     let mut body = BytesMut::new();
-    let mut pieces = pin!(pieces);
-    while let Some(piece) = pieces.next().await {
-        let piece = piece.map_err(|_| warp::reject())?;
-        if (body.len() + piece.remaining()) as u64 > MAX_BODY_BYTES {
+    let mut chunks = pin!(chunks);
+    while let Some(chunk) = chunks.next().await {
+        let chunk = chunk.map_err(|_| warp::reject())?;
+        if (body.len() + chunk.remaining()) as u64 > MAX_BODY_BYTES {
             return Err(warp::reject::custom(BodyTooLarge));
         }
-        body.put(piece);
+        body.put(chunk);
     }
     Ok(body.freeze())
 }
--- a/lovagedock-daemon/src/lib.rs
+++ b/lovagedock-daemon/src/lib.rs
@@ -17,7 +17,7 @@
 mod transport;
 
 pub use admin::{
-    AdminCall, AdminMethod, AdminReply, AdminRoute, AdminServer, AdminSettings, AdminSurface,
+    AdminCall, AdminHandler, AdminMethod, AdminReply, AdminRoute, AdminServer, AdminSettings,
     DUMP_VERSION,
 };
 pub use arguments::{DaemonArguments, ExitStatus};
--- a/lovagedock-daemon/src/line_queue.rs
+++ b/lovagedock-daemon/src/line_queue.rs
@@ -16,7 +16,7 @@
 
 /// Time in which lines gather before they are written together. Waking a thread for each line took a
 /// sixth of a small gateway's processor time (sampled with a profiler under 20 requests a second).
-const GATHER_TIME: Duration = Duration::from_millis(20);
+const BATCH_DELAY: Duration = Duration::from_millis(20);
 
 /// Takes log lines without ever waiting for the output.
 ///
@@ -102,32 +102,32 @@
 impl QueueShared {
     fn write_to(&self, mut output: impl Write) {
         loop {
-            let taken = self.take();
+            let batch = self.next_batch();
             // An output that is gone, such as a closed pipe, leaves nobody to tell.
-            let _ = output.write_all(&taken.bytes);
-            if taken.dropped > 0 {
+            let _ = output.write_all(&batch.bytes);
+            if batch.dropped > 0 {
                 let _ = writeln!(
                     output,
                     r#"{{"msg":"log lines dropped","level":"WARN","lines":{}}}"#,
-                    taken.dropped
+                    batch.dropped
                 );
             }
             let _ = output.flush();
-            if taken.closed {
+            if batch.closed {
                 return;
             }
         }
     }
 
     /// What has gathered; waits for it.
-    fn take(&self) -> QueueState {
+    fn next_batch(&self) -> QueueState {
         let mut state = self.state.lock();
         while state.bytes.is_empty() && !state.closed {
             self.changed.wait(&mut state);
         }
         if !state.closed {
             // Ends early only when the queue is closed: nothing else signals a queue with lines.
-            self.changed.wait_for(&mut state, GATHER_TIME);
+            self.changed.wait_for(&mut state, BATCH_DELAY);
         }
         QueueState {
             bytes: mem::take(&mut state.bytes),
--- a/lovagedock-daemon/src/settings.rs
+++ b/lovagedock-daemon/src/settings.rs
@@ -18,7 +18,7 @@
 use serde_path_to_error::{Path as FieldPath, Segment};
 
 /// Longest edit distance at which a known name is offered for an unknown one.
-const NEAR_DISTANCE: usize = 3;
+const MAX_SUGGESTION_DISTANCE: usize = 3;
 
 /// What is wrong with a settings file, and where.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -90,7 +90,7 @@
             line,
             column,
             path: field_path(error.path()),
-            message: with_nearest_name(message),
+            message: with_suggestion(message),
         }
     })
 }
@@ -165,7 +165,7 @@
     rest.split('`').next()
 }
 
-fn with_nearest_name(message: String) -> String {
+fn with_suggestion(message: String) -> String {
     let Some(unknown) = unknown_name(&message) else {
         return message;
     };
@@ -176,7 +176,7 @@
         .step_by(2)
         .map(|name| (strsim::damerau_levenshtein(unknown, name), name))
         .min()
-        .filter(|(distance, _)| *distance <= NEAR_DISTANCE);
+        .filter(|(distance, _)| *distance <= MAX_SUGGESTION_DISTANCE);
     match nearest {
         Some((_, name)) => format!("{message}; did you mean `{name}`?"),
         None => message,
--- a/lovagedock-daemon/src/shutdown.rs
+++ b/lovagedock-daemon/src/shutdown.rs
@@ -56,7 +56,7 @@
     }
 
     /// Time since the drain was asked for; zero before.
-    pub fn triggered_for(&self) -> Duration {
+    pub fn time_since_trigger(&self) -> Duration {
         let triggered_at = *self.triggered_at.borrow();
         triggered_at.map_or(Duration::ZERO, |at| at.elapsed())
     }
--- a/lovagedock-daemon/src/traffic.rs
+++ b/lovagedock-daemon/src/traffic.rs
@@ -13,11 +13,11 @@
 };
 
 /// Bytes that the process has sent and received.
-static MOVED: AtomicU64 = AtomicU64::new(0);
+static BYTES_TRANSFERRED: AtomicU64 = AtomicU64::new(0);
 
 /// Bytes that all counted connections have sent and received so far.
-pub(crate) fn bytes_moved() -> u64 {
-    MOVED.load(Ordering::Relaxed)
+pub(crate) fn bytes_transferred() -> u64 {
+    BYTES_TRANSFERRED.load(Ordering::Relaxed)
 }
 
 /// A connection whose bytes are counted, as they are on the wire.
@@ -47,7 +47,7 @@
         let polled = Pin::new(&mut self.stream).poll_read(context, buffer);
         let count = (buffer.filled().len() - before) as u64;
         self.received.increment(count);
-        MOVED.fetch_add(count, Ordering::Relaxed);
+        BYTES_TRANSFERRED.fetch_add(count, Ordering::Relaxed);
         polled
     }
 }
@@ -61,7 +61,7 @@
         let polled = Pin::new(&mut self.stream).poll_write(context, bytes);
         if let Poll::Ready(Ok(count)) = polled {
             self.sent.increment(count as u64);
-            MOVED.fetch_add(count as u64, Ordering::Relaxed);
+            BYTES_TRANSFERRED.fetch_add(count as u64, Ordering::Relaxed);
         }
         polled
     }
@@ -82,7 +82,7 @@
         let polled = Pin::new(&mut self.stream).poll_write_vectored(context, slices);
         if let Poll::Ready(Ok(count)) = polled {
             self.sent.increment(count as u64);
-            MOVED.fetch_add(count as u64, Ordering::Relaxed);
+            BYTES_TRANSFERRED.fetch_add(count as u64, Ordering::Relaxed);
         }
         polled
     }
--- a/lovagedock-daemon/src/transport.rs
+++ b/lovagedock-daemon/src/transport.rs
@@ -15,7 +15,7 @@
 
 use crate::{
     ReloadingTls, ShutdownSignal, TlsError, TlsSettings,
-    traffic::{CountedStream, bytes_moved},
+    traffic::{CountedStream, bytes_transferred},
 };
 
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(10);
@@ -37,7 +37,7 @@
     /// A listener without the peers' roots takes any client: whoever reaches a sidecar's port could
     /// send work past the gateways' checks. A client without them cannot connect at all, which
     /// would show only as endpoints that stay unconnected.
-    pub fn mutual_problem(&self, path: &str) -> Option<String> {
+    pub fn mutual_tls_problem(&self, path: &str) -> Option<String> {
         match self {
             Self::Tls(settings) if settings.peer_roots_file.is_none() => Some(format!(
                 "{path}.tls.peer_roots_file: missing, expected the file with the roots of the peers"
@@ -119,27 +119,28 @@
     }
 
     /// Bytes that all transports of this process have sent and received so far.
-    pub fn bytes_moved() -> u64 {
-        bytes_moved()
+    pub fn bytes_transferred() -> u64 {
+        bytes_transferred()
     }
 
     /// Completes the server's side of a connection that a listener accepted.
     pub async fn accept(&self, stream: TcpStream) -> io::Result<BoxedStream> {
         stream.set_nodelay(true)?;
         let Some(tls) = &self.tls else {
-            return Ok(counted(stream));
+            return Ok(count_traffic(stream));
         };
         let acceptor = TlsAcceptor::from(tls.configs().server.clone());
-        let stream = in_time(HANDSHAKE_TIMEOUT, acceptor.accept(counted(stream))).await?;
+        let stream =
+            with_timeout(HANDSHAKE_TIMEOUT, acceptor.accept(count_traffic(stream))).await?;
         Ok(Box::new(stream))
     }
 
     /// Opens a connection.
     pub async fn connect(&self, address: SocketAddr) -> io::Result<BoxedStream> {
-        let stream = in_time(CONNECT_TIMEOUT, TcpStream::connect(address)).await?;
+        let stream = with_timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await?;
         stream.set_nodelay(true)?;
         let Some(tls) = &self.tls else {
-            return Ok(counted(stream));
+            return Ok(count_traffic(stream));
         };
         let Some(config) = tls.configs().client.clone() else {
             return Err(io::Error::new(
@@ -149,12 +150,16 @@
         };
         let name = server_name(tls.settings(), address)?;
         let connector = TlsConnector::from(config);
-        let stream = in_time(HANDSHAKE_TIMEOUT, connector.connect(name, counted(stream))).await?;
+        let stream = with_timeout(
+            HANDSHAKE_TIMEOUT,
+            connector.connect(name, count_traffic(stream)),
+        )
+        .await?;
         Ok(Box::new(stream))
     }
 }
 
-fn counted(stream: TcpStream) -> BoxedStream {
+fn count_traffic(stream: TcpStream) -> BoxedStream {
     Box::new(CountedStream::new(stream))
 }
 
@@ -166,7 +171,10 @@
     }
 }
 
-async fn in_time<T>(limit: Duration, future: impl Future<Output = io::Result<T>>) -> io::Result<T> {
+async fn with_timeout<T>(
+    limit: Duration,
+    future: impl Future<Output = io::Result<T>>,
+) -> io::Result<T> {
     match time::timeout(limit, future).await {
         Ok(result) => result,
         Err(_) => Err(io::ErrorKind::TimedOut.into()),
--- a/lovagedock-daemon/tests/admin.rs
+++ b/lovagedock-daemon/tests/admin.rs
@@ -18,20 +18,20 @@
 };
 use lovagedock::prelude::ResultCode;
 use lovagedock_daemon::{
-    AdminCall, AdminMethod, AdminReply, AdminRoute, AdminServer, AdminSettings, AdminSurface,
+    AdminCall, AdminHandler, AdminMethod, AdminReply, AdminRoute, AdminServer, AdminSettings,
     DaemonContext, MetricsHandle, PlainConsent, ShutdownSignal, TransportSettings,
 };
 use serde_json::{Value, json};
 use slog::{Discard, Logger, o};
 
 #[derive(Default)]
-struct SampleSurface {
+struct SampleHandler {
     ready: AtomicBool,
     drains: AtomicU32,
 }
 
 #[async_trait]
-impl AdminSurface for SampleSurface {
+impl AdminHandler for SampleHandler {
     fn ready(&self) -> bool {
         self.ready.load(Ordering::SeqCst)
     }
@@ -104,18 +104,18 @@
     }
 }
 
-async fn start(token: Option<&str>) -> (AdminServer, Arc<SampleSurface>) {
-    let surface = Arc::new(SampleSurface::default());
+async fn start(token: Option<&str>) -> (AdminServer, Arc<SampleHandler>) {
+    let handler = Arc::new(SampleHandler::default());
     let settings = AdminSettings {
         address: SocketAddr::from(([127, 0, 0, 1], 0)),
         operator_token: token.map(str::to_owned),
         transport: TransportSettings::PlainTcp(PlainConsent::Demo),
     };
     let context = DaemonContext::new(Logger::root(Discard, o!()));
-    let server = AdminServer::start("sample", &settings, surface.clone(), &context)
+    let server = AdminServer::start("sample", &settings, handler.clone(), &context)
         .await
         .unwrap();
-    (server, surface)
+    (server, handler)
 }
 
 async fn call(address: SocketAddr, case: &CallCase) -> (u16, String) {
@@ -143,8 +143,8 @@
 }
 
 #[tokio::test]
-async fn every_daemon_answers_the_common_paths() {
-    let (server, surface) = start(None).await;
+async fn every_daemon_serves_the_common_paths() {
+    let (server, handler) = start(None).await;
     metrics::counter!("sample_total").increment(2);
     let before = [
         CallCase::get("health", "/healthz", 200, "true"),
@@ -159,7 +159,7 @@
         CallCase::get("wrong method", "/drain", 404, "\"code\":1004"),
     ];
     check(server.address(), &before).await;
-    surface.ready.store(true, Ordering::SeqCst);
+    handler.ready.store(true, Ordering::SeqCst);
     let after = [CallCase::get("ready", "/readyz", 200, "true")];
     check(server.address(), &after).await;
 }
@@ -168,45 +168,45 @@
 // before the daemon sees it: a drain that anybody on the network can ask for stops the fleet.
 #[tokio::test]
 async fn writes_need_the_token_when_one_is_set() {
-    let (server, surface) = start(Some("open-sesame")).await;
+    let (server, handler) = start(Some("open-sesame")).await;
     let refused = [
         CallCase::drain("no token", None, 401),
         CallCase::drain("wrong token", Some("open-sesam"), 401),
         CallCase::drain("empty token", Some(""), 401),
     ];
     check(server.address(), &refused).await;
-    assert_eq!(surface.drains.load(Ordering::SeqCst), 0);
-    let taken = [CallCase::drain("right token", Some("open-sesame"), 200)];
-    check(server.address(), &taken).await;
-    assert_eq!(surface.drains.load(Ordering::SeqCst), 1);
+    assert_eq!(handler.drains.load(Ordering::SeqCst), 0);
+    let accepted = [CallCase::drain("right token", Some("open-sesame"), 200)];
+    check(server.address(), &accepted).await;
+    assert_eq!(handler.drains.load(Ordering::SeqCst), 1);
 }
 
 #[tokio::test]
 async fn writes_from_loopback_need_no_token_when_none_is_set() {
-    let (server, surface) = start(None).await;
+    let (server, handler) = start(None).await;
     check(server.address(), &[CallCase::drain("loopback", None, 200)]).await;
-    assert_eq!(surface.drains.load(Ordering::SeqCst), 1);
+    assert_eq!(handler.drains.load(Ordering::SeqCst), 1);
 }
 
 #[tokio::test]
 async fn a_large_body_is_refused_with_its_code() {
-    let (server, surface) = start(None).await;
+    let (server, handler) = start(None).await;
     let mut case = CallCase::drain("two megabytes", None, 413);
     case.body = 2 * 1024 * 1024;
     case.contains = "\"code\":1005";
     check(server.address(), &[case]).await;
-    assert_eq!(surface.drains.load(Ordering::SeqCst), 0);
+    assert_eq!(handler.drains.load(Ordering::SeqCst), 0);
 }
 
 // A tool that sends a POST without a body gives no length either (`curl -X POST`).
 #[tokio::test]
-async fn a_write_without_a_body_or_a_length_is_taken() {
-    let (server, surface) = start(None).await;
+async fn a_write_without_a_body_or_a_length_is_accepted() {
+    let (server, handler) = start(None).await;
     let mut case = CallCase::drain("no body", None, 200);
     case.body = 0;
     case.contains = "\"body\":0";
     check(server.address(), &[case]).await;
-    assert_eq!(surface.drains.load(Ordering::SeqCst), 1);
+    assert_eq!(handler.drains.load(Ordering::SeqCst), 1);
 }
 
 #[test]
@@ -219,7 +219,7 @@
 }
 
 #[tokio::test]
-async fn the_shutdown_signal_reaches_those_who_wait_and_those_who_come_late() {
+async fn the_shutdown_signal_reaches_earlier_and_later_waiters() {
     let shutdown = ShutdownSignal::new();
     let waiting = tokio::spawn({
         let shutdown = shutdown.clone();
--- a/lovagedock-daemon/tests/line_queue.rs
+++ b/lovagedock-daemon/tests/line_queue.rs
@@ -10,13 +10,13 @@
 /// An output that can be stuck until it is released.
 struct GatedOutput {
     written: Arc<Mutex<Vec<u8>>>,
-    stuck: Option<mpsc::Receiver<()>>,
+    blocked: Option<mpsc::Receiver<()>>,
 }
 
 impl Write for GatedOutput {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        if let Some(stuck) = self.stuck.take() {
-            let _ = stuck.recv();
+        if let Some(blocked) = self.blocked.take() {
+            let _ = blocked.recv();
         }
         self.written.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
@@ -34,11 +34,11 @@
 /// Operators read a log that ends with the process's last line: the process ends right after it
 /// wrote it, while the line still gathers with others.
 #[test]
-fn lines_are_written_in_order_until_the_end() {
+fn all_lines_are_written_in_order() {
     let written = Arc::default();
     let output = GatedOutput {
         written: Arc::clone(&written),
-        stuck: None,
+        blocked: None,
     };
     let mut queue = LineQueue::new(output).unwrap();
     for number in 0..1000 {
@@ -53,12 +53,12 @@
 /// The output is stuck, as when nobody reads a pipe. Requests go on being served: writing a line
 /// never waits. What does not fit is dropped, and its number is told when the output moves.
 #[test]
-fn a_stuck_output_drops_lines_and_tells_how_many() {
+fn a_blocked_output_drops_lines_and_reports_their_number() {
     let written = Arc::default();
-    let (release, stuck) = mpsc::channel();
+    let (release, blocked) = mpsc::channel();
     let output = GatedOutput {
         written: Arc::clone(&written),
-        stuck: Some(stuck),
+        blocked: Some(blocked),
     };
     let mut queue = LineQueue::new(output).unwrap();
     let line = "x".repeat(1 << 10) + "\n";
@@ -69,13 +69,13 @@
     release.send(()).unwrap();
     drop(queue);
     let text = text(&written);
-    let (mut kept, mut told) = (0, 0);
+    let (mut kept, mut reported) = (0, 0);
     for line in text.lines() {
         match line.split_once(r#""lines":"#) {
-            Some((_, number)) => told += number.trim_end_matches('}').parse::<u64>().unwrap(),
+            Some((_, number)) => reported += number.trim_end_matches('}').parse::<u64>().unwrap(),
             None => kept += 1,
         }
     }
-    assert!(told > 0, "nothing was dropped");
-    assert_eq!(kept + told, lines);
+    assert!(reported > 0, "nothing was dropped");
+    assert_eq!(kept + reported, lines);
 }
--- a/lovagedock-daemon/tests/settings.rs
+++ b/lovagedock-daemon/tests/settings.rs
@@ -74,7 +74,7 @@
 ];
 
 #[test]
-fn an_error_points_at_its_place() {
+fn errors_report_line_and_column() {
     for case in ERROR_CASES {
         let error = parse_settings::<SampleSettings>(Path::new("sample.jsonc"), case.text)
             .expect_err(case.name);
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_file_that_cannot_be_read_is_named() {
+fn an_unreadable_file_is_named_in_the_error() {
     let file = Path::new("no/such/settings.jsonc");
     let error = load_settings::<SampleSettings>(file).expect_err("no such file");
     assert_eq!((error.line, error.column), (0, 0));
--- a/lovagedock-daemon/tests/tls.rs
+++ b/lovagedock-daemon/tests/tls.rs
@@ -114,17 +114,29 @@
 // A process with a certificate from somebody else's authority reaches a sidecar's port, or poses
 // as a sidecar. Mutual TLS has to refuse it in both roles, and a process without any TLS too.
 #[tokio::test]
-async fn mutual_tls_refuses_a_stranger() {
+async fn mutual_tls_rejects_untrusted_certificates() {
     let folder = KeyFolder::new();
-    let (ours, theirs) = (authority(), authority());
-    let server = echo_server(transport(folder.settings("server", &ours, &ours))).await;
-    let impostor = echo_server(transport(folder.settings("impostor", &theirs, &ours))).await;
-    let member = transport(folder.settings("member", &ours, &ours));
-    let stranger = transport(folder.settings("stranger", &theirs, &ours));
-
-    assert_eq!(exchange(&member, server).await.unwrap(), 7);
-    assert!(exchange(&stranger, server).await.is_err());
-    assert!(exchange(&member, impostor).await.is_err());
+    let (trusted_authority, untrusted_authority) = (authority(), authority());
+    let server = echo_server(transport(folder.settings(
+        "server",
+        &trusted_authority,
+        &trusted_authority,
+    )))
+    .await;
+    let untrusted_server = echo_server(transport(folder.settings(
+        "impostor",
+        &untrusted_authority,
+        &trusted_authority,
+    )))
+    .await;
+    let trusted_client =
+        transport(folder.settings("member", &trusted_authority, &trusted_authority));
+    let untrusted_client =
+        transport(folder.settings("stranger", &untrusted_authority, &trusted_authority));
+
+    assert_eq!(exchange(&trusted_client, server).await.unwrap(), 7);
+    assert!(exchange(&untrusted_client, server).await.is_err());
+    assert!(exchange(&trusted_client, untrusted_server).await.is_err());
     let answer = exchange(&Transport::plain_for_demo(), server).await;
     assert_eq!(answer.unwrap(), TLS_ALERT_RECORD);
 }
@@ -137,41 +149,41 @@
     let (old, new) = (authority(), authority());
     let server = transport(folder.settings("server", &old, &old));
     let address = echo_server(server.clone()).await;
-    let old_member = transport(folder.settings("old", &old, &old));
-    let new_member = transport(folder.settings("new", &new, &new));
-    let mut open = old_member.connect(address).await.unwrap();
+    let old_client = transport(folder.settings("old", &old, &old));
+    let new_client = transport(folder.settings("new", &new, &new));
+    let mut open = old_client.connect(address).await.unwrap();
     assert_eq!(echo(&mut open, 1).await.unwrap(), 1);
-    assert!(exchange(&new_member, address).await.is_err());
+    assert!(exchange(&new_client, address).await.is_err());
 
     assert!(!server.tls().unwrap().reload().unwrap());
     folder.settings("server", &new, &new);
     assert!(server.tls().unwrap().reload().unwrap());
 
-    assert_eq!(exchange(&new_member, address).await.unwrap(), 7);
-    assert!(exchange(&old_member, address).await.is_err());
+    assert_eq!(exchange(&new_client, address).await.unwrap(), 7);
+    assert!(exchange(&old_client, address).await.is_err());
     assert_eq!(echo(&mut open, 2).await.unwrap(), 2);
 }
 
 // Whoever renews a certificate has replaced one of its two files when we look. The mixture must
 // not be used, must not end the process, and the next look must find the finished pair.
 #[tokio::test]
-async fn a_half_replaced_pair_leaves_the_old_one_in_use() {
+async fn a_half_replaced_key_pair_is_not_used() {
     let folder = KeyFolder::new();
     let root = authority();
     let settings = folder.settings("server", &root, &root);
     let server = transport(settings.clone());
     let address = echo_server(server.clone()).await;
-    let member = transport(folder.settings("member", &root, &root));
+    let trusted_client = transport(folder.settings("member", &root, &root));
 
     let (certificate, key) = issue(&root);
     fs::write(&settings.certificate_file, certificate).unwrap();
     let report = server.tls().unwrap().reload().unwrap_err();
     assert_eq!(*report.current_context(), TlsError::Mismatch);
-    assert_eq!(exchange(&member, address).await.unwrap(), 7);
+    assert_eq!(exchange(&trusted_client, address).await.unwrap(), 7);
 
     fs::write(&settings.key_file, key).unwrap();
     assert!(server.tls().unwrap().reload().unwrap());
-    assert_eq!(exchange(&member, address).await.unwrap(), 7);
+    assert_eq!(exchange(&trusted_client, address).await.unwrap(), 7);
 }
 
 struct FileCase {
@@ -204,7 +216,7 @@
 ];
 
 #[test]
-fn bad_files_are_told_apart() {
+fn bad_files_give_distinct_errors() {
     let root = authority();
     for case in FILE_CASES {
         let folder = KeyFolder::new();
--- a/lovagedock-gateway/src/admin.rs
+++ b/lovagedock-gateway/src/admin.rs
@@ -3,7 +3,7 @@
 use async_trait::async_trait;
 use lovagedock::{AdoptionStatus, prelude::*};
 use lovagedock_daemon::{
-    AdminCall, AdminMethod, AdminReply, AdminRoute, AdminSurface, ShutdownSignal,
+    AdminCall, AdminHandler, AdminMethod, AdminReply, AdminRoute, ShutdownSignal,
 };
 use serde::Serialize;
 use serde_json::{Value, json};
@@ -117,7 +117,7 @@
 }
 
 #[async_trait]
-impl AdminSurface for GatewaySurface {
+impl AdminHandler for GatewaySurface {
     /// Ready with a configuration in force and a session to at least one endpoint: a gateway that
     /// is cut off from everything must not get callers from the balancer.
     fn ready(&self) -> bool {
--- a/lovagedock-gateway/src/direct/gateway.rs
+++ b/lovagedock-gateway/src/direct/gateway.rs
@@ -5,7 +5,7 @@
 use async_trait::async_trait;
 use error_stack::{Report, ResultExt};
 use lovagedock::format_fingerprint;
-use lovagedock_daemon::{AdminServer, AdminSurface, DaemonContext, load_checked_settings};
+use lovagedock_daemon::{AdminHandler, AdminServer, DaemonContext, load_checked_settings};
 use lovagedock_platform::{FeedSubject, FleetFeed, GatewayEntry};
 use serde_json::{Value, json};
 use slog::{info, o, warn};
@@ -178,7 +178,7 @@
 struct GatewayAdmin(Arc<GatewayState>);
 
 #[async_trait]
-impl AdminSurface for GatewayAdmin {
+impl AdminHandler for GatewayAdmin {
     fn ready(&self) -> bool {
         self.0.is_ready()
     }
--- a/lovagedock-gateway/src/settings.rs
+++ b/lovagedock-gateway/src/settings.rs
@@ -69,8 +69,8 @@
                 self.orders.lease_ms
             ));
         }
-        problems.extend(links.transport.mutual_problem("links.transport"));
-        problems.extend(self.peers.transport.mutual_problem("peers.transport"));
+        problems.extend(links.transport.mutual_tls_problem("links.transport"));
+        problems.extend(self.peers.transport.mutual_tls_problem("peers.transport"));
         problems
     }
 }
--- a/lovagedock-gateway/src/shared.rs
+++ b/lovagedock-gateway/src/shared.rs
@@ -63,7 +63,7 @@
     /// Time that requests in flight still get; all of the drain time while the gateway serves.
     pub(crate) fn drain_left(&self) -> Duration {
         self.drain_time
-            .saturating_sub(self.shutdown.triggered_for())
+            .saturating_sub(self.shutdown.time_since_trigger())
     }
 
     /// Ends when the gateway drains and its requests have no time left.
--- a/lovagedock-sidecar/src/adapter/client.rs
+++ b/lovagedock-sidecar/src/adapter/client.rs
@@ -22,7 +22,7 @@
 
 /// An answer whose connection ends with it.
 pub(crate) struct EngineResponse {
-    pub(crate) response: Response<Incoming>,
+    pub(crate) inner: Response<Incoming>,
     pub(crate) connection: AbortOnDropHandle<()>,
 }
 
@@ -60,14 +60,11 @@
             let _ = connection.await;
         });
         let connection = AbortOnDropHandle::new(task);
-        let response = sender
+        let inner = sender
             .send_request(request)
             .await
             .map_err(EngineError::lost)?;
-        Ok(EngineResponse {
-            response,
-            connection,
-        })
+        Ok(EngineResponse { inner, connection })
     }
 
     /// Sends a request; a head that takes longer than the idle timeout counts as lost.
@@ -102,9 +99,9 @@
         path: &str,
         body: Bytes,
     ) -> Result<Bytes, EngineError> {
-        let answer = self.send_bounded(json_request(method, path, body)?).await?;
-        let answer = checked(answer, self).await?;
-        self.bounded(read_all(answer)).await?
+        let response = self.send_bounded(json_request(method, path, body)?).await?;
+        let response = check_status(response, self).await?;
+        self.bounded(read_all(response)).await?
     }
 
     /// Waits no longer than the idle timeout.
@@ -114,14 +111,14 @@
     pub(crate) async fn bounded<F: Future>(&self, future: F) -> Result<F::Output, EngineError> {
         timeout(self.options.idle_timeout, future)
             .await
-            .map_err(|_| self.silent())
+            .map_err(|_| self.idle_error())
     }
 
     pub(crate) fn idle_timeout(&self) -> Duration {
         self.options.idle_timeout
     }
 
-    fn silent(&self) -> EngineError {
+    fn idle_error(&self) -> EngineError {
         let limit = self.idle_timeout();
         EngineError::lost(format!("the endpoint was silent for {limit:?}"))
     }
@@ -178,15 +175,15 @@
 ///
 /// Engines answer 4xx and 503 before they start anything; any other error status may come from
 /// work that started.
-pub(crate) async fn checked(
-    answer: EngineResponse,
+pub(crate) async fn check_status(
+    response: EngineResponse,
     client: &EngineClient,
 ) -> Result<EngineResponse, EngineError> {
-    let status = answer.response.status();
+    let status = response.inner.status();
     if status.is_success() {
-        return Ok(answer);
+        return Ok(response);
     }
-    let body = client.bounded(read_all(answer)).await??;
+    let body = client.bounded(read_all(response)).await??;
     let detail: String = String::from_utf8_lossy(&body)
         .chars()
         .take(MAX_DETAIL_CHARS)
@@ -201,9 +198,9 @@
 }
 
 /// Reads a whole body.
-pub(crate) async fn read_all(answer: EngineResponse) -> Result<Bytes, EngineError> {
-    let _connection = answer.connection;
-    let body = Limited::new(answer.response.into_body(), MAX_CONTROL_BYTES);
+pub(crate) async fn read_all(response: EngineResponse) -> Result<Bytes, EngineError> {
+    let _connection = response.connection;
+    let body = Limited::new(response.inner.into_body(), MAX_CONTROL_BYTES);
     let collected = body.collect().await.map_err(EngineError::lost)?;
     Ok(collected.to_bytes())
 }
--- a/lovagedock-sidecar/src/adapter/dialect.rs
+++ b/lovagedock-sidecar/src/adapter/dialect.rs
@@ -11,7 +11,10 @@
 /// One vendor's way of reporting.
 #[async_trait]
 pub(crate) trait VendorDialect: Send + Sync + 'static {
-    async fn account(&self, client: &EngineClient) -> Result<Vec<EngineAllocation>, EngineError>;
+    async fn allocations(
+        &self,
+        client: &EngineClient,
+    ) -> Result<Vec<EngineAllocation>, EngineError>;
 
     async fn load(&self, client: &EngineClient) -> Result<EngineLoad, EngineError>;
 }
--- a/lovagedock-sidecar/src/adapter/port.rs
+++ b/lovagedock-sidecar/src/adapter/engine_adapter.rs
@@ -41,7 +41,7 @@
     async fn cancel(&self, request_id: RequestId) -> Result<(), EngineError>;
 
     /// What each request holds by the engine's own account.
-    async fn account(&self) -> Result<Vec<EngineAllocation>, EngineError>;
+    async fn allocations(&self) -> Result<Vec<EngineAllocation>, EngineError>;
 
     /// The load that the endpoint reports.
     async fn load(&self) -> Result<EngineLoad, EngineError>;
--- a/lovagedock-sidecar/src/adapter/json_report.rs
+++ b/lovagedock-sidecar/src/adapter/json_report.rs
@@ -26,19 +26,19 @@
 struct JsonReport;
 
 #[derive(Debug, Deserialize)]
-struct AccountAnswer {
-    requests: Vec<RequestHolding>,
+struct AllocationsResponse {
+    requests: Vec<RequestAllocation>,
 }
 
 #[derive(Debug, Deserialize)]
-struct RequestHolding {
+struct RequestAllocation {
     request_id: String,
     blocks: BlockCount,
     block_tokens: TokenCount,
 }
 
 #[derive(Debug, Deserialize)]
-struct LoadAnswer {
+struct LoadResponse {
     running: u32,
     waiting: u32,
     total_tokens: TokenCount,
@@ -55,30 +55,37 @@
 
 #[async_trait]
 impl VendorDialect for JsonReport {
-    async fn account(&self, client: &EngineClient) -> Result<Vec<EngineAllocation>, EngineError> {
-        let answer: AccountAnswer = client.get("/v1/requests").await?;
-        Ok(answer.requests.iter().filter_map(holding).collect())
+    async fn allocations(
+        &self,
+        client: &EngineClient,
+    ) -> Result<Vec<EngineAllocation>, EngineError> {
+        let response: AllocationsResponse = client.get("/v1/requests").await?;
+        Ok(response
+            .requests
+            .iter()
+            .filter_map(engine_allocation)
+            .collect())
     }
 
     async fn load(&self, client: &EngineClient) -> Result<EngineLoad, EngineError> {
-        let answer: LoadAnswer = client.get("/load").await?;
+        let response: LoadResponse = client.get("/load").await?;
         Ok(EngineLoad {
-            running: answer.running,
-            waiting: answer.waiting,
-            memory_tokens: answer.total_tokens,
-            free_tokens: answer.free_tokens,
-            cached_tokens: answer.cached_tokens,
-            role: answer.role,
-            model: answer.model,
-            adapters: answer.adapters,
+            running: response.running,
+            waiting: response.waiting,
+            memory_tokens: response.total_tokens,
+            free_tokens: response.free_tokens,
+            cached_tokens: response.cached_tokens,
+            role: response.role,
+            model: response.model,
+            adapters: response.adapters,
         })
     }
 }
 
 /// Requests whose ids are not ours did not come through a sidecar and are left alone.
-fn holding(holding: &RequestHolding) -> Option<EngineAllocation> {
+fn engine_allocation(allocation: &RequestAllocation) -> Option<EngineAllocation> {
     Some(EngineAllocation {
-        request_id: parse_request_id(&holding.request_id)?,
-        tokens: holding.blocks * holding.block_tokens,
+        request_id: parse_request_id(&allocation.request_id)?,
+        tokens: allocation.blocks * allocation.block_tokens,
     })
 }
--- a/lovagedock-sidecar/src/adapter/message.rs
+++ b/lovagedock-sidecar/src/adapter/message.rs
@@ -10,13 +10,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AdapterCapabilities {
     /// It accounts for memory, and cancels by request id.
-    pub holds_memory: bool,
+    pub tracks_memory: bool,
     /// It prefills parts of prompts and decodes with parts that others hold.
-    pub takes_segments: bool,
+    pub accepts_segments: bool,
     /// It exports and imports the state of requests.
-    pub moves_requests: bool,
+    pub transfers_requests: bool,
     /// It takes orders.
-    pub takes_orders: bool,
+    pub accepts_orders: bool,
 }
 
 /// One header of a request or an answer.
--- a/lovagedock-sidecar/src/adapter/model.rs
+++ b/lovagedock-sidecar/src/adapter/model.rs
@@ -10,15 +10,15 @@
 use lovagedock::prelude::{Epoch, RequestId, TokenCount, format_request_id};
 
 use super::{
-    client::{EngineClient, EngineResponse, checked, json_bytes, json_request, read_all},
+    client::{EngineClient, EngineResponse, check_status, json_bytes, json_request, read_all},
     dialect::VendorDialect,
+    engine_adapter::{EngineAdapter, EngineStream},
     error::EngineError,
     message::{
         AdapterCapabilities, CacheChange, CacheEvent, CacheReport, CacheSnapshot, EngineAllocation,
         EngineEnd, EngineEvent, EngineHead, EngineHeader, EngineLoad, EngineOrder, EngineRequest,
         OrderKind, SegmentHolder, SegmentRequest,
     },
-    port::{EngineAdapter, EngineStream},
     registry::AdapterOptions,
     request_body::EngineBody,
     sse::{AnswerFields, SseReader},
@@ -43,10 +43,10 @@
 impl<D: VendorDialect> EngineAdapter for ModelAdapter<D> {
     fn capabilities(&self) -> AdapterCapabilities {
         AdapterCapabilities {
-            holds_memory: true,
-            takes_segments: true,
-            moves_requests: true,
-            takes_orders: true,
+            tracks_memory: true,
+            accepts_segments: true,
+            transfers_requests: true,
+            accepts_orders: true,
         }
     }
 
@@ -56,25 +56,25 @@
         let request_id = format_request_id(request.request_id);
         let http_request = json_request(Method::POST, &request.path, body.bytes)?;
         if body.is_streamed {
-            let answer = self.client.send_bounded(http_request).await?;
-            let answer = checked(answer, &self.client).await?;
-            let head = answer_head(&answer);
-            let reader = SseReader::new(self.client.clone(), answer, request_id, started);
+            let response = self.client.send_bounded(http_request).await?;
+            let response = check_status(response, &self.client).await?;
+            let head = response_head(&response);
+            let reader = SseReader::new(self.client.clone(), response, request_id, started);
             return Ok(stream::iter([Ok(head)]).chain(reader.into_stream()).boxed());
         }
-        let answer = self.client.send(http_request).await?;
-        let answer = checked(answer, &self.client).await?;
-        whole_answer(answer, &request_id, started).await
+        let response = self.client.send(http_request).await?;
+        let response = check_status(response, &self.client).await?;
+        whole_response(response, &request_id, started).await
     }
 
     async fn cancel(&self, request_id: RequestId) -> Result<(), EngineError> {
         let body = IdBody::new(request_id);
-        let _: CancelAnswer = self.client.call(Method::POST, "/v1/cancel", &body).await?;
+        let _: CancelResponse = self.client.call(Method::POST, "/v1/cancel", &body).await?;
         Ok(())
     }
 
-    async fn account(&self) -> Result<Vec<EngineAllocation>, EngineError> {
-        self.dialect.account(&self.client).await
+    async fn allocations(&self) -> Result<Vec<EngineAllocation>, EngineError> {
+        self.dialect.allocations(&self.client).await
     }
 
     async fn load(&self) -> Result<EngineLoad, EngineError> {
@@ -92,10 +92,11 @@
         let bytes = json_bytes(&body)?;
         let http_request = json_request(Method::POST, "/v1/segments", bytes)?;
         // Like a whole answer this comes when all is done; only the caller's deadline bounds it.
-        let answer = self.client.send(http_request).await?;
-        let answer = checked(answer, &self.client).await?;
-        let bytes = read_all(answer).await?;
-        let holder: SegmentAnswer = serde_json::from_slice(&bytes).map_err(EngineError::failed)?;
+        let response = self.client.send(http_request).await?;
+        let response = check_status(response, &self.client).await?;
+        let bytes = read_all(response).await?;
+        let holder: SegmentResponse =
+            serde_json::from_slice(&bytes).map_err(EngineError::failed)?;
         Ok(SegmentHolder {
             locator: holder.engine,
             tokens: holder.tokens,
@@ -121,23 +122,23 @@
         let http_request = json_request(Method::POST, "/orders", body)?;
         // The answer comes when the weights are loaded, which takes longer than any silence that
         // an engine may keep otherwise; whoever gives the order bounds it.
-        let answer = self.client.send(http_request).await?;
-        let answer = checked(answer, &self.client).await?;
-        self.client.bounded(read_all(answer)).await??;
+        let response = self.client.send(http_request).await?;
+        let response = check_status(response, &self.client).await?;
+        self.client.bounded(read_all(response)).await??;
         Ok(())
     }
 
     async fn cache_events(&self, after: u64) -> Result<CacheReport, EngineError> {
         let path = format!("/cache/events?after={after}");
-        let answer: CacheEventsAnswer = self.client.get(&path).await?;
-        Ok(cache_report(after, &answer))
+        let response: CacheEventsResponse = self.client.get(&path).await?;
+        Ok(cache_report(after, &response))
     }
 
     async fn cache_snapshot(&self) -> Result<CacheSnapshot, EngineError> {
-        let answer: CacheSnapshotAnswer = self.client.get("/cache/snapshot").await?;
+        let response: CacheSnapshotResponse = self.client.get("/cache/snapshot").await?;
         Ok(CacheSnapshot {
-            sequence: answer.seq,
-            hashes: answer.hashes,
+            sequence: response.seq,
+            hashes: response.hashes,
         })
     }
 }
@@ -156,9 +157,9 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct CancelAnswer {
+struct CancelResponse {
     #[serde(rename = "cancelled")]
-    _was_there: bool,
+    _was_found: bool,
 }
 
 #[derive(Debug, Serialize)]
@@ -171,7 +172,7 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct SegmentAnswer {
+struct SegmentResponse {
     engine: String,
     tokens: TokenCount,
 }
@@ -208,7 +209,7 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct CacheEventsAnswer {
+struct CacheEventsResponse {
     last: u64,
     events: Vec<CacheEventField>,
 }
@@ -221,19 +222,19 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct CacheSnapshotAnswer {
+struct CacheSnapshotResponse {
     seq: u64,
     hashes: Vec<u64>,
 }
 
 /// A newest event below the one that was asked for means that the engine began anew.
-fn cache_report(after: u64, answer: &CacheEventsAnswer) -> CacheReport {
+fn cache_report(after: u64, response: &CacheEventsResponse) -> CacheReport {
     let mut report = CacheReport {
-        has_gap: answer.last < after,
+        has_gap: response.last < after,
         events: Vec::new(),
     };
     let mut last = after;
-    for field in &answer.events {
+    for field in &response.events {
         report.has_gap |= field.seq != last + 1;
         last = field.seq;
         report.events.push(CacheEvent {
@@ -247,9 +248,9 @@
     report
 }
 
-fn answer_head(answer: &EngineResponse) -> EngineEvent {
-    let headers = answer
-        .response
+fn response_head(response: &EngineResponse) -> EngineEvent {
+    let headers = response
+        .inner
         .headers()
         .get(CONTENT_TYPE)
         .map(|value| EngineHeader {
@@ -257,24 +258,24 @@
             value: Bytes::copy_from_slice(value.as_bytes()),
         });
     EngineEvent::Head(EngineHead {
-        status: answer.response.status().as_u16(),
+        status: response.inner.status().as_u16(),
         headers: headers.into_iter().collect(),
     })
 }
 
-async fn whole_answer(
-    answer: EngineResponse,
+async fn whole_response(
+    response: EngineResponse,
     request_id: &str,
     started: Instant,
 ) -> Result<EngineStream, EngineError> {
-    let head = answer_head(&answer);
-    let bytes = read_all(answer).await?;
+    let head = response_head(&response);
+    let bytes = read_all(response).await?;
     let fields = AnswerFields::parse(&bytes, request_id)?;
     let mut end = EngineEnd {
         first_token_after: started.elapsed(),
         ..EngineEnd::default()
     };
-    fields.fill(&mut end);
+    fields.copy_usage(&mut end);
     let events = [head, EngineEvent::Bytes(bytes), EngineEvent::End(end)];
     Ok(stream::iter(events.map(Ok)).boxed())
 }
--- a/lovagedock-sidecar/src/adapter/plain.rs
+++ b/lovagedock-sidecar/src/adapter/plain.rs
@@ -20,13 +20,13 @@
 
 use super::{
     client::{EngineClient, EngineResponse, bad_request},
+    engine_adapter::{EngineAdapter, EngineStream},
     error::EngineError,
     message::{
         AdapterCapabilities, CacheReport, CacheSnapshot, EngineAllocation, EngineEnd, EngineEvent,
         EngineHead, EngineHeader, EngineLoad, EngineOrder, EngineRequest, SegmentHolder,
         SegmentRequest,
     },
-    port::{EngineAdapter, EngineStream},
     registry::{AdapterOptions, AdapterPlugin},
 };
 
@@ -41,7 +41,7 @@
 const KEEP_ALIVE_HEADER: HeaderName = HeaderName::from_static("keep-alive");
 
 /// Headers that belong to one connection and are never passed on.
-const HOP_HEADERS: [HeaderName; 9] = [
+const HOP_BY_HOP_HEADERS: [HeaderName; 9] = [
     CONNECTION,
     CONTENT_LENGTH,
     EXPECT,
@@ -67,7 +67,7 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct LoadAnswer {
+struct LoadResponse {
     #[serde(default)]
     running: u32,
     #[serde(default)]
@@ -82,19 +82,19 @@
 
     async fn start(&self, request: EngineRequest) -> Result<EngineStream, EngineError> {
         let started = Instant::now();
-        let answer = self.client.send(http_request(request)?).await?;
+        let response = self.client.send(http_request(request)?).await?;
         let head = EngineEvent::Head(EngineHead {
-            status: answer.response.status().as_u16(),
-            headers: passed_headers(answer.response.headers()),
+            status: response.inner.status().as_u16(),
+            headers: end_to_end_headers(response.inner.headers()),
         });
         let reader = BodyReader {
             client: self.client.clone(),
-            answer,
+            response,
             end: EngineEnd {
                 first_token_after: started.elapsed(),
                 ..EngineEnd::default()
             },
-            is_over: false,
+            is_done: false,
         };
         Ok(stream::iter([Ok(head)]).chain(reader.into_stream()).boxed())
     }
@@ -103,15 +103,15 @@
         Ok(())
     }
 
-    async fn account(&self) -> Result<Vec<EngineAllocation>, EngineError> {
+    async fn allocations(&self) -> Result<Vec<EngineAllocation>, EngineError> {
         Ok(Vec::new())
     }
 
     async fn load(&self) -> Result<EngineLoad, EngineError> {
-        let answer: LoadAnswer = self.client.get("/load").await?;
+        let response: LoadResponse = self.client.get("/load").await?;
         Ok(EngineLoad {
-            running: answer.running,
-            waiting: answer.waiting,
+            running: response.running,
+            waiting: response.waiting,
             ..EngineLoad::default()
         })
     }
@@ -143,9 +143,9 @@
 
 struct BodyReader {
     client: EngineClient,
-    answer: EngineResponse,
+    response: EngineResponse,
     end: EngineEnd,
-    is_over: bool,
+    is_done: bool,
 }
 
 impl BodyReader {
@@ -158,11 +158,11 @@
     }
 
     async fn next_event(&mut self) -> Result<Option<EngineEvent>, EngineError> {
-        if self.is_over {
+        if self.is_done {
             return Ok(None);
         }
         loop {
-            let body = self.answer.response.body_mut();
+            let body = self.response.inner.body_mut();
             let frame = match self.client.bounded(body.frame()).await? {
                 None => break,
                 Some(frame) => frame.map_err(EngineError::lost)?,
@@ -171,7 +171,7 @@
                 return Ok(Some(EngineEvent::Bytes(data)));
             }
         }
-        self.is_over = true;
+        self.is_done = true;
         Ok(Some(EngineEvent::End(self.end)))
     }
 }
@@ -180,10 +180,13 @@
     let mut builder = Request::builder()
         .method(request.method.as_str())
         .uri(request.path.as_str());
-    let named = connection_names(&request.headers);
+    let connection_headers = connection_header_names(&request.headers);
     for header in &request.headers {
         let name = HeaderName::from_bytes(header.name.as_bytes()).map_err(bad_request)?;
-        if HOP_HEADERS.contains(&name) || name == REQUEST_ID_HEADER || named.contains(&name) {
+        if HOP_BY_HOP_HEADERS.contains(&name)
+            || name == REQUEST_ID_HEADER
+            || connection_headers.contains(&name)
+        {
             continue;
         }
         let value = HeaderValue::from_bytes(&header.value).map_err(bad_request)?;
@@ -196,7 +199,7 @@
 }
 
 /// Headers that the caller's `Connection` header limits to its own connection.
-fn connection_names(headers: &[EngineHeader]) -> Vec<HeaderName> {
+fn connection_header_names(headers: &[EngineHeader]) -> Vec<HeaderName> {
     headers
         .iter()
         .filter(|header| header.name.eq_ignore_ascii_case(CONNECTION.as_str()))
@@ -205,10 +208,10 @@
         .collect()
 }
 
-fn passed_headers(headers: &HeaderMap) -> Vec<EngineHeader> {
+fn end_to_end_headers(headers: &HeaderMap) -> Vec<EngineHeader> {
     headers
         .iter()
-        .filter(|(name, _)| !HOP_HEADERS.contains(name))
+        .filter(|(name, _)| !HOP_BY_HOP_HEADERS.contains(name))
         .map(|(name, value)| EngineHeader {
             name: name.as_str().to_owned(),
             value: Bytes::copy_from_slice(value.as_bytes()),
--- a/lovagedock-sidecar/src/adapter/prometheus_report.rs
+++ b/lovagedock-sidecar/src/adapter/prometheus_report.rs
@@ -35,21 +35,28 @@
 struct PrometheusReport;
 
 #[derive(Debug, Deserialize)]
-struct AccountAnswer {
-    sequences: Vec<SequenceHolding>,
+struct AllocationsResponse {
+    sequences: Vec<SequenceAllocation>,
 }
 
 #[derive(Debug, Deserialize)]
-struct SequenceHolding {
+struct SequenceAllocation {
     id: String,
     kv_tokens: TokenCount,
 }
 
 #[async_trait]
 impl VendorDialect for PrometheusReport {
-    async fn account(&self, client: &EngineClient) -> Result<Vec<EngineAllocation>, EngineError> {
-        let answer: AccountAnswer = client.get("/v1/requests").await?;
-        Ok(answer.sequences.iter().filter_map(holding).collect())
+    async fn allocations(
+        &self,
+        client: &EngineClient,
+    ) -> Result<Vec<EngineAllocation>, EngineError> {
+        let response: AllocationsResponse = client.get("/v1/requests").await?;
+        Ok(response
+            .sequences
+            .iter()
+            .filter_map(engine_allocation)
+            .collect())
     }
 
     async fn load(&self, client: &EngineClient) -> Result<EngineLoad, EngineError> {
@@ -61,10 +68,10 @@
     }
 }
 
-fn holding(holding: &SequenceHolding) -> Option<EngineAllocation> {
+fn engine_allocation(allocation: &SequenceAllocation) -> Option<EngineAllocation> {
     Some(EngineAllocation {
-        request_id: parse_request_id(&holding.id)?,
-        tokens: holding.kv_tokens,
+        request_id: parse_request_id(&allocation.id)?,
+        tokens: allocation.kv_tokens,
     })
 }
 
--- a/lovagedock-sidecar/src/adapter/registry.rs
+++ b/lovagedock-sidecar/src/adapter/registry.rs
@@ -2,7 +2,7 @@
 
 use std::{fmt, net::SocketAddr, sync::Arc, time::Duration};
 
-use super::port::EngineAdapter;
+use super::engine_adapter::EngineAdapter;
 
 const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
--- a/lovagedock-sidecar/src/adapter/sse.rs
+++ b/lovagedock-sidecar/src/adapter/sse.rs
@@ -10,9 +10,9 @@
 
 use super::{
     client::{EngineClient, EngineResponse},
+    engine_adapter::EngineStream,
     error::EngineError,
     message::{EngineEnd, EngineEvent},
-    port::EngineStream,
 };
 
 const DATA_PREFIX: &[u8] = b"data:";
@@ -69,7 +69,7 @@
     }
 
     /// Copies the usage, if there is one, into the end.
-    pub(crate) fn fill(&self, end: &mut EngineEnd) {
+    pub(crate) fn copy_usage(&self, end: &mut EngineEnd) {
         if let Some(usage) = &self.usage {
             end.prompt_tokens = usage.prompt_tokens;
             end.answer_tokens = usage.completion_tokens;
@@ -83,13 +83,13 @@
     Reading,
     /// The end mark went to the caller; the end follows it.
     Ending,
-    Over,
+    Done,
 }
 
 /// Reads one streamed answer.
 pub(crate) struct SseReader {
     client: EngineClient,
-    answer: EngineResponse,
+    response: EngineResponse,
     request_id: String,
     started: Instant,
     buffer: BytesMut,
@@ -101,13 +101,13 @@
 impl SseReader {
     pub(crate) fn new(
         client: EngineClient,
-        answer: EngineResponse,
+        response: EngineResponse,
         request_id: String,
         started: Instant,
     ) -> Self {
         Self {
             client,
-            answer,
+            response,
             request_id,
             started,
             buffer: BytesMut::new(),
@@ -130,16 +130,16 @@
         match self.phase {
             ReaderPhase::Reading => self.next_bytes().await.map(Some),
             ReaderPhase::Ending => {
-                self.phase = ReaderPhase::Over;
+                self.phase = ReaderPhase::Done;
                 Ok(Some(EngineEvent::End(self.end)))
             }
-            ReaderPhase::Over => Ok(None),
+            ReaderPhase::Done => Ok(None),
         }
     }
 
     async fn next_bytes(&mut self) -> Result<EngineEvent, EngineError> {
         loop {
-            let Some(event) = self.take_event() else {
+            let Some(event) = self.split_event() else {
                 self.read_more().await?;
                 continue;
             };
@@ -151,14 +151,14 @@
                 self.phase = ReaderPhase::Ending;
                 return Ok(EngineEvent::Bytes(event));
             }
-            self.look_at(data)?;
+            self.check_event(data)?;
             return Ok(EngineEvent::Bytes(event));
         }
     }
 
-    fn look_at(&mut self, data: &[u8]) -> Result<(), EngineError> {
+    fn check_event(&mut self, data: &[u8]) -> Result<(), EngineError> {
         let fields = AnswerFields::parse(data, &self.request_id)?;
-        fields.fill(&mut self.end);
+        fields.copy_usage(&mut self.end);
         if !self.has_token {
             self.has_token = true;
             self.end.first_token_after = self.started.elapsed();
@@ -166,7 +166,7 @@
         Ok(())
     }
 
-    fn take_event(&mut self) -> Option<Bytes> {
+    fn split_event(&mut self) -> Option<Bytes> {
         let end = event_end(&self.buffer)?;
         Some(self.buffer.split_to(end).freeze())
     }
@@ -175,7 +175,7 @@
         if self.buffer.len() > MAX_EVENT_BYTES {
             return Err(EngineError::failed("an event of the answer is too long"));
         }
-        let body = self.answer.response.body_mut();
+        let body = self.response.inner.body_mut();
         match self.client.bounded(body.frame()).await? {
             None => Err(EngineError::lost("the answer was cut")),
             Some(Err(error)) => Err(EngineError::lost(error)),
--- a/lovagedock-sidecar/src/admin.rs
+++ b/lovagedock-sidecar/src/admin.rs
@@ -4,7 +4,7 @@
 
 use async_trait::async_trait;
 use lovagedock::{EndpointCore, EndpointEvent};
-use lovagedock_daemon::{AdminCall, AdminMethod, AdminReply, AdminRoute, AdminSurface};
+use lovagedock_daemon::{AdminCall, AdminHandler, AdminMethod, AdminReply, AdminRoute};
 use serde_json::{Value, json};
 
 use crate::{config::SidecarConfig, state::SidecarState};
@@ -14,12 +14,12 @@
 const UNDRAIN_PATH: &str = "/undrain";
 
 /// The operators' view of a sidecar.
-pub(crate) struct SidecarSurface {
+pub(crate) struct SidecarAdminHandler {
     state: Arc<SidecarState>,
     config: Arc<SidecarConfig>,
 }
 
-impl SidecarSurface {
+impl SidecarAdminHandler {
     /// A view of this sidecar.
     pub(crate) fn new(state: Arc<SidecarState>, config: Arc<SidecarConfig>) -> Self {
         Self { state, config }
@@ -37,7 +37,7 @@
 }
 
 #[async_trait]
-impl AdminSurface for SidecarSurface {
+impl AdminHandler for SidecarAdminHandler {
     fn ready(&self) -> bool {
         let load = self.state.read(EndpointCore::load);
         load.engine_up && !load.draining
--- a/lovagedock-sidecar/src/answers.rs
+++ b/lovagedock-sidecar/src/answers.rs
@@ -21,13 +21,13 @@
     pub(crate) head: Option<AnswerHead>,
     bytes: BytesMut,
     hasher: blake3::Hasher,
-    visible: u64,
+    visible_end: u64,
     end: Option<AnswerEnd>,
     /// Grows with each connection that takes the answer; older ones stop.
-    sink: u64,
-    taken: bool,
+    sink_id: u64,
+    delivered: bool,
     /// Whether a connection takes the answer, or is about to.
-    awaited: bool,
+    has_sink: bool,
     /// Whether only its unsent end keeps it here.
     forgotten: bool,
     changed: watch::Sender<()>,
@@ -51,11 +51,11 @@
 
 /// What a sink has sent so far.
 #[derive(Clone, Debug)]
-pub(crate) struct SinkPlace {
+pub(crate) struct SinkPosition {
     /// The request.
     pub(crate) request: RequestId,
     /// Which sink of the request this is.
-    pub(crate) sink: u64,
+    pub(crate) sink_id: u64,
     /// Whether the head is sent.
     pub(crate) head_sent: bool,
     /// Bytes that are sent.
@@ -72,17 +72,18 @@
     /// Adds a request unless it is there: a newer attempt takes over what an older one began.
     pub(crate) fn insert(&mut self, work: WorkMessage) {
         let request = work.key.request;
-        let former = self.records.get(&request);
-        if former.is_some_and(|record| !record.forgotten) {
+        let previous = self.records.get(&request);
+        if previous.is_some_and(|record| !record.forgotten) {
             return;
         }
         // The end of a forgotten attempt is not the end of this one: its sink is turned away.
-        let sink = former.map_or(0, |record| record.sink + 1);
-        self.records.insert(request, AnswerRecord::new(work, sink));
+        let sink_id = previous.map_or(0, |record| record.sink_id + 1);
+        self.records
+            .insert(request, AnswerRecord::new(work, sink_id));
     }
 
     /// Whether a request is here, other than to have its end sent.
-    pub(crate) fn holds(&self, request: RequestId) -> bool {
+    pub(crate) fn contains(&self, request: RequestId) -> bool {
         let record = self.records.get(&request);
         record.is_some_and(|record| !record.forgotten)
     }
@@ -106,7 +107,7 @@
         let Some(record) = self.records.get_mut(&request) else {
             return;
         };
-        if record.awaited && !record.taken && record.end.is_some() {
+        if record.has_sink && !record.delivered && record.end.is_some() {
             record.forgotten = true;
             return;
         }
@@ -114,16 +115,16 @@
     }
 
     /// Notes that a sink has stopped, whatever it has sent.
-    pub(crate) fn detach(&mut self, place: &SinkPlace) {
-        if !self.is_current(place) {
+    pub(crate) fn detach(&mut self, position: &SinkPosition) {
+        if !self.is_current(position) {
             return;
         }
-        let Some(record) = self.records.get_mut(&place.request) else {
+        let Some(record) = self.records.get_mut(&position.request) else {
             return;
         };
-        record.awaited = false;
+        record.has_sink = false;
         if record.forgotten {
-            self.records.remove(&place.request);
+            self.records.remove(&position.request);
         }
     }
 
@@ -132,24 +133,24 @@
         &mut self,
         key: AttemptKey,
         offset: u64,
-    ) -> Option<(SinkPlace, watch::Receiver<()>)> {
+    ) -> Option<(SinkPosition, watch::Receiver<()>)> {
         let record = self.records.get_mut(&key.request)?;
-        record.sink += 1;
-        record.awaited = true;
+        record.sink_id += 1;
+        record.has_sink = true;
         record.changed.send_replace(());
-        let place = SinkPlace {
+        let position = SinkPosition {
             request: key.request,
-            sink: record.sink,
+            sink_id: record.sink_id,
             head_sent: offset > 0,
             offset,
         };
-        Some((place, record.changed.subscribe()))
+        Some((position, record.changed.subscribe()))
     }
 
     /// Whether a sink is still the one that takes the answer.
-    pub(crate) fn is_current(&self, place: &SinkPlace) -> bool {
-        let record = self.records.get(&place.request);
-        record.is_some_and(|record| record.sink == place.sink)
+    pub(crate) fn is_current(&self, position: &SinkPosition) -> bool {
+        let record = self.records.get(&position.request);
+        record.is_some_and(|record| record.sink_id == position.sink_id)
     }
 
     /// Whether an answer has ended that no sink has sent to its end.
@@ -160,30 +161,30 @@
     /// Requests whose answer has ended and that no sink has sent to its end.
     pub(crate) fn unsent(&self) -> impl Iterator<Item = RequestId> {
         let records = self.records.iter();
-        let unsent = records.filter(|(_, record)| record.end.is_some() && !record.taken);
+        let unsent = records.filter(|(_, record)| record.end.is_some() && !record.delivered);
         unsent.map(|(request, _)| *request)
     }
 
     /// Notes that a gateway has the whole answer.
-    pub(crate) fn set_taken(&mut self, place: &SinkPlace) {
-        if let Some(record) = self.records.get_mut(&place.request) {
-            record.taken = true;
+    pub(crate) fn set_delivered(&mut self, position: &SinkPosition) {
+        if let Some(record) = self.records.get_mut(&position.request) {
+            record.delivered = true;
         }
     }
 
     /// What a sink sends next.
-    pub(crate) fn next_step(&self, place: &SinkPlace) -> SinkStep {
-        let Some(record) = self.records.get(&place.request) else {
+    pub(crate) fn next_step(&self, position: &SinkPosition) -> SinkStep {
+        let Some(record) = self.records.get(&position.request) else {
             return SinkStep::Stop;
         };
-        if record.sink != place.sink {
+        if record.sink_id != position.sink_id {
             return SinkStep::Stop;
         }
-        if let Some(head) = record.head.as_ref().filter(|_| !place.head_sent) {
+        if let Some(head) = record.head.as_ref().filter(|_| !position.head_sent) {
             return SinkStep::Head(head.clone());
         }
-        if place.offset < record.visible {
-            return SinkStep::Bytes(record.piece(place.offset));
+        if position.offset < record.visible_end {
+            return SinkStep::Bytes(record.chunk_at(position.offset));
         }
         match &record.end {
             Some(end) => SinkStep::End(end.clone()),
@@ -193,37 +194,37 @@
 }
 
 impl AnswerRecord {
-    fn new(work: WorkMessage, sink: u64) -> Self {
+    fn new(work: WorkMessage, sink_id: u64) -> Self {
         Self {
             work: Arc::new(work),
             head: None,
             bytes: BytesMut::new(),
             hasher: blake3::Hasher::new(),
-            visible: 0,
+            visible_end: 0,
             end: None,
-            sink,
-            taken: false,
-            awaited: true,
+            sink_id,
+            delivered: false,
+            has_sink: true,
             forgotten: false,
             changed: watch::Sender::new(()),
             engine_task: None,
         }
     }
 
-    /// Takes bytes from the engine; sinks see them after [`AnswerRecord::show`].
+    /// Takes bytes from the engine; sinks see them after [`AnswerRecord::make_visible`].
     pub(crate) fn append(&mut self, bytes: &[u8]) {
         self.hasher.update(bytes);
         self.bytes.extend_from_slice(bytes);
     }
 
     /// Lets sinks send up to an offset.
-    pub(crate) fn show(&mut self, until: u64) {
-        self.visible = until.min(self.bytes.len() as u64);
+    pub(crate) fn make_visible(&mut self, end_offset: u64) {
+        self.visible_end = end_offset.min(self.bytes.len() as u64);
         self.changed.send_replace(());
     }
 
     /// Wakes sinks, after a head came.
-    pub(crate) fn wake(&self) {
+    pub(crate) fn notify_sinks(&self) {
         self.changed.send_replace(());
     }
 
@@ -238,9 +239,9 @@
         (self.bytes.len() as u64, *self.hasher.finalize().as_bytes())
     }
 
-    fn piece(&self, offset: u64) -> Bytes {
-        let from = usize::try_from(offset).unwrap_or(usize::MAX);
-        let until = (self.visible as usize).min(from.saturating_add(CHUNK_BYTES));
-        Bytes::copy_from_slice(&self.bytes[from.min(until)..until])
+    fn chunk_at(&self, offset: u64) -> Bytes {
+        let start = usize::try_from(offset).unwrap_or(usize::MAX);
+        let end_offset = (self.visible_end as usize).min(start.saturating_add(CHUNK_BYTES));
+        Bytes::copy_from_slice(&self.bytes[start.min(end_offset)..end_offset])
     }
 }
--- a/lovagedock-sidecar/src/config.rs
+++ b/lovagedock-sidecar/src/config.rs
@@ -12,7 +12,7 @@
 use crate::state::SidecarState;
 
 #[derive(Clone, Debug, Default)]
-struct InForce {
+struct ConfigInForce {
     generation: Generation,
     pool: Option<PoolId>,
     long_tokens: TokenCount,
@@ -24,7 +24,7 @@
 /// Lock order: this lock first, then the decision core.
 pub(crate) struct SidecarConfig {
     limits: EndpointLimits,
-    in_force: Mutex<InForce>,
+    in_force: Mutex<ConfigInForce>,
 }
 
 impl SidecarConfig {
@@ -55,7 +55,7 @@
     ///
     /// A new holder of a lease may lag behind in its configuration, or name a pool that the
     /// endpoint has left. Its orders would bring back what an accepted configuration replaced.
-    pub(crate) fn objection(&self, message: &OrderMessage) -> Option<String> {
+    pub(crate) fn rejection(&self, message: &OrderMessage) -> Option<String> {
         let in_force = self.in_force.lock();
         if message.generation < in_force.generation {
             let generation = in_force.generation;
@@ -72,7 +72,7 @@
     ///
     /// Gateways of different generations feed the same sidecar. Without the check the last to
     /// speak would win, and the configuration would revert.
-    pub(crate) fn adopt(&self, state: &Arc<SidecarState>, message: ConfigMessage) -> Generation {
+    pub(crate) fn apply(&self, state: &Arc<SidecarState>, message: ConfigMessage) -> Generation {
         let mut in_force = self.in_force.lock();
         if message.generation <= in_force.generation {
             return in_force.generation;
@@ -88,7 +88,7 @@
             limits: self.limits_for(&state.endpoint, &fleet),
             shares: shares(&fleet),
         });
-        *in_force = InForce {
+        *in_force = ConfigInForce {
             generation: message.generation,
             pool: pool_of(&state.endpoint, &fleet).map(|pool| pool.id.clone()),
             long_tokens: fleet.placement.long_tokens,
@@ -99,10 +99,10 @@
     }
 
     fn limits_for(&self, endpoint: &EndpointId, fleet: &FleetConfig) -> EndpointLimits {
-        let longest = fleet.services.iter().map(|service| service.max_deadline_ms);
+        let max_deadline_ms = fleet.services.iter().map(|service| service.max_deadline_ms);
         let mut limits = self.limits.clone();
-        if let Some(longest) = longest.max() {
-            limits.max_deadline = Duration::from_millis(longest);
+        if let Some(max_deadline_ms) = max_deadline_ms.max() {
+            limits.max_deadline = Duration::from_millis(max_deadline_ms);
         }
         let spec = fleet
             .pools
--- a/lovagedock-sidecar/src/engine_task.rs
+++ b/lovagedock-sidecar/src/engine_task.rs
@@ -15,23 +15,23 @@
 };
 
 /// Difference between the priorities of two lengths; more than the tiers make.
-const LENGTH_STEP: i32 = 3;
+const LENGTH_PRIORITY_STEP: i32 = 3;
 /// Longest answer; as long as what a whole answer of a model engine may be.
-const ANSWER_LIMIT_BYTES: usize = 64 << 20;
+const MAX_ANSWER_BYTES: usize = 64 << 20;
 /// Time for a look at an engine whose connection broke; one on the same host that has ended refuses
 /// the connection within a millisecond.
-const LOOK_TIME: Duration = Duration::from_millis(200);
+const EXIT_PROBE_TIMEOUT: Duration = Duration::from_millis(200);
 /// HTTP status of an engine that has a request with the same id.
-const ALREADY_THERE: u16 = 409;
+const CONFLICT_STATUS: u16 = 409;
 
 /// Starts a request on the engine and follows it to its end.
 pub(crate) async fn run(state: Arc<SidecarState>, key: AttemptKey, work: Arc<WorkMessage>) {
-    let result = match follow(&state, key, &work).await {
-        Ok(end) => finished(&state, key, end),
-        Err(EngineError::Lost { detail }) if has_ended(&state).await => {
+    let result = match stream_answer(&state, key, &work).await {
+        Ok(end) => finished_result(&state, key, end),
+        Err(EngineError::Lost { detail }) if has_exited(&state).await => {
             EngineResult::Ended { detail }
         }
-        Err(error) => failed(&error),
+        Err(error) => error_result(&error),
     };
     if let Some(record) = state.answers().get_mut(key.request) {
         record.engine_task = None;
@@ -41,9 +41,9 @@
 
 /// Whether the engine's process has ended: its port refuses connections then. A connection that broke
 /// says nothing of it; told to gateways as an end of the engine, it would be held against the request.
-async fn has_ended(state: &Arc<SidecarState>) -> bool {
-    let looked = timeout(LOOK_TIME, state.adapter.load()).await;
-    matches!(looked, Ok(Err(EngineError::Unreachable { .. })))
+async fn has_exited(state: &Arc<SidecarState>) -> bool {
+    let load_result = timeout(EXIT_PROBE_TIMEOUT, state.adapter.load()).await;
+    matches!(load_result, Ok(Err(EngineError::Unreachable { .. })))
 }
 
 /// Priority of a request on an engine: the shorter prompt first, and among equals the higher tier.
@@ -58,31 +58,31 @@
         PriorityTier::Standard => 1,
         PriorityTier::Interactive => 2,
     };
-    let longer = LengthBucket::ALL.len() - 1 - LengthBucket::of(prompt_tokens).index();
-    longer as i32 * LENGTH_STEP + tier
+    let length_rank = LengthBucket::ALL.len() - 1 - LengthBucket::of(prompt_tokens).index();
+    length_rank as i32 * LENGTH_PRIORITY_STEP + tier
 }
 
-async fn follow(
+async fn stream_answer(
     state: &Arc<SidecarState>,
     key: AttemptKey,
     work: &WorkMessage,
 ) -> Result<EngineEnd, EngineError> {
     let mut stream = state.adapter.start(engine_request(key, work)).await?;
     state.decide(EndpointEvent::EngineStarted(key));
-    let mut room = ANSWER_LIMIT_BYTES;
+    let mut remaining_bytes = MAX_ANSWER_BYTES;
     while let Some(event) = stream.next().await {
         match event? {
-            EngineEvent::Head(head) => take_head(state, key, head),
+            EngineEvent::Head(head) => record_head(state, key, head),
             EngineEvent::Bytes(bytes) => {
                 if let Some(record) = state.answers().get_mut(key.request) {
                     record.append(&bytes);
                 }
                 // An answer is kept whole until it was taken. A service that never ends its body,
                 // or a caller that reads slowly, would fill the host's memory with it.
-                room = room.saturating_sub(bytes.len());
-                if room == 0 {
+                remaining_bytes = remaining_bytes.saturating_sub(bytes.len());
+                if remaining_bytes == 0 {
                     return Err(EngineError::failed(format!(
-                        "the answer is longer than {ANSWER_LIMIT_BYTES} bytes"
+                        "the answer is longer than {MAX_ANSWER_BYTES} bytes"
                     )));
                 }
                 let length = bytes.len() as u64;
@@ -123,7 +123,7 @@
     }
 }
 
-fn take_head(state: &SidecarState, key: AttemptKey, head: EngineHead) {
+fn record_head(state: &SidecarState, key: AttemptKey, head: EngineHead) {
     let head = AnswerHead {
         status: head.status,
         headers: head
@@ -137,11 +137,11 @@
     };
     if let Some(record) = state.answers().get_mut(key.request) {
         record.head = Some(head);
-        record.wake();
+        record.notify_sinks();
     }
 }
 
-fn finished(state: &SidecarState, key: AttemptKey, end: EngineEnd) -> EngineResult {
+fn finished_result(state: &SidecarState, key: AttemptKey, end: EngineEnd) -> EngineResult {
     let mut answers = state.answers();
     let Some(record) = answers.get_mut(key.request) else {
         return EngineResult::Cancelled;
@@ -156,12 +156,12 @@
     })
 }
 
-fn failed(error: &EngineError) -> EngineResult {
+fn error_result(error: &EngineError) -> EngineResult {
     let detail = error.to_string();
     match error {
         // An earlier run under this id is on the engine. Told as "not run", a call that must not
         // be repeated would be sent to another engine while that run goes on.
-        EngineError::Refused { status, .. } if *status == ALREADY_THERE => {
+        EngineError::Refused { status, .. } if *status == CONFLICT_STATUS => {
             EngineResult::Lost { detail }
         }
         EngineError::Refused { .. } if error.is_callers_fault() => EngineResult::Invalid { detail },
--- a/lovagedock-sidecar/src/orders.rs
+++ b/lovagedock-sidecar/src/orders.rs
@@ -19,7 +19,7 @@
 
 /// Time that the engine may take for one order. An engine that never answers would hold up every
 /// later order; after this time the order counts as lost and the next one passes.
-const ORDER_TIME: Duration = Duration::from_secs(15 * 60);
+const ORDER_TIMEOUT: Duration = Duration::from_secs(15 * 60);
 /// HTTP status of an engine that has seen a higher fencing number.
 const CONFLICT_STATUS: u16 = 409;
 
@@ -27,12 +27,12 @@
 ///
 /// Lock order: this lock is taken alone.
 #[derive(Default)]
-pub(crate) struct OrderDoor {
-    state: Mutex<DoorState>,
+pub(crate) struct OrderExecutor {
+    state: Mutex<ExecutorState>,
 }
 
 #[derive(Default)]
-struct DoorState {
+struct ExecutorState {
     gate: FenceGate,
     memory: LoadedArtifacts,
     waiting: Vec<WaitingOrder>,
@@ -59,15 +59,15 @@
     }
 }
 
-impl OrderDoor {
+impl OrderExecutor {
     /// Takes what the engine reports of itself.
-    pub(crate) fn reported(&self, now: Timestamp, load: &EngineLoad) {
+    pub(crate) fn record_load(&self, now: Timestamp, load: &EngineLoad) {
         let mut state = self.state.lock();
         state.memory.report(now, &load.model, &load.adapters);
     }
 
     /// The engine is down and has lost what it had loaded.
-    pub(crate) fn engine_down(&self) {
+    pub(crate) fn record_engine_down(&self) {
         self.state.lock().memory.forget();
     }
 
@@ -113,7 +113,7 @@
     /// a sidecar does not go. A former holder cannot come first with success: it checked its lease
     /// after this life of the sidecar had answered it, so no successor held the lease before, and
     /// what a successor does later goes through this life and raises the mark.
-    fn look(&self, message: &OrderMessage) -> OrderReply {
+    fn check_fence(&self, message: &OrderMessage) -> OrderReply {
         let pool = message.pool.clone();
         let epoch = message.epoch;
         let highest = {
@@ -132,7 +132,7 @@
     }
 
     /// Passes the order if the fence lets it; its end comes through the receiver.
-    fn begin(
+    fn submit(
         &self,
         sidecar: &Arc<SidecarState>,
         fenced: FencedOrder,
@@ -140,8 +140,8 @@
     ) -> oneshot::Receiver<OrderEnd> {
         let (reply, end) = oneshot::channel();
         let mut state = self.state.lock();
-        if state.waiting.iter().any(|it| it.fenced == fenced) {
-            let _asker_gone = reply.send(repeated());
+        if state.waiting.iter().any(|waiting| waiting.fenced == fenced) {
+            let _receiver_dropped = reply.send(repeated_order());
             return end;
         }
         state.waiting.push(WaitingOrder {
@@ -150,7 +150,7 @@
             reply,
         });
         let actions = state.gate.handle(FenceEvent::Order(fenced));
-        state.carry_out(sidecar, actions);
+        state.execute(sidecar, actions);
         end
     }
 
@@ -158,9 +158,12 @@
     ///
     /// A holder whose session broke while the engine loaded gives the same order again; loading
     /// twice would take the engine out for nothing.
-    fn start(&self, fenced: &FencedOrder) -> Option<LoadOrder> {
+    fn start_load(&self, fenced: &FencedOrder) -> Option<LoadOrder> {
         let mut state = self.state.lock();
-        let waiting = state.waiting.iter().find(|it| it.fenced == *fenced)?;
+        let waiting = state
+            .waiting
+            .iter()
+            .find(|waiting| waiting.fenced == *fenced)?;
         let order = waiting.order.clone();
         if state.memory.holds(&order) {
             return None;
@@ -169,7 +172,7 @@
         Some(order)
     }
 
-    fn settle(&self, now: Timestamp, order: LoadOrder, result: &Result<(), EngineError>) {
+    fn record_result(&self, now: Timestamp, order: LoadOrder, result: &Result<(), EngineError>) {
         let memory = &mut self.state.lock().memory;
         match result {
             Ok(()) => memory.confirm(now, order),
@@ -180,14 +183,14 @@
 
     fn finish(&self, sidecar: &Arc<SidecarState>, fenced: FencedOrder, end: OrderEnd) {
         let mut state = self.state.lock();
-        state.answer(&fenced, end);
+        state.send_reply(&fenced, end);
         let actions = state.gate.handle(FenceEvent::Finished(fenced));
-        state.carry_out(sidecar, actions);
+        state.execute(sidecar, actions);
     }
 }
 
-impl DoorState {
-    fn carry_out(&mut self, sidecar: &Arc<SidecarState>, actions: Vec<FenceAction>) {
+impl ExecutorState {
+    fn execute(&mut self, sidecar: &Arc<SidecarState>, actions: Vec<FenceAction>) {
         for action in actions {
             match action {
                 FenceAction::Pass(fenced) => {
@@ -202,58 +205,62 @@
                     warn!(sidecar.log, "order refused"; "pool" => &*order.pool,
                         "epoch" => order.epoch, "highest" => highest, "code" => code.number());
                     let detail = format!("highest number seen is {highest}");
-                    self.answer(&order, OrderEnd { code, detail });
+                    self.send_reply(&order, OrderEnd { code, detail });
                 }
-                FenceAction::Repeated(order) => self.answer(&order, repeated()),
+                FenceAction::Repeated(order) => self.send_reply(&order, repeated_order()),
             }
         }
     }
 
-    fn answer(&mut self, fenced: &FencedOrder, end: OrderEnd) {
-        let Some(index) = self.waiting.iter().position(|it| it.fenced == *fenced) else {
+    fn send_reply(&mut self, fenced: &FencedOrder, end: OrderEnd) {
+        let Some(index) = self
+            .waiting
+            .iter()
+            .position(|waiting| waiting.fenced == *fenced)
+        else {
             return;
         };
         // A holder that is gone does not wait.
-        let _asker_gone = self.waiting.swap_remove(index).reply.send(end);
+        let _receiver_dropped = self.waiting.swap_remove(index).reply.send(end);
     }
 }
 
 /// Takes one call of a lease holder.
-pub(crate) async fn take(sidecar: &Arc<SidecarState>, message: OrderMessage) -> OrderReply {
-    let door = &sidecar.orders;
+pub(crate) async fn handle(sidecar: &Arc<SidecarState>, message: OrderMessage) -> OrderReply {
+    let executor = &sidecar.orders;
     let Some(order) = message.order.clone() else {
-        return door.look(&message);
+        return executor.check_fence(&message);
     };
     let fenced = FencedOrder {
         pool: message.pool.clone(),
         epoch: message.epoch,
         sequence: message.sequence,
     };
-    let end = door.begin(sidecar, fenced, order).await;
+    let end = executor.submit(sidecar, fenced, order).await;
     let end = end.unwrap_or_else(|_| OrderEnd::new(ResultCode::EndpointLost, ""));
-    door.reply(&message.pool, end)
+    executor.reply(&message.pool, end)
 }
 
 /// Carries one order out at the engine.
 async fn run(sidecar: Arc<SidecarState>, fenced: FencedOrder) {
-    let door = &sidecar.orders;
-    let Some(order) = door.start(&fenced) else {
+    let executor = &sidecar.orders;
+    let Some(order) = executor.start_load(&fenced) else {
         let end = OrderEnd::new(ResultCode::Complete, "loaded already");
-        return door.finish(&sidecar, fenced, end);
+        return executor.finish(&sidecar, fenced, end);
     };
     let engine_order = EngineOrder {
         fence: fenced.epoch,
         kind: order_kind(&order),
     };
-    let ordered = timeout(ORDER_TIME, sidecar.adapter.order(engine_order)).await;
+    let ordered = timeout(ORDER_TIMEOUT, sidecar.adapter.order(engine_order)).await;
     let result = ordered.unwrap_or_else(|_| {
-        let detail = format!("no end within {ORDER_TIME:?}");
+        let detail = format!("no end within {ORDER_TIMEOUT:?}");
         Err(EngineError::Lost { detail })
     });
     info!(sidecar.log, "order ended"; "pool" => &*fenced.pool, "epoch" => fenced.epoch,
         "order" => format!("{order:?}"), "result" => format!("{result:?}"));
-    door.settle(sidecar.clock.now(), order, &result);
-    door.finish(&sidecar, fenced, order_end(result));
+    executor.record_result(sidecar.clock.now(), order, &result);
+    executor.finish(&sidecar, fenced, order_end(result));
 }
 
 fn order_kind(order: &LoadOrder) -> OrderKind {
@@ -282,6 +289,6 @@
     OrderEnd::new(code, error.to_string())
 }
 
-fn repeated() -> OrderEnd {
+fn repeated_order() -> OrderEnd {
     OrderEnd::new(ResultCode::FenceStale, "the order has passed before")
 }
--- a/lovagedock-sidecar/src/poll.rs
+++ b/lovagedock-sidecar/src/poll.rs
@@ -14,16 +14,16 @@
 ///
 /// A hung engine keeps its connections open and says nothing. Requests that wait for a whole answer
 /// are ended by no other sign than these looks, so a look must not wait as long as an answer may.
-const LOOK_LIMIT: Duration = Duration::from_secs(2);
+const POLL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Looks at the engine again and again; never ends.
-pub(crate) async fn run(state: Arc<SidecarState>, every: Duration) {
-    let mut ticks = interval(every);
+pub(crate) async fn run(state: Arc<SidecarState>, poll_interval: Duration) {
+    let mut ticks = interval(poll_interval);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut failures = 0;
     loop {
         ticks.tick().await;
-        match look(&state).await {
+        match poll_engine(&state).await {
             Ok(()) => {
                 if failures >= FAILURES_UNTIL_DOWN {
                     info!(state.log, "engine is up");
@@ -36,33 +36,33 @@
                 if failures == FAILURES_UNTIL_DOWN {
                     warn!(state.log, "engine is down"; "error" => %error);
                     state.decide(EndpointEvent::EngineDown);
-                    state.orders.engine_down();
+                    state.orders.record_engine_down();
                 }
             }
         }
     }
 }
 
-async fn look(state: &Arc<SidecarState>) -> Result<(), EngineError> {
-    let looked = timeout(LOOK_LIMIT, take_report(state)).await;
-    looked.unwrap_or_else(|_| Err(EngineError::lost(format!("no report in {LOOK_LIMIT:?}"))))
+async fn poll_engine(state: &Arc<SidecarState>) -> Result<(), EngineError> {
+    let polled = timeout(POLL_TIMEOUT, record_report(state)).await;
+    polled.unwrap_or_else(|_| Err(EngineError::lost(format!("no report in {POLL_TIMEOUT:?}"))))
 }
 
-async fn take_report(state: &Arc<SidecarState>) -> Result<(), EngineError> {
+async fn record_report(state: &Arc<SidecarState>) -> Result<(), EngineError> {
     let load = state.adapter.load().await?;
-    state.orders.reported(state.clock.now(), &load);
+    state.orders.record_load(state.clock.now(), &load);
     state.decide(EndpointEvent::EngineReport(EngineReport {
         memory_tokens: load.memory_tokens,
         ..EngineReport::default()
     }));
-    let account = state.adapter.account().await?;
-    let holdings = account
+    let allocations = state.adapter.allocations().await?;
+    let engine_allocations = allocations
         .iter()
-        .map(|holding| EngineAllocation {
-            request: holding.request_id,
-            tokens: holding.tokens,
+        .map(|allocation| EngineAllocation {
+            request: allocation.request_id,
+            tokens: allocation.tokens,
         })
         .collect();
-    state.decide(EndpointEvent::EngineAllocations(holdings));
+    state.decide(EndpointEvent::EngineAllocations(engine_allocations));
     Ok(())
 }
--- a/lovagedock-sidecar/src/segment.rs
+++ b/lovagedock-sidecar/src/segment.rs
@@ -14,7 +14,7 @@
 /// A span holds memory on several engines for as long as its parts take, one after the other. At
 /// the rank of its whole length each part would wait behind all that comes meanwhile, on one
 /// engine after the other, and the prompt would run out of time.
-const SEGMENT_RANK: TokenCount = 64_000;
+const SEGMENT_PRIORITY_TOKENS: TokenCount = 64_000;
 
 /// Prefills a part into memory that its attempt has reserved here.
 pub(crate) async fn prefill(
@@ -25,17 +25,17 @@
 ) -> SegmentReply {
     // Without the reservation the part would take memory that the ledger has promised to others.
     if !state.read(|core| core.holds_reservation(work.key)) {
-        return refused("the reservation has lapsed");
+        return refused_reply("the reservation has lapsed");
     }
     let Some(prompt) = prompt_text(&work.body) else {
-        return refused("the body has no prompt");
+        return refused_reply("the body has no prompt");
     };
     let request = SegmentRequest {
         request_id: work.key.request,
-        priority: engine_priority(work.tier, SEGMENT_RANK),
+        priority: engine_priority(work.tier, SEGMENT_PRIORITY_TOKENS),
         start: range.start,
         tokens: range.tokens,
-        prompt_part: part_of(&prompt, range, bytes_per_token).to_owned(),
+        prompt_part: prompt_slice(&prompt, range, bytes_per_token).to_owned(),
     };
     let prefilled = {
         let _active = state
@@ -70,7 +70,7 @@
 
 struct ActiveSegment {
     range: SegmentRange,
-    begun_at: Timestamp,
+    started_at: Timestamp,
 }
 
 impl ActiveSegments {
@@ -83,7 +83,7 @@
     ) -> SegmentGuard<'_> {
         let part = ActiveSegment {
             range,
-            begun_at: now,
+            started_at: now,
         };
         self.parts.lock().insert(request, part);
         SegmentGuard {
@@ -102,8 +102,8 @@
         let parts = self.parts.lock();
         let left = parts.values().map(|part| {
             let end = part.range.start + part.range.tokens;
-            let whole = cost.or_assumed().prefill(end, part.range.start);
-            whole.saturating_sub(now.saturating_sub(part.begun_at))
+            let total = cost.or_assumed().prefill(end, part.range.start);
+            total.saturating_sub(now.saturating_sub(part.started_at))
         });
         left.sum()
     }
@@ -121,7 +121,7 @@
     }
 }
 
-fn refused(detail: &str) -> SegmentReply {
+fn refused_reply(detail: &str) -> SegmentReply {
     SegmentReply {
         end: AnswerEnd::new(ResultCode::EngineRefused).with_detail(detail),
         locator: String::new(),
@@ -161,14 +161,14 @@
     )
 }
 
-fn part_of(prompt: &str, range: SegmentRange, bytes_per_token: f64) -> &str {
-    let from = boundary(prompt, range.start, bytes_per_token);
-    let until = boundary(prompt, range.start + range.tokens, bytes_per_token);
-    &prompt[from..until]
+fn prompt_slice(prompt: &str, range: SegmentRange, bytes_per_token: f64) -> &str {
+    let start = token_boundary(prompt, range.start, bytes_per_token);
+    let end = token_boundary(prompt, range.start + range.tokens, bytes_per_token);
+    &prompt[start..end]
 }
 
 /// The byte at which a token begins, moved back to the beginning of a character.
-fn boundary(prompt: &str, token: TokenCount, bytes_per_token: f64) -> usize {
+fn token_boundary(prompt: &str, token: TokenCount, bytes_per_token: f64) -> usize {
     let byte = (token as f64 * bytes_per_token) as usize;
     prompt.floor_char_boundary(byte.min(prompt.len()))
 }
--- a/lovagedock-sidecar/src/session.rs
+++ b/lovagedock-sidecar/src/session.rs
@@ -16,7 +16,7 @@
 use tokio::{sync::watch, task::spawn_local};
 
 use crate::{
-    answers::{SinkPlace, SinkStep},
+    answers::{SinkPosition, SinkStep},
     config::SidecarConfig,
     orders,
     report::LoadReporter,
@@ -29,8 +29,8 @@
     state: Arc<SidecarState>,
     config: Arc<SidecarConfig>,
     reporter: Rc<LoadReporter>,
-    heard_at: Cell<Timestamp>,
-    sinks: Rc<RefCell<Vec<SinkPlace>>>,
+    last_activity_at: Cell<Timestamp>,
+    sinks: Rc<RefCell<Vec<SinkPosition>>>,
 }
 
 impl GatewaySession {
@@ -41,7 +41,7 @@
         reporter: Rc<LoadReporter>,
     ) -> Self {
         Self {
-            heard_at: Cell::new(state.clock.now()),
+            last_activity_at: Cell::new(state.clock.now()),
             state,
             config,
             reporter,
@@ -53,46 +53,50 @@
     ///
     /// A gateway's host that vanished sends no end of its connection. Its requests would go on to
     /// take engine time, and their answers memory, for nobody; silence is the only sign.
-    pub(crate) async fn silent_for(&self, silence: Duration) {
+    pub(crate) async fn wait_until_idle(&self, idle_timeout: Duration) {
         loop {
-            let quiet = self.state.clock.now().saturating_sub(self.heard_at.get());
-            if quiet >= silence {
+            let idle_time = self
+                .state
+                .clock
+                .now()
+                .saturating_sub(self.last_activity_at.get());
+            if idle_time >= idle_timeout {
                 return;
             }
-            tokio::time::sleep(silence - quiet).await;
+            tokio::time::sleep(idle_timeout - idle_time).await;
         }
     }
 
     /// Tells the core that nobody takes the answers of this session any more.
     pub(crate) fn close(&self) {
-        for place in self.sinks.borrow_mut().drain(..) {
-            lose_sink(&self.state, &place);
+        for position in self.sinks.borrow_mut().drain(..) {
+            report_lost_sink(&self.state, &position);
         }
     }
 
-    fn heard(&self) {
-        self.heard_at.set(self.state.clock.now());
+    fn record_activity(&self) {
+        self.last_activity_at.set(self.state.clock.now());
     }
 
     fn attach(&self, key: AttemptKey, offset: u64, sender: AnswerSender) {
         let attached = self.state.answers().attach(key, offset);
-        let Some((place, changes)) = attached else {
+        let Some((position, changes)) = attached else {
             return;
         };
-        self.sinks.borrow_mut().push(place.clone());
+        self.sinks.borrow_mut().push(position.clone());
         let pump = SinkPump {
             state: Arc::clone(&self.state),
             sinks: Rc::clone(&self.sinks),
             sender,
             changes,
         };
-        spawn_local(pump.run(place));
+        spawn_local(pump.run(position));
     }
 }
 
 impl EndpointHandler for GatewaySession {
     fn hello(&self, _gateway: PeerIdentity) -> PeerIdentity {
-        self.heard();
+        self.record_activity();
         PeerIdentity {
             version: PROTOCOL_VERSION,
             name: self.state.endpoint.to_string(),
@@ -106,10 +110,10 @@
         work: WorkMessage,
         sender: AnswerSender,
     ) -> impl Future<Output = SubmitReply> + 'static {
-        self.heard();
+        self.record_activity();
         let key = work.key;
         let order = work_order(&work);
-        let known = self.state.answers().holds(key.request);
+        let known = self.state.answers().contains(key.request);
         self.state.answers().insert(work);
         let reply = match self.state.decide(EndpointEvent::Submit(order)) {
             Some(CoreReply::Refused(end)) => {
@@ -127,7 +131,7 @@
     }
 
     fn resume(&self, key: AttemptKey, offset: u64, sender: AnswerSender) -> bool {
-        self.heard();
+        self.record_activity();
         match self.state.decide(EndpointEvent::Resume { key, offset }) {
             Some(CoreReply::ResumeFrom(offset)) => {
                 self.attach(key, offset, sender);
@@ -138,7 +142,7 @@
     }
 
     fn revoke(&self, key: AttemptKey) -> RevokeVerdict {
-        self.heard();
+        self.record_activity();
         match self.state.decide(EndpointEvent::Revoke(key)) {
             Some(CoreReply::Verdict(verdict)) => verdict,
             // The core answers every revoke; without its word nothing is promised.
@@ -147,22 +151,22 @@
     }
 
     fn cancel(&self, key: AttemptKey) {
-        self.heard();
+        self.record_activity();
         self.state.decide(EndpointEvent::Cancel(key));
     }
 
     fn heartbeat(&self, _sequence: u64, _generation: Generation) -> LoadMessage {
-        self.heard();
+        self.record_activity();
         self.reporter.report(&self.state, &self.config)
     }
 
     fn configure(&self, message: ConfigMessage) -> Generation {
-        self.heard();
-        self.config.adopt(&self.state, message)
+        self.record_activity();
+        self.config.apply(&self.state, message)
     }
 
     fn reserve(&self, key: AttemptKey, tokens: TokenCount, hold: Duration) -> ReserveReply {
-        self.heard();
+        self.record_activity();
         let event = EndpointEvent::Reserve { key, tokens, hold };
         match self.state.decide(event) {
             Some(CoreReply::Granted(free_tokens)) => ReserveReply {
@@ -181,7 +185,7 @@
     }
 
     fn release(&self, key: AttemptKey) {
-        self.heard();
+        self.record_activity();
         self.state.decide(EndpointEvent::Release(key));
     }
 
@@ -190,27 +194,27 @@
         work: WorkMessage,
         range: SegmentRange,
     ) -> impl Future<Output = SegmentReply> + 'static {
-        self.heard();
+        self.record_activity();
         let state = Arc::clone(&self.state);
         let bytes_per_token = self.config.bytes_per_token();
         async move { segment::prefill(&state, &work, range, bytes_per_token).await }
     }
 
     fn drain(&self, leaving: bool) -> u32 {
-        self.heard();
+        self.record_activity();
         self.state.decide(EndpointEvent::Drain(leaving));
         let load = self.state.read(lovagedock::EndpointCore::load);
         (load.queued + load.running) as u32
     }
 
     fn order(&self, message: OrderMessage) -> impl Future<Output = OrderReply> + 'static {
-        self.heard();
+        self.record_activity();
         let state = Arc::clone(&self.state);
-        let objection = self.config.objection(&message);
+        let rejection = self.config.rejection(&message);
         async move {
-            match objection {
+            match rejection {
                 Some(detail) => state.orders.refuse(&message.pool, detail),
-                None => orders::take(&state, message).await,
+                None => orders::handle(&state, message).await,
             }
         }
     }
@@ -219,57 +223,57 @@
 /// Sends one answer to one gateway.
 struct SinkPump {
     state: Arc<SidecarState>,
-    sinks: Rc<RefCell<Vec<SinkPlace>>>,
+    sinks: Rc<RefCell<Vec<SinkPosition>>>,
     sender: AnswerSender,
     changes: watch::Receiver<()>,
 }
 
 impl SinkPump {
-    async fn run(mut self, mut place: SinkPlace) {
-        let sent = self.send_all(&mut place).await;
+    async fn run(mut self, mut position: SinkPosition) {
+        let sent = self.send_all(&mut position).await;
         self.sinks
             .borrow_mut()
-            .retain(|other| other.request != place.request || other.sink != place.sink);
+            .retain(|other| other.request != position.request || other.sink_id != position.sink_id);
         if sent.is_err() {
-            lose_sink(&self.state, &place);
+            report_lost_sink(&self.state, &position);
         }
-        self.state.answers().detach(&place);
+        self.state.answers().detach(&position);
     }
 
-    async fn send_all(&mut self, place: &mut SinkPlace) -> Result<(), WireError> {
+    async fn send_all(&mut self, position: &mut SinkPosition) -> Result<(), WireError> {
         loop {
             // Marked before the look, so that a change between the look and the wait is not missed.
             self.changes.mark_unchanged();
-            let step = self.state.answers().next_step(place);
+            let step = self.state.answers().next_step(position);
             match step {
                 SinkStep::Stop => return Ok(()),
                 SinkStep::Head(head) => {
                     self.sender.head(&head).await?;
-                    place.head_sent = true;
+                    position.head_sent = true;
                 }
                 SinkStep::Bytes(bytes) => {
-                    self.sender.chunk(place.offset, &bytes).await?;
-                    place.offset += bytes.len() as u64;
+                    self.sender.chunk(position.offset, &bytes).await?;
+                    position.offset += bytes.len() as u64;
                 }
                 SinkStep::End(end) => {
                     self.sender.done(&end).await?;
-                    self.state.answers().set_taken(place);
+                    self.state.answers().set_delivered(position);
                     return Ok(());
                 }
                 SinkStep::Wait => {
                     // An error means that the request was forgotten; the next look says so.
-                    let _forgotten = self.changes.changed().await;
+                    let _request_forgotten = self.changes.changed().await;
                 }
             }
         }
     }
 }
 
-fn lose_sink(state: &Arc<SidecarState>, place: &SinkPlace) {
-    if !state.answers().is_current(place) {
+fn report_lost_sink(state: &Arc<SidecarState>, position: &SinkPosition) {
+    if !state.answers().is_current(position) {
         return;
     }
-    let key = state.read(|core| core.current_attempt(place.request));
+    let key = state.read(|core| core.current_attempt(position.request));
     if let Some(key) = key {
         state.decide(EndpointEvent::SinkLost(key));
     }
--- a/lovagedock-sidecar/src/settings.rs
+++ b/lovagedock-sidecar/src/settings.rs
@@ -62,7 +62,7 @@
             problems.push("engine.poll_ms: found 0, expected at least 1".to_owned());
         }
         let transport = &self.gateways.transport;
-        problems.extend(transport.mutual_problem("gateways.transport"));
+        problems.extend(transport.mutual_tls_problem("gateways.transport"));
         problems
     }
 }
@@ -82,7 +82,7 @@
 
 impl SessionSettings {
     /// A session without a heartbeat for this long is given up.
-    pub fn silence(&self) -> Duration {
+    pub fn idle_timeout(&self) -> Duration {
         Duration::from_millis(self.silence_ms)
     }
 }
@@ -111,7 +111,7 @@
 
 impl EngineSettings {
     /// Time between looks at the endpoint's load and account.
-    pub fn poll(&self) -> Duration {
+    pub fn poll_interval(&self) -> Duration {
         Duration::from_millis(self.poll_ms)
     }
 
--- a/lovagedock-sidecar/src/sidecar.rs
+++ b/lovagedock-sidecar/src/sidecar.rs
@@ -16,19 +16,19 @@
 };
 
 use crate::{
-    adapter::build_adapter, admin::SidecarSurface, config::SidecarConfig, poll,
+    adapter::build_adapter, admin::SidecarAdminHandler, config::SidecarConfig, poll,
     report::LoadReporter, session::GatewaySession, settings::SidecarSettings, state::SidecarState,
 };
 
 /// Pause after an accept that failed, since such errors repeat at once until files are closed.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Pause between looks at whether all answers have reached their gateways.
-const DRAIN_PAUSE: Duration = Duration::from_millis(20);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Time after the drain to tell gateways what became of requests that did not end in it.
-const LAST_WORD_TIME: Duration = Duration::from_millis(300);
+const CANCEL_REPORT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Requests of each kind that the log names when the process ends under them; the rest is only
 /// counted.
-const NAMED_REQUESTS: usize = 200;
+const MAX_LOGGED_REQUESTS: usize = 200;
 
 /// A sidecar could not start.
 #[derive(Debug)]
@@ -77,16 +77,19 @@
             .change_context(SidecarError)
             .attach_with(|| format!("gateways' address {}", settings.gateways.address))?;
         let gateways = listener.local_addr().change_context(SidecarError)?;
-        let surface = Arc::new(SidecarSurface::new(Arc::clone(&state), Arc::clone(&config)));
-        let admin = AdminServer::start("lovagedock-sidecar", &settings.admin, surface, &daemon)
+        let handler = Arc::new(SidecarAdminHandler::new(
+            Arc::clone(&state),
+            Arc::clone(&config),
+        ));
+        let admin = AdminServer::start("lovagedock-sidecar", &settings.admin, handler, &daemon)
             .await
             .change_context(SidecarError)?;
         let server = SessionServer {
             state,
             config,
             transport,
-            silence: settings.gateways.silence(),
-            poll: settings.engine.poll(),
+            idle_timeout: settings.gateways.idle_timeout(),
+            poll_interval: settings.engine.poll_interval(),
             drain_time: settings.drain_time(),
             linger: settings.linger(),
             shutdown: daemon.shutdown.clone(),
@@ -97,7 +100,7 @@
             .name("sessions".to_owned())
             .spawn(move || {
                 server.run(listener);
-                let _nobody_waits = end.send(());
+                let _receiver_dropped = end.send(());
             })
             .change_context(SidecarError)?;
         Ok(Self {
@@ -136,8 +139,8 @@
     state: Arc<SidecarState>,
     config: Arc<SidecarConfig>,
     transport: Transport,
-    silence: Duration,
-    poll: Duration,
+    idle_timeout: Duration,
+    poll_interval: Duration,
     drain_time: Duration,
     linger: Duration,
     shutdown: ShutdownSignal,
@@ -161,10 +164,10 @@
     async fn serve(&self, listener: std::net::TcpListener) -> io::Result<()> {
         let listener = TcpListener::from_std(listener)?;
         tokio::spawn(Arc::clone(&self.state).run_ticks());
-        tokio::spawn(poll::run(Arc::clone(&self.state), self.poll));
+        tokio::spawn(poll::run(Arc::clone(&self.state), self.poll_interval));
         tokio::select! {
             () = self.accept(&listener) => {}
-            () = self.drained() => {}
+            () = self.drain() => {}
         }
         Ok(())
     }
@@ -180,25 +183,25 @@
                         Rc::clone(&reporter),
                     );
                     let transport = self.transport.clone();
-                    let silence = self.silence;
+                    let idle_timeout = self.idle_timeout;
                     let log = self.log.clone();
                     spawn_local(async move {
-                        let end = serve_session(stream, session, &transport, silence).await;
+                        let end = serve_session(stream, session, &transport, idle_timeout).await;
                         debug!(log, "session ended"; "peer" => %peer, "end" => end);
                     });
                 }
                 Err(error) => {
                     warn!(self.log, "cannot accept a gateway"; "error" => %error);
-                    sleep(ACCEPT_PAUSE).await;
+                    sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
     }
 
     /// Ends when every answer that has ended was taken.
-    async fn sent(&self) {
+    async fn wait_until_answers_sent(&self) {
         while self.state.answers().has_unsent() {
-            sleep(DRAIN_PAUSE).await;
+            sleep(DRAIN_POLL_INTERVAL).await;
         }
     }
 
@@ -206,22 +209,22 @@
     ///
     /// Without a word a gateway would look for this sidecar for seconds before it goes on. A drain
     /// time of zero asks for an exit at once.
-    async fn say_last_word(&self) {
+    async fn report_cancelled_requests(&self) {
         if self.drain_time.is_zero() {
             return;
         }
-        self.state.give_up();
-        let _unsent = timeout(LAST_WORD_TIME, self.sent()).await;
+        self.state.fail_running_requests();
+        let _unsent = timeout(CANCEL_REPORT_TIMEOUT, self.wait_until_answers_sent()).await;
     }
 
     /// Names the requests that the end of the process cuts.
-    fn note_cuts(&self) {
+    fn log_cut_requests(&self) {
         let requests = self.state.read(EndpointCore::snapshot).requests;
         let unsent: Vec<_> = self.state.answers().unsent().collect();
         let cut = requests.len() + unsent.len();
         warn!(self.log, "drain time is over"; "requests" => requests.len(), "unsent" => unsent.len());
         metrics::counter!("lovagedock_sidecar_requests_cut_total").increment(cut as u64);
-        for request in requests.iter().take(NAMED_REQUESTS) {
+        for request in requests.iter().take(MAX_LOGGED_REQUESTS) {
             warn!(self.log, "request cut by the exit";
                 "request" => &request.request,
                 "attempt" => request.attempt,
@@ -230,25 +233,25 @@
                 "service" => &*request.service,
                 "bytes" => request.delivered);
         }
-        for request in unsent.into_iter().take(NAMED_REQUESTS) {
+        for request in unsent.into_iter().take(MAX_LOGGED_REQUESTS) {
             warn!(self.log, "answer not taken before the exit";
                 "request" => format_request_id(request));
         }
     }
 
     /// Ends when the shutdown was asked for, no request is left and every answer was taken.
-    async fn drained(&self) {
+    async fn drain(&self) {
         self.shutdown.wait().await;
         let load = self.state.read(EndpointCore::load);
         info!(self.log, "draining"; "queued" => load.queued, "running" => load.running);
-        self.state.stop();
-        let left = async {
-            self.state.drained().await;
-            self.sent().await;
+        self.state.drain_for_shutdown();
+        let finished = async {
+            self.state.wait_until_drained().await;
+            self.wait_until_answers_sent().await;
         };
-        if timeout(self.drain_time, left).await.is_err() {
-            self.note_cuts();
-            return self.say_last_word().await;
+        if timeout(self.drain_time, finished).await.is_err() {
+            self.log_cut_requests();
+            return self.report_cancelled_requests().await;
         }
         // A submit may be on its way from a gateway that has not heard of the drain. Refused here
         // it did not run; on a connection that closes under it nobody could tell.
@@ -260,7 +263,7 @@
     stream: TcpStream,
     session: GatewaySession,
     transport: &Transport,
-    silence: Duration,
+    idle_timeout: Duration,
 ) -> String {
     let stream = match transport.accept(stream).await {
         Ok(stream) => stream,
@@ -272,7 +275,7 @@
             Ok(()) => "closed".to_owned(),
             Err(error) => error.to_string(),
         },
-        () = session.silent_for(silence) => "silent".to_owned(),
+        () = session.wait_until_idle(idle_timeout) => "silent".to_owned(),
     };
     session.close();
     end
--- a/lovagedock-sidecar/src/state.rs
+++ b/lovagedock-sidecar/src/state.rs
@@ -22,7 +22,7 @@
 use tokio::sync::watch;
 
 use crate::{
-    adapter::EngineAdapter, answers::AnswerTable, engine_task, orders::OrderDoor,
+    adapter::EngineAdapter, answers::AnswerTable, engine_task, orders::OrderExecutor,
     segment::ActiveSegments,
 };
 
@@ -60,7 +60,7 @@
     /// Log.
     pub(crate) log: Logger,
     /// Orders to the endpoint.
-    pub(crate) orders: OrderDoor,
+    pub(crate) orders: OrderExecutor,
     core: Mutex<EndpointCore>,
     answers: Mutex<AnswerTable>,
     wake_at: watch::Sender<Timestamp>,
@@ -85,7 +85,7 @@
             adapter,
             segments: ActiveSegments::default(),
             log,
-            orders: OrderDoor::default(),
+            orders: OrderExecutor::default(),
             core: Mutex::new(EndpointCore::new(incarnation, limits)),
             answers: Mutex::default(),
             wake_at: watch::Sender::new(Timestamp::MAX),
@@ -108,8 +108,8 @@
         let actions = core.handle(self.clock.now(), event);
         let mut reply = None;
         for action in actions {
-            if let Some(said) = self.carry_out(action) {
-                reply = Some(said);
+            if let Some(action_reply) = self.execute(action) {
+                reply = Some(action_reply);
             }
         }
         reply
@@ -126,14 +126,14 @@
     }
 
     /// Drains for the end of the process.
-    pub(crate) fn stop(self: &Arc<Self>) {
+    pub(crate) fn drain_for_shutdown(self: &Arc<Self>) {
         self.stopping.store(true, Ordering::SeqCst);
         self.decide(EndpointEvent::Drain(true));
     }
 
     /// Gives up what runs, before the process ends under it: the gateways are told, and the engine
     /// is told to cancel.
-    pub(crate) fn give_up(self: &Arc<Self>) {
+    pub(crate) fn fail_running_requests(self: &Arc<Self>) {
         for key in self.read(EndpointCore::running_attempts) {
             let detail = "the sidecar has stopped".to_owned();
             let result = EngineResult::Lost { detail };
@@ -142,7 +142,7 @@
     }
 
     /// Ends when the endpoint is leaving and nothing is left on it.
-    pub(crate) async fn drained(&self) {
+    pub(crate) async fn wait_until_drained(&self) {
         let mut drained = self.drained.subscribe();
         // The sender lives in `self`, so the channel cannot close while we wait.
         let _open = drained.wait_for(|drained| *drained).await;
@@ -153,9 +153,9 @@
         let mut wake = self.wake_at.subscribe();
         loop {
             let at = *wake.borrow_and_update();
-            let pause = at.saturating_sub(self.clock.now()).min(LONGEST_PAUSE);
+            let delay = at.saturating_sub(self.clock.now()).min(MAX_TICK_DELAY);
             tokio::select! {
-                () = tokio::time::sleep(pause) => {
+                () = tokio::time::sleep(delay) => {
                     if at <= self.clock.now() {
                         self.wake_at.send_replace(Timestamp::MAX);
                         self.decide(EndpointEvent::Tick);
@@ -170,7 +170,7 @@
         }
     }
 
-    fn carry_out(self: &Arc<Self>, action: EndpointAction) -> Option<CoreReply> {
+    fn execute(self: &Arc<Self>, action: EndpointAction) -> Option<CoreReply> {
         match action {
             EndpointAction::Accept(_) => return Some(CoreReply::Accepted),
             EndpointAction::Refuse { key, end } => {
@@ -198,8 +198,8 @@
                 key,
                 offset,
                 length,
-            } => self.show(key, offset + length),
-            EndpointAction::EndAnswer { key, end } => self.end(key, end),
+            } => self.make_visible(key, offset + length),
+            EndpointAction::EndAnswer { key, end } => self.end_answer(key, end),
             EndpointAction::ForgetAnswer(key) => self.answers().forget(key.request),
             EndpointAction::WakeAt(at) => {
                 self.wake_at.send_replace(at);
@@ -240,13 +240,13 @@
         });
     }
 
-    fn show(&self, key: AttemptKey, until: u64) {
+    fn make_visible(&self, key: AttemptKey, end_offset: u64) {
         if let Some(record) = self.answers().get_mut(key.request) {
-            record.show(until);
+            record.make_visible(end_offset);
         }
     }
 
-    fn end(&self, key: AttemptKey, end: AnswerEnd) {
+    fn end_answer(&self, key: AttemptKey, end: AnswerEnd) {
         debug!(self.log, "request ended";
             "request" => format_request_id(key.request),
             "code" => end.code.number(),
@@ -266,4 +266,4 @@
 }
 
 /// Longest sleep between looks at the wake time.
-const LONGEST_PAUSE: Duration = Duration::from_secs(3_600);
+const MAX_TICK_DELAY: Duration = Duration::from_secs(3_600);
--- a/lovagedock-standin/src/demo/overhead.rs
+++ b/lovagedock-standin/src/demo/overhead.rs
@@ -27,7 +27,7 @@
         Self {
             at,
             processor_s: processor_seconds(),
-            link_bytes: lovagedock_daemon::Transport::bytes_moved(),
+            link_bytes: lovagedock_daemon::Transport::bytes_transferred(),
             platform,
         }
     }
--- a/lovagedock-standin/tests/adapter_faults.rs
+++ b/lovagedock-standin/tests/adapter_faults.rs
@@ -126,15 +126,15 @@
         read_answer(stream).await.unwrap_err();
         until(async || {
             matches!(
-                bench.adapter.account().await,
+                bench.adapter.allocations().await,
                 Err(EngineError::Unreachable { .. })
             )
         })
         .await;
 
         bench.engine.handle.set_fault(EngineFault::None);
-        until(async || bench.adapter.account().await.is_ok()).await;
-        assert!(bench.adapter.account().await.unwrap().is_empty());
+        until(async || bench.adapter.allocations().await.is_ok()).await;
+        assert!(bench.adapter.allocations().await.unwrap().is_empty());
         let again = answer(&*bench.adapter, request(PROMPT, 3, true)).await;
         assert_eq!(
             streamed_text(&again.unwrap().body),
@@ -154,7 +154,7 @@
         let adapter = impatient(&bench, vendor.adapter);
         let (cancel, account, load, export, events) = futures::join!(
             adapter.cancel(ID),
-            adapter.account(),
+            adapter.allocations(),
             adapter.load(),
             adapter.export(ID),
             adapter.cache_events(0),
@@ -270,7 +270,7 @@
 
         let holder = span.hold_first_part().await;
         assert_eq!(holder.tokens, PART_TOKENS);
-        let held = span.holder.adapter.account().await.unwrap();
+        let held = span.holder.adapter.allocations().await.unwrap();
         assert_eq!(held[0].tokens, PART_TOKENS);
         let answer = answer(&*span.decoder.adapter, span.request(20, holder)).await;
         let answer = answer.unwrap();
@@ -311,7 +311,7 @@
         // The repeated one is the same holder and the same tokens.
         assert_eq!(holders.remove(3), holders[2]);
         for bench in [&span.holder, &span.decoder] {
-            let account = bench.adapter.account().await.unwrap();
+            let account = bench.adapter.allocations().await.unwrap();
             assert_eq!((account.len(), account[0].tokens), (1, PART_TOKENS));
         }
 
--- a/lovagedock-standin/tests/adapter_input.rs
+++ b/lovagedock-standin/tests/adapter_input.rs
@@ -205,7 +205,7 @@
     ];
     for case in cases {
         let adapter = canned_adapter(case.adapter, &case.account, 4_096).await;
-        let account = adapter.account().await.unwrap();
+        let account = adapter.allocations().await.unwrap();
         assert_eq!(account.len(), 1, "{}", case.adapter);
         assert_eq!((account[0].request_id, account[0].tokens), (ID, 32));
     }
--- a/lovagedock-standin/tests/engine_contract.rs
+++ b/lovagedock-standin/tests/engine_contract.rs
@@ -51,7 +51,7 @@
         assert!(answer.end.first_token_after > Duration::ZERO);
         let id = format_request_id(ID);
         assert_eq!(bench.engine.journal.count(&id, JournalEvent::Ended), 1);
-        assert!(bench.adapter.account().await.unwrap().is_empty());
+        assert!(bench.adapter.allocations().await.unwrap().is_empty());
     }
 }
 
@@ -201,10 +201,10 @@
             request_id: ID,
             tokens: 300_016,
         };
-        assert_eq!(bench.adapter.account().await.unwrap(), [holding]);
+        assert_eq!(bench.adapter.allocations().await.unwrap(), [holding]);
 
         bench.adapter.cancel(ID).await.unwrap();
-        assert!(bench.adapter.account().await.unwrap().is_empty());
+        assert!(bench.adapter.allocations().await.unwrap().is_empty());
         assert_eq!(bench.engine.handle.allocated_blocks(), 0);
         bench.adapter.cancel(ID).await.unwrap();
         let id = format_request_id(ID);
--- a/lovagedock-standin/tests/plain_contract.rs
+++ b/lovagedock-standin/tests/plain_contract.rs
@@ -48,7 +48,7 @@
     assert_eq!(runs[0].method, "PUT");
     assert_eq!(runs[0].path, "/receipts/7?outlet=kochi");
     assert_eq!(answer.body, serde_json::to_string(&runs[0]).unwrap());
-    assert!(bench.adapter.account().await.unwrap().is_empty());
+    assert!(bench.adapter.allocations().await.unwrap().is_empty());
     assert_eq!(bench.adapter.load().await.unwrap().running, 0);
 }
 
