--- a/lovagedock-sidecar/src/adapter/client.rs
+++ b/lovagedock-sidecar/src/adapter/client.rs
@@ -1,4 +1,4 @@
-//! HTTP to an endpoint, one connection per call, with every wait bounded.
+//! HTTP client for an endpoint, with one connection per call and a time limit for every wait.
 
 use std::{future::Future, time::Duration};
 
@@ -20,13 +20,13 @@
 const MAX_CONTROL_BYTES: usize = 64 << 20;
 const MAX_DETAIL_CHARS: usize = 300;
 
-/// An answer whose connection ends with it.
+/// A response; its connection is closed when it is dropped.
 pub(crate) struct EngineResponse {
     pub(crate) inner: Response<Incoming>,
     pub(crate) connection: AbortOnDropHandle<()>,
 }
 
-/// Client of one endpoint.
+/// HTTP client for one endpoint.
 #[derive(Clone, Debug)]
 pub(crate) struct EngineClient {
     options: AdapterOptions,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Sends a request and waits for the head of the answer without a bound of its own.
+    /// Sends a request and waits for the head of the response without a time limit of its own.
     pub(crate) async fn send(
         &self,
         mut request: Request<Full<Bytes>>,
@@ -56,7 +56,7 @@
                     detail: error.to_string(),
                 })?;
         let task = tokio::spawn(async move {
-            // A broken connection shows at the request that uses it.
+            // A broken connection is reported by the request that uses it.
             let _ = connection.await;
         });
         let connection = AbortOnDropHandle::new(task);
@@ -67,7 +67,7 @@
         Ok(EngineResponse { inner, connection })
     }
 
-    /// Sends a request; a head that takes longer than the idle timeout counts as lost.
+    /// Sends a request. If the head takes longer than the idle timeout, the request counts as lost.
     pub(crate) async fn send_bounded(
         &self,
         request: Request<Full<Bytes>>,
@@ -75,7 +75,7 @@
         self.bounded(self.send(request)).await?
     }
 
-    /// One control call whose answer is JSON.
+    /// Makes a control call with a JSON body and a JSON response.
     pub(crate) async fn call<B: Serialize, T: DeserializeOwned>(
         &self,
         method: Method,
@@ -86,13 +86,13 @@
         serde_json::from_slice(&bytes).map_err(EngineError::failed)
     }
 
-    /// One control call without a body whose answer is JSON.
+    /// Makes a control call without a body and with a JSON response.
     pub(crate) async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, EngineError> {
         let bytes = self.call_bytes(Method::GET, path, Bytes::new()).await?;
         serde_json::from_slice(&bytes).map_err(EngineError::failed)
     }
 
-    /// One control call.
+    /// Makes a control call and returns the body of the response.
     pub(crate) async fn call_bytes(
         &self,
         method: Method,
@@ -104,10 +104,10 @@
         self.bounded(read_all(response)).await?
     }
 
-    /// Waits no longer than the idle timeout.
+    /// Waits for a future for at most the idle timeout.
     ///
-    /// A connection can go silent for good without any error; the wait would never end. Nothing
-    /// that an engine sends is further apart than this while it lives.
+    /// A connection can stop delivering data without an error, and the wait would never end. A
+    /// working engine never pauses for longer than this timeout.
     pub(crate) async fn bounded<F: Future>(&self, future: F) -> Result<F::Output, EngineError> {
         timeout(self.options.idle_timeout, future)
             .await
@@ -120,7 +120,7 @@
 
     fn idle_error(&self) -> EngineError {
         let limit = self.idle_timeout();
-        EngineError::lost(format!("the endpoint was silent for {limit:?}"))
+        EngineError::lost(format!("the endpoint sent nothing for {limit:?}"))
     }
 
     async fn connect(&self) -> Result<TcpStream, EngineError> {
@@ -134,7 +134,7 @@
             }
             Err(_) => {
                 return Err(EngineError::Unreachable {
-                    detail: "the connection did not come about in time".to_owned(),
+                    detail: "the connection attempt timed out".to_owned(),
                 });
             }
         };
@@ -143,7 +143,7 @@
     }
 }
 
-/// A JSON request.
+/// Creates a request with a JSON body.
 pub(crate) fn json_request(
     method: Method,
     path: &str,
@@ -157,7 +157,7 @@
         .map_err(bad_request)
 }
 
-/// Serialises a body; an error means that nothing was sent.
+/// Serialises a body. An error means that nothing was sent.
 pub(crate) fn json_bytes<B: Serialize>(body: &B) -> Result<Bytes, EngineError> {
     serde_json::to_vec(body)
         .map(Bytes::from)
@@ -171,10 +171,10 @@
     }
 }
 
-/// Turns an error answer into an error.
+/// Converts a response with an error status into an error.
 ///
-/// Engines answer 4xx and 503 before they start anything; any other error status may come from
-/// work that started.
+/// Engines return 4xx and 503 before they start any work. Any other error status may come from work
+/// that had started.
 pub(crate) async fn check_status(
     response: EngineResponse,
     client: &EngineClient,
@@ -197,7 +197,7 @@
     Err(EngineError::failed(detail))
 }
 
-/// Reads a whole body.
+/// Reads a whole body, up to the size limit.
 pub(crate) async fn read_all(response: EngineResponse) -> Result<Bytes, EngineError> {
     let _connection = response.connection;
     let body = Limited::new(response.inner.into_body(), MAX_CONTROL_BYTES);
--- a/lovagedock-sidecar/src/adapter/dialect.rs
+++ b/lovagedock-sidecar/src/adapter/dialect.rs
@@ -1,4 +1,4 @@
-//! Where vendors differ: how an engine reports its load and its account.
+//! Vendor-specific part of the model adapter: how an engine reports its load and its allocations.
 
 use async_trait::async_trait;
 
@@ -8,7 +8,7 @@
     message::{EngineAllocation, EngineLoad},
 };
 
-/// One vendor's way of reporting.
+/// Reads the reports of one vendor's engines.
 #[async_trait]
 pub(crate) trait VendorDialect: Send + Sync + 'static {
     async fn allocations(
--- a/lovagedock-sidecar/src/adapter/engine_adapter.rs
+++ b/lovagedock-sidecar/src/adapter/engine_adapter.rs
@@ -16,54 +16,56 @@
     },
 };
 
-/// An answer: a head, bytes, an end; an error is its last item.
+/// An answer: a head, bytes and an end. If an error occurs, it is the last item.
 pub type EngineStream = Pin<Box<dyn Stream<Item = Result<EngineEvent, EngineError>> + Send>>;
 
-/// One endpoint as the sidecar sees it.
+/// Interface to one endpoint.
 ///
-/// Every call opens its own connection: an open connection can go silent for good while new ones
-/// work, and to an endpoint on the same host a new one costs little. A silent endpoint is found
-/// by the idle timeout, except while a whole (not streamed) answer or the end of an order is awaited: only the deadline
-/// bounds that, and a silent engine shows in the next [`EngineAdapter::load`].
+/// Every call opens its own connection. An open connection can stop delivering data while new ones
+/// work, and a new connection to an endpoint on the same host costs little. An endpoint that sends
+/// nothing is detected by the idle timeout, except while the sidecar waits for a whole (not
+/// streamed) answer or for the end of an order. Those waits are limited only by the deadline, and
+/// an engine that sends nothing is detected by the next [`EngineAdapter::load`].
 #[async_trait]
 pub trait EngineAdapter: Send + Sync {
-    /// What the endpoint can do; the calls that it cannot answer are `Refused` with status 501.
+    /// What the endpoint supports. Other calls fail with `Refused` and status 501.
     fn capabilities(&self) -> AdapterCapabilities;
 
-    /// Starts a request, or goes on with one from its `resume_offset`.
+    /// Starts a request, or continues one from its `resume_offset`.
     ///
-    /// `Refused` with status 409 says that a request with this id is there already: nothing new
-    /// was started and the former one goes on. Dropping the stream closes the connection but frees nothing; [`EngineAdapter::cancel`]
-    /// does.
+    /// `Refused` with status 409 means that a request with this id already exists: nothing new was
+    /// started and the earlier request continues. Dropping the stream closes the connection but
+    /// frees no memory; [`EngineAdapter::cancel`] does.
     async fn start(&self, request: EngineRequest) -> Result<EngineStream, EngineError>;
 
-    /// Ends a request or a held segment and frees its memory; no error if it is not there.
+    /// Ends a request or a held segment and frees its memory; succeeds if there is none.
     async fn cancel(&self, request_id: RequestId) -> Result<(), EngineError>;
 
-    /// What each request holds by the engine's own account.
+    /// Memory allocation of each request as reported by the engine.
     async fn allocations(&self) -> Result<Vec<EngineAllocation>, EngineError>;
 
-    /// The load that the endpoint reports.
+    /// Load as reported by the endpoint.
     async fn load(&self) -> Result<EngineLoad, EngineError>;
 
     /// Prefills one part of a prompt and holds it until [`EngineAdapter::cancel`].
     async fn segment(&self, request: SegmentRequest) -> Result<SegmentHolder, EngineError>;
 
-    /// Stops a decoding request and reads its state, which stays held until it is cancelled.
+    /// Stops a decoding request and returns its state, which the engine holds until it is
+    /// cancelled.
     async fn export(&self, request_id: RequestId) -> Result<Bytes, EngineError>;
 
-    /// Takes a request over with the state that another engine exported.
+    /// Imports a request with the state that another engine exported.
     async fn import(&self, state: Bytes) -> Result<(), EngineError>;
 
-    /// Gives an order; `Refused` with status 409 if the engine has seen a higher fencing number.
+    /// Sends an order; fails with `Refused` and status 409 if the engine has seen a higher fencing
+    /// number.
     ///
-    /// Ends when the order is carried out, without a bound of its own.
+    /// Returns when the order has been executed, without a time limit of its own.
     async fn order(&self, order: EngineOrder) -> Result<(), EngineError>;
 
     /// Cache events after the given number.
     async fn cache_events(&self, after: u64) -> Result<CacheReport, EngineError>;
 
-    /// Everything that the prefix cache holds; asked for after a gap in its
-    /// events.
+    /// Complete content of the prefix cache; requested after a gap in its events.
     async fn cache_snapshot(&self) -> Result<CacheSnapshot, EngineError>;
 }
--- a/lovagedock-sidecar/src/adapter/error.rs
+++ b/lovagedock-sidecar/src/adapter/error.rs
@@ -1,27 +1,28 @@
-//! What can go wrong at an endpoint, told apart by whether the work ran.
+//! Errors of an endpoint, classified by whether the work ran.
 
 use std::fmt;
 
 use lovagedock::prelude::RanState;
 
-/// Why an endpoint did not do what it was asked.
+/// Why a call to an endpoint failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EngineError {
-    /// The endpoint answered that it will not; the work certainly did not start.
+    /// The endpoint refused the call; the work certainly did not start.
     Refused {
-        /// HTTP status of the answer; 501 for what the adapter cannot do.
+        /// HTTP status of the response; 501 for calls that the adapter does not support.
         status: u16,
         /// What the endpoint said.
         detail: String,
     },
-    /// No connection came about, so nothing was sent and nothing started.
+    /// No connection was established, so nothing was sent and nothing started.
     Unreachable {
-        /// What the connection attempt said.
+        /// Error of the connection attempt.
         detail: String,
     },
-    /// The connection broke or went silent after the request was sent; the work may have run.
+    /// The connection broke or delivered no more data after the request was sent; the work may have
+    /// run.
     Lost {
-        /// What was seen last.
+        /// Description of the failure.
         detail: String,
     },
     /// The work started and failed.
@@ -41,10 +42,11 @@
         }
     }
 
-    /// Whether the endpoint refused the request for what it says, as any other would.
+    /// Whether the endpoint refused the request because of its content, as any other endpoint
+    /// would.
     ///
-    /// Other refusals, such as 404 for a model that is not loaded or 429, may be this endpoint's
-    /// own.
+    /// Other refusals, such as 404 for a model that is not loaded or 429, may be specific to this
+    /// endpoint.
     pub fn is_callers_fault(&self) -> bool {
         const STATUSES: [u16; 3] = [400, 413, 422];
         matches!(self, Self::Refused { status, .. } if STATUSES.contains(status))
@@ -65,7 +67,7 @@
     pub(crate) fn unsupported(what: &str) -> Self {
         Self::Refused {
             status: 501,
-            detail: format!("this endpoint has no {what}"),
+            detail: format!("this endpoint does not support {what}"),
         }
     }
 }
--- a/lovagedock-sidecar/src/adapter/json_report.rs
+++ b/lovagedock-sidecar/src/adapter/json_report.rs
@@ -1,4 +1,4 @@
-//! Vendor whose engines report in JSON.
+//! Adapter to engines that report their load as JSON.
 
 use std::sync::Arc;
 
@@ -82,7 +82,7 @@
     }
 }
 
-/// Requests whose ids are not ours did not come through a sidecar and are left alone.
+/// Skips requests with other ids; they did not come through a sidecar.
 fn engine_allocation(allocation: &RequestAllocation) -> Option<EngineAllocation> {
     Some(EngineAllocation {
         request_id: parse_request_id(&allocation.request_id)?,
--- a/lovagedock-sidecar/src/adapter/message.rs
+++ b/lovagedock-sidecar/src/adapter/message.rs
@@ -1,4 +1,4 @@
-//! What goes to an endpoint through an adapter and what comes back.
+//! Messages between a sidecar and its endpoint's adapter.
 
 use std::time::Duration;
 
@@ -6,16 +6,16 @@
 
 use lovagedock::prelude::{Epoch, RequestId, TokenCount};
 
-/// What an endpoint can do besides answering requests.
+/// What an endpoint supports besides answering requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AdapterCapabilities {
-    /// It accounts for memory, and cancels by request id.
+    /// It reports memory allocations and cancels by request id.
     pub tracks_memory: bool,
-    /// It prefills parts of prompts and decodes with parts that others hold.
+    /// It prefills parts of prompts and decodes with parts that other engines hold.
     pub accepts_segments: bool,
     /// It exports and imports the state of requests.
     pub transfers_requests: bool,
-    /// It takes orders.
+    /// It accepts orders.
     pub accepts_orders: bool,
 }
 
@@ -24,41 +24,41 @@
 pub struct EngineHeader {
     /// Name in lower case.
     pub name: String,
-    /// Value as it was received.
+    /// Value as received.
     pub value: Bytes,
 }
 
-/// One request of a caller for the endpoint.
+/// A caller's request to the endpoint.
 #[derive(Clone, Debug)]
 pub struct EngineRequest {
-    /// Id under which the endpoint accounts for it.
+    /// Id under which the endpoint reports its allocation.
     pub request_id: RequestId,
     /// Higher goes first.
     pub priority: i32,
     /// HTTP method.
     pub method: String,
-    /// Path with its query.
+    /// Path including the query.
     pub path: String,
     /// The caller's headers.
     pub headers: Vec<EngineHeader>,
     /// The caller's body.
     pub body: Bytes,
-    /// Answer tokens that the caller has already; 0 for a new request.
+    /// Answer tokens that the caller already has; 0 for a new request.
     pub resume_offset: TokenCount,
-    /// Parts of the prompt that other engines hold, in the order of the prompt.
+    /// Parts of the prompt that other engines hold, in prompt order.
     pub segments: Vec<SegmentHolder>,
 }
 
-/// Where one part of a long prompt is held.
+/// The engine that holds one part of a long prompt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SegmentHolder {
-    /// What the holding engine called itself when it prefilled the part.
+    /// Name that the holding engine returned when it prefilled the part.
     pub locator: String,
-    /// Tokens that it holds.
+    /// Number of tokens that it holds.
     pub tokens: TokenCount,
 }
 
-/// Order to prefill one part of a prompt and to hold it.
+/// Request to prefill one part of a prompt and to hold it.
 #[derive(Clone, Debug)]
 pub struct SegmentRequest {
     /// Id of the request that the part belongs to.
@@ -67,7 +67,7 @@
     pub priority: i32,
     /// Position of the part's first token in the prompt.
     pub start: TokenCount,
-    /// Tokens of the part.
+    /// Number of tokens in the part.
     pub tokens: TokenCount,
     /// Text of the part.
     pub prompt_part: String,
@@ -82,84 +82,85 @@
     pub headers: Vec<EngineHeader>,
 }
 
-/// What an answer cost.
+/// Token counts and timing of an ended answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EngineEnd {
-    /// Prompt tokens by the engine's count.
+    /// Prompt tokens as counted by the engine.
     pub prompt_tokens: TokenCount,
-    /// Prompt tokens that the prefix cache spared.
+    /// Prompt tokens that were read from the prefix cache.
     pub cached_tokens: TokenCount,
     /// Answer tokens.
     pub answer_tokens: TokenCount,
-    /// From the start of the request to the first token; for a whole answer, to its end.
+    /// Time from the start of the request to the first token; for a whole (not streamed) answer, to
+    /// its end.
     pub first_token_after: Duration,
 }
 
-/// One event of an answer: a head, then bytes, then an end.
+/// One event of an answer. An answer consists of a head, then bytes, then an end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EngineEvent {
     /// Status and headers.
     Head(EngineHead),
     /// The next bytes of the body as the caller sees them.
     Bytes(Bytes),
-    /// The answer is whole. A stream without it was cut.
+    /// The answer is complete. A stream without this event was truncated.
     End(EngineEnd),
 }
 
-/// What one request holds by the engine's own account.
+/// Memory of one request as reported by the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineAllocation {
     /// Id of the request.
     pub request_id: RequestId,
-    /// KV memory in tokens; 0 while it waits.
+    /// KV memory in tokens; 0 while the request waits.
     pub tokens: TokenCount,
 }
 
-/// Load as the engine reports it; it may be seconds old.
+/// Load as reported by the engine; it may be seconds old.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EngineLoad {
-    /// Requests in the batch.
+    /// Number of requests in the batch.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub waiting: u32,
-    /// KV memory in all; 0 for a plain service.
+    /// Total KV memory in tokens; 0 for a plain service.
     pub memory_tokens: TokenCount,
-    /// KV memory that no request holds.
+    /// KV memory in tokens that no request holds.
     pub free_tokens: TokenCount,
-    /// KV memory that the prefix cache fills.
+    /// KV memory in tokens that the prefix cache uses.
     pub cached_tokens: TokenCount,
-    /// Role that the engine is in.
+    /// Current role of the engine.
     pub role: String,
-    /// Model that is loaded.
+    /// The loaded model.
     pub model: String,
-    /// Adapters that are loaded.
+    /// The loaded adapters.
     pub adapters: Vec<String>,
 }
 
-/// Order to an engine, with the fencing number of who gives it.
+/// Order to an engine, with the fencing number of the lease holder that gives it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineOrder {
     /// Fencing number of the lease.
     pub fence: Epoch,
-    /// What to do.
+    /// The operation.
     pub kind: OrderKind,
 }
 
-/// What an engine can be ordered to do.
+/// Operations that an engine can be ordered to perform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderKind {
-    /// Load a model in a version.
+    /// Load a version of a model.
     LoadModel {
         /// Name of the model.
         model: String,
         /// Version of its weights.
         version: String,
     },
-    /// Load an adapter in a version.
+    /// Load a version of an adapter.
     LoadAdapter {
         /// Name of the adapter.
         adapter: String,
-        /// Its version.
+        /// Version of the adapter.
         version: String,
     },
     /// Change the role.
@@ -172,9 +173,9 @@
 /// A change of the engine's prefix cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheChange {
-    /// A prompt piece with this hash is held.
+    /// The prompt piece with this hash is cached.
     Stored(u64),
-    /// It is held no more.
+    /// The prompt piece with this hash is no longer cached.
     Removed(u64),
 }
 
@@ -187,20 +188,20 @@
     pub change: CacheChange,
 }
 
-/// What the engine publishes of its prefix cache.
+/// Events of the engine's prefix cache.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CacheReport {
-    /// Whether events are missing before or between these: a snapshot is due.
+    /// Whether events are missing before or between these. If so, a snapshot is needed.
     pub has_gap: bool,
-    /// Events after the number that was asked for, in their order.
+    /// Events after the requested number, in order.
     pub events: Vec<CacheEvent>,
 }
 
-/// Everything that the prefix cache holds.
+/// Complete content of the prefix cache.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CacheSnapshot {
     /// Number of the last event that it includes.
     pub sequence: u64,
-    /// Hashes of the held prompt pieces.
+    /// Hashes of the cached prompt pieces.
     pub hashes: Vec<u64>,
 }
--- a/lovagedock-sidecar/src/adapter/mod.rs
+++ b/lovagedock-sidecar/src/adapter/mod.rs
@@ -1,7 +1,7 @@
 //! Adapters to endpoints: vendors' engines and plain services behind one trait.
 //!
-//! An adapter registers itself as an [`AdapterPlugin`]; [`build_adapter`] finds it by the name
-//! that the sidecar's settings give.
+//! An adapter registers itself as an [`AdapterPlugin`]. [`build_adapter`] finds it by the name that
+//! the sidecar's settings contain.
 
 mod client;
 mod dialect;
--- a/lovagedock-sidecar/src/adapter/model.rs
+++ b/lovagedock-sidecar/src/adapter/model.rs
@@ -1,4 +1,4 @@
-//! The request path that the engines of both vendors share.
+//! Adapter to model engines; the request path is the same for both vendors.
 
 use async_trait::async_trait;
 use bytes::Bytes;
@@ -24,7 +24,7 @@
     sse::{AnswerFields, SseReader},
 };
 
-/// Adapter to a model engine of one vendor.
+/// Adapter to a model engine; `D` reads the vendor's reports.
 pub(crate) struct ModelAdapter<D> {
     client: EngineClient,
     dialect: D,
@@ -91,7 +91,8 @@
         };
         let bytes = json_bytes(&body)?;
         let http_request = json_request(Method::POST, "/v1/segments", bytes)?;
-        // Like a whole answer this comes when all is done; only the caller's deadline bounds it.
+        // As with a whole (not streamed) answer, the response arrives when all work is done. Only
+        // the caller's deadline limits it.
         let response = self.client.send(http_request).await?;
         let response = check_status(response, &self.client).await?;
         let bytes = read_all(response).await?;
@@ -120,8 +121,8 @@
     async fn order(&self, order: EngineOrder) -> Result<(), EngineError> {
         let body = json_bytes(&OrderBody::from(&order))?;
         let http_request = json_request(Method::POST, "/orders", body)?;
-        // The answer comes when the weights are loaded, which takes longer than any silence that
-        // an engine may keep otherwise; whoever gives the order bounds it.
+        // The response arrives when the weights are loaded, which takes longer than the idle
+        // timeout. The sender of the order sets the time limit.
         let response = self.client.send(http_request).await?;
         let response = check_status(response, &self.client).await?;
         self.client.bounded(read_all(response)).await??;
@@ -227,7 +228,7 @@
     hashes: Vec<u64>,
 }
 
-/// A newest event below the one that was asked for means that the engine began anew.
+/// A last event below the requested number means that the engine restarted its numbering.
 fn cache_report(after: u64, response: &CacheEventsResponse) -> CacheReport {
     let mut report = CacheReport {
         has_gap: response.last < after,
--- a/lovagedock-sidecar/src/adapter/plain.rs
+++ b/lovagedock-sidecar/src/adapter/plain.rs
@@ -1,4 +1,4 @@
-//! Plain services: the caller's request goes through as it is.
+//! Adapter to plain services; the caller's request is forwarded unchanged.
 
 use std::sync::Arc;
 
@@ -121,11 +121,11 @@
     }
 
     async fn export(&self, _request_id: RequestId) -> Result<Bytes, EngineError> {
-        Err(EngineError::unsupported("state to export"))
+        Err(EngineError::unsupported("exporting state"))
     }
 
     async fn import(&self, _state: Bytes) -> Result<(), EngineError> {
-        Err(EngineError::unsupported("state to import"))
+        Err(EngineError::unsupported("importing state"))
     }
 
     async fn order(&self, _order: EngineOrder) -> Result<(), EngineError> {
--- a/lovagedock-sidecar/src/adapter/prometheus_report.rs
+++ b/lovagedock-sidecar/src/adapter/prometheus_report.rs
@@ -1,4 +1,4 @@
-//! Vendor whose engines report in Prometheus text.
+//! Adapter to engines that report their load as Prometheus text.
 
 use std::sync::Arc;
 
--- a/lovagedock-sidecar/src/adapter/registry.rs
+++ b/lovagedock-sidecar/src/adapter/registry.rs
@@ -1,4 +1,4 @@
-//! Adapters by name.
+//! Registry of adapters by name.
 
 use std::{fmt, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -7,19 +7,19 @@
 const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What an adapter needs to reach its endpoint.
+/// Connection options of an adapter.
 #[derive(Clone, Debug)]
 pub struct AdapterOptions {
-    /// Where the endpoint listens.
+    /// Address of the endpoint.
     pub address: SocketAddr,
-    /// How long a connection may take to come about.
+    /// Time limit for opening a connection.
     pub connect_timeout: Duration,
-    /// How long an endpoint may stay silent before it counts as lost.
+    /// How long an endpoint may send nothing before the call counts as lost.
     pub idle_timeout: Duration,
 }
 
 impl AdapterOptions {
-    /// Options with the default timeouts.
+    /// Creates options with the default timeouts.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             address,
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The same with another idle timeout.
+    /// Sets the idle timeout.
     pub fn with_idle_timeout(self, idle_timeout: Duration) -> Self {
         Self {
             idle_timeout,
@@ -37,7 +37,7 @@
     }
 }
 
-/// An adapter that registered itself.
+/// A registered adapter.
 pub struct AdapterPlugin {
     /// Name in the sidecar's settings.
     pub name: &'static str,
@@ -52,12 +52,12 @@
 pub enum BuildError {
     /// No adapter has this name.
     UnknownName {
-        /// Name that was asked for.
+        /// The requested name.
         name: String,
-        /// Names that there are.
+        /// The registered names.
         known: Vec<&'static str>,
     },
-    /// The options do not suit the adapter.
+    /// The options are not valid for the adapter.
     BadOptions {
         /// What is wrong.
         detail: String,
@@ -68,7 +68,11 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::UnknownName { name, known } => {
-                write!(f, "no adapter \"{name}\"; there are {}", known.join(", "))
+                write!(
+                    f,
+                    "no adapter \"{name}\"; expected one of {}",
+                    known.join(", ")
+                )
             }
             Self::BadOptions { detail } => f.write_str(detail),
         }
--- a/lovagedock-sidecar/src/adapter/request_body.rs
+++ b/lovagedock-sidecar/src/adapter/request_body.rs
@@ -1,4 +1,4 @@
-//! The caller's body with what the engine needs besides.
+//! Adds the fields that the engine needs to the caller's body.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
     message::{EngineRequest, SegmentHolder},
 };
 
-/// A body for the engine, and whether its answer is streamed.
+/// A request body for the engine, and whether its answer is streamed.
 #[derive(Debug)]
 pub(crate) struct EngineBody {
     pub(crate) bytes: Bytes,
@@ -22,8 +22,8 @@
 }
 
 impl EngineBody {
-    /// Sets the sidecar's own fields over any that the caller sent under these names, so that no
-    /// caller raises its priority or takes another request's id.
+    /// Sets the sidecar's fields and overwrites any that the caller sent under these names, so that
+    /// no caller can raise its priority or use the id of another request.
     pub(crate) fn new(request: &EngineRequest) -> Result<Self, EngineError> {
         let mut fields: BTreeMap<String, Box<RawValue>> =
             serde_json::from_slice(&request.body).map_err(bad_request)?;
@@ -44,7 +44,7 @@
     }
 }
 
-/// A segment as both vendors write it.
+/// A segment in the format of both vendors.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct SegmentField {
     pub(crate) engine: String,
--- a/lovagedock-sidecar/src/adapter/sse.rs
+++ b/lovagedock-sidecar/src/adapter/sse.rs
@@ -1,4 +1,4 @@
-//! Reads a streamed answer event by event and checks whose it is.
+//! Reads a streamed answer event by event and checks that it belongs to the request.
 
 use bytes::{Bytes, BytesMut};
 use futures::{StreamExt, stream};
@@ -16,11 +16,11 @@
 };
 
 const DATA_PREFIX: &[u8] = b"data:";
-/// An event that is longer comes from an engine that has lost its framing.
+/// Maximum length of an event. A longer one comes from an engine whose event framing is broken.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 const STREAM_END: &[u8] = b"[DONE]";
 
-/// The fields of a chunk or a whole answer that the sidecar looks at.
+/// Fields of a chunk or a whole answer that the sidecar reads.
 #[derive(Debug, Deserialize)]
 pub(crate) struct AnswerFields {
     #[serde(default)]
@@ -52,23 +52,24 @@
 }
 
 impl AnswerFields {
-    /// Reads the fields and makes sure that they are of the request with this id.
+    /// Parses the fields and checks that they belong to the request with this id.
     ///
-    /// An engine under load was seen to cross answers: a caller would get another's text with a
-    /// clean end. Each chunk names its request, so none that names another is passed on.
+    /// An engine under load swapped the answers of two requests, and a caller would have received
+    /// another caller's text without an error. Each chunk contains its request id, so a chunk with
+    /// another id is not forwarded.
     pub(crate) fn parse(json: &[u8], request_id: &str) -> Result<Self, EngineError> {
         let fields: Self = serde_json::from_slice(json).map_err(EngineError::failed)?;
         if let Some(error) = fields.error {
             return Err(EngineError::failed(error.message));
         }
         if !fields.id.ends_with(request_id) {
-            let detail = format!("the answer is of another request: {}", fields.id);
+            let detail = format!("the answer belongs to another request: {}", fields.id);
             return Err(EngineError::failed(detail));
         }
         Ok(fields)
     }
 
-    /// Copies the usage, if there is one, into the end.
+    /// Copies the usage, if present, into the end.
     pub(crate) fn copy_usage(&self, end: &mut EngineEnd) {
         if let Some(usage) = &self.usage {
             end.prompt_tokens = usage.prompt_tokens;
@@ -81,7 +82,7 @@
 #[derive(Clone, Copy, Debug)]
 enum ReaderPhase {
     Reading,
-    /// The end mark went to the caller; the end follows it.
+    /// The `[DONE]` event was returned; the end is returned next.
     Ending,
     Done,
 }
@@ -117,7 +118,7 @@
         }
     }
 
-    /// The body's events and the end, without the head.
+    /// Stream of the body's events and the end, without the head.
     pub(crate) fn into_stream(self) -> EngineStream {
         stream::try_unfold(self, |mut reader| async move {
             let event = reader.next_event().await?;
@@ -143,7 +144,7 @@
                 self.read_more().await?;
                 continue;
             };
-            // Comments are keep-alives of the engine; they are no part of the answer.
+            // Comments are keep-alives of the engine; they are not part of the answer.
             let Some(data) = event_data(&event) else {
                 continue;
             };
@@ -173,7 +174,9 @@
 
     async fn read_more(&mut self) -> Result<(), EngineError> {
         if self.buffer.len() > MAX_EVENT_BYTES {
-            return Err(EngineError::failed("an event of the answer is too long"));
+            return Err(EngineError::failed(
+                "an event of the answer exceeds the size limit",
+            ));
         }
         let body = self.response.inner.body_mut();
         match self.client.bounded(body.frame()).await? {
@@ -189,7 +192,7 @@
     }
 }
 
-/// Where the first event ends: behind an empty line, with either line ending.
+/// End of the first event: after an empty line, with either line ending.
 fn event_end(buffer: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     for (index, byte) in buffer.iter().enumerate() {
--- a/lovagedock-sidecar/src/admin.rs
+++ b/lovagedock-sidecar/src/admin.rs
@@ -1,4 +1,4 @@
-//! What a sidecar shows to operators.
+//! Operators' interface of a sidecar.
 
 use std::sync::Arc;
 
@@ -13,14 +13,14 @@
 const DRAIN_PATH: &str = "/drain";
 const UNDRAIN_PATH: &str = "/undrain";
 
-/// The operators' view of a sidecar.
+/// Handles operators' calls to a sidecar.
 pub(crate) struct SidecarAdminHandler {
     state: Arc<SidecarState>,
     config: Arc<SidecarConfig>,
 }
 
 impl SidecarAdminHandler {
-    /// A view of this sidecar.
+    /// Creates a handler for this sidecar.
     pub(crate) fn new(state: Arc<SidecarState>, config: Arc<SidecarConfig>) -> Self {
         Self { state, config }
     }
--- a/lovagedock-sidecar/src/answers.rs
+++ b/lovagedock-sidecar/src/answers.rs
@@ -1,7 +1,7 @@
-//! Requests that a sidecar holds: what the caller sent and what the engine answered so far.
+//! Requests that a sidecar holds: what the caller sent and what the engine has answered so far.
 //!
-//! Answers are kept here, not only passed on, so that a gateway can go on with one from an offset
-//! on another connection, and so that a slow caller holds no engine.
+//! Answers are stored, not only forwarded, so that a gateway can resume an answer from an offset on
+//! another connection, and so that a slow caller does not occupy an engine.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -10,7 +10,7 @@
 use lovagedock_wire::{AnswerHead, WorkMessage};
 use tokio::{sync::watch, task::AbortHandle};
 
-/// Largest piece of an answer in one message.
+/// Maximum number of bytes of an answer in one message.
 const CHUNK_BYTES: usize = 64 * 1024;
 
 /// One request and its answer.
@@ -23,12 +23,13 @@
     hasher: blake3::Hasher,
     visible_end: u64,
     end: Option<AnswerEnd>,
-    /// Grows with each connection that takes the answer; older ones stop.
+    /// Number of the connection that receives the answer. It increases with each new connection;
+    /// sinks with an older number stop.
     sink_id: u64,
     delivered: bool,
-    /// Whether a connection takes the answer, or is about to.
+    /// Whether a connection receives the answer, or is about to.
     has_sink: bool,
-    /// Whether only its unsent end keeps it here.
+    /// Whether the record is kept only because its end has not been sent yet.
     forgotten: bool,
     changed: watch::Sender<()>,
     /// The task that reads the engine's stream.
@@ -45,7 +46,7 @@
     End(AnswerEnd),
     /// Nothing yet.
     Wait,
-    /// Another connection takes the answer now, or nobody does.
+    /// Another connection receives the answer now, or the request was removed.
     Stop,
 }
 
@@ -54,11 +55,11 @@
 pub(crate) struct SinkPosition {
     /// The request.
     pub(crate) request: RequestId,
-    /// Which sink of the request this is.
+    /// Number of the sink among the sinks of the request.
     pub(crate) sink_id: u64,
-    /// Whether the head is sent.
+    /// Whether the head was sent.
     pub(crate) head_sent: bool,
-    /// Bytes that are sent.
+    /// Number of bytes sent.
     pub(crate) offset: u64,
 }
 
@@ -69,20 +70,21 @@
 }
 
 impl AnswerTable {
-    /// Adds a request unless it is there: a newer attempt takes over what an older one began.
+    /// Adds a request unless it is present: a newer attempt continues what an older attempt began.
     pub(crate) fn insert(&mut self, work: WorkMessage) {
         let request = work.key.request;
         let previous = self.records.get(&request);
         if previous.is_some_and(|record| !record.forgotten) {
             return;
         }
-        // The end of a forgotten attempt is not the end of this one: its sink is turned away.
+        // The end of a forgotten attempt does not belong to this attempt. The new number stops the
+        // sink of the forgotten one.
         let sink_id = previous.map_or(0, |record| record.sink_id + 1);
         self.records
             .insert(request, AnswerRecord::new(work, sink_id));
     }
 
-    /// Whether a request is here, other than to have its end sent.
+    /// Whether a request is present and not kept only to send its end.
     pub(crate) fn contains(&self, request: RequestId) -> bool {
         let record = self.records.get(&request);
         record.is_some_and(|record| !record.forgotten)
@@ -98,11 +100,12 @@
         self.records.remove(&request);
     }
 
-    /// Forgets a request, but for an end that its sink has still to send.
+    /// Removes a request, unless its end is still to be sent; then it is marked as forgotten.
     ///
-    /// What was accepted and did not run is forgotten in the moment of its end. Removed at once, the
-    /// end would reach nobody: the gateway would wait until the deadline and then tell its caller
-    /// that the request may have run, in place of sending it elsewhere.
+    /// A request that was accepted and did not run is forgotten at the moment of its end. If it
+    /// were removed immediately, its end would not be sent. The gateway would wait until the
+    /// deadline and then report to its caller that the request may have run, instead of sending it
+    /// to another endpoint.
     pub(crate) fn forget(&mut self, request: RequestId) {
         let Some(record) = self.records.get_mut(&request) else {
             return;
@@ -114,7 +117,7 @@
         self.records.remove(&request);
     }
 
-    /// Notes that a sink has stopped, whatever it has sent.
+    /// Records that a sink has stopped, regardless of what it has sent.
     pub(crate) fn detach(&mut self, position: &SinkPosition) {
         if !self.is_current(position) {
             return;
@@ -128,7 +131,8 @@
         }
     }
 
-    /// Makes a connection the one that takes the answer; the receiver tells it of changes.
+    /// Makes a connection the current receiver of the answer. The returned receiver signals changes
+    /// of the answer.
     pub(crate) fn attach(
         &mut self,
         key: AttemptKey,
@@ -147,25 +151,25 @@
         Some((position, record.changed.subscribe()))
     }
 
-    /// Whether a sink is still the one that takes the answer.
+    /// Whether a sink is still the current one of its request.
     pub(crate) fn is_current(&self, position: &SinkPosition) -> bool {
         let record = self.records.get(&position.request);
         record.is_some_and(|record| record.sink_id == position.sink_id)
     }
 
-    /// Whether an answer has ended that no sink has sent to its end.
+    /// Whether there is an ended answer that no sink has sent completely.
     pub(crate) fn has_unsent(&self) -> bool {
         self.unsent().next().is_some()
     }
 
-    /// Requests whose answer has ended and that no sink has sent to its end.
+    /// Requests whose answer has ended and that no sink has sent completely.
     pub(crate) fn unsent(&self) -> impl Iterator<Item = RequestId> {
         let records = self.records.iter();
         let unsent = records.filter(|(_, record)| record.end.is_some() && !record.delivered);
         unsent.map(|(request, _)| *request)
     }
 
-    /// Notes that a gateway has the whole answer.
+    /// Records that the whole answer was sent to a gateway.
     pub(crate) fn set_delivered(&mut self, position: &SinkPosition) {
         if let Some(record) = self.records.get_mut(&position.request) {
             record.delivered = true;
@@ -211,19 +215,19 @@
         }
     }
 
-    /// Takes bytes from the engine; sinks see them after [`AnswerRecord::make_visible`].
+    /// Appends bytes from the engine. Sinks send them only after [`AnswerRecord::make_visible`].
     pub(crate) fn append(&mut self, bytes: &[u8]) {
         self.hasher.update(bytes);
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// Lets sinks send up to an offset.
+    /// Allows sinks to send up to an offset.
     pub(crate) fn make_visible(&mut self, end_offset: u64) {
         self.visible_end = end_offset.min(self.bytes.len() as u64);
         self.changed.send_replace(());
     }
 
-    /// Wakes sinks, after a head came.
+    /// Wakes the sinks after a head was set.
     pub(crate) fn notify_sinks(&self) {
         self.changed.send_replace(());
     }
--- a/lovagedock-sidecar/src/config.rs
+++ b/lovagedock-sidecar/src/config.rs
@@ -1,4 +1,4 @@
-//! The part of the configuration that a sidecar needs.
+//! The part of the configuration that a sidecar uses.
 
 use std::{sync::Arc, time::Duration};
 
@@ -19,7 +19,7 @@
     bytes_per_token: f64,
 }
 
-/// What is in force at this sidecar.
+/// The configuration in force at this sidecar.
 ///
 /// Lock order: this lock first, then the decision core.
 pub(crate) struct SidecarConfig {
@@ -28,7 +28,7 @@
 }
 
 impl SidecarConfig {
-    /// Nothing in force; `limits` are the bounds that the settings give.
+    /// Creates an empty configuration; `limits` come from the settings.
     pub(crate) fn new(limits: EndpointLimits) -> Self {
         Self {
             limits,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Number of the configuration in force; 0 for none.
+    /// Generation of the configuration in force; 0 if there is none.
     pub(crate) fn generation(&self) -> Generation {
         self.in_force.lock().generation
     }
@@ -46,15 +46,15 @@
         self.in_force.lock().long_tokens
     }
 
-    /// Bytes of prompt text that make one token of the endpoint's model; 0 while unknown.
+    /// Bytes of prompt text per token of the endpoint's model; 0 while unknown.
     pub(crate) fn bytes_per_token(&self) -> f64 {
         self.in_force.lock().bytes_per_token
     }
 
-    /// Why an order does not fit the configuration in force; `None` if it does.
+    /// Reason why an order conflicts with the configuration in force; `None` if it does not.
     ///
-    /// A new holder of a lease may lag behind in its configuration, or name a pool that the
-    /// endpoint has left. Its orders would bring back what an accepted configuration replaced.
+    /// A new lease holder may have an older configuration, or name a pool that the endpoint no
+    /// longer belongs to. Its orders would restore what an accepted configuration has replaced.
     pub(crate) fn rejection(&self, message: &OrderMessage) -> Option<String> {
         let in_force = self.in_force.lock();
         if message.generation < in_force.generation {
@@ -68,10 +68,11 @@
         None
     }
 
-    /// Puts a configuration in force if it is newer; returns the generation in force.
+    /// Applies a configuration if it is newer; returns the generation in force.
     ///
-    /// Gateways of different generations feed the same sidecar. Without the check the last to
-    /// speak would win, and the configuration would revert.
+    /// Gateways with different generations send their configuration to the same sidecar. Without
+    /// the check the last message would win, and the configuration could revert to an older
+    /// generation.
     pub(crate) fn apply(&self, state: &Arc<SidecarState>, message: ConfigMessage) -> Generation {
         let mut in_force = self.in_force.lock();
         if message.generation <= in_force.generation {
--- a/lovagedock-sidecar/src/engine_task.rs
+++ b/lovagedock-sidecar/src/engine_task.rs
@@ -1,4 +1,4 @@
-//! Reads one request's answer from the engine and tells the core.
+//! Runs one request on the engine and reports its progress to the core.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,17 +14,19 @@
     state::SidecarState,
 };
 
-/// Difference between the priorities of two lengths; more than the tiers make.
+/// Difference between the priorities of two length buckets. It exceeds the difference between any
+/// two tiers.
 const LENGTH_PRIORITY_STEP: i32 = 3;
-/// Longest answer; as long as what a whole answer of a model engine may be.
+/// Maximum length of an answer; equals the limit for a whole (not streamed) answer of a model
+/// engine.
 const MAX_ANSWER_BYTES: usize = 64 << 20;
-/// Time for a look at an engine whose connection broke; one on the same host that has ended refuses
-/// the connection within a millisecond.
+/// Time limit for probing an engine after its connection broke. If the process of an engine on the
+/// same host has ended, the connection is refused within a millisecond.
 const EXIT_PROBE_TIMEOUT: Duration = Duration::from_millis(200);
-/// HTTP status of an engine that has a request with the same id.
+/// HTTP status of an engine that already has a request with the same id.
 const CONFLICT_STATUS: u16 = 409;
 
-/// Starts a request on the engine and follows it to its end.
+/// Starts a request on the engine and reads its answer to the end.
 pub(crate) async fn run(state: Arc<SidecarState>, key: AttemptKey, work: Arc<WorkMessage>) {
     let result = match stream_answer(&state, key, &work).await {
         Ok(end) => finished_result(&state, key, end),
@@ -39,19 +41,22 @@
     state.decide(EndpointEvent::EngineEnded { key, result });
 }
 
-/// Whether the engine's process has ended: its port refuses connections then. A connection that broke
-/// says nothing of it; told to gateways as an end of the engine, it would be held against the request.
+/// Whether the engine's process has ended, in which case its port refuses connections. A broken
+/// connection alone does not show this. If it were reported to the gateways as an end of the engine
+/// process, it would be counted against the request.
 async fn has_exited(state: &Arc<SidecarState>) -> bool {
     let load_result = timeout(EXIT_PROBE_TIMEOUT, state.adapter.load()).await;
     matches!(load_result, Ok(Err(EngineError::Unreachable { .. })))
 }
 
-/// Priority of a request on an engine: the shorter prompt first, and among equals the higher tier.
+/// Priority of a request on an engine: shorter prompts first; for equal length buckets, the higher
+/// tier first.
 ///
-/// Engines prefill in chunks, the highest priority first. Without the length in it, a prompt of a
-/// thousand tokens that comes behind one of a million waits for all of its chunks; with the tier
-/// before the length it still does when the long one is of a higher tier. Tiers are kept by the
-/// queue of the sidecar; on the engine a short prompt costs a long one of any tier little.
+/// Engines prefill in chunks, the highest priority first. If the priority did not include the
+/// length, a prompt of a thousand tokens that arrives after one of a million would wait for all
+/// chunks of the long prompt. If the tier came before the length, it would still wait whenever the
+/// long prompt has a higher tier. Tiers are respected by the queue of the sidecar. On the engine, a
+/// short prompt delays a long prompt of any tier only a little.
 pub(crate) fn engine_priority(tier: PriorityTier, prompt_tokens: TokenCount) -> i32 {
     let tier = match tier {
         PriorityTier::Batch => 0,
@@ -77,8 +82,8 @@
                 if let Some(record) = state.answers().get_mut(key.request) {
                     record.append(&bytes);
                 }
-                // An answer is kept whole until it was taken. A service that never ends its body,
-                // or a caller that reads slowly, would fill the host's memory with it.
+                // The whole answer is kept until it was sent. A service that never ends its body,
+                // or a caller that reads slowly, would otherwise fill the host's memory.
                 remaining_bytes = remaining_bytes.saturating_sub(bytes.len());
                 if remaining_bytes == 0 {
                     return Err(EngineError::failed(format!(
@@ -92,7 +97,7 @@
         }
     }
     Err(EngineError::Lost {
-        detail: "the engine's answer was cut".to_owned(),
+        detail: "the engine's answer was truncated".to_owned(),
     })
 }
 
@@ -159,8 +164,8 @@
 fn error_result(error: &EngineError) -> EngineResult {
     let detail = error.to_string();
     match error {
-        // An earlier run under this id is on the engine. Told as "not run", a call that must not
-        // be repeated would be sent to another engine while that run goes on.
+        // An earlier run under this id is on the engine. If it were reported as "not run", a call
+        // that must not be repeated would be sent to another engine while that run continues.
         EngineError::Refused { status, .. } if *status == CONFLICT_STATUS => {
             EngineResult::Lost { detail }
         }
--- a/lovagedock-sidecar/src/lib.rs
+++ b/lovagedock-sidecar/src/lib.rs
@@ -1,8 +1,8 @@
-//! Daemon beside each endpoint: the one door for work and orders to it.
+//! Daemon that runs beside each endpoint; all work and all orders for the endpoint pass through it.
 //!
-//! [`Sidecar::start`] serves gateways until its shutdown signal; the decisions are in the kernel's
-//! [`EndpointCore`](lovagedock::EndpointCore), and an adapter of [`adapter`] speaks to the
-//! vendor's engine.
+//! [`Sidecar::start`] serves gateways until its shutdown signal is triggered. The decisions are
+//! made by the [`EndpointCore`](lovagedock::EndpointCore) of the core crate. An adapter from
+//! [`adapter`] communicates with the vendor's engine.
 
 pub mod adapter;
 mod admin;
--- a/lovagedock-sidecar/src/main.rs
+++ b/lovagedock-sidecar/src/main.rs
@@ -1,4 +1,4 @@
-//! Daemon beside each endpoint.
+//! Daemon that runs beside each endpoint.
 
 use std::process::ExitCode;
 
@@ -8,7 +8,7 @@
 fn main() -> ExitCode {
     run_daemon(
         "lovagedock-sidecar",
-        "Serves the gateways' requests on the endpoint beside it.",
+        "Serves the requests of gateways on one endpoint.",
         |settings: SidecarSettings, daemon| async move {
             Sidecar::start(settings, daemon).await?.wait().await
         },
--- a/lovagedock-sidecar/src/orders.rs
+++ b/lovagedock-sidecar/src/orders.rs
@@ -1,4 +1,5 @@
-//! Carries out the orders of lease holders, whatever the engine itself checks.
+//! Executes the orders of lease holders and checks their fencing numbers, independent of the
+//! engine's own checks.
 
 use std::{sync::Arc, time::Duration};
 
@@ -17,13 +18,13 @@
     state::SidecarState,
 };
 
-/// Time that the engine may take for one order. An engine that never answers would hold up every
-/// later order; after this time the order counts as lost and the next one passes.
+/// Time limit for one order on the engine. An engine that never responds would block all later
+/// orders. After this time the order counts as lost and the next one is passed.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(15 * 60);
 /// HTTP status of an engine that has seen a higher fencing number.
 const CONFLICT_STATUS: u16 = 409;
 
-/// The one way of orders to the engine.
+/// Passes orders to the engine, one at a time; no order reaches the engine in another way.
 ///
 /// Lock order: this lock is taken alone.
 #[derive(Default)]
@@ -44,7 +45,7 @@
     reply: oneshot::Sender<OrderEnd>,
 }
 
-/// How an order ended.
+/// Result of an order.
 struct OrderEnd {
     code: ResultCode,
     detail: String,
@@ -60,18 +61,18 @@
 }
 
 impl OrderExecutor {
-    /// Takes what the engine reports of itself.
+    /// Records the model and the adapters that the engine reports.
     pub(crate) fn record_load(&self, now: Timestamp, load: &EngineLoad) {
         let mut state = self.state.lock();
         state.memory.report(now, &load.model, &load.adapters);
     }
 
-    /// The engine is down and has lost what it had loaded.
+    /// Records that the engine is down and has lost everything it had loaded.
     pub(crate) fn record_engine_down(&self) {
         self.state.lock().memory.forget();
     }
 
-    /// What is known of the engine.
+    /// What is known about the engine.
     pub(crate) fn report(&self, pool: &str) -> LoadedReport {
         let state = self.state.lock();
         LoadedReport {
@@ -82,7 +83,7 @@
         }
     }
 
-    /// What a dump shows.
+    /// State of the orders for a dump.
     pub(crate) fn dump(&self) -> Value {
         let state = self.state.lock();
         json!({
@@ -93,7 +94,7 @@
         })
     }
 
-    /// Refuses an order that is not even brought to the fence.
+    /// Refuses an order before its fencing number is checked.
     pub(crate) fn refuse(&self, pool: &str, detail: String) -> OrderReply {
         let code = ResultCode::ConfigConflict;
         self.reply(pool, OrderEnd { code, detail })
@@ -107,12 +108,14 @@
         }
     }
 
-    /// Notes the fencing number of a holder.
+    /// Records the fencing number of a lease holder.
     ///
-    /// After a restart the first number that comes is the mark, without a look at the store, where
-    /// a sidecar does not go. A former holder cannot come first with success: it checked its lease
-    /// after this life of the sidecar had answered it, so no successor held the lease before, and
-    /// what a successor does later goes through this life and raises the mark.
+    /// After a restart of the sidecar the first number that arrives becomes the highest known one.
+    /// The sidecar does not compare it with the store, since sidecars have no access to the store.
+    /// An order of a former holder cannot arrive first and be accepted: it checked its lease after
+    /// this incarnation of the sidecar had replied to it, so no successor held the lease before
+    /// that. What a successor sends later arrives at this incarnation and raises the highest known
+    /// number.
     fn check_fence(&self, message: &OrderMessage) -> OrderReply {
         let pool = message.pool.clone();
         let epoch = message.epoch;
@@ -124,14 +127,14 @@
         let end = match epoch < highest {
             true => OrderEnd::new(
                 ResultCode::FenceStale,
-                format!("a holder with number {highest} is known"),
+                format!("a lease holder with fencing number {highest} is known"),
             ),
             false => OrderEnd::new(ResultCode::Complete, ""),
         };
         self.reply(&message.pool, end)
     }
 
-    /// Passes the order if the fence lets it; its end comes through the receiver.
+    /// Passes the order to the engine if the fence allows it. The receiver gets the result.
     fn submit(
         &self,
         sidecar: &Arc<SidecarState>,
@@ -154,10 +157,11 @@
         end
     }
 
-    /// What the engine has to do for the order that passes; `None` if it has done it already.
+    /// What the engine has to load for the order that is being passed; `None` if it is already
+    /// loaded.
     ///
-    /// A holder whose session broke while the engine loaded gives the same order again; loading
-    /// twice would take the engine out for nothing.
+    /// A holder whose session broke while the engine was loading sends the same order again.
+    /// Loading twice would take the engine out of service without need.
     fn start_load(&self, fenced: &FencedOrder) -> Option<LoadOrder> {
         let mut state = self.state.lock();
         let waiting = state
@@ -194,7 +198,8 @@
         for action in actions {
             match action {
                 FenceAction::Pass(fenced) => {
-                    // A task of its own: the order goes on when the holder's session breaks.
+                    // Runs in a separate task, so that the order continues when the holder's
+                    // session breaks.
                     tokio::spawn(run(Arc::clone(sidecar), fenced));
                 }
                 FenceAction::Refuse {
@@ -204,7 +209,7 @@
                 } => {
                     warn!(sidecar.log, "order refused"; "pool" => &*order.pool,
                         "epoch" => order.epoch, "highest" => highest, "code" => code.number());
-                    let detail = format!("highest number seen is {highest}");
+                    let detail = format!("the highest known fencing number is {highest}");
                     self.send_reply(&order, OrderEnd { code, detail });
                 }
                 FenceAction::Repeated(order) => self.send_reply(&order, repeated_order()),
@@ -220,12 +225,12 @@
         else {
             return;
         };
-        // A holder that is gone does not wait.
+        // The receiver is dropped when the holder has disconnected.
         let _receiver_dropped = self.waiting.swap_remove(index).reply.send(end);
     }
 }
 
-/// Takes one call of a lease holder.
+/// Handles one call of a lease holder.
 pub(crate) async fn handle(sidecar: &Arc<SidecarState>, message: OrderMessage) -> OrderReply {
     let executor = &sidecar.orders;
     let Some(order) = message.order.clone() else {
@@ -241,11 +246,11 @@
     executor.reply(&message.pool, end)
 }
 
-/// Carries one order out at the engine.
+/// Executes one order on the engine.
 async fn run(sidecar: Arc<SidecarState>, fenced: FencedOrder) {
     let executor = &sidecar.orders;
     let Some(order) = executor.start_load(&fenced) else {
-        let end = OrderEnd::new(ResultCode::Complete, "loaded already");
+        let end = OrderEnd::new(ResultCode::Complete, "already loaded");
         return executor.finish(&sidecar, fenced, end);
     };
     let engine_order = EngineOrder {
@@ -254,7 +259,7 @@
     };
     let ordered = timeout(ORDER_TIMEOUT, sidecar.adapter.order(engine_order)).await;
     let result = ordered.unwrap_or_else(|_| {
-        let detail = format!("no end within {ORDER_TIMEOUT:?}");
+        let detail = format!("the order did not end within {ORDER_TIMEOUT:?}");
         Err(EngineError::Lost { detail })
     });
     info!(sidecar.log, "order ended"; "pool" => &*fenced.pool, "epoch" => fenced.epoch,
@@ -290,5 +295,8 @@
 }
 
 fn repeated_order() -> OrderEnd {
-    OrderEnd::new(ResultCode::FenceStale, "the order has passed before")
+    OrderEnd::new(
+        ResultCode::FenceStale,
+        "the order was already passed to the engine",
+    )
 }
--- a/lovagedock-sidecar/src/poll.rs
+++ b/lovagedock-sidecar/src/poll.rs
@@ -1,4 +1,4 @@
-//! Looks at the engine's load and at its own account of its memory.
+//! Polls the engine's load and its memory allocations.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,15 +8,16 @@
 
 use crate::{adapter::EngineError, state::SidecarState};
 
-/// Looks in a row that fail before the engine counts as down.
+/// Consecutive failed polls after which the engine counts as down.
 const FAILURES_UNTIL_DOWN: u32 = 3;
-/// Time of one look.
+/// Time limit for one poll.
 ///
-/// A hung engine keeps its connections open and says nothing. Requests that wait for a whole answer
-/// are ended by no other sign than these looks, so a look must not wait as long as an answer may.
+/// A hung engine keeps its connections open and sends nothing. For requests that wait for a whole
+/// (not streamed) answer, these polls are the only way to detect that. Therefore the limit is
+/// shorter than the time that an answer may take.
 const POLL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Looks at the engine again and again; never ends.
+/// Polls the engine repeatedly; never returns.
 pub(crate) async fn run(state: Arc<SidecarState>, poll_interval: Duration) {
     let mut ticks = interval(poll_interval);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -45,7 +46,11 @@
 
 async fn poll_engine(state: &Arc<SidecarState>) -> Result<(), EngineError> {
     let polled = timeout(POLL_TIMEOUT, record_report(state)).await;
-    polled.unwrap_or_else(|_| Err(EngineError::lost(format!("no report in {POLL_TIMEOUT:?}"))))
+    polled.unwrap_or_else(|_| {
+        Err(EngineError::lost(format!(
+            "no load report within {POLL_TIMEOUT:?}"
+        )))
+    })
 }
 
 async fn record_report(state: &Arc<SidecarState>) -> Result<(), EngineError> {
--- a/lovagedock-sidecar/src/report.rs
+++ b/lovagedock-sidecar/src/report.rs
@@ -7,14 +7,14 @@
 
 use crate::{config::SidecarConfig, state::SidecarState};
 
-/// Makes reports, numbered for the life of the process.
+/// Creates load reports with a sequence number that is unique within an incarnation.
 #[derive(Default)]
 pub(crate) struct LoadReporter {
     sequence: Cell<u64>,
 }
 
 impl LoadReporter {
-    /// One report.
+    /// Creates the next report.
     pub(crate) fn report(&self, state: &SidecarState, config: &SidecarConfig) -> LoadMessage {
         self.sequence.set(self.sequence.get() + 1);
         let long_tokens = config.long_tokens();
--- a/lovagedock-sidecar/src/segment.rs
+++ b/lovagedock-sidecar/src/segment.rs
@@ -1,4 +1,4 @@
-//! Prefills one part of a prompt that is larger than any engine.
+//! Prefills one part of a prompt that does not fit on a single engine.
 
 use std::{borrow::Cow, collections::BTreeMap, time::Duration};
 
@@ -9,23 +9,24 @@
 
 use crate::{adapter::SegmentRequest, engine_task::engine_priority, state::SidecarState};
 
-/// Length that a part of a span counts as for the engine's priority.
+/// Prompt length from which the engine priority of a part of a span is computed.
 ///
-/// A span holds memory on several engines for as long as its parts take, one after the other. At
-/// the rank of its whole length each part would wait behind all that comes meanwhile, on one
-/// engine after the other, and the prompt would run out of time.
+/// A span holds memory on several engines until its parts, one after the other, have been
+/// prefilled. With the priority of its whole length, each part would wait behind all requests that
+/// arrive meanwhile, on one engine after the other, and the prompt would miss its deadline.
 const SEGMENT_PRIORITY_TOKENS: TokenCount = 64_000;
 
-/// Prefills a part into memory that its attempt has reserved here.
+/// Prefills a part into the memory that its attempt has reserved on this endpoint.
 pub(crate) async fn prefill(
     state: &SidecarState,
     work: &WorkMessage,
     range: SegmentRange,
     bytes_per_token: f64,
 ) -> SegmentReply {
-    // Without the reservation the part would take memory that the ledger has promised to others.
+    // Without the reservation the part would use memory that the ledger has granted to other
+    // requests.
     if !state.read(|core| core.holds_reservation(work.key)) {
-        return refused_reply("the reservation has lapsed");
+        return refused_reply("the reservation has expired");
     }
     let Some(prompt) = prompt_text(&work.body) else {
         return refused_reply("the body has no prompt");
@@ -57,12 +58,12 @@
     }
 }
 
-/// Parts of spans that the engine prefills now; the load report counts them.
+/// Parts of spans that the engine is prefilling; the load report includes them.
 ///
-/// They are no requests of this endpoint. Without them a report shows an idle engine while it is
-/// busy with a long part, and gateways send it the short prompts.
+/// They are not requests of this endpoint. If they were not counted, a report would show an idle
+/// engine while it is busy with a long part, and gateways would send it short prompts.
 ///
-/// Lock order: a leaf.
+/// Lock order: no other lock is taken while this one is held.
 #[derive(Default)]
 pub(crate) struct ActiveSegments {
     parts: Mutex<BTreeMap<RequestId, ActiveSegment>>,
@@ -74,7 +75,7 @@
 }
 
 impl ActiveSegments {
-    /// Counts a part until the guard is dropped, also when its gateway goes away.
+    /// Counts a part until the guard is dropped, which also happens when its gateway disconnects.
     pub(crate) fn begin(
         &self,
         request: RequestId,
@@ -97,7 +98,7 @@
         self.parts.lock().len()
     }
 
-    /// Prefill time that is predicted to be left.
+    /// Predicted remaining prefill time of all parts.
     pub(crate) fn prefill_left(&self, now: Timestamp, cost: CostParameters) -> Duration {
         let parts = self.parts.lock();
         let left = parts.values().map(|part| {
@@ -109,7 +110,7 @@
     }
 }
 
-/// Ends the count of a part when it is dropped.
+/// Removes a part from the count when it is dropped.
 pub(crate) struct SegmentGuard<'a> {
     segments: &'a ActiveSegments,
     request: RequestId,
@@ -144,7 +145,7 @@
     content: Cow<'a, str>,
 }
 
-/// The prompt as the engine sees it: a chat is one line for each message.
+/// The prompt as the engine receives it; a chat has one line per message.
 fn prompt_text(body: &[u8]) -> Option<String> {
     let body: PromptBody<'_> = serde_json::from_slice(body).ok()?;
     if !body.prompt.is_empty() {
@@ -167,7 +168,7 @@
     &prompt[start..end]
 }
 
-/// The byte at which a token begins, moved back to the beginning of a character.
+/// The estimated byte at which a token begins, moved back to the start of a character.
 fn token_boundary(prompt: &str, token: TokenCount, bytes_per_token: f64) -> usize {
     let byte = (token as f64 * bytes_per_token) as usize;
     prompt.floor_char_boundary(byte.min(prompt.len()))
--- a/lovagedock-sidecar/src/session.rs
+++ b/lovagedock-sidecar/src/session.rs
@@ -1,4 +1,4 @@
-//! What a sidecar does with the calls of one gateway's session.
+//! Handles the calls of one gateway's session.
 
 use std::{
     cell::{Cell, RefCell},
@@ -24,7 +24,7 @@
     state::{CoreReply, SidecarState},
 };
 
-/// One gateway's session.
+/// Session of one gateway.
 pub(crate) struct GatewaySession {
     state: Arc<SidecarState>,
     config: Arc<SidecarConfig>,
@@ -34,7 +34,7 @@
 }
 
 impl GatewaySession {
-    /// A session that was just accepted.
+    /// Creates a session for a connection that was just accepted.
     pub(crate) fn new(
         state: Arc<SidecarState>,
         config: Arc<SidecarConfig>,
@@ -49,10 +49,11 @@
         }
     }
 
-    /// Ends when nothing has come for `silence`.
+    /// Returns when no message has arrived for `idle_timeout`.
     ///
-    /// A gateway's host that vanished sends no end of its connection. Its requests would go on to
-    /// take engine time, and their answers memory, for nobody; silence is the only sign.
+    /// A gateway whose host vanished does not close its connection. Its requests would continue to
+    /// use engine time and their answers would continue to use memory although nobody reads them.
+    /// The missing messages are the only sign.
     pub(crate) async fn wait_until_idle(&self, idle_timeout: Duration) {
         loop {
             let idle_time = self
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Tells the core that nobody takes the answers of this session any more.
+    /// Reports to the core that no connection receives the answers of this session any more.
     pub(crate) fn close(&self) {
         for position in self.sinks.borrow_mut().drain(..) {
             report_lost_sink(&self.state, &position);
@@ -145,7 +146,7 @@
         self.record_activity();
         match self.state.decide(EndpointEvent::Revoke(key)) {
             Some(CoreReply::Verdict(verdict)) => verdict,
-            // The core answers every revoke; without its word nothing is promised.
+            // The core returns a verdict for every revoke. Without a verdict nothing is guaranteed.
             _ => RevokeVerdict::OtherLife,
         }
     }
@@ -242,7 +243,8 @@
 
     async fn send_all(&mut self, position: &mut SinkPosition) -> Result<(), WireError> {
         loop {
-            // Marked before the look, so that a change between the look and the wait is not missed.
+            // Marked before the state is read, so that a change between the read and the wait is
+            // not missed.
             self.changes.mark_unchanged();
             let step = self.state.answers().next_step(position);
             match step {
@@ -261,7 +263,8 @@
                     return Ok(());
                 }
                 SinkStep::Wait => {
-                    // An error means that the request was forgotten; the next look says so.
+                    // An error means that the request was removed. The next call of `next_step`
+                    // then returns `Stop`.
                     let _request_forgotten = self.changes.changed().await;
                 }
             }
--- a/lovagedock-sidecar/src/settings.rs
+++ b/lovagedock-sidecar/src/settings.rs
@@ -8,37 +8,37 @@
 
 use crate::adapter::{AdapterOptions, adapter_names};
 
-/// What a sidecar is told when it starts; everything else is in the configuration.
+/// Start-up settings of a sidecar; everything else is in the configuration.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SidecarSettings {
     /// Name of the endpoint, as in the configuration.
     pub endpoint: EndpointId,
-    /// Where gateways connect.
+    /// Listener for gateways.
     pub gateways: SessionSettings,
-    /// Where operators connect.
+    /// Listener for operators.
     pub admin: AdminSettings,
-    /// The endpoint beside this sidecar.
+    /// Connection to the endpoint.
     pub engine: EngineSettings,
-    /// Log.
+    /// Log settings.
     #[serde(default)]
     pub log: LogSettings,
-    /// Time that a shutdown waits for requests in flight, in milliseconds.
+    /// How long a shutdown waits for requests in flight, in milliseconds.
     #[serde(default = "default_drain_ms")]
     pub drain_ms: u64,
-    /// Time that a sidecar with nothing left goes on to refuse requests before it exits, in
-    /// milliseconds; longer than the gateways' heartbeat interval.
+    /// How long a drained sidecar continues to refuse requests before it exits, in milliseconds;
+    /// longer than the gateways' heartbeat interval.
     #[serde(default = "default_linger_ms")]
     pub linger_ms: u64,
 }
 
 impl SidecarSettings {
-    /// Time that a shutdown waits for requests in flight.
+    /// How long a shutdown waits for requests in flight.
     pub fn drain_time(&self) -> Duration {
         Duration::from_millis(self.drain_ms)
     }
 
-    /// Time that a sidecar with nothing left goes on to refuse requests before it exits.
+    /// How long a drained sidecar continues to refuse requests before it exits.
     pub fn linger(&self) -> Duration {
         Duration::from_millis(self.linger_ms)
     }
@@ -67,27 +67,27 @@
     }
 }
 
-/// How sessions of gateways are accepted.
+/// Settings of the listener for gateways.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SessionSettings {
     /// Address to listen on; port 0 takes any free port.
     pub address: SocketAddr,
-    /// TLS, or plain TCP where that is asked for.
+    /// TLS, or plain TCP if it is set explicitly.
     pub transport: TransportSettings,
-    /// A session without a heartbeat for this long is given up, in milliseconds.
+    /// Time without a heartbeat after which a session is closed, in milliseconds.
     #[serde(default = "default_silence_ms")]
     pub silence_ms: u64,
 }
 
 impl SessionSettings {
-    /// A session without a heartbeat for this long is given up.
+    /// Time without a heartbeat after which a session is closed.
     pub fn idle_timeout(&self) -> Duration {
         Duration::from_millis(self.silence_ms)
     }
 }
 
-/// How the endpoint is reached.
+/// Settings of the connection to the endpoint.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineSettings {
@@ -95,22 +95,22 @@
     pub adapter: String,
     /// Address of the endpoint.
     pub address: SocketAddr,
-    /// Time that a connection may take, in milliseconds.
+    /// Time limit for opening a connection, in milliseconds.
     #[serde(default = "default_connect_ms")]
     pub connect_ms: u64,
-    /// Time that the endpoint may stay silent in an answer, in milliseconds.
+    /// Maximum time without data from the endpoint during an answer, in milliseconds.
     #[serde(default = "default_idle_ms")]
     pub idle_ms: u64,
-    /// Time between looks at the endpoint's load and account, in milliseconds.
+    /// Interval between polls of the endpoint's load and allocations, in milliseconds.
     #[serde(default = "default_poll_ms")]
     pub poll_ms: u64,
-    /// Requests that the endpoint gets at once; 0 leaves it to what the engine reports.
+    /// Maximum number of concurrent requests on the endpoint; 0 uses what the engine reports.
     #[serde(default)]
     pub concurrency: usize,
 }
 
 impl EngineSettings {
-    /// Time between looks at the endpoint's load and account.
+    /// Interval between polls of the endpoint's load and allocations.
     pub fn poll_interval(&self) -> Duration {
         Duration::from_millis(self.poll_ms)
     }
--- a/lovagedock-sidecar/src/sidecar.rs
+++ b/lovagedock-sidecar/src/sidecar.rs
@@ -20,17 +20,17 @@
     report::LoadReporter, session::GatewaySession, settings::SidecarSettings, state::SidecarState,
 };
 
-/// Pause after an accept that failed, since such errors repeat at once until files are closed.
+/// Delay after a failed accept. Such errors repeat immediately until file descriptors are closed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Pause between looks at whether all answers have reached their gateways.
+/// Interval between checks whether all answers have been sent to their gateways.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Time after the drain to tell gateways what became of requests that did not end in it.
+/// Time after the drain to report the outcome of requests that did not end during the drain.
 const CANCEL_REPORT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Requests of each kind that the log names when the process ends under them; the rest is only
-/// counted.
+/// Maximum number of requests of each kind that are logged when the process exits before they end.
+/// The rest is only counted.
 const MAX_LOGGED_REQUESTS: usize = 200;
 
-/// A sidecar could not start.
+/// Error that prevents a sidecar from starting.
 #[derive(Debug)]
 pub struct SidecarError;
 
@@ -42,7 +42,7 @@
 
 impl std::error::Error for SidecarError {}
 
-/// A sidecar that serves.
+/// A running sidecar.
 pub struct Sidecar {
     gateways: SocketAddr,
     admin: AdminServer,
@@ -50,7 +50,7 @@
 }
 
 impl Sidecar {
-    /// Listens and serves in the background, on a thread of its own.
+    /// Binds the listeners and serves in the background, on a dedicated thread.
     pub async fn start(
         settings: SidecarSettings,
         daemon: DaemonContext,
@@ -120,7 +120,7 @@
         self.admin.address()
     }
 
-    /// Waits until the shutdown was asked for and all requests have ended.
+    /// Waits until shutdown was requested and all requests have ended.
     pub async fn wait(self) -> Result<(), Report<SidecarError>> {
         self.ended.await.change_context(SidecarError)
     }
@@ -134,7 +134,7 @@
     }
 }
 
-/// Serves gateways' sessions on one thread.
+/// Serves the sessions of gateways on one thread.
 struct SessionServer {
     state: Arc<SidecarState>,
     config: Arc<SidecarConfig>,
@@ -152,7 +152,7 @@
         let runtime = match runtime::Builder::new_current_thread().enable_all().build() {
             Ok(runtime) => runtime,
             Err(error) => {
-                warn!(self.log, "no runtime"; "error" => %error);
+                warn!(self.log, "cannot create the Tokio runtime"; "error" => %error);
                 return;
             }
         };
@@ -198,17 +198,17 @@
         }
     }
 
-    /// Ends when every answer that has ended was taken.
+    /// Waits until every ended answer has been sent to its gateway.
     async fn wait_until_answers_sent(&self) {
         while self.state.answers().has_unsent() {
             sleep(DRAIN_POLL_INTERVAL).await;
         }
     }
 
-    /// Tells the gateways what becomes of the requests that the end of the process cuts.
+    /// Cancels the running requests and reports their outcome to the gateways.
     ///
-    /// Without a word a gateway would look for this sidecar for seconds before it goes on. A drain
-    /// time of zero asks for an exit at once.
+    /// Without this report a gateway would try to reach this sidecar for seconds before it
+    /// continues. A drain time of zero requests an immediate exit.
     async fn report_cancelled_requests(&self) {
         if self.drain_time.is_zero() {
             return;
@@ -217,7 +217,7 @@
         let _unsent = timeout(CANCEL_REPORT_TIMEOUT, self.wait_until_answers_sent()).await;
     }
 
-    /// Names the requests that the end of the process cuts.
+    /// Logs and counts the requests that are cut because the process exits.
     fn log_cut_requests(&self) {
         let requests = self.state.read(EndpointCore::snapshot).requests;
         let unsent: Vec<_> = self.state.answers().unsent().collect();
@@ -234,12 +234,12 @@
                 "bytes" => request.delivered);
         }
         for request in unsent.into_iter().take(MAX_LOGGED_REQUESTS) {
-            warn!(self.log, "answer not taken before the exit";
+            warn!(self.log, "answer not sent before the exit";
                 "request" => format_request_id(request));
         }
     }
 
-    /// Ends when the shutdown was asked for, no request is left and every answer was taken.
+    /// Returns after shutdown was requested, no request is left and every answer was sent.
     async fn drain(&self) {
         self.shutdown.wait().await;
         let load = self.state.read(EndpointCore::load);
@@ -253,8 +253,9 @@
             self.log_cut_requests();
             return self.report_cancelled_requests().await;
         }
-        // A submit may be on its way from a gateway that has not heard of the drain. Refused here
-        // it did not run; on a connection that closes under it nobody could tell.
+        // A gateway that does not know of the drain yet may have sent a submit. If it is refused
+        // here, the request certainly did not run. If the connection closes first, the gateway
+        // cannot know whether it ran.
         sleep(self.linger).await;
     }
 }
--- a/lovagedock-sidecar/src/state.rs
+++ b/lovagedock-sidecar/src/state.rs
@@ -1,8 +1,8 @@
-//! The decisions of a sidecar and what carries them out.
+//! State of a sidecar: the decision core, and the code that executes its actions.
 //!
 //! Lock order: the decision core first, then the answer table; never the other way round. Actions
-//! are carried out while the core is locked, so that two events cannot swap their effects; none of
-//! them waits for anything.
+//! are executed while the core is locked, so that the effects of two events cannot be reordered. No
+//! action blocks.
 
 use std::{
     sync::{
@@ -26,16 +26,16 @@
     segment::ActiveSegments,
 };
 
-/// What the core says to whoever asked.
+/// Reply of the core to the sender of an event.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum CoreReply {
-    /// The request is taken.
+    /// The request is accepted.
     Accepted,
-    /// The request is not taken.
+    /// The request is refused.
     Refused(AnswerEnd),
-    /// What became of a revoked attempt.
+    /// State of an attempt that was to be revoked.
     Verdict(RevokeVerdict),
-    /// The answer goes on from an offset.
+    /// The answer continues from an offset.
     ResumeFrom(u64),
     /// There is nothing to resume.
     NotFound,
@@ -47,17 +47,17 @@
 
 /// State of one sidecar.
 pub(crate) struct SidecarState {
-    /// Endpoint beside this sidecar.
+    /// Endpoint that this sidecar serves.
     pub(crate) endpoint: EndpointId,
-    /// This life of the process.
+    /// Incarnation of this process.
     pub(crate) incarnation: Incarnation,
     /// Clock of the process.
     pub(crate) clock: ProcessClock,
-    /// The endpoint.
+    /// Adapter to the endpoint.
     pub(crate) adapter: Arc<dyn EngineAdapter>,
-    /// Parts of spans that the engine prefills now.
+    /// Parts of spans that the engine is prefilling.
     pub(crate) segments: ActiveSegments,
-    /// Log.
+    /// Logger of the sidecar.
     pub(crate) log: Logger,
     /// Orders to the endpoint.
     pub(crate) orders: OrderExecutor,
@@ -69,7 +69,7 @@
 }
 
 impl SidecarState {
-    /// A sidecar that has just started.
+    /// Creates the state of a sidecar that has just started.
     pub(crate) fn new(
         endpoint: EndpointId,
         limits: EndpointLimits,
@@ -94,15 +94,16 @@
         })
     }
 
-    /// Decides on an event, carries the actions out and returns what the asker is told.
+    /// Passes an event to the core, executes the resulting actions and returns the reply to the
+    /// sender.
     pub(crate) fn decide(self: &Arc<Self>, mut event: EndpointEvent) -> Option<CoreReply> {
         let mut core = self.core.lock();
         if let EndpointEvent::Drain(leaving) = &mut event {
-            // The drain of a process that stops is not called off: work that is taken in it would
-            // be cut when the process ends.
+            // The drain of a process that is stopping cannot be undone. Work accepted after that
+            // would be cut when the process exits.
             *leaving |= self.stopping.load(Ordering::SeqCst);
-            // A drain that was called off before has told its end already; kept, it would end the
-            // next one at once and cut off what runs.
+            // An earlier drain that was undone may have set this already. If it stayed set, it
+            // would end the new drain immediately and cut the running requests.
             self.drained.send_replace(false);
         }
         let actions = core.handle(self.clock.now(), event);
@@ -125,14 +126,14 @@
         read(&self.core.lock())
     }
 
-    /// Drains for the end of the process.
+    /// Starts the drain that precedes the end of the process.
     pub(crate) fn drain_for_shutdown(self: &Arc<Self>) {
         self.stopping.store(true, Ordering::SeqCst);
         self.decide(EndpointEvent::Drain(true));
     }
 
-    /// Gives up what runs, before the process ends under it: the gateways are told, and the engine
-    /// is told to cancel.
+    /// Fails all running requests before the process exits: reports this to the gateways and
+    /// cancels the requests on the engine.
     pub(crate) fn fail_running_requests(self: &Arc<Self>) {
         for key in self.read(EndpointCore::running_attempts) {
             let detail = "the sidecar has stopped".to_owned();
@@ -141,14 +142,14 @@
         }
     }
 
-    /// Ends when the endpoint is leaving and nothing is left on it.
+    /// Waits until the endpoint is draining and no request is left on it.
     pub(crate) async fn wait_until_drained(&self) {
         let mut drained = self.drained.subscribe();
-        // The sender lives in `self`, so the channel cannot close while we wait.
+        // The sender is owned by `self`, so the channel cannot close during the wait.
         let _open = drained.wait_for(|drained| *drained).await;
     }
 
-    /// Sends the core the ticks that it asks for; never ends.
+    /// Sends the core the ticks that it requests; never returns.
     pub(crate) async fn run_ticks(self: Arc<Self>) {
         let mut wake = self.wake_at.subscribe();
         loop {
@@ -215,7 +216,7 @@
     fn start(self: &Arc<Self>, key: AttemptKey) {
         let mut answers = self.answers();
         let Some(record) = answers.get_mut(key.request) else {
-            warn!(self.log, "no payload for a start"; "request" => format_request_id(key.request));
+            warn!(self.log, "no payload for a request to start"; "request" => format_request_id(key.request));
             return;
         };
         let work = Arc::clone(&record.work);
@@ -231,7 +232,8 @@
         }
         let state = Arc::clone(self);
         tokio::spawn(async move {
-            // The core asks again while the engine's account still shows the request.
+            // The core repeats the cancellation as long as the engine's allocations still include
+            // the request.
             if let Err(error) = state.adapter.cancel(request).await {
                 debug!(state.log, "cancel failed";
                     "request" => format_request_id(request),
@@ -257,7 +259,8 @@
             .increment(1);
         if let Some(record) = self.answers().get_mut(key.request) {
             record.finish(end);
-            // A hung engine never ends its side; the task and its connection would stay for good.
+            // A hung engine never closes the connection. Without the abort, the task and its
+            // connection would stay forever.
             if let Some(task) = record.engine_task.take() {
                 task.abort();
             }
@@ -265,5 +268,5 @@
     }
 }
 
-/// Longest sleep between looks at the wake time.
+/// Maximum sleep between two checks of the wake time.
 const MAX_TICK_DELAY: Duration = Duration::from_secs(3_600);
