--- a/lovagedock-sidecar/src/adapter/error.rs
+++ b/lovagedock-sidecar/src/adapter/error.rs
@@ -11,7 +11,7 @@
     Refused {
         /// HTTP status of the response; 501 for calls that the adapter does not support.
         status: u16,
-        /// What the endpoint said.
+        /// Description of the error.
         detail: String,
     },
     /// No connection was established, so nothing was sent and nothing started.
@@ -27,7 +27,7 @@
     },
     /// The work started and failed.
     Failed {
-        /// What the endpoint said.
+        /// Description of the error.
         detail: String,
     },
 }
--- a/lovagedock-sidecar/src/adapter/message.rs
+++ b/lovagedock-sidecar/src/adapter/message.rs
@@ -33,7 +33,7 @@
 pub struct EngineRequest {
     /// Id under which the endpoint reports its allocation.
     pub request_id: RequestId,
-    /// Higher goes first.
+    /// Requests with a higher priority are served first.
     pub priority: i32,
     /// HTTP method.
     pub method: String,
@@ -63,7 +63,7 @@
 pub struct SegmentRequest {
     /// Id of the request that the part belongs to.
     pub request_id: RequestId,
-    /// Higher goes first.
+    /// Requests with a higher priority are served first.
     pub priority: i32,
     /// Position of the part's first token in the prompt.
     pub start: TokenCount,
@@ -137,7 +137,7 @@
     pub adapters: Vec<String>,
 }
 
-/// Order to an engine, with the fencing number of the lease holder that gives it.
+/// Order to an engine, with the fencing number of the lease holder that sends it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineOrder {
     /// Fencing number of the lease.
--- a/lovagedock-sidecar/src/answers.rs
+++ b/lovagedock-sidecar/src/answers.rs
@@ -36,15 +36,15 @@
     pub(crate) engine_task: Option<AbortHandle>,
 }
 
-/// What a sink sends next.
+/// Next message of a sink.
 pub(crate) enum SinkStep {
     /// Status and headers.
     Head(AnswerHead),
     /// Bytes at the sink's offset.
     Bytes(Bytes),
-    /// The end; nothing follows.
+    /// The end of the answer; nothing follows.
     End(AnswerEnd),
-    /// Nothing yet.
+    /// Nothing to send yet.
     Wait,
     /// Another connection receives the answer now, or the request was removed.
     Stop,
@@ -53,7 +53,6 @@
 /// What a sink has sent so far.
 #[derive(Clone, Debug)]
 pub(crate) struct SinkPosition {
-    /// The request.
     pub(crate) request: RequestId,
     /// Number of the sink among the sinks of the request.
     pub(crate) sink_id: u64,
@@ -90,7 +89,6 @@
         record.is_some_and(|record| !record.forgotten)
     }
 
-    /// One request.
     pub(crate) fn get_mut(&mut self, request: RequestId) -> Option<&mut AnswerRecord> {
         self.records.get_mut(&request)
     }
@@ -232,7 +230,7 @@
         self.changed.send_replace(());
     }
 
-    /// Ends the answer.
+    /// Sets the end of the answer and wakes the sinks.
     pub(crate) fn finish(&mut self, end: AnswerEnd) {
         self.end = Some(end);
         self.changed.send_replace(());
--- a/lovagedock-sidecar/src/config.rs
+++ b/lovagedock-sidecar/src/config.rs
@@ -100,9 +100,9 @@
     }
 
     fn limits_for(&self, endpoint: &EndpointId, fleet: &FleetConfig) -> EndpointLimits {
-        let max_deadline_ms = fleet.services.iter().map(|service| service.max_deadline_ms);
+        let deadlines_ms = fleet.services.iter().map(|service| service.max_deadline_ms);
         let mut limits = self.limits.clone();
-        if let Some(max_deadline_ms) = max_deadline_ms.max() {
+        if let Some(max_deadline_ms) = deadlines_ms.max() {
             limits.max_deadline = Duration::from_millis(max_deadline_ms);
         }
         let spec = fleet
--- a/lovagedock-sidecar/src/segment.rs
+++ b/lovagedock-sidecar/src/segment.rs
@@ -93,7 +93,6 @@
         }
     }
 
-    /// Number of parts.
     pub(crate) fn count(&self) -> usize {
         self.parts.lock().len()
     }
--- a/lovagedock-sidecar/src/session.rs
+++ b/lovagedock-sidecar/src/session.rs
@@ -221,7 +221,7 @@
     }
 }
 
-/// Sends one answer to one gateway.
+/// Task that sends one answer to one gateway.
 struct SinkPump {
     state: Arc<SidecarState>,
     sinks: Rc<RefCell<Vec<SinkPosition>>>,
--- a/lovagedock-sidecar/src/settings.rs
+++ b/lovagedock-sidecar/src/settings.rs
@@ -71,7 +71,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SessionSettings {
-    /// Address to listen on; port 0 takes any free port.
+    /// Address to listen on; port 0 selects a free port.
     pub address: SocketAddr,
     /// TLS, or plain TCP if it is set explicitly.
     pub transport: TransportSettings,
--- a/lovagedock-sidecar/src/state.rs
+++ b/lovagedock-sidecar/src/state.rs
@@ -116,7 +116,7 @@
         reply
     }
 
-    /// The answer table.
+    /// Locks the answer table.
     pub(crate) fn answers(&self) -> MutexGuard<'_, AnswerTable> {
         self.answers.lock()
     }
