--- a/lovagedock-daemon/examples/make_keys.rs
+++ b/lovagedock-daemon/examples/make_keys.rs
@@ -1,8 +1,8 @@
-//! Makes an authority and certificates for trying TLS by hand:
-//! `make_keys FOLDER [--address IP]... NAME...`.
+//! Creates a certificate authority and certificates to try out TLS: `make_keys FOLDER [--address
+//! IP]... NAME...`.
 //!
-//! Run again in the same folder, it keeps the authority and renews the named certificates. Real
-//! fleets use their own authority.
+//! If it runs again in the same folder, it keeps the authority and renews the named certificates.
+//! Real fleets use their own authority.
 
 use std::{
     error::Error,
@@ -24,12 +24,12 @@
 
 #[derive(Parser)]
 struct KeyArguments {
-    /// Folder that gets `roots.pem`, `roots.key` and NAME.pem, NAME.key for each name.
+    /// Folder for `roots.pem`, `roots.key` and, for each name, NAME.pem and NAME.key.
     folder: PathBuf,
     /// IP address or DNS name that the certificates are for; may be repeated.
     #[arg(long = "address", default_value = "127.0.0.1")]
     addresses: Vec<String>,
-    /// Processes that get a certificate.
+    /// Names of the processes that get a certificate.
     #[arg(required = true)]
     names: Vec<String>,
 }
@@ -66,8 +66,8 @@
 
 fn authority_params() -> KeyResult<CertificateParams> {
     let mut params = CertificateParams::new(Vec::new())?;
-    // A name of its own: with the same subject as its issuer, OpenSSL takes a certificate for a
-    // self-signed one and refuses it.
+    // The authority has its own name. If a certificate had the same subject as its issuer, OpenSSL
+    // would treat it as self-signed and refuse it.
     let name = &mut params.distinguished_name;
     name.push(DnType::CommonName, AUTHORITY_NAME);
     params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
--- a/lovagedock-daemon/src/admin.rs
+++ b/lovagedock-daemon/src/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' interface that every daemon serves over HTTP.
+//! HTTP interface for operators, served by every daemon.
 
 mod routes;
 mod server;
@@ -18,43 +18,44 @@
 /// Version of the document that `/dump` returns.
 pub const DUMP_VERSION: u32 = 1;
 
-/// Where and for whom a daemon serves operators.
+/// Listener and access control of the operators' interface.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AdminSettings {
-    /// Address to listen on; port 0 takes any free port.
+    /// Address to listen on; port 0 selects a free port.
     pub address: SocketAddr,
-    /// Bearer token that writes need. Without one, writes are taken from loopback only.
+    /// Bearer token that writes need. Without a token, writes are accepted from loopback only.
     #[serde(default)]
     pub operator_token: Option<String>,
-    /// TLS, or plain TCP where that is asked for.
+    /// TLS, or plain TCP if it is set explicitly.
     pub transport: TransportSettings,
 }
 
-/// What a daemon shows to operators beside health, metrics and dump.
+/// What a daemon serves to operators in addition to health, metrics and the common part of the
+/// dump.
 #[async_trait]
 pub trait AdminHandler: Send + Sync + 'static {
-    /// Whether the daemon can take work; `/readyz` tells it.
+    /// Whether the daemon can accept work; reported by `/readyz`.
     fn ready(&self) -> bool;
 
     /// State of the process for `/dump`.
     fn dump(&self) -> Value;
 
-    /// Further paths.
+    /// Paths that the daemon adds.
     fn routes(&self) -> &'static [AdminRoute] {
         &[]
     }
 
-    /// Answers a call of one of [`routes`](Self::routes).
+    /// Handles a call of one of [`routes`](Self::routes).
     async fn call(&self, call: AdminCall) -> AdminReply {
         AdminReply::Problem {
             code: ResultCode::UnknownService,
-            detail: format!("nothing answers {}", call.path),
+            detail: format!("no handler for {}", call.path),
         }
     }
 }
 
-/// Method of an operators' call.
+/// Method of an operator's call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdminMethod {
     /// Reads.
@@ -68,22 +69,22 @@
 pub struct AdminRoute {
     /// Method.
     pub method: AdminMethod,
-    /// Whole path, or its beginning when it ends in `/`; the rest is then the argument.
+    /// Whole path, or a prefix if it ends in `/`; the rest of the path is then the argument.
     pub path: &'static str,
 }
 
-/// One operators' call.
+/// A call of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AdminCall {
     /// The route's path, as in [`AdminRoute::path`].
     pub path: &'static str,
-    /// What follows a path that ends in `/`; empty otherwise.
+    /// The part of the path after a route that ends in `/`; empty otherwise.
     pub argument: String,
     /// Body of a POST; empty for a GET.
     pub body: Bytes,
 }
 
-/// Answer to an operators' call.
+/// Response to an operator's call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdminReply {
     /// 200 with a JSON document.
@@ -92,7 +93,7 @@
     Problem {
         /// What went wrong.
         code: ResultCode,
-        /// One line about this case.
+        /// One line of detail.
         detail: String,
     },
 }
--- a/lovagedock-daemon/src/admin/routes.rs
+++ b/lovagedock-daemon/src/admin/routes.rs
@@ -1,4 +1,4 @@
-//! What each operators' path answers.
+//! Responses of the operators' paths.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -17,7 +17,7 @@
 const PROBLEM: &str = "application/problem+json";
 const METRICS_TEXT: &str = "text/plain; version=0.0.4";
 
-/// What the operators' paths answer from.
+/// State behind the operators' paths.
 pub(super) struct AdminState {
     pub(super) process: &'static str,
     pub(super) handler: Arc<dyn AdminHandler>,
@@ -27,7 +27,7 @@
     pub(super) token: Option<blake3::Hash>,
 }
 
-/// One request of an operator, as it came.
+/// A request of an operator as received.
 pub(super) struct AdminRequest {
     pub(super) peer: SocketAddr,
     pub(super) method: Method,
@@ -37,7 +37,7 @@
 }
 
 impl AdminState {
-    /// Answers one request.
+    /// Handles one request.
     pub(super) async fn handle(&self, request: AdminRequest) -> Response<BodyBytes> {
         if let Some(response) = self.handle_common(&request) {
             return response;
@@ -117,8 +117,9 @@
         })
     }
 
-    // Failure: a write from anybody who can reach the port would drain the fleet. Without a token
-    // only somebody who is on the host already can write, which gains him nothing.
+    // Without this check, anyone who can reach the port could drain the fleet. If no token is set,
+    // only processes on the same host can write, which gives them no access that they do not
+    // already have.
     fn is_write_authorised(&self, request: &AdminRequest) -> bool {
         let Some(expected) = &self.token else {
             return request.peer.ip().is_loopback();
--- a/lovagedock-daemon/src/admin/server.rs
+++ b/lovagedock-daemon/src/admin/server.rs
@@ -1,4 +1,4 @@
-//! Accepts operators' connections.
+//! Accepts the connections of operators.
 
 use std::{convert::Infallible, io, net::SocketAddr, pin::pin, sync::Arc, time::Duration};
 
@@ -39,14 +39,14 @@
 
 /// Serves operators until it is dropped.
 ///
-/// It goes on while the daemon drains, so that operators can see the drain.
+/// It continues while the daemon drains, so that operators can observe the drain.
 pub struct AdminServer {
     address: SocketAddr,
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl AdminServer {
-    /// Listens and serves in the background.
+    /// Binds the listener and serves in the background.
     pub async fn start(
         process: &'static str,
         settings: &AdminSettings,
@@ -118,8 +118,8 @@
         };
         let (stream, peer) = match listener.accept().await {
             Ok(accepted) => accepted,
-            // Out of file descriptors: the error repeats at once until some close, and without
-            // a pause the loop would take a core.
+            // When the process has no file descriptors left, the error repeats immediately until
+            // some are closed. Without a delay the loop would use a whole core.
             Err(error) => {
                 warn!(context.logger, "cannot accept operators"; "error" => %error);
                 time::sleep(ACCEPT_RETRY_DELAY).await;
@@ -178,7 +178,9 @@
         )
         .recover(|rejection: Rejection| async move {
             let response = match rejection.find::<BodyTooLarge>() {
-                Some(BodyTooLarge) => problem(ResultCode::BodyTooLarge, "at most 1 MiB"),
+                Some(BodyTooLarge) => {
+                    problem(ResultCode::BodyTooLarge, "the body is larger than 1 MiB")
+                }
                 None => problem(ResultCode::MalformedRequest, &format!("{rejection:?}")),
             };
             Ok::<_, Infallible>(response)
@@ -191,8 +193,8 @@
 
 impl Reject for BodyTooLarge {}
 
-/// The body, with or without a length in its headers: operators' tools send neither a length nor
-/// a body with a POST that needs none.
+/// The body, with or without a `content-length` header. Operators' tools send a POST that needs no
+/// body without a body and without a length.
 fn limited_body() -> impl Filter<Extract = (Bytes,), Error = Rejection> + Clone {
     warp::header::optional::<u64>("content-length")
         .and(warp::body::stream())
--- a/lovagedock-daemon/src/arguments.rs
+++ b/lovagedock-daemon/src/arguments.rs
@@ -4,7 +4,7 @@
 
 use clap::{CommandFactory, FromArgMatches, Parser};
 
-/// Arguments that every daemon takes.
+/// Arguments that every daemon accepts.
 #[derive(Clone, Debug, PartialEq, Eq, Parser)]
 #[command(
     version,
@@ -16,13 +16,14 @@
     /// Settings file, JSON with comments.
     #[arg(long, value_name = "FILE")]
     pub settings: PathBuf,
-    /// Checks the settings and exits.
+    /// Check the settings and exit.
     #[arg(long)]
     pub check_settings: bool,
 }
 
 impl DaemonArguments {
-    /// Reads the process's arguments; prints help, version or an error and exits when asked to.
+    /// Parses the arguments of the process. Prints the help, the version or an error and exits when
+    /// needed.
     pub fn parse_for(process: &'static str, about: &'static str) -> Self {
         let command = Self::command().name(process).bin_name(process).about(about);
         let matches = command.get_matches();
@@ -30,7 +31,7 @@
     }
 }
 
-/// Exit codes of our programs.
+/// Exit codes of the daemons.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitStatus {
     /// Stopped after a drain, or the settings are valid.
@@ -41,12 +42,12 @@
     Usage,
     /// The settings have errors.
     Settings,
-    /// Could not start, such as an address in use or an unreadable key.
+    /// Could not start, for example because an address is in use or a key is unreadable.
     Start,
 }
 
 impl ExitStatus {
-    /// The number that the shell sees.
+    /// The exit code of the process.
     pub fn number(self) -> u8 {
         match self {
             Self::Success => 0,
--- a/lovagedock-daemon/src/clock.rs
+++ b/lovagedock-daemon/src/clock.rs
@@ -6,7 +6,8 @@
 
 /// Source of [`Timestamp`]s for the decisions of one process.
 ///
-/// Clones share the same start. The clock never goes back and never jumps with the wall clock.
+/// Clones share the same start. The clock never goes backwards and does not follow changes of the
+/// wall clock.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessClock {
     start: Instant,
@@ -20,7 +21,7 @@
         }
     }
 
-    /// Time since the clock was made.
+    /// Time since the clock was started.
     pub fn now(&self) -> Timestamp {
         self.start.elapsed()
     }
--- a/lovagedock-daemon/src/lib.rs
+++ b/lovagedock-daemon/src/lib.rs
@@ -1,7 +1,7 @@
-//! What every lovagedock daemon shares: settings, logs, metrics, health, dump, TLS and shutdown.
+//! Common parts of the lovagedock daemons: settings, logs, metrics, health, dump, TLS and shutdown.
 //!
-//! A daemon's `main` is one call of [`run_daemon`]. Inside, the daemon starts its own tasks with
-//! the [`DaemonContext`] that it gets and serves operators through an [`AdminServer`].
+//! The `main` of a daemon is a single call of [`run_daemon`]. The daemon then starts its own tasks
+//! with the [`DaemonContext`] that it receives, and serves operators through an [`AdminServer`].
 
 mod admin;
 mod arguments;
--- a/lovagedock-daemon/src/line_queue.rs
+++ b/lovagedock-daemon/src/line_queue.rs
@@ -1,4 +1,4 @@
-//! Log lines on their way to the output.
+//! Queue of log lines between the logger and the output.
 
 use std::{
     io::{self, Write},
@@ -10,18 +10,19 @@
 
 use parking_lot::{Condvar, Mutex};
 
-/// Bytes of lines that may wait for the output: about 2,500 lines of 400 bytes, several seconds of
-/// the busiest gateway.
+/// Maximum size of the queued lines in bytes: about 2,500 lines of 400 bytes, which is several
+/// seconds of the busiest gateway.
 const QUEUE_BYTES: usize = 1 << 20;
 
-/// Time in which lines gather before they are written together. Waking a thread for each line took a
-/// sixth of a small gateway's processor time (sampled with a profiler under 20 requests a second).
+/// Time during which lines are collected before they are written together. Waking a thread for each
+/// line took a sixth of a small gateway's processor time (sampled with a profiler under 20 requests
+/// a second).
 const BATCH_DELAY: Duration = Duration::from_millis(20);
 
-/// Takes log lines without ever waiting for the output.
+/// Accepts log lines without blocking on the output.
 ///
-/// A thread of its own writes what has gathered. While the output is stuck, lines beyond
-/// the queue are dropped; their number is written as soon as the output moves again.
+/// A separate thread writes the collected lines. While the output is blocked, lines that do not fit
+/// into the queue are dropped. Their number is written as soon as the output accepts data again.
 pub struct LineQueue {
     shared: Arc<QueueShared>,
     line: Vec<u8>,
@@ -42,7 +43,7 @@
 }
 
 impl LineQueue {
-    /// A queue in front of `output`.
+    /// Creates a queue that writes to `output`.
     pub fn new(output: impl Write + Send + 'static) -> io::Result<Self> {
         let shared = Arc::new(QueueShared::default());
         let queue = Arc::clone(&shared);
@@ -73,7 +74,7 @@
 }
 
 impl Write for LineQueue {
-    /// Takes a piece of a line; one that ends with a line break completes it.
+    /// Accepts a part of a line; a part that ends with a line break completes the line.
     fn write(&mut self, piece: &[u8]) -> io::Result<usize> {
         self.line.extend_from_slice(piece);
         if piece.ends_with(b"\n") {
@@ -88,12 +89,12 @@
 }
 
 impl Drop for LineQueue {
-    /// Waits until everything is written, so that a process's last lines are not lost.
+    /// Waits until all lines are written, so that the last lines of a process are not lost.
     fn drop(&mut self) {
         self.shared.state.lock().closed = true;
         self.shared.changed.notify_one();
         if let Some(thread) = self.thread.take() {
-            // A writer that panicked has said so on standard error.
+            // A writer thread that panicked has already printed a message to standard error.
             let _ = thread.join();
         }
     }
@@ -103,7 +104,8 @@
     fn write_to(&self, mut output: impl Write) {
         loop {
             let batch = self.next_batch();
-            // An output that is gone, such as a closed pipe, leaves nobody to tell.
+            // If the output is closed, such as a closed pipe, the error cannot be reported
+            // anywhere.
             let _ = output.write_all(&batch.bytes);
             if batch.dropped > 0 {
                 let _ = writeln!(
@@ -119,14 +121,15 @@
         }
     }
 
-    /// What has gathered; waits for it.
+    /// Waits for lines and returns all that were collected.
     fn next_batch(&self) -> QueueState {
         let mut state = self.state.lock();
         while state.bytes.is_empty() && !state.closed {
             self.changed.wait(&mut state);
         }
         if !state.closed {
-            // Ends early only when the queue is closed: nothing else signals a queue with lines.
+            // Returns early only when the queue is closed, since no other notification is sent
+            // while the queue has lines.
             self.changed.wait_for(&mut state, BATCH_DELAY);
         }
         QueueState {
--- a/lovagedock-daemon/src/logs.rs
+++ b/lovagedock-daemon/src/logs.rs
@@ -11,10 +11,10 @@
 
 use crate::line_queue::LineQueue;
 
-/// Records that may wait for a terminal.
+/// Maximum number of records queued for a terminal.
 const TERMINAL_RECORDS: usize = 4096;
 
-/// How and how much a process logs.
+/// Format and level of the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
@@ -25,10 +25,10 @@
 }
 
 impl LogSettings {
-    /// Creates the logger of a process; records carry the process's name.
+    /// Creates the logger of a process; records contain the process's name.
     ///
-    /// A background thread writes. When it falls behind, records are dropped and their number is
-    /// logged, so that a stuck output never stops the daemon.
+    /// A background thread writes the records. When it falls behind, records are dropped and their
+    /// number is logged, so that a blocked output never stops the daemon.
     pub fn logger(&self, process: &'static str) -> Logger {
         let level = self.level.as_level();
         match self.format {
@@ -52,10 +52,10 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-    /// One JSON object a line.
+    /// One JSON object per line.
     #[default]
     Json,
-    /// Coloured text for people.
+    /// Coloured text for terminals.
     Terminal,
 }
 
@@ -63,9 +63,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogLevel {
-    /// The process cannot do its job.
+    /// The process cannot do its work.
     Error,
-    /// Something failed and was dealt with.
+    /// Something failed and was handled.
     Warning,
     /// Starts, stops and changes.
     #[default]
--- a/lovagedock-daemon/src/metrics.rs
+++ b/lovagedock-daemon/src/metrics.rs
@@ -11,29 +11,29 @@
 
 static INSTALLED: OnceLock<PrometheusHandle> = OnceLock::new();
 
-/// Renders what the process has counted.
+/// Renders the metrics of the process.
 ///
-/// The recorder is one for the whole process: when several daemons share a process, as in the
-/// demo, each installs it, the first wins and all render the same figures.
+/// There is one recorder per process. When several daemons share a process, as in the demo, each
+/// calls `install`; the first call installs the recorder and all handles render the same metrics.
 #[derive(Clone)]
 pub struct MetricsHandle {
     handle: PrometheusHandle,
 }
 
 impl MetricsHandle {
-    /// Installs the recorder, or finds the one that is installed already.
+    /// Installs the recorder, or returns a handle to the installed one.
     pub fn install() -> Self {
         let handle = INSTALLED.get_or_init(install_recorder).clone();
         Self { handle }
     }
 
-    /// Everything counted so far, in Prometheus's text format.
+    /// All metrics in Prometheus's text format.
     pub fn render(&self) -> String {
         self.handle.render()
     }
 
-    /// Folds histogram samples into their buckets; has to be called now and then, or the samples
-    /// pile up until somebody renders.
+    /// Moves histogram samples into their buckets. It has to be called regularly, or the samples
+    /// accumulate until the next render.
     pub fn run_upkeep(&self) {
         self.handle.run_upkeep();
     }
@@ -46,8 +46,8 @@
         .expect("the list of buckets is not empty");
     let recorder = builder.build_recorder();
     let handle = recorder.handle();
-    // Only an embedding program can have set another recorder. Its figures then go there, and
-    // ours render empty; the daemon works all the same.
+    // Only an embedding program can have set another recorder. In that case the metrics go to that
+    // recorder, and this handle renders none; the daemon works as usual.
     let _ = metrics::set_global_recorder(recorder);
     handle
 }
--- a/lovagedock-daemon/src/run.rs
+++ b/lovagedock-daemon/src/run.rs
@@ -23,13 +23,13 @@
     /// How the daemon logs.
     fn log(&self) -> LogSettings;
 
-    /// What is wrong with values that are well formed one by one; one line for each error.
+    /// Errors of settings that are well formed individually; one line per error.
     fn problems(&self) -> Vec<String> {
         Vec::new()
     }
 }
 
-/// What a daemon gets from its process.
+/// What a daemon receives from its process.
 #[derive(Clone)]
 pub struct DaemonContext {
     /// Logger of the process.
@@ -38,16 +38,17 @@
     pub clock: ProcessClock,
     /// Metrics of the process.
     pub metrics: MetricsHandle,
-    /// Asks the daemon to drain.
+    /// Signal that requests the daemon to drain.
     pub shutdown: ShutdownSignal,
-    /// Tells that the settings file has changed.
+    /// Signal that the settings file has changed.
     pub reload: ReloadSignal,
     /// The settings file; `None` for a daemon that shares its process with others.
     pub settings_file: Option<PathBuf>,
 }
 
 impl DaemonContext {
-    /// Makes a context; a daemon that shares its process with others gets its own signal.
+    /// Creates a context; a daemon that shares its process with others gets its own shutdown
+    /// signal.
     pub fn new(logger: Logger) -> Self {
         Self {
             logger,
@@ -60,12 +61,12 @@
     }
 }
 
-/// Reads arguments and settings, runs the daemon until its future ends and reports how it went.
+/// Parses the arguments, reads the settings, runs the daemon until its future ends and returns the
+/// exit code.
 ///
-/// `start` gets the settings and a context whose shutdown signal follows SIGTERM and SIGINT. Its
-/// future ends when the daemon has drained. An error that it returns exits with
-/// [`ExitStatus::Start`] when the drain had not been asked for and with [`ExitStatus::Failure`]
-/// afterwards.
+/// `start` receives the settings and a context whose shutdown signal is triggered by SIGTERM and
+/// SIGINT. Its future ends when the daemon has drained. If it returns an error, the exit code is
+/// [`ExitStatus::Start`] when no drain had been requested and [`ExitStatus::Failure`] otherwise.
 pub fn run_daemon<S, E, F, Fut>(process: &'static str, about: &'static str, start: F) -> ExitCode
 where
     S: DaemonSettings,
@@ -90,7 +91,7 @@
     let runtime = match new_runtime() {
         Ok(runtime) => runtime,
         Err(error) => {
-            crit!(context.logger, "no runtime"; "error" => %error);
+            crit!(context.logger, "cannot create the Tokio runtime"; "error" => %error);
             return ExitStatus::Start.into();
         }
     };
@@ -99,8 +100,8 @@
         .into()
 }
 
-/// A worker for each core; on a host with one core, the calling thread does all work, since handing
-/// it to another thread would only cost switches.
+/// Creates a runtime with one worker per core. On a host with one core the calling thread does all
+/// work, since passing it to another thread would only cost context switches.
 fn new_runtime() -> io::Result<Runtime> {
     let cores = thread::available_parallelism().map_or(1, usize::from);
     let mut builder = match cores {
@@ -122,7 +123,7 @@
         .listen_to_process_signals()
         .and_then(|()| context.reload.listen_to_process_signals());
     if let Err(error) = listening {
-        crit!(logger, "no signal handler"; "error" => %error);
+        crit!(logger, "cannot install the signal handlers"; "error" => %error);
         return ExitStatus::Start;
     }
     info!(logger, "starting");
@@ -141,7 +142,7 @@
     }
 }
 
-/// Reads and checks a settings file; the error has a line for each problem.
+/// Reads and checks a settings file; the error has one line per problem.
 pub fn load_checked_settings<S: DaemonSettings>(file: &Path) -> Result<S, String> {
     let settings: S = load_settings(file).map_err(|error| error.to_string())?;
     let problems = settings.problems();
--- a/lovagedock-daemon/src/settings.rs
+++ b/lovagedock-daemon/src/settings.rs
@@ -17,17 +17,17 @@
 use serde::de::DeserializeOwned;
 use serde_path_to_error::{Path as FieldPath, Segment};
 
-/// Longest edit distance at which a known name is offered for an unknown one.
+/// Maximum edit distance at which a known name is suggested for an unknown one.
 const MAX_SUGGESTION_DISTANCE: usize = 3;
 
-/// What is wrong with a settings file, and where.
+/// Error in a settings file and its position.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
     /// The file.
     pub file: PathBuf,
-    /// Line from 1; 0 when the file could not be read.
+    /// Line, starting at 1; 0 if the file could not be read.
     pub line: usize,
-    /// Column from 1, in characters; 0 when the file could not be read.
+    /// Column in characters, starting at 1; 0 if the file could not be read.
     pub column: usize,
     /// Path of the field, such as `admin.address`; empty for a syntax error.
     pub path: String,
@@ -62,11 +62,12 @@
     parse_settings(file, &text)
 }
 
-/// Reads settings from the text of a file; `file` only names it in errors.
+/// Parses settings from the text of a file; `file` is used only in error messages.
 pub fn parse_settings<T: DeserializeOwned>(file: &Path, text: &str) -> Result<T, SettingsError> {
     let options = parse_options();
     let syntax_error = |error: ParseError| {
-        // The parser's own count also takes a carriage return for the end of a line.
+        // The position is computed here because the parser also counts a carriage return as the end
+        // of a line.
         let (line, column) = line_column(text, error.range().start);
         SettingsError {
             file: file.to_owned(),
@@ -169,7 +170,7 @@
     let Some(unknown) = unknown_name(&message) else {
         return message;
     };
-    // After the unknown name, every second piece between backquotes is a name that is known.
+    // After the unknown name, every second part between backquotes is a known name.
     let nearest = message
         .split('`')
         .skip(3)
--- a/lovagedock-daemon/src/shutdown.rs
+++ b/lovagedock-daemon/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! The request to drain and stop.
+//! Signals for shutdown and for reloading the settings.
 
 use std::{
     io,
@@ -10,7 +10,7 @@
     sync::watch,
 };
 
-/// Tells every task of a daemon to drain; clones share one state.
+/// Requests all tasks of a daemon to drain; clones share one state.
 ///
 /// It is triggered once, by SIGTERM, by SIGINT or by [`trigger`](Self::trigger), and never reset.
 #[derive(Clone, Debug)]
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Triggers the signal when the process gets SIGTERM or SIGINT; needs a tokio runtime.
+    /// Triggers the signal when the process receives SIGTERM or SIGINT; needs a Tokio runtime.
     pub fn listen_to_process_signals(&self) -> io::Result<()> {
         let mut terminate = signal(SignalKind::terminate())?;
         let mut interrupt = signal(SignalKind::interrupt())?;
@@ -41,7 +41,7 @@
         Ok(())
     }
 
-    /// Asks for the drain.
+    /// Requests the drain.
     pub fn trigger(&self) {
         self.triggered_at.send_if_modified(|triggered_at| {
             let is_first = triggered_at.is_none();
@@ -50,26 +50,26 @@
         });
     }
 
-    /// Whether the drain has been asked for.
+    /// Whether the drain has been requested.
     pub fn is_triggered(&self) -> bool {
         self.triggered_at.borrow().is_some()
     }
 
-    /// Time since the drain was asked for; zero before.
+    /// Time since the drain was requested; zero if it has not been.
     pub fn time_since_trigger(&self) -> Duration {
         let triggered_at = *self.triggered_at.borrow();
         triggered_at.map_or(Duration::ZERO, |at| at.elapsed())
     }
 
-    /// Waits until the drain is asked for; returns at once afterwards.
+    /// Waits until the drain is requested; returns immediately if it already has been.
     pub async fn wait(&self) {
         let mut receiver = self.triggered_at.subscribe();
-        // The sender lives in `self`, so the channel cannot close while we wait.
+        // The sender is owned by `self`, so the channel cannot close during the wait.
         let _ = receiver.wait_for(Option::is_some).await;
     }
 }
 
-/// Tells a daemon that its settings file has changed; clones share one state.
+/// Signals a daemon that its settings file has changed; clones share one state.
 #[derive(Clone, Debug)]
 pub struct ReloadSignal {
     count: watch::Sender<u64>,
@@ -83,9 +83,9 @@
         }
     }
 
-    /// Triggers the signal whenever the process gets SIGHUP; needs a tokio runtime.
+    /// Triggers the signal whenever the process receives SIGHUP; needs a Tokio runtime.
     ///
-    /// A process that does not listen is ended by SIGHUP, and its requests with it.
+    /// A process that does not handle SIGHUP is ended by it, and its requests with it.
     pub fn listen_to_process_signals(&self) -> io::Result<()> {
         let mut hangup = signal(SignalKind::hangup())?;
         let reload = self.clone();
@@ -97,12 +97,12 @@
         Ok(())
     }
 
-    /// Asks for a reload.
+    /// Requests a reload.
     pub fn trigger(&self) {
         self.count.send_modify(|count| *count += 1);
     }
 
-    /// Sees each reload that is asked for from now on.
+    /// Returns a receiver that is notified of each reload requested from now on.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.count.subscribe()
     }
--- a/lovagedock-daemon/src/tls.rs
+++ b/lovagedock-daemon/src/tls.rs
@@ -20,29 +20,29 @@
 
 const ALPN_HTTP: &[u8] = b"http/1.1";
 
-/// Files that a process proves itself with and knows its peers by.
+/// Files with a process's certificate and with the roots that verify its peers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TlsSettings {
-    /// PEM file with the certificate chain, our own first.
+    /// PEM file with the certificate chain, starting with the process's own certificate.
     pub certificate_file: PathBuf,
     /// PEM file with the private key.
     pub key_file: PathBuf,
-    /// PEM file with the roots that peers are checked against. With it, a server asks every
-    /// client for a certificate; without it, a server takes any client and nothing can connect
-    /// as a client.
+    /// PEM file with the roots that verify peers. If it is set, a server requires a certificate
+    /// from every client. If it is not set, a server accepts any client and the process cannot
+    /// connect as a client.
     #[serde(default)]
     pub peer_roots_file: Option<PathBuf>,
-    /// Name that a server's certificate has to carry; its IP address when absent.
+    /// Name that a server's certificate has to contain; its IP address if absent.
     #[serde(default)]
     pub server_name: Option<String>,
-    /// How often the files are looked at, in milliseconds.
+    /// Interval between checks of the files, in milliseconds.
     #[serde(default = "default_reload_interval_ms")]
     pub reload_interval_ms: u64,
 }
 
 impl TlsSettings {
-    /// How often the files are looked at.
+    /// Interval between checks of the files.
     pub fn reload_interval(&self) -> Duration {
         Duration::from_millis(self.reload_interval_ms)
     }
@@ -53,9 +53,9 @@
 pub enum TlsError {
     /// A file cannot be read.
     Unreadable,
-    /// A file is not the PEM that it should be.
+    /// A file does not contain the expected PEM data.
     Malformed,
-    /// The certificate, the key and the roots do not go together.
+    /// The certificate, the key and the roots do not match.
     Mismatch,
 }
 
@@ -63,26 +63,27 @@
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Unreadable => "a TLS file cannot be read",
-            Self::Malformed => "a TLS file is not the PEM that it should be",
-            Self::Mismatch => "TLS certificate, key and roots do not go together",
+            Self::Malformed => "a TLS file does not contain the expected PEM data",
+            Self::Mismatch => "TLS certificate, key and roots do not match",
         })
     }
 }
 
 impl std::error::Error for TlsError {}
 
-/// Configurations made from one reading of the files.
+/// Configurations created from one reading of the files.
 pub struct TlsConfigs {
-    /// For connections that we accept.
+    /// For accepted connections.
     pub server: Arc<ServerConfig>,
-    /// For connections that we open; needs the peers' roots.
+    /// For opened connections; requires the peers' roots.
     pub client: Option<Arc<ClientConfig>>,
     digest: blake3::Hash,
 }
 
-/// TLS configurations that follow their files.
+/// TLS configurations that are reloaded from their files.
 ///
-/// New connections get the newest configuration that loaded whole; open ones keep theirs.
+/// New connections use the newest configuration that was loaded completely; open connections keep
+/// theirs.
 pub struct ReloadingTls {
     settings: TlsSettings,
     configs: ArcSwap<TlsConfigs>,
@@ -104,16 +105,16 @@
         self.configs.load_full()
     }
 
-    /// The settings that this was made with.
+    /// The settings that this was created with.
     pub fn settings(&self) -> &TlsSettings {
         &self.settings
     }
 
-    /// Reads the files again; `true` when they had changed and are in use now.
+    /// Reads the files again; returns `true` if they had changed and are now in use.
     ///
-    /// Failure: whoever renews a certificate replaces two files one after the other, and a reading
-    /// between the two finds a key that does not fit. The error leaves the old configuration in
-    /// use, and the next reading finds both files new, so nobody sees the mixture.
+    /// A certificate and its key are replaced one after the other. A reload between the two finds a
+    /// key that does not match the certificate. The error leaves the old configuration in use, and
+    /// the next reload finds both new files. The mismatched pair is never used.
     pub fn reload(&self) -> Result<bool, Report<TlsError>> {
         let files = PemFiles::read(&self.settings)?;
         if files.digest() == self.configs.load().digest {
--- a/lovagedock-daemon/src/traffic.rs
+++ b/lovagedock-daemon/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Counts what goes over connections.
+//! Counts the bytes that connections transfer.
 
 use std::{
     io,
@@ -20,7 +20,7 @@
     BYTES_TRANSFERRED.load(Ordering::Relaxed)
 }
 
-/// A connection whose bytes are counted, as they are on the wire.
+/// A connection that counts the bytes on the wire.
 pub(crate) struct CountedStream {
     stream: TcpStream,
     sent: metrics::Counter,
--- a/lovagedock-daemon/src/transport.rs
+++ b/lovagedock-daemon/src/transport.rs
@@ -1,4 +1,4 @@
-//! Connections that are TLS, or plain TCP where the settings ask for that.
+//! Connections over TLS, or over plain TCP if the settings allow it.
 
 use std::{io, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -21,22 +21,22 @@
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(10);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How a process talks on one of its ports.
+/// Transport of one of a process's ports.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum TransportSettings {
     /// TLS with these files.
     Tls(TlsSettings),
-    /// No encryption and no proof of who the peer is: `"plain_tcp": "demo"`.
+    /// No encryption and no authentication of the peer: `"plain_tcp": "demo"`.
     PlainTcp(PlainConsent),
 }
 
 impl TransportSettings {
-    /// The problem with a transport between our processes that does not prove who the peer is.
+    /// The error of a transport between lovagedock processes that does not authenticate the peer.
     ///
-    /// A listener without the peers' roots takes any client: whoever reaches a sidecar's port could
-    /// send work past the gateways' checks. A client without them cannot connect at all, which
-    /// would show only as endpoints that stay unconnected.
+    /// A listener without the peers' roots accepts any client: anyone who can reach a sidecar's
+    /// port could send work past the gateways' checks. A client without the peers' roots cannot
+    /// connect at all, which would be visible only as endpoints that stay unconnected.
     pub fn mutual_tls_problem(&self, path: &str) -> Option<String> {
         match self {
             Self::Tls(settings) if settings.peer_roots_file.is_none() => Some(format!(
@@ -47,7 +47,7 @@
     }
 }
 
-/// Says that plain TCP is meant; there is no default.
+/// Explicit consent to plain TCP; there is no default.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlainConsent {
@@ -57,7 +57,7 @@
     TrustedNetwork,
 }
 
-/// A connection, whatever carries it.
+/// A connection of any transport.
 pub trait ByteStream: AsyncRead + AsyncWrite + Send + Unpin {}
 
 impl<T: AsyncRead + AsyncWrite + Send + Unpin> ByteStream for T {}
@@ -88,7 +88,8 @@
         Self { tls: None }
     }
 
-    /// Looks for changed files on the settings' interval until the shutdown; needs a runtime.
+    /// Checks for changed files at the interval of the settings until the shutdown; needs a Tokio
+    /// runtime.
     pub fn watch_files(&self, logger: &Logger, shutdown: &ShutdownSignal) {
         let Some(tls) = self.tls.clone() else {
             return;
@@ -123,7 +124,7 @@
         bytes_transferred()
     }
 
-    /// Completes the server's side of a connection that a listener accepted.
+    /// Completes the server side of a connection that a listener accepted.
     pub async fn accept(&self, stream: TcpStream) -> io::Result<BoxedStream> {
         stream.set_nodelay(true)?;
         let Some(tls) = &self.tls else {
@@ -145,7 +146,7 @@
         let Some(config) = tls.configs().client.clone() else {
             return Err(io::Error::new(
                 io::ErrorKind::InvalidInput,
-                "connecting needs peer_roots_file",
+                "opening a connection requires peer_roots_file",
             ));
         };
         let name = server_name(tls.settings(), address)?;
--- a/lovagedock-daemon/tests/admin.rs
+++ b/lovagedock-daemon/tests/admin.rs
@@ -1,4 +1,4 @@
-//! Contract of the operators' interface, over loopback.
+//! Tests of the operators' interface over loopback.
 
 use std::{
     net::SocketAddr,
@@ -164,8 +164,8 @@
     check(server.address(), &after).await;
 }
 
-// An operator's tool with no token or the wrong one asks for a drain. The call must be refused
-// before the daemon sees it: a drain that anybody on the network can ask for stops the fleet.
+// A call without a token, or with the wrong one, requests a drain. It must be refused before it
+// reaches the daemon. Otherwise anyone on the network could stop the fleet.
 #[tokio::test]
 async fn writes_need_the_token_when_one_is_set() {
     let (server, handler) = start(Some("open-sesame")).await;
@@ -198,7 +198,7 @@
     assert_eq!(handler.drains.load(Ordering::SeqCst), 0);
 }
 
-// A tool that sends a POST without a body gives no length either (`curl -X POST`).
+// A POST without a body has no length either (`curl -X POST`).
 #[tokio::test]
 async fn a_write_without_a_body_or_a_length_is_accepted() {
     let (server, handler) = start(None).await;
--- a/lovagedock-daemon/tests/line_queue.rs
+++ b/lovagedock-daemon/tests/line_queue.rs
@@ -1,4 +1,4 @@
-//! Log lines never wait for the output, and none is lost without a word.
+//! Writing log lines never blocks on the output, and dropped lines are counted.
 
 use std::{
     io::{self, Write},
@@ -7,7 +7,7 @@
 
 use lovagedock_daemon::LineQueue;
 
-/// An output that can be stuck until it is released.
+/// An output that can be blocked until it is released.
 struct GatedOutput {
     written: Arc<Mutex<Vec<u8>>>,
     blocked: Option<mpsc::Receiver<()>>,
@@ -31,8 +31,8 @@
     String::from_utf8(written.lock().unwrap().clone()).unwrap()
 }
 
-/// Operators read a log that ends with the process's last line: the process ends right after it
-/// wrote it, while the line still gathers with others.
+/// The process exits directly after it wrote its last line, while that line is still queued with
+/// others. The log must end with the last line.
 #[test]
 fn all_lines_are_written_in_order() {
     let written = Arc::default();
@@ -50,8 +50,9 @@
     assert_eq!(text(&written), expected);
 }
 
-/// The output is stuck, as when nobody reads a pipe. Requests go on being served: writing a line
-/// never waits. What does not fit is dropped, and its number is told when the output moves.
+/// The output is blocked, as when nobody reads a pipe. Requests must still be served, so writing a
+/// line never blocks. Lines that do not fit are dropped, and their number is written when the
+/// output accepts data again.
 #[test]
 fn a_blocked_output_drops_lines_and_reports_their_number() {
     let written = Arc::default();
--- a/lovagedock-daemon/tests/settings.rs
+++ b/lovagedock-daemon/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files: what is accepted, and where an error points.
+//! Settings files: what is accepted, and which position an error reports.
 
 use std::path::Path;
 
@@ -32,7 +32,7 @@
         expected: "sample.jsonc:2:14: Expected comma",
     },
     ErrorCase {
-        name: "a carriage return ends no line",
+        name: "a carriage return does not end a line",
         text: "\n\r{\"name\" 1}",
         expected: "sample.jsonc:2:10: Expected colon after the string or word in object property",
     },
@@ -43,7 +43,7 @@
                    `admin`, `peers`; did you mean `peers`?",
     },
     ErrorCase {
-        name: "unknown field like no other, nested",
+        name: "nested unknown field without a similar name",
         text: "{\"name\": \"a\",\n \"log\": {\"zzzzzzzzzz\": 1}}",
         expected: "sample.jsonc:2:10: log.zzzzzzzzzz: unknown field `zzzzzzzzzz`, expected `format` \
                    or `level`",
@@ -60,12 +60,12 @@
         expected: "sample.jsonc:1:40: peers[1]: invalid type: integer `7`, expected socket address",
     },
     ErrorCase {
-        name: "missing field points to its object",
+        name: "a missing field is reported at its object",
         text: "{\"name\": \"a\",\n \"admin\": {\"address\": \"127.0.0.1:0\"}}",
         expected: "sample.jsonc:2:11: admin: missing field `transport`",
     },
     ErrorCase {
-        name: "plain TCP has to be asked for in so many words",
+        name: "plain TCP has to be set explicitly",
         text: "{\"name\": \"a\", \"admin\": {\"address\": \"127.0.0.1:0\",\n\
                \"transport\": {\"plain_tcp\": true}}}",
         expected: "sample.jsonc:2:28: admin.transport.plain_tcp: invalid type: boolean `true`, \
--- a/lovagedock-daemon/tests/tls.rs
+++ b/lovagedock-daemon/tests/tls.rs
@@ -1,4 +1,4 @@
-//! TLS between our processes: who is refused, and what a reload changes.
+//! TLS between lovagedock processes: which peers are refused, and what a reload changes.
 
 use std::{
     fs,
@@ -14,7 +14,7 @@
     net::TcpListener,
 };
 
-/// First byte of what a TLS peer answers to something that is not TLS.
+/// First byte that a TLS peer sends in response to data that is not TLS.
 const TLS_ALERT_RECORD: u8 = 21;
 
 type Authority = CertifiedIssuer<'static, KeyPair>;
@@ -40,7 +40,7 @@
         path
     }
 
-    /// Settings of a process whose certificate `authority` signed and that trusts `trusted`.
+    /// Settings of a process with a certificate signed by `authority` that trusts `trusted`.
     fn settings(&self, name: &str, authority: &Authority, trusted: &Authority) -> TlsSettings {
         let (certificate, key) = issue(authority);
         TlsSettings {
@@ -77,7 +77,7 @@
     Transport::new(&TransportSettings::Tls(settings)).unwrap()
 }
 
-/// Listens and echoes one byte for each connection that gets through the handshake.
+/// Starts a server that echoes bytes on each connection that completes the handshake.
 async fn echo_server(transport: Transport) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -105,14 +105,14 @@
     stream.read_u8().await
 }
 
-/// Connects and exchanges a byte: with TLS 1.3 a refused client learns it from its first read.
+/// Connects and exchanges a byte. With TLS 1.3 a refused client sees the refusal at its first read.
 async fn exchange(client: &Transport, address: SocketAddr) -> std::io::Result<u8> {
     let mut stream = client.connect(address).await?;
     echo(&mut stream, 7).await
 }
 
-// A process with a certificate from somebody else's authority reaches a sidecar's port, or poses
-// as a sidecar. Mutual TLS has to refuse it in both roles, and a process without any TLS too.
+// A process with a certificate of another authority connects to a sidecar's port, or listens in
+// place of a sidecar. Mutual TLS has to refuse it in both roles, and also a process without TLS.
 #[tokio::test]
 async fn mutual_tls_rejects_untrusted_certificates() {
     let folder = KeyFolder::new();
@@ -124,15 +124,15 @@
     )))
     .await;
     let untrusted_server = echo_server(transport(folder.settings(
-        "impostor",
+        "untrusted_server",
         &untrusted_authority,
         &trusted_authority,
     )))
     .await;
     let trusted_client =
-        transport(folder.settings("member", &trusted_authority, &trusted_authority));
+        transport(folder.settings("trusted_client", &trusted_authority, &trusted_authority));
     let untrusted_client =
-        transport(folder.settings("stranger", &untrusted_authority, &trusted_authority));
+        transport(folder.settings("untrusted_client", &untrusted_authority, &trusted_authority));
 
     assert_eq!(exchange(&trusted_client, server).await.unwrap(), 7);
     assert!(exchange(&untrusted_client, server).await.is_err());
@@ -141,8 +141,9 @@
     assert_eq!(answer.unwrap(), TLS_ALERT_RECORD);
 }
 
-// The authority is replaced while a connection is open. The open one goes on; new ones are checked
-// by the new files, so that an old certificate is refused without a restart.
+// The authority is replaced while a connection is open. The open connection continues. New
+// connections are checked against the new files, so that an old certificate is refused without a
+// restart.
 #[tokio::test]
 async fn a_reload_changes_new_connections_and_leaves_open_ones() {
     let folder = KeyFolder::new();
@@ -164,8 +165,9 @@
     assert_eq!(echo(&mut open, 2).await.unwrap(), 2);
 }
 
-// Whoever renews a certificate has replaced one of its two files when we look. The mixture must
-// not be used, must not end the process, and the next look must find the finished pair.
+// A reload happens when only one of the two files of a renewed certificate has been replaced. The
+// mismatched pair must not be used and must not end the process. The next reload must find the
+// complete pair.
 #[tokio::test]
 async fn a_half_replaced_key_pair_is_not_used() {
     let folder = KeyFolder::new();
@@ -173,7 +175,7 @@
     let settings = folder.settings("server", &root, &root);
     let server = transport(settings.clone());
     let address = echo_server(server.clone()).await;
-    let trusted_client = transport(folder.settings("member", &root, &root));
+    let trusted_client = transport(folder.settings("trusted_client", &root, &root));
 
     let (certificate, key) = issue(&root);
     fs::write(&settings.certificate_file, certificate).unwrap();
