--- a/lovagedock-cli/src/arguments.rs
+++ b/lovagedock-cli/src/arguments.rs
@@ -1,4 +1,4 @@
-//! What can be written after `lovagedock`.
+//! Arguments of the `lovagedock` command.
 
 use std::path::PathBuf;
 
@@ -22,16 +22,16 @@
     /// How to print the result.
     #[arg(long, value_enum, default_value_t = OutputFormat::Table, global = true)]
     pub output: OutputFormat,
-    /// Settings file, JSON with comments; absent, the file that LOVAGEDOCK_SETTINGS names.
+    /// Settings file, JSON with comments; by default the file in LOVAGEDOCK_SETTINGS.
     #[arg(long, value_name = "FILE", global = true)]
     pub settings: Option<PathBuf>,
-    /// URL of the platform's object API, in place of the settings' one.
+    /// URL of the platform's object API; overrides the settings.
     #[arg(long, value_name = "URL", global = true)]
     pub platform: Option<String>,
     /// Check the settings and exit.
     #[arg(long)]
     pub check_settings: bool,
-    /// What to do.
+    /// The command to run.
     #[command(subcommand)]
     pub command: Option<CommandArguments>,
 }
@@ -39,7 +39,7 @@
 /// How results are printed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum OutputFormat {
-    /// Lines and columns for people.
+    /// Table for people.
     Table,
     /// One JSON value for programs.
     Json,
@@ -64,11 +64,11 @@
     Apply(ApplyArguments),
     /// Print the accepted configuration.
     Get,
-    /// Show which process has which configuration in force.
+    /// Show the configuration generation that each process has in force.
     Status,
-    /// Tell where a request went and why.
+    /// Show where a request was sent and why.
     Explain {
-        /// Id of the request, as in its answer.
+        /// Id of the request, as in its response.
         request: String,
     },
     /// Print the state of a process.
@@ -76,17 +76,17 @@
         /// Operators' address of the process, or its id in the settings.
         process: String,
     },
-    /// Let a process finish its work and take no more.
+    /// Let a process finish its work and accept no new work.
     Drain {
         /// Operators' address of the process, or its id in the settings.
         process: String,
-        /// Let a drained sidecar take work again.
+        /// Let a drained sidecar accept work again.
         #[arg(long)]
         undo: bool,
     },
     /// Explain a numbered result code.
     Code {
-        /// Number of the code; absent lists all.
+        /// Number of the code; lists all codes if absent.
         number: Option<u16>,
     },
     /// Print the JSON Schema of the configuration.
@@ -104,16 +104,17 @@
     /// Files or folders that make up the configuration.
     #[arg(required = true, value_name = "FILE")]
     pub files: Vec<PathBuf>,
-    /// Who applies it; the others see it.
+    /// Name of the operator who applies it; visible to other operators.
     #[arg(long)]
     pub author: String,
-    /// Generation that it replaces, as `get` and `diff` show it; 0 for the first.
+    /// Generation that it replaces, as shown by `get` and `diff`; 0 for the first.
     #[arg(long, value_name = "NUMBER")]
     pub expect_generation: Generation,
-    /// Nonce of an earlier apply whose outcome is unknown, to find out; the file must be the same.
+    /// Nonce of an earlier apply with an unknown outcome, to find out the outcome; the file must be
+    /// the same.
     #[arg(long)]
     pub nonce: Option<String>,
-    /// How long to try the platform's store, in milliseconds.
+    /// How long to retry calls to the platform's store, in milliseconds.
     #[arg(long = "patience-ms", value_name = "MS", default_value_t = 10_000)]
     pub timeout_ms: u64,
 }
--- a/lovagedock-cli/src/client.rs
+++ b/lovagedock-cli/src/client.rs
@@ -1,4 +1,4 @@
-//! The operators' HTTP interface of our processes, seen from the command line.
+//! Client for the operators' HTTP interface of lovagedock processes.
 
 use std::{fmt, io, net::SocketAddr, time::Duration};
 
@@ -14,10 +14,10 @@
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// Asks processes as an operator.
+/// Calls the operators' interface of processes.
 #[async_trait]
 pub trait ProcessClient: Send + Sync {
-    /// Makes one call and returns the JSON document of its answer.
+    /// Makes one call and returns the JSON document of the response.
     async fn call(
         &self,
         address: SocketAddr,
@@ -35,12 +35,12 @@
     Post,
 }
 
-/// Why a process gave no document.
+/// Why a call to a process returned no document.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ProcessError {
-    /// No connection; the call was not made.
+    /// No connection was established; the call was not made.
     Unreachable(String),
-    /// The connection broke or the time passed; the call may have been made.
+    /// The connection broke or the call timed out; the call may have been executed.
     NoAnswer(String),
     /// The process refused the call with a problem document.
     Refused(Value),
@@ -65,14 +65,14 @@
     }
 }
 
-/// Speaks HTTP to processes, one connection a call.
+/// Calls processes over HTTP, with one connection per call.
 pub struct HttpProcessClient {
     transport: Transport,
     token: Option<String>,
 }
 
 impl HttpProcessClient {
-    /// A port over `transport` whose writes carry `token`.
+    /// Creates a client that connects over `transport` and sends `token` with writes.
     pub fn new(transport: Transport, token: Option<String>) -> Self {
         Self { transport, token }
     }
@@ -88,7 +88,7 @@
             .header(header::HOST, address.to_string());
         request = match method {
             ProcessMethod::Get => request.method(Method::GET),
-            // A POST without a body says so, as servers may ask for a length.
+            // A POST without a body sends a length of 0, as some servers require a length.
             ProcessMethod::Post => request
                 .method(Method::POST)
                 .header(header::CONTENT_LENGTH, 0),
@@ -124,7 +124,7 @@
         let mut exchange = std::pin::pin!(exchange);
         tokio::select! {
             result = &mut exchange => result,
-            // The connection may end together with the answer, which is then already buffered.
+            // The connection may end together with the response, which is then already buffered.
             _ = connection => exchange.await,
         }
     }
--- a/lovagedock-cli/src/codes.rs
+++ b/lovagedock-cli/src/codes.rs
@@ -47,7 +47,7 @@
     })
 }
 
-/// The page `docs/CODES.md`.
+/// Text of the page `docs/CODES.md`.
 pub fn codes_page() -> String {
     let mut text = PAGE_HEAD.to_owned();
     for code in ResultCode::ALL {
--- a/lovagedock-cli/src/config.rs
+++ b/lovagedock-cli/src/config.rs
@@ -57,7 +57,8 @@
     Ok(CommandReport::new(ExitStatus::Done, text, value))
 }
 
-/// Old chunks that one apply deletes at most; more than a file of 25,000 organisations has.
+/// Maximum number of old chunks that one apply deletes; more than a file of 25,000 organisations
+/// has.
 const MAX_DELETED_CHUNKS: usize = 256;
 
 pub(crate) async fn apply_files(
@@ -76,7 +77,8 @@
         .with_patience(Duration::from_millis(arguments.timeout_ms));
     Ok(match store.apply(&request).await {
         ApplyOutcome::Accepted { generation } => {
-            // Old chunks that stay for want of an answer are deleted after the next apply.
+            // Old chunks that could not be deleted because the store did not respond are deleted
+            // after the next apply.
             let _retried_later = store.collect_chunks(MAX_DELETED_CHUNKS).await;
             report_accepted(generation)
         }
@@ -96,7 +98,8 @@
     CommandReport::new(ExitStatus::Done, text, value)
 }
 
-/// Names the winner and shows what the loser's file would change now.
+/// Reports the configuration that was accepted first, and what the operator's own file would change
+/// now.
 async fn report_conflict(
     store: &ConfigStore,
     config: &FleetConfig,
@@ -129,8 +132,9 @@
     CommandReport::new(ExitStatus::Conflict, text, value)
 }
 
-/// With the nonce of an earlier apply, this call's failure says nothing of that one: told "not
-/// accepted", the operator would apply another file over one that is in force.
+/// If the call repeats an earlier apply with its nonce, its failure does not show what happened to
+/// the earlier one. If "not accepted" were reported, the operator would apply another file over a
+/// configuration that is in force.
 fn report_not_accepted(
     reason: &NotAcceptedReason,
     expected: Generation,
@@ -212,7 +216,8 @@
     changes.iter().map(|change| format!("{change}\n")).collect()
 }
 
-/// Another operator's text goes to a terminal, or into a comment that ends with its line.
+/// Removes control characters from another operator's text, since it is written to a terminal or
+/// into a comment that ends with its line.
 fn one_line(text: &str) -> String {
     text.chars().filter(|c| !c.is_control()).collect()
 }
--- a/lovagedock-cli/src/files.rs
+++ b/lovagedock-cli/src/files.rs
@@ -1,4 +1,4 @@
-//! Configuration files: finding, reading and `lovagedock check`.
+//! Configuration files: listing, reading and `lovagedock check`.
 
 use std::{
     fs, io,
@@ -28,7 +28,7 @@
     }
 }
 
-/// Lists problems, one a line.
+/// Lists problems, one per line.
 pub(crate) fn report_problems(problems: &[ConfigProblem]) -> CommandReport {
     let mut text = String::new();
     for problem in problems {
@@ -81,7 +81,7 @@
     Ok(files)
 }
 
-/// The file itself, or the configuration files of a folder in the order of their names.
+/// The file itself, or the configuration files of a folder, sorted by name.
 fn list_files(path: &Path) -> io::Result<Vec<PathBuf>> {
     if !path.is_dir() {
         return Ok(vec![path.to_owned()]);
--- a/lovagedock-cli/src/lib.rs
+++ b/lovagedock-cli/src/lib.rs
@@ -1,8 +1,8 @@
-//! The operators' command line.
+//! Command line for operators.
 //!
 //! Each command is a function from its arguments to a [`CommandReport`]: text for people, a value
-//! for programs, and an [`ExitStatus`] that scripts can rely on. [`CommandRunner`] gets the store
-//! and the way to processes from outside, so that tests can put fakes in their place.
+//! for programs, and an [`ExitStatus`] that scripts can rely on. The store and the process client
+//! of a [`CommandRunner`] can be replaced by fakes in tests.
 
 mod arguments;
 mod client;
--- a/lovagedock-cli/src/main.rs
+++ b/lovagedock-cli/src/main.rs
@@ -1,4 +1,4 @@
-//! `lovagedock`, the operators' command line.
+//! `lovagedock`, the command line for operators.
 
 use std::process::ExitCode;
 
--- a/lovagedock-cli/src/processes.rs
+++ b/lovagedock-cli/src/processes.rs
@@ -1,4 +1,4 @@
-//! `explain`, `dump` and `drain`: asks one process, or each gateway in turn.
+//! `explain`, `dump` and `drain`: calls to one process, or to each gateway in turn.
 
 use lovagedock::{ResultCode, format_request_id, parse_request_id};
 use serde_json::{Value, json};
@@ -13,7 +13,7 @@
 
 pub(crate) async fn explain_request(runner: &CommandRunner, request: &str) -> CommandResult {
     let Some(id) = parse_request_id(request) else {
-        let text = format!("{request:?} is no request id; it has 32 hexadecimal digits\n");
+        let text = format!("{request:?} is not a request id; expected 32 hexadecimal digits\n");
         let value = json!({ "error": "not a request id" });
         return Ok(CommandReport::new(ExitStatus::Usage, text, value));
     };
@@ -36,12 +36,12 @@
     }
     let id = format_request_id(id);
     if failed_gateways.is_empty() {
-        let text = format!("no gateway of the settings remembers request {id}\n");
+        let text = format!("no gateway in the settings has a record of request {id}\n");
         let value = json!({ "error": "unknown request" });
         return Ok(CommandReport::new(ExitStatus::Refused, text, value));
     }
     let text = format!(
-        "not found, but not all could be asked: {}\n",
+        "not found, but not all gateways could be asked: {}\n",
         failed_gateways.join(", ")
     );
     let value = json!({ "error": "not all gateways could be asked", "unheard": failed_gateways });
@@ -52,7 +52,7 @@
     problem["code"] == ResultCode::UnknownService.number()
 }
 
-/// One line a step where the document has steps, the whole document otherwise.
+/// One line per step if the document has steps, otherwise the whole document.
 fn explain_text(document: &Value) -> String {
     let Some(steps) = document["steps"].as_array() else {
         return format!("{document:#}\n");
@@ -100,14 +100,14 @@
     path: &str,
 ) -> Result<Value, CommandReport> {
     let Some(address) = runner.settings.find_process(process) else {
-        let error = format!("{process:?} is neither an address nor a process of the settings");
+        let error = format!("{process:?} is neither an address nor a process in the settings");
         return Err(report_settings(error));
     };
     let result = runner.process_client()?.call(address, method, path).await;
     result.map_err(|error| report_call(process, method, &error))
 }
 
-/// A write without an answer may have been carried out; a read is as good as not made.
+/// A write without a response may have been executed; a read without a response had no effect.
 fn report_call(process: &str, method: ProcessMethod, error: &ProcessError) -> CommandReport {
     let status = match (error, method) {
         (ProcessError::Refused(_), _) => ExitStatus::Refused,
--- a/lovagedock-cli/src/report.rs
+++ b/lovagedock-cli/src/report.rs
@@ -1,4 +1,4 @@
-//! What a command comes back with.
+//! Results of commands.
 
 use serde_json::Value;
 
@@ -13,14 +13,14 @@
     Usage,
     /// Another operator's configuration was accepted first.
     Conflict,
-    /// It may or may not have been done.
+    /// The command may or may not have been executed.
     Unknown,
     /// The platform or a process did not answer.
     Unreachable,
 }
 
 impl ExitStatus {
-    /// The number that the process exits with.
+    /// The exit code of the process.
     pub fn number(self) -> u8 {
         match self {
             Self::Done => 0,
@@ -45,7 +45,7 @@
 }
 
 impl CommandReport {
-    /// Puts a result together.
+    /// Creates a report.
     pub fn new(status: ExitStatus, text: impl Into<String>, value: Value) -> Self {
         Self {
             status,
@@ -55,7 +55,7 @@
     }
 }
 
-/// Lays rows out in columns that are as wide as their widest cell.
+/// Formats rows as columns that are as wide as their widest cell.
 pub(crate) fn format_table(header: &[&str], rows: &[Vec<String>]) -> String {
     let mut widths: Vec<_> = header.iter().map(|cell| cell.chars().count()).collect();
     for row in rows {
--- a/lovagedock-cli/src/runner.rs
+++ b/lovagedock-cli/src/runner.rs
@@ -26,11 +26,11 @@
 }
 
 impl CommandRunner {
-    /// A runner that reaches what the settings name.
+    /// Creates a runner for the platform and the processes of the settings.
     ///
     /// # Errors
     ///
-    /// A report when the TLS files that the settings name cannot be used.
+    /// A report when the TLS files of the settings cannot be used.
     pub fn new(settings: OperatorSettings) -> Result<Self, CommandReport> {
         let store = settings.platform.as_deref().map(|url| {
             let store: Arc<dyn ObjectStore> = Arc::new(HttpObjectStore::new(url));
@@ -50,13 +50,13 @@
         })
     }
 
-    /// Uses another store.
+    /// Replaces the store.
     pub fn with_store(mut self, store: Arc<dyn ObjectStore>) -> Self {
         self.store = Some(store);
         self
     }
 
-    /// Uses another way to processes.
+    /// Replaces the process client.
     pub fn with_client(mut self, client: Arc<dyn ProcessClient>) -> Self {
         self.client = Some(client);
         self
@@ -97,7 +97,7 @@
     }
 }
 
-/// Reports what is wrong with the settings.
+/// Reports an error in the settings.
 pub(crate) fn report_settings(error: String) -> CommandReport {
     let code = ResultCode::SettingsInvalid;
     let value = json!({ "error": error, "code": code.number() });
--- a/lovagedock-cli/src/settings.rs
+++ b/lovagedock-cli/src/settings.rs
@@ -5,23 +5,23 @@
 use lovagedock_daemon::{SettingsError, TransportSettings, load_settings};
 use serde::Deserialize;
 
-/// What an operator's settings file holds.
+/// Content of an operator's settings file.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct OperatorSettings {
     /// URL of the platform's object API, such as `http://10.0.0.1:8300`.
     pub platform: Option<String>,
-    /// Gateways, by which `status` and `explain` go.
+    /// Gateways that `status` and `explain` call.
     pub gateways: Vec<ProcessAddress>,
-    /// Sidecars that `dump` and `drain` may name by id.
+    /// Sidecars that `dump` and `drain` accept by id.
     pub sidecars: Vec<ProcessAddress>,
     /// Bearer token for writes.
     pub operator_token: Option<String>,
-    /// How the operators' ports are reached; plain TCP has to be asked for.
+    /// Transport to the operators' ports; plain TCP has to be set explicitly.
     pub transport: Option<TransportSettings>,
 }
 
-/// Where operators reach a process.
+/// Address of a process's operators' port.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ProcessAddress {
@@ -36,12 +36,12 @@
     ///
     /// # Errors
     ///
-    /// The first thing that is wrong with the file.
+    /// The first error in the file.
     pub fn load(file: &Path) -> Result<Self, SettingsError> {
         load_settings(file)
     }
 
-    /// The address that a process's id stands for, or that is written out.
+    /// Address of the process with this id, or the address that `name` itself contains.
     pub fn find_process(&self, name: &str) -> Option<SocketAddr> {
         let processes = self.gateways.iter().chain(&self.sidecars);
         let named = processes.into_iter().find(|process| process.id == name);
--- a/lovagedock-cli/src/start.rs
+++ b/lovagedock-cli/src/start.rs
@@ -1,4 +1,4 @@
-//! From the process's arguments to its exit status.
+//! Entry point: parses the arguments, runs the command and prints the report.
 
 use std::{
     env,
@@ -20,7 +20,7 @@
 
 const SETTINGS_VARIABLE: &str = "LOVAGEDOCK_SETTINGS";
 
-/// Runs the process's own command line.
+/// Runs the command line of this process.
 pub fn run_command_line() -> ExitCode {
     let line = CommandLine::parse();
     let report = run_line(&line);
@@ -28,12 +28,12 @@
         OutputFormat::Table => report.text,
         OutputFormat::Json => format!("{:#}\n", report.value),
     };
-    // A reader that closed the pipe early has all that it wants.
+    // If the write fails, the reader has closed the pipe and needs no more output.
     let _ = io::stdout().write_all(text.as_bytes());
     ExitCode::from(report.status.number())
 }
 
-/// Runs a command line that was read; blocks until it is done.
+/// Runs a parsed command line; blocks until the command has ended.
 pub fn run_line(line: &CommandLine) -> CommandReport {
     try_line(line).unwrap_or_else(|report| report)
 }
@@ -52,7 +52,7 @@
     let Some(command) = &line.command else {
         let mut usage = CommandLine::command();
         usage
-            .error(ErrorKind::MissingSubcommand, "a command is needed")
+            .error(ErrorKind::MissingSubcommand, "a command is required")
             .exit();
     };
     let runtime = runtime::Builder::new_current_thread().enable_all().build();
--- a/lovagedock-cli/src/status.rs
+++ b/lovagedock-cli/src/status.rs
@@ -1,4 +1,4 @@
-//! `status`: which process has which configuration in force.
+//! `status`: the configuration generation that each process has in force.
 
 use std::collections::BTreeMap;
 
@@ -16,7 +16,7 @@
 
 const HEADER: &[&str] = &["PROCESS", "ROLE", "GENERATION", "IN FORCE"];
 
-/// What `status` needs of a gateway's answer; a newer gateway may tell more.
+/// The part of a gateway's response that `status` uses; a newer gateway may return more fields.
 #[derive(Deserialize)]
 struct GatewayStatus {
     generation: Generation,
@@ -24,7 +24,7 @@
     endpoints: Vec<EndpointStatus>,
 }
 
-/// What a gateway last heard from one sidecar.
+/// What one sidecar last reported to a gateway.
 #[derive(Deserialize)]
 struct EndpointStatus {
     endpoint: String,
@@ -39,7 +39,7 @@
 struct ProcessLine {
     process: String,
     role: &'static str,
-    /// `None` when the process could not be asked.
+    /// `None` if the process did not respond.
     generation: Option<Generation>,
     error: Option<String>,
 }
@@ -91,8 +91,8 @@
     }))
 }
 
-/// Several gateways tell of one sidecar: the newest generation is what it has, since a process
-/// never goes back.
+/// Merges the reports of several gateways. The newest generation that a gateway reports for a
+/// sidecar is its current one, since the generation of a process never decreases.
 fn record_sidecars(
     sidecars: &mut BTreeMap<String, Option<Generation>>,
     endpoints: &[EndpointStatus],
--- a/lovagedock-cli/tests/cli/apply.rs
+++ b/lovagedock-cli/tests/cli/apply.rs
@@ -1,4 +1,4 @@
-//! `apply`, `get` and `diff` against a store that fails in every way it can.
+//! `apply`, `get` and `diff` against a store with every kind of fault.
 
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
 const ROOT: &str = "config/root";
 const ALWAYS: u32 = u32::MAX;
 
-/// A fault that is on while one line of a case runs.
+/// A store fault that is active during one step.
 struct StoreFault {
     kind: CallKind,
     key_prefix: &'static str,
@@ -22,7 +22,7 @@
     fault: MemoryFault,
 }
 
-/// One command line, the fault under it, and what the operator sees.
+/// A command line, the fault that is active while it runs, and the expected output.
 struct ApplyStep {
     fault: Option<StoreFault>,
     line: String,
@@ -115,8 +115,9 @@
     .await;
 }
 
-/// Two operators apply at the same moment, both on generation 0. One is accepted; the other gets
-/// a conflict that names the winner and what the own file would change now. Nothing is merged.
+/// Two operators apply at the same time, both on generation 0. One file is accepted. The other
+/// operator gets a conflict that names the accepted configuration and what the own file would
+/// change now. The files are not merged.
 #[tokio::test(start_paused = true)]
 async fn the_second_of_two_concurrent_applies_gets_a_conflict() {
     let store = Arc::new(MemoryStore::new());
@@ -139,8 +140,9 @@
     assert_eq!(third.value["author"], "asha");
 }
 
-/// The write of the root takes effect and its answer is lost. The store answers reads, so the
-/// nonce in the root settles it: the operator reads "accepted", and nothing is applied twice.
+/// The write of the root takes effect, but its response is lost. The store still serves reads, so
+/// the nonce in the root shows the outcome. The operator sees "accepted", and nothing is applied
+/// twice.
 #[tokio::test(start_paused = true)]
 async fn a_lost_confirmation_is_resolved_by_the_nonce() {
     let lost = StoreFault {
@@ -169,14 +171,14 @@
     .await;
 }
 
-/// The answer to the write of the root is lost and the store stays silent to every further write
-/// and read. Nobody can tell what happened, so the operator reads "unknown" and how to find out;
-/// later, the same nonce gives the truth.
+/// The response to the write of the root is lost, and every later write and read of the root fails.
+/// The outcome cannot be determined, so the operator sees "unknown" and how to find out. Later, a
+/// repeat with the same nonce shows the outcome.
 #[tokio::test(start_paused = true)]
 async fn an_outage_after_the_write_leaves_the_outcome_unknown() {
     let store = Arc::new(MemoryStore::new());
     let runner = new_runner(store.clone(), ScriptedClient::default());
-    // The base is read once before the write.
+    // The current root is read once before the write.
     store.script_fault(CallKind::Read, ROOT, 1, ALWAYS, MemoryFault::Down);
     store.script_fault(CallKind::Write, ROOT, 0, 1, MemoryFault::LoseAnswer);
     store.script_fault(CallKind::Write, ROOT, 0, ALWAYS, MemoryFault::Down);
@@ -190,7 +192,8 @@
     .assert_eq(&show(&report));
     assert_eq!(report.value["code"], 4003);
 
-    // Still down: a repeat knows no more than before, and does not say "not accepted".
+    // The store is still down. A repeat cannot determine the outcome either, and must not report
+    // "not accepted".
     store.clear_faults();
     store.script_fault(CallKind::Read, "", 0, ALWAYS, MemoryFault::Down);
     expect![[r#"
@@ -207,7 +210,7 @@
     .assert_eq(&show(&run(&runner, &line).await));
 }
 
-/// The store is down from the start: nothing was written, and the operator reads just that.
+/// The store is down before the write: nothing was written, and the operator sees exactly that.
 #[tokio::test(start_paused = true)]
 async fn an_outage_before_the_write_is_not_accepted() {
     let down = || StoreFault {
@@ -253,8 +256,8 @@
     .await;
 }
 
-/// The operator expects a generation that never was: the file is refused, and not applied on
-/// whatever is there.
+/// The operator expects a generation that does not exist. The file is refused, and not applied on
+/// top of the current generation.
 #[tokio::test(start_paused = true)]
 async fn a_wrong_generation_is_refused() {
     check_steps(vec![
@@ -265,7 +268,8 @@
                 not accepted: generation 7 is not the store's; see `get` (4002)
             "#]],
         ),
-        // A nonce says that there was an earlier apply, of which the store may have forgotten.
+        // A nonce means that there was an earlier apply, which the store may no longer have a
+        // record of.
         step(&apply(LOCAL, "asha", 7, "n1"), expect![[r#"
             exit 4
             still unknown: the expected generation is not the store's; see `get`, or apply again with --nonce (4003)
@@ -281,8 +285,8 @@
     .await;
 }
 
-/// Operators apply file after file. Without collection each leaves its chunks in the platform's
-/// store for good; the newest and those that slow readers may still need stay.
+/// Each apply would leave its chunks in the platform's store forever if unused ones were not
+/// deleted. The newest chunks, and those that slow readers may still need, are kept.
 #[tokio::test(start_paused = true)]
 async fn applies_delete_unused_chunks() {
     let store = Arc::new(MemoryStore::new());
--- a/lovagedock-cli/tests/cli/commands.rs
+++ b/lovagedock-cli/tests/cli/commands.rs
@@ -1,4 +1,4 @@
-//! What each command prints and exits with.
+//! Output and exit code of each command.
 
 use std::{fs, sync::Arc};
 
@@ -15,7 +15,7 @@
 const GATEWAY_2: &str = "127.0.0.1:7302";
 const SIDECAR: &str = "127.0.0.1:7401";
 
-/// A command line, what the processes answer, and what the operator sees.
+/// A command line, the responses of the processes, and the expected output.
 struct CommandCase {
     line: &'static str,
     client: ScriptedClient,
@@ -78,7 +78,7 @@
                 .with_response(GATEWAY_2, EXPLAIN, refused(1004)),
             expected: expect![[r#"
                 exit 1
-                no gateway of the settings remembers request 000000000000000000000000000000ab
+                no gateway in the settings has a record of request 000000000000000000000000000000ab
             "#]],
         },
         CommandCase {
@@ -86,7 +86,7 @@
             client: client().with_response(GATEWAY_1, EXPLAIN, refused(1004)),
             expected: expect![[r#"
                 exit 5
-                not found, but not all could be asked: gateway-2 (unreachable: connection refused)
+                not found, but not all gateways could be asked: gateway-2 (unreachable: connection refused)
             "#]],
         },
         CommandCase {
@@ -94,7 +94,7 @@
             client: client(),
             expected: expect![[r#"
                 exit 2
-                "12" is no request id; it has 32 hexadecimal digits
+                "12" is not a request id; expected 32 hexadecimal digits
             "#]],
         },
         CommandCase {
@@ -122,7 +122,7 @@
             client: client(),
             expected: expect![[r#"
                 exit 2
-                settings: "engine-9" is neither an address nor a process of the settings
+                settings: "engine-9" is neither an address nor a process in the settings
             "#]],
         },
         CommandCase {
@@ -157,7 +157,8 @@
                 engine-1 takes work
             "#]],
         },
-        // The call may have been carried out: a drain without an answer is not "not done".
+        // The call may have been executed, so a drain without a response is not reported as "not
+        // done".
         CommandCase {
             line: "drain engine-1",
             client: client().with_response(SIDECAR, "/drain", no_answer()),
@@ -178,8 +179,8 @@
     .await;
 }
 
-/// Generation 1 is accepted. One gateway has it and tells of a sidecar that is behind; the other
-/// gateway cannot be asked, and a sidecar that nobody has a session to is not counted.
+/// Generation 1 is accepted. One gateway has it and reports a sidecar that is behind. The other
+/// gateway is unreachable. A sidecar without a session to any gateway is not counted as having it.
 #[tokio::test(start_paused = true)]
 async fn status_counts_processes_with_the_accepted_generation() {
     let answer = json!({
@@ -214,7 +215,7 @@
     .assert_eq(&show(&report));
     assert_eq!(report.value["in_force"], 2);
 
-    // With the store down, what the processes say is shown all the same.
+    // With the store down, the generations of the processes are still shown.
     store.script_fault(CallKind::Read, "", 0, u32::MAX, MemoryFault::Down);
     let report = run(&runner, "status").await;
     expect![[r#"
@@ -299,7 +300,7 @@
     expect_file!["../../../docs/CODES.md"].assert_eq(&codes_page());
 }
 
-/// What `schema` prints is what is published.
+/// `schema` prints the published schema.
 #[tokio::test]
 async fn schema_is_the_published_one() {
     let runner = new_runner(Arc::new(MemoryStore::new()), ScriptedClient::default());
--- a/lovagedock-cli/tests/cli/common.rs
+++ b/lovagedock-cli/tests/cli/common.rs
@@ -1,4 +1,4 @@
-//! Command lines run against fakes.
+//! Runs command lines against fakes.
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc};
 
@@ -11,14 +11,14 @@
 use lovagedock_platform::MemoryStore;
 use serde_json::Value;
 
-/// Answers calls from a list; what is not in it cannot be reached.
+/// Returns scripted responses; a call without a scripted response is unreachable.
 #[derive(Default)]
 pub(crate) struct ScriptedClient {
     responses: HashMap<(SocketAddr, &'static str), Result<Value, ProcessError>>,
 }
 
 impl ScriptedClient {
-    /// Adds an answer to calls of `path` at `address`.
+    /// Adds a response to calls of `path` at `address`.
     pub(crate) fn with_response(
         mut self,
         address: &str,
@@ -47,7 +47,7 @@
     }
 }
 
-/// A runner with two gateways and one sidecar in its settings.
+/// Creates a runner with two gateways and one sidecar in its settings.
 pub(crate) fn new_runner(store: Arc<MemoryStore>, client: ScriptedClient) -> CommandRunner {
     let text = r#"{
         "gateways": [
@@ -56,7 +56,7 @@
         ],
         "sidecars": [{ "id": "engine-1", "address": "127.0.0.1:7401" }]
     }"#;
-    let settings: OperatorSettings = serde_json::from_str(text).expect("sound settings");
+    let settings: OperatorSettings = serde_json::from_str(text).expect("valid settings");
     let runner = CommandRunner::new(settings).expect("no files to read");
     runner.with_store(store).with_client(Arc::new(client))
 }
@@ -64,7 +64,7 @@
 /// Runs a command line as it would be typed after `lovagedock`.
 pub(crate) async fn run(runner: &CommandRunner, line: &str) -> CommandReport {
     let words = std::iter::once("lovagedock").chain(line.split_whitespace());
-    let line = CommandLine::try_parse_from(words).expect("a sound command line");
+    let line = CommandLine::try_parse_from(words).expect("a valid command line");
     runner.run(&line.command.expect("a command")).await
 }
 
--- a/lovagedock-cli/tests/cli/http_client.rs
+++ b/lovagedock-cli/tests/cli/http_client.rs
@@ -43,12 +43,11 @@
         "operator_token": token,
         "transport": { "plain_tcp": "demo" },
     });
-    let settings: OperatorSettings = serde_json::from_value(settings).expect("sound settings");
+    let settings: OperatorSettings = serde_json::from_value(settings).expect("valid settings");
     CommandRunner::new(settings).expect("no files to read")
 }
 
-/// The process takes writes from the holder of the token alone; anybody may read. Once it is gone,
-/// the operator reads that it cannot be reached.
+/// The process accepts writes only with the token; reads need none.
 #[tokio::test]
 async fn writes_need_the_token() {
     let settings = json!({
@@ -56,7 +55,7 @@
         "operator_token": "right",
         "transport": { "plain_tcp": "demo" },
     });
-    let settings: AdminSettings = serde_json::from_value(settings).expect("sound settings");
+    let settings: AdminSettings = serde_json::from_value(settings).expect("valid settings");
     let context = DaemonContext::new(Logger::root(Discard, o!()));
     let handler = Arc::new(DrainHandler);
     let server = AdminServer::start("test", &settings, handler, &context).await;
@@ -77,7 +76,8 @@
     assert_eq!(dump.value["state"], json!({ "queue": [] }));
 }
 
-/// Nothing listens: the call was not made, and the operator reads so.
+/// Nothing listens on the port, so the call was not made. The exit code reports that the process is
+/// unreachable.
 #[tokio::test]
 async fn a_closed_port_is_unreachable() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
--- a/lovagedock-cli/tests/cli/main.rs
+++ b/lovagedock-cli/tests/cli/main.rs
@@ -1,4 +1,4 @@
-//! Contract of the operators' command line: what it prints and what it exits with.
+//! Tests of the operators' command line: its output and its exit codes.
 
 mod apply;
 mod commands;
--- a/lovagedock-cli/tests/cli/settings.rs
+++ b/lovagedock-cli/tests/cli/settings.rs
@@ -1,4 +1,4 @@
-//! Where settings come from, and what is said when they are wrong or missing.
+//! Sources of settings, and the messages for wrong or missing ones.
 
 use std::{env, fs, path::PathBuf, process};
 
@@ -7,7 +7,7 @@
 use expect_test::{Expect, expect};
 use lovagedock_cli::{CommandLine, run_line};
 
-/// A settings file, the command line beside it, and what the operator sees.
+/// A settings file, a command line that uses it, and the expected output.
 struct SettingsCase {
     name: &'static str,
     settings: &'static str,
@@ -25,7 +25,7 @@
 fn settings_are_checked_before_anything_is_done() {
     let cases = [
         SettingsCase {
-            name: "sound",
+            name: "valid",
             settings: include_str!("../../../examples/local/settings/operator.jsonc"),
             line: "--check-settings",
             expected: expect![[r#"
