--- a/lovagedock-cli/src/config.rs
+++ b/lovagedock-cli/src/config.rs
@@ -45,8 +45,8 @@
     let text = format!(
         "// generation {}, by {}, {}\n{config:#}\n",
         accepted.generation,
-        one_line(&accepted.author),
-        one_line(&loaded.root.accepted_at),
+        strip_control_characters(&accepted.author),
+        strip_control_characters(&loaded.root.accepted_at),
     );
     let value = json!({
         "generation": accepted.generation,
@@ -106,7 +106,7 @@
     winner: Generation,
     author: &str,
 ) -> CommandReport {
-    let author = one_line(author);
+    let author = strip_control_characters(author);
     let mut text = format!(
         "not accepted: the file of {author} was accepted as generation {winner} in its place ({})\n",
         ResultCode::ConfigConflict.number(),
@@ -188,11 +188,11 @@
 
 async fn load_accepted(store: &ConfigStore) -> Result<Option<LoadedConfig>, CommandReport> {
     let loaded = store.load_latest(&mut ChunkCache::new()).await;
-    loaded.map_err(|error| report_load(&error))
+    loaded.map_err(|error| report_load_error(&error))
 }
 
 /// Reports why the accepted configuration cannot be read.
-pub(crate) fn report_load(error: &LoadError) -> CommandReport {
+pub(crate) fn report_load_error(error: &LoadError) -> CommandReport {
     let status = match error {
         LoadError::Store(_) => ExitStatus::Unreachable,
         LoadError::CorruptRoot
@@ -218,6 +218,6 @@
 
 /// Removes control characters from another operator's text, since it is written to a terminal or
 /// into a comment that ends with its line.
-fn one_line(text: &str) -> String {
+fn strip_control_characters(text: &str) -> String {
     text.chars().filter(|c| !c.is_control()).collect()
 }
--- a/lovagedock-cli/src/status.rs
+++ b/lovagedock-cli/src/status.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     client::{ProcessError, ProcessMethod},
-    config::report_load,
+    config::report_load_error,
     report::{CommandReport, ExitStatus, format_table},
     runner::CommandRunner,
     settings::ProcessAddress,
@@ -74,7 +74,7 @@
     let root = runner.config_store()?.load_root().await;
     match root {
         Ok(root) => Ok(root.map_or(0, |root| root.generation())),
-        Err(error) => Err(report_load(&error)),
+        Err(error) => Err(report_load_error(&error)),
     }
 }
 
--- a/lovagedock-daemon/tests/tls.rs
+++ b/lovagedock-daemon/tests/tls.rs
@@ -190,29 +190,29 @@
 
 struct FileCase {
     name: &'static str,
-    damage: fn(&TlsSettings),
+    corrupt: fn(&TlsSettings),
     expected: TlsError,
 }
 
 const FILE_CASES: &[FileCase] = &[
     FileCase {
         name: "no key file",
-        damage: |settings| fs::remove_file(&settings.key_file).unwrap(),
+        corrupt: |settings| fs::remove_file(&settings.key_file).unwrap(),
         expected: TlsError::Unreadable,
     },
     FileCase {
         name: "an empty certificate file",
-        damage: |settings| fs::write(&settings.certificate_file, "").unwrap(),
+        corrupt: |settings| fs::write(&settings.certificate_file, "").unwrap(),
         expected: TlsError::Malformed,
     },
     FileCase {
         name: "a certificate where the key should be",
-        damage: |settings| copy(&settings.certificate_file, &settings.key_file),
+        corrupt: |settings| copy(&settings.certificate_file, &settings.key_file),
         expected: TlsError::Malformed,
     },
     FileCase {
         name: "empty roots",
-        damage: |settings| fs::write(settings.peer_roots_file.as_ref().unwrap(), "").unwrap(),
+        corrupt: |settings| fs::write(settings.peer_roots_file.as_ref().unwrap(), "").unwrap(),
         expected: TlsError::Malformed,
     },
 ];
@@ -223,7 +223,7 @@
     for case in FILE_CASES {
         let folder = KeyFolder::new();
         let settings = folder.settings("server", &root, &root);
-        (case.damage)(&settings);
+        (case.corrupt)(&settings);
         let Err(report) = Transport::new(&TransportSettings::Tls(settings)) else {
             panic!("{}: accepted", case.name);
         };
--- a/lovagedock-sidecar/src/adapter/client.rs
+++ b/lovagedock-sidecar/src/adapter/client.rs
@@ -68,11 +68,11 @@
     }
 
     /// Sends a request. If the head takes longer than the idle timeout, the request counts as lost.
-    pub(crate) async fn send_bounded(
+    pub(crate) async fn send_within_idle_timeout(
         &self,
         request: Request<Full<Bytes>>,
     ) -> Result<EngineResponse, EngineError> {
-        self.bounded(self.send(request)).await?
+        self.within_idle_timeout(self.send(request)).await?
     }
 
     /// Makes a control call with a JSON body and a JSON response.
@@ -99,26 +99,31 @@
         path: &str,
         body: Bytes,
     ) -> Result<Bytes, EngineError> {
-        let response = self.send_bounded(json_request(method, path, body)?).await?;
+        let response = self
+            .send_within_idle_timeout(json_request(method, path, body)?)
+            .await?;
         let response = check_status(response, self).await?;
-        self.bounded(read_all(response)).await?
+        self.within_idle_timeout(read_all(response)).await?
     }
 
     /// Waits for a future for at most the idle timeout.
     ///
     /// A connection can stop delivering data without an error, and the wait would never end. A
     /// working engine never pauses for longer than this timeout.
-    pub(crate) async fn bounded<F: Future>(&self, future: F) -> Result<F::Output, EngineError> {
+    pub(crate) async fn within_idle_timeout<F: Future>(
+        &self,
+        future: F,
+    ) -> Result<F::Output, EngineError> {
         timeout(self.options.idle_timeout, future)
             .await
-            .map_err(|_| self.idle_error())
+            .map_err(|_| self.idle_timeout_error())
     }
 
     pub(crate) fn idle_timeout(&self) -> Duration {
         self.options.idle_timeout
     }
 
-    fn idle_error(&self) -> EngineError {
+    fn idle_timeout_error(&self) -> EngineError {
         let limit = self.idle_timeout();
         EngineError::lost(format!("the endpoint sent nothing for {limit:?}"))
     }
@@ -183,7 +188,7 @@
     if status.is_success() {
         return Ok(response);
     }
-    let body = client.bounded(read_all(response)).await??;
+    let body = client.within_idle_timeout(read_all(response)).await??;
     let detail: String = String::from_utf8_lossy(&body)
         .chars()
         .take(MAX_DETAIL_CHARS)
--- a/lovagedock-sidecar/src/adapter/model.rs
+++ b/lovagedock-sidecar/src/adapter/model.rs
@@ -56,7 +56,7 @@
         let request_id = format_request_id(request.request_id);
         let http_request = json_request(Method::POST, &request.path, body.bytes)?;
         if body.is_streamed {
-            let response = self.client.send_bounded(http_request).await?;
+            let response = self.client.send_within_idle_timeout(http_request).await?;
             let response = check_status(response, &self.client).await?;
             let head = response_head(&response);
             let reader = SseReader::new(self.client.clone(), response, request_id, started);
@@ -125,7 +125,9 @@
         // timeout. The sender of the order sets the time limit.
         let response = self.client.send(http_request).await?;
         let response = check_status(response, &self.client).await?;
-        self.client.bounded(read_all(response)).await??;
+        self.client
+            .within_idle_timeout(read_all(response))
+            .await??;
         Ok(())
     }
 
--- a/lovagedock-sidecar/src/adapter/plain.rs
+++ b/lovagedock-sidecar/src/adapter/plain.rs
@@ -163,7 +163,7 @@
         }
         loop {
             let body = self.response.inner.body_mut();
-            let frame = match self.client.bounded(body.frame()).await? {
+            let frame = match self.client.within_idle_timeout(body.frame()).await? {
                 None => break,
                 Some(frame) => frame.map_err(EngineError::lost)?,
             };
--- a/lovagedock-sidecar/src/adapter/sse.rs
+++ b/lovagedock-sidecar/src/adapter/sse.rs
@@ -179,7 +179,7 @@
             ));
         }
         let body = self.response.inner.body_mut();
-        match self.client.bounded(body.frame()).await? {
+        match self.client.within_idle_timeout(body.frame()).await? {
             None => Err(EngineError::lost("the answer was cut")),
             Some(Err(error)) => Err(EngineError::lost(error)),
             Some(Ok(frame)) => {
