--- a/lovagedock-cli/src/status.rs
+++ b/lovagedock-cli/src/status.rs
@@ -39,7 +39,7 @@
 struct ProcessLine {
     process: String,
     role: &'static str,
-    /// `None` if the process did not respond.
+    /// `None` if it could not be determined.
     generation: Option<Generation>,
     error: Option<String>,
 }
--- a/lovagedock-daemon/src/admin/server.rs
+++ b/lovagedock-daemon/src/admin/server.rs
@@ -121,7 +121,7 @@
             // When the process has no file descriptors left, the error repeats immediately until
             // some are closed. Without a delay the loop would use a whole core.
             Err(error) => {
-                warn!(context.logger, "cannot accept operators"; "error" => %error);
+                warn!(context.logger, "cannot accept an operator connection"; "error" => %error);
                 time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
--- a/lovagedock-sidecar/src/adapter/client.rs
+++ b/lovagedock-sidecar/src/adapter/client.rs
@@ -202,7 +202,7 @@
     Err(EngineError::failed(detail))
 }
 
-/// Reads a whole body, up to the size limit.
+/// Reads a whole body; fails if it exceeds the size limit.
 pub(crate) async fn read_all(response: EngineResponse) -> Result<Bytes, EngineError> {
     let _connection = response.connection;
     let body = Limited::new(response.inner.into_body(), MAX_CONTROL_BYTES);
--- a/lovagedock-sidecar/src/adapter/json_report.rs
+++ b/lovagedock-sidecar/src/adapter/json_report.rs
@@ -82,7 +82,8 @@
     }
 }
 
-/// Skips requests with other ids; they did not come through a sidecar.
+/// Returns `None` for an id that is not a lovagedock request id. Such a request did not come
+/// through a sidecar and is left alone.
 fn engine_allocation(allocation: &RequestAllocation) -> Option<EngineAllocation> {
     Some(EngineAllocation {
         request_id: parse_request_id(&allocation.request_id)?,
--- a/lovagedock-sidecar/src/adapter/plain.rs
+++ b/lovagedock-sidecar/src/adapter/plain.rs
@@ -40,7 +40,7 @@
 const REQUEST_ID_HEADER: HeaderName = HeaderName::from_static("x-request-id");
 const KEEP_ALIVE_HEADER: HeaderName = HeaderName::from_static("keep-alive");
 
-/// Headers that belong to one connection and are never passed on.
+/// Hop-by-hop headers, which are never forwarded.
 const HOP_BY_HOP_HEADERS: [HeaderName; 9] = [
     CONNECTION,
     CONTENT_LENGTH,
--- a/lovagedock-sidecar/src/orders.rs
+++ b/lovagedock-sidecar/src/orders.rs
@@ -295,8 +295,5 @@
 }
 
 fn repeated_order() -> OrderEnd {
-    OrderEnd::new(
-        ResultCode::FenceStale,
-        "the order was already passed to the engine",
-    )
+    OrderEnd::new(ResultCode::FenceStale, "the order was already received")
 }
--- a/lovagedock-sidecar/src/sidecar.rs
+++ b/lovagedock-sidecar/src/sidecar.rs
@@ -191,7 +191,7 @@
                     });
                 }
                 Err(error) => {
-                    warn!(self.log, "cannot accept a gateway"; "error" => %error);
+                    warn!(self.log, "cannot accept a gateway connection"; "error" => %error);
                     sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
