--- a/lovagedock-cli/src/processes.rs
+++ b/lovagedock-cli/src/processes.rs
@@ -6,7 +6,7 @@
 use crate::{
     client::{ProcessError, ProcessMethod},
     report::{CommandReport, ExitStatus},
-    runner::{CommandRunner, report_settings},
+    runner::{CommandRunner, report_settings_error},
 };
 
 type CommandResult = Result<CommandReport, CommandReport>;
@@ -84,12 +84,12 @@
     process: &str,
     undo: bool,
 ) -> CommandResult {
-    let (path, what) = match undo {
+    let (path, state) = match undo {
         false => ("/drain", "is draining"),
         true => ("/undrain", "takes work"),
     };
     let document = call_process(runner, process, ProcessMethod::Post, path).await?;
-    let text = format!("{process} {what}\n");
+    let text = format!("{process} {state}\n");
     Ok(CommandReport::new(ExitStatus::Done, text, document))
 }
 
@@ -101,7 +101,7 @@
 ) -> Result<Value, CommandReport> {
     let Some(address) = runner.settings.find_process(process) else {
         let error = format!("{process:?} is neither an address nor a process in the settings");
-        return Err(report_settings(error));
+        return Err(report_settings_error(error));
     };
     let result = runner.process_client()?.call(address, method, path).await;
     result.map_err(|error| report_call(process, method, &error))
--- a/lovagedock-cli/src/runner.rs
+++ b/lovagedock-cli/src/runner.rs
@@ -39,7 +39,7 @@
         let mut client: Option<Arc<dyn ProcessClient>> = None;
         if let Some(transport) = &settings.transport {
             let transport = Transport::new(transport)
-                .map_err(|report| report_settings(format!("transport: {report}")))?;
+                .map_err(|report| report_settings_error(format!("transport: {report}")))?;
             let token = settings.operator_token.clone();
             client = Some(Arc::new(HttpProcessClient::new(transport, token)));
         }
@@ -87,18 +87,18 @@
     pub(crate) fn config_store(&self) -> Result<ConfigStore, CommandReport> {
         match &self.store {
             Some(store) => Ok(ConfigStore::new(store.clone())),
-            None => Err(report_settings("`platform` is not set".to_owned())),
+            None => Err(report_settings_error("`platform` is not set".to_owned())),
         }
     }
 
     pub(crate) fn process_client(&self) -> Result<&dyn ProcessClient, CommandReport> {
-        let missing = || report_settings("`transport` is not set".to_owned());
+        let missing = || report_settings_error("`transport` is not set".to_owned());
         self.client.as_deref().ok_or_else(missing)
     }
 }
 
 /// Reports an error in the settings.
-pub(crate) fn report_settings(error: String) -> CommandReport {
+pub(crate) fn report_settings_error(error: String) -> CommandReport {
     let code = ResultCode::SettingsInvalid;
     let value = json!({ "error": error, "code": code.number() });
     CommandReport::new(ExitStatus::Usage, format!("settings: {error}\n"), value)
--- a/lovagedock-cli/src/start.rs
+++ b/lovagedock-cli/src/start.rs
@@ -14,7 +14,7 @@
 use crate::{
     arguments::{CommandLine, OutputFormat},
     report::{CommandReport, ExitStatus},
-    runner::{CommandRunner, report_settings},
+    runner::{CommandRunner, report_settings_error},
     settings::OperatorSettings,
 };
 
@@ -56,7 +56,7 @@
             .exit();
     };
     let runtime = runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|error| report_settings(error.to_string()))?;
+    let runtime = runtime.map_err(|error| report_settings_error(error.to_string()))?;
     Ok(runtime.block_on(runner.run(command)))
 }
 
@@ -64,7 +64,7 @@
     let variable = env::var_os(SETTINGS_VARIABLE).map(PathBuf::from);
     match line.settings.clone().or(variable) {
         Some(file) => {
-            OperatorSettings::load(&file).map_err(|error| report_settings(error.to_string()))
+            OperatorSettings::load(&file).map_err(|error| report_settings_error(error.to_string()))
         }
         None => Ok(OperatorSettings::default()),
     }
--- a/lovagedock-cli/tests/cli/apply.rs
+++ b/lovagedock-cli/tests/cli/apply.rs
@@ -212,7 +212,7 @@
 
 /// The store is down before the write: nothing was written, and the operator sees exactly that.
 #[tokio::test(start_paused = true)]
-async fn an_outage_before_the_write_is_not_accepted() {
+async fn an_outage_before_the_write_reports_not_accepted() {
     let down = || StoreFault {
         kind: CallKind::Read,
         key_prefix: "",
--- a/lovagedock-cli/tests/cli/commands.rs
+++ b/lovagedock-cli/tests/cli/commands.rs
@@ -183,7 +183,7 @@
 /// gateway is unreachable. A sidecar without a session to any gateway is not counted as having it.
 #[tokio::test(start_paused = true)]
 async fn status_counts_processes_with_the_accepted_generation() {
-    let answer = json!({
+    let response = json!({
         "gateway": "gateway-1",
         "generation": 1,
         "a_field_of_a_newer_gateway": [],
@@ -194,7 +194,7 @@
         ],
     });
     let store = Arc::new(MemoryStore::new());
-    let client = ScriptedClient::default().with_response(GATEWAY_1, "/status", Ok(answer));
+    let client = ScriptedClient::default().with_response(GATEWAY_1, "/status", Ok(response));
     let runner = new_runner(store.clone(), client);
     run(
         &runner,
--- a/lovagedock-cli/tests/cli/settings.rs
+++ b/lovagedock-cli/tests/cli/settings.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn settings_are_checked_before_anything_is_done() {
+fn settings_are_checked_before_the_command_runs() {
     let cases = [
         SettingsCase {
             name: "valid",
@@ -83,12 +83,12 @@
     ];
     for case in cases {
         let file = write_settings(case.name, case.settings);
-        let shown = file.display().to_string();
-        let words = ["lovagedock", "--settings", shown.as_str()].into_iter();
+        let path = file.display().to_string();
+        let words = ["lovagedock", "--settings", path.as_str()].into_iter();
         let line = CommandLine::try_parse_from(words.chain(case.line.split(' ')));
         let report = run_line(&line.expect(case.name));
         fs::remove_file(&file).expect("the file is there");
         case.expected
-            .assert_eq(&show(&report).replace(&shown, "FILE"));
+            .assert_eq(&show(&report).replace(&path, "FILE"));
     }
 }
--- a/lovagedock-daemon/src/line_queue.rs
+++ b/lovagedock-daemon/src/line_queue.rs
@@ -75,12 +75,12 @@
 
 impl Write for LineQueue {
     /// Accepts a part of a line; a part that ends with a line break completes the line.
-    fn write(&mut self, piece: &[u8]) -> io::Result<usize> {
-        self.line.extend_from_slice(piece);
-        if piece.ends_with(b"\n") {
+    fn write(&mut self, part: &[u8]) -> io::Result<usize> {
+        self.line.extend_from_slice(part);
+        if part.ends_with(b"\n") {
             self.push_line();
         }
-        Ok(piece.len())
+        Ok(part.len())
     }
 
     fn flush(&mut self) -> io::Result<()> {
--- a/lovagedock-daemon/tests/tls.rs
+++ b/lovagedock-daemon/tests/tls.rs
@@ -137,15 +137,15 @@
     assert_eq!(exchange(&trusted_client, server).await.unwrap(), 7);
     assert!(exchange(&untrusted_client, server).await.is_err());
     assert!(exchange(&trusted_client, untrusted_server).await.is_err());
-    let answer = exchange(&Transport::plain_for_demo(), server).await;
-    assert_eq!(answer.unwrap(), TLS_ALERT_RECORD);
+    let response = exchange(&Transport::plain_for_demo(), server).await;
+    assert_eq!(response.unwrap(), TLS_ALERT_RECORD);
 }
 
 // The authority is replaced while a connection is open. The open connection continues. New
 // connections are checked against the new files, so that an old certificate is refused without a
 // restart.
 #[tokio::test]
-async fn a_reload_changes_new_connections_and_leaves_open_ones() {
+async fn a_reload_affects_only_new_connections() {
     let folder = KeyFolder::new();
     let (old, new) = (authority(), authority());
     let server = transport(folder.settings("server", &old, &old));
--- a/lovagedock-sidecar/src/adapter/client.rs
+++ b/lovagedock-sidecar/src/adapter/client.rs
@@ -17,7 +17,7 @@
 
 use super::{error::EngineError, registry::AdapterOptions};
 
-const MAX_CONTROL_BYTES: usize = 64 << 20;
+const MAX_BODY_BYTES: usize = 64 << 20;
 const MAX_DETAIL_CHARS: usize = 300;
 
 /// A response; its connection is closed when it is dropped.
@@ -205,7 +205,7 @@
 /// Reads a whole body; fails if it exceeds the size limit.
 pub(crate) async fn read_all(response: EngineResponse) -> Result<Bytes, EngineError> {
     let _connection = response.connection;
-    let body = Limited::new(response.inner.into_body(), MAX_CONTROL_BYTES);
+    let body = Limited::new(response.inner.into_body(), MAX_BODY_BYTES);
     let collected = body.collect().await.map_err(EngineError::lost)?;
     Ok(collected.to_bytes())
 }
--- a/lovagedock-sidecar/src/adapter/error.rs
+++ b/lovagedock-sidecar/src/adapter/error.rs
@@ -47,7 +47,7 @@
     ///
     /// Other refusals, such as 404 for a model that is not loaded or 429, may be specific to this
     /// endpoint.
-    pub fn is_callers_fault(&self) -> bool {
+    pub fn is_invalid_request(&self) -> bool {
         const STATUSES: [u16; 3] = [400, 413, 422];
         matches!(self, Self::Refused { status, .. } if STATUSES.contains(status))
     }
@@ -64,10 +64,10 @@
         }
     }
 
-    pub(crate) fn unsupported(what: &str) -> Self {
+    pub(crate) fn unsupported(feature: &str) -> Self {
         Self::Refused {
             status: 501,
-            detail: format!("this endpoint does not support {what}"),
+            detail: format!("this endpoint does not support {feature}"),
         }
     }
 }
--- a/lovagedock-sidecar/src/engine_task.rs
+++ b/lovagedock-sidecar/src/engine_task.rs
@@ -169,7 +169,9 @@
         EngineError::Refused { status, .. } if *status == CONFLICT_STATUS => {
             EngineResult::Lost { detail }
         }
-        EngineError::Refused { .. } if error.is_callers_fault() => EngineResult::Invalid { detail },
+        EngineError::Refused { .. } if error.is_invalid_request() => {
+            EngineResult::Invalid { detail }
+        }
         EngineError::Refused { .. } | EngineError::Unreachable { .. } => {
             EngineResult::Refused { detail }
         }
--- a/lovagedock-sidecar/src/orders.rs
+++ b/lovagedock-sidecar/src/orders.rs
@@ -35,7 +35,7 @@
 #[derive(Default)]
 struct ExecutorState {
     gate: FenceGate,
-    memory: LoadedArtifacts,
+    artifacts: LoadedArtifacts,
     waiting: Vec<WaitingOrder>,
 }
 
@@ -64,21 +64,21 @@
     /// Records the model and the adapters that the engine reports.
     pub(crate) fn record_load(&self, now: Timestamp, load: &EngineLoad) {
         let mut state = self.state.lock();
-        state.memory.report(now, &load.model, &load.adapters);
+        state.artifacts.report(now, &load.model, &load.adapters);
     }
 
     /// Records that the engine is down and has lost everything it had loaded.
     pub(crate) fn record_engine_down(&self) {
-        self.state.lock().memory.forget();
+        self.state.lock().artifacts.forget();
     }
 
     /// What is known about the engine.
     pub(crate) fn report(&self, pool: &str) -> LoadedReport {
         let state = self.state.lock();
         LoadedReport {
-            loaded: state.memory.current(),
+            loaded: state.artifacts.current(),
             busy: state.gate.passing().is_some(),
-            unsettled: state.memory.is_unsettled(),
+            unsettled: state.artifacts.is_unsettled(),
             highest: state.gate.highest(pool).unwrap_or_default(),
         }
     }
@@ -87,8 +87,8 @@
     pub(crate) fn dump(&self) -> Value {
         let state = self.state.lock();
         json!({
-            "loaded": state.memory.current(),
-            "unsettled": state.memory.is_unsettled(),
+            "loaded": state.artifacts.current(),
+            "unsettled": state.artifacts.is_unsettled(),
             "passing": state.gate.passing().map(|order| order.epoch),
             "waiting": state.waiting.len(),
         })
@@ -169,18 +169,18 @@
             .iter()
             .find(|waiting| waiting.fenced == *fenced)?;
         let order = waiting.order.clone();
-        if state.memory.holds(&order) {
+        if state.artifacts.holds(&order) {
             return None;
         }
-        state.memory.begin(&order);
+        state.artifacts.begin(&order);
         Some(order)
     }
 
     fn record_result(&self, now: Timestamp, order: LoadOrder, result: &Result<(), EngineError>) {
-        let memory = &mut self.state.lock().memory;
+        let artifacts = &mut self.state.lock().artifacts;
         match result {
-            Ok(()) => memory.confirm(now, order),
-            Err(error) if error.ran() == RanState::No => memory.withdraw(),
+            Ok(()) => artifacts.confirm(now, order),
+            Err(error) if error.ran() == RanState::No => artifacts.withdraw(),
             Err(_) => {}
         }
     }
@@ -257,8 +257,8 @@
         fence: fenced.epoch,
         kind: order_kind(&order),
     };
-    let ordered = timeout(ORDER_TIMEOUT, sidecar.adapter.order(engine_order)).await;
-    let result = ordered.unwrap_or_else(|_| {
+    let outcome = timeout(ORDER_TIMEOUT, sidecar.adapter.order(engine_order)).await;
+    let result = outcome.unwrap_or_else(|_| {
         let detail = format!("the order did not end within {ORDER_TIMEOUT:?}");
         Err(EngineError::Lost { detail })
     });
--- a/lovagedock-sidecar/src/segment.rs
+++ b/lovagedock-sidecar/src/segment.rs
@@ -66,7 +66,7 @@
 /// Lock order: no other lock is taken while this one is held.
 #[derive(Default)]
 pub(crate) struct ActiveSegments {
-    parts: Mutex<BTreeMap<RequestId, ActiveSegment>>,
+    segments: Mutex<BTreeMap<RequestId, ActiveSegment>>,
 }
 
 struct ActiveSegment {
@@ -82,11 +82,11 @@
         range: SegmentRange,
         now: Timestamp,
     ) -> SegmentGuard<'_> {
-        let part = ActiveSegment {
+        let segment = ActiveSegment {
             range,
             started_at: now,
         };
-        self.parts.lock().insert(request, part);
+        self.segments.lock().insert(request, segment);
         SegmentGuard {
             segments: self,
             request,
@@ -94,16 +94,16 @@
     }
 
     pub(crate) fn count(&self) -> usize {
-        self.parts.lock().len()
+        self.segments.lock().len()
     }
 
     /// Predicted remaining prefill time of all parts.
     pub(crate) fn prefill_left(&self, now: Timestamp, cost: CostParameters) -> Duration {
-        let parts = self.parts.lock();
-        let left = parts.values().map(|part| {
-            let end = part.range.start + part.range.tokens;
-            let total = cost.or_assumed().prefill(end, part.range.start);
-            total.saturating_sub(now.saturating_sub(part.started_at))
+        let segments = self.segments.lock();
+        let left = segments.values().map(|segment| {
+            let end = segment.range.start + segment.range.tokens;
+            let total = cost.or_assumed().prefill(end, segment.range.start);
+            total.saturating_sub(now.saturating_sub(segment.started_at))
         });
         left.sum()
     }
@@ -117,7 +117,7 @@
 
 impl Drop for SegmentGuard<'_> {
     fn drop(&mut self) {
-        self.segments.parts.lock().remove(&self.request);
+        self.segments.segments.lock().remove(&self.request);
     }
 }
 
--- a/lovagedock-sidecar/src/session.rs
+++ b/lovagedock-sidecar/src/session.rs
@@ -201,9 +201,9 @@
         async move { segment::prefill(&state, &work, range, bytes_per_token).await }
     }
 
-    fn drain(&self, leaving: bool) -> u32 {
+    fn drain(&self, draining: bool) -> u32 {
         self.record_activity();
-        self.state.decide(EndpointEvent::Drain(leaving));
+        self.state.decide(EndpointEvent::Drain(draining));
         let load = self.state.read(lovagedock::EndpointCore::load);
         (load.queued + load.running) as u32
     }
--- a/lovagedock-sidecar/src/state.rs
+++ b/lovagedock-sidecar/src/state.rs
@@ -98,10 +98,10 @@
     /// sender.
     pub(crate) fn decide(self: &Arc<Self>, mut event: EndpointEvent) -> Option<CoreReply> {
         let mut core = self.core.lock();
-        if let EndpointEvent::Drain(leaving) = &mut event {
+        if let EndpointEvent::Drain(draining) = &mut event {
             // The drain of a process that is stopping cannot be undone. Work accepted after that
             // would be cut when the process exits.
-            *leaving |= self.stopping.load(Ordering::SeqCst);
+            *draining |= self.stopping.load(Ordering::SeqCst);
             // An earlier drain that was undone may have set this already. If it stayed set, it
             // would end the new drain immediately and cut the running requests.
             self.drained.send_replace(false);
