--- a/lovagedock-cli/src/config.rs
+++ b/lovagedock-cli/src/config.rs
@@ -57,8 +57,8 @@
     Ok(CommandReport::new(ExitStatus::Done, text, value))
 }
 
-/// Maximum number of old chunks that one apply deletes; more than a file of 25,000 organisations
-/// has.
+/// Maximum number of old chunks that one apply deletes; more than the number of chunks of a
+/// configuration with 25,000 organisations.
 const MAX_DELETED_CHUNKS: usize = 256;
 
 pub(crate) async fn apply_files(
--- a/lovagedock-cli/src/processes.rs
+++ b/lovagedock-cli/src/processes.rs
@@ -86,7 +86,7 @@
 ) -> CommandResult {
     let (path, state) = match undo {
         false => ("/drain", "is draining"),
-        true => ("/undrain", "takes work"),
+        true => ("/undrain", "accepts work"),
     };
     let document = call_process(runner, process, ProcessMethod::Post, path).await?;
     let text = format!("{process} {state}\n");
--- a/lovagedock-cli/tests/cli/apply.rs
+++ b/lovagedock-cli/tests/cli/apply.rs
@@ -116,8 +116,8 @@
 }
 
 /// Two operators apply at the same time, both on generation 0. One file is accepted. The other
-/// operator gets a conflict that names the accepted configuration and what the own file would
-/// change now. The files are not merged.
+/// operator gets a conflict that names the accepted configuration and what the second file
+/// would change now. The files are not merged.
 #[tokio::test(start_paused = true)]
 async fn the_second_of_two_concurrent_applies_gets_a_conflict() {
     let store = Arc::new(MemoryStore::new());
@@ -210,7 +210,8 @@
     .assert_eq(&show(&run(&runner, &line).await));
 }
 
-/// The store is down before the write: nothing was written, and the operator sees exactly that.
+/// The store is down before the write: nothing was written, and the operator sees "not
+/// accepted".
 #[tokio::test(start_paused = true)]
 async fn an_outage_before_the_write_reports_not_accepted() {
     let down = || StoreFault {
--- a/lovagedock-cli/tests/cli/commands.rs
+++ b/lovagedock-cli/tests/cli/commands.rs
@@ -154,7 +154,7 @@
             client: client().with_response(SIDECAR, "/undrain", Ok(json!({ "draining": false }))),
             expected: expect![[r#"
                 exit 0
-                engine-1 takes work
+                engine-1 accepts work
             "#]],
         },
         // The call may have been executed, so a drain without a response is not reported as "not
@@ -180,7 +180,8 @@
 }
 
 /// Generation 1 is accepted. One gateway has it and reports a sidecar that is behind. The other
-/// gateway is unreachable. A sidecar without a session to any gateway is not counted as having it.
+/// gateway is unreachable. A sidecar without a session to any gateway is not counted as having
+/// generation 1.
 #[tokio::test(start_paused = true)]
 async fn status_counts_processes_with_the_accepted_generation() {
     let response = json!({
@@ -300,7 +301,6 @@
     expect_file!["../../../docs/CODES.md"].assert_eq(&codes_page());
 }
 
-/// `schema` prints the published schema.
 #[tokio::test]
 async fn schema_is_the_published_one() {
     let runner = new_runner(Arc::new(MemoryStore::new()), ScriptedClient::default());
--- a/lovagedock-daemon/src/run.rs
+++ b/lovagedock-daemon/src/run.rs
@@ -23,7 +23,7 @@
     /// How the daemon logs.
     fn log(&self) -> LogSettings;
 
-    /// Errors of settings that are well formed individually; one line per error.
+    /// Errors in settings that were parsed successfully; one line per error.
     fn problems(&self) -> Vec<String> {
         Vec::new()
     }
--- a/lovagedock-daemon/src/shutdown.rs
+++ b/lovagedock-daemon/src/shutdown.rs
@@ -85,7 +85,8 @@
 
     /// Triggers the signal whenever the process receives SIGHUP; needs a Tokio runtime.
     ///
-    /// A process that does not handle SIGHUP is ended by it, and its requests with it.
+    /// SIGHUP terminates a process that does not handle it, which aborts the requests of the
+    /// process.
     pub fn listen_to_process_signals(&self) -> io::Result<()> {
         let mut hangup = signal(SignalKind::hangup())?;
         let reload = self.clone();
--- a/lovagedock-daemon/src/tls.rs
+++ b/lovagedock-daemon/src/tls.rs
@@ -33,7 +33,7 @@
     /// connect as a client.
     #[serde(default)]
     pub peer_roots_file: Option<PathBuf>,
-    /// Name that a server's certificate has to contain; its IP address if absent.
+    /// Name that a server's certificate has to contain; the server's IP address if absent.
     #[serde(default)]
     pub server_name: Option<String>,
     /// Interval between checks of the files, in milliseconds.
@@ -71,7 +71,7 @@
 
 impl std::error::Error for TlsError {}
 
-/// Configurations created from one reading of the files.
+/// Configurations created from a single read of the files.
 pub struct TlsConfigs {
     /// For accepted connections.
     pub server: Arc<ServerConfig>,
--- a/lovagedock-sidecar/src/adapter/client.rs
+++ b/lovagedock-sidecar/src/adapter/client.rs
@@ -1,4 +1,5 @@
-//! HTTP client for an endpoint, with one connection per call and a time limit for every wait.
+//! HTTP client for an endpoint, with one connection per call. Waits are limited by the idle
+//! timeout, except for responses that arrive only when all work is done.
 
 use std::{future::Future, time::Duration};
 
@@ -75,7 +76,7 @@
         self.within_idle_timeout(self.send(request)).await?
     }
 
-    /// Makes a control call with a JSON body and a JSON response.
+    /// Makes a call with a JSON body and a JSON response; each wait is limited by the idle timeout.
     pub(crate) async fn call<B: Serialize, T: DeserializeOwned>(
         &self,
         method: Method,
@@ -86,13 +87,13 @@
         serde_json::from_slice(&bytes).map_err(EngineError::failed)
     }
 
-    /// Makes a control call without a body and with a JSON response.
+    /// Makes a GET call with a JSON response; each wait is limited by the idle timeout.
     pub(crate) async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, EngineError> {
         let bytes = self.call_bytes(Method::GET, path, Bytes::new()).await?;
         serde_json::from_slice(&bytes).map_err(EngineError::failed)
     }
 
-    /// Makes a control call and returns the body of the response.
+    /// Makes a call and returns the body of the response; each wait is limited by the idle timeout.
     pub(crate) async fn call_bytes(
         &self,
         method: Method,
--- a/lovagedock-sidecar/src/adapter/engine_adapter.rs
+++ b/lovagedock-sidecar/src/adapter/engine_adapter.rs
@@ -28,7 +28,8 @@
 /// an engine that sends nothing is detected by the next [`EngineAdapter::load`].
 #[async_trait]
 pub trait EngineAdapter: Send + Sync {
-    /// What the endpoint supports. Other calls fail with `Refused` and status 501.
+    /// What the endpoint supports. Unsupported calls for segments, transfers of requests or orders
+    /// fail with `Refused` and status 501; other unsupported calls succeed without an effect.
     fn capabilities(&self) -> AdapterCapabilities;
 
     /// Starts a request, or continues one from its `resume_offset`.
--- a/lovagedock-sidecar/src/adapter/message.rs
+++ b/lovagedock-sidecar/src/adapter/message.rs
@@ -9,13 +9,13 @@
 /// What an endpoint supports besides answering requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AdapterCapabilities {
-    /// It reports memory allocations and cancels by request id.
+    /// Whether it reports memory allocations and cancels by request id.
     pub tracks_memory: bool,
-    /// It prefills parts of prompts and decodes with parts that other engines hold.
+    /// Whether it prefills segments and decodes with segments that other engines hold.
     pub accepts_segments: bool,
-    /// It exports and imports the state of requests.
+    /// Whether it exports and imports the state of requests.
     pub transfers_requests: bool,
-    /// It accepts orders.
+    /// Whether it accepts orders.
     pub accepts_orders: bool,
 }
 
@@ -173,9 +173,9 @@
 /// A change of the engine's prefix cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheChange {
-    /// The prompt piece with this hash is cached.
+    /// The prompt chunk with this hash is cached.
     Stored(u64),
-    /// The prompt piece with this hash is no longer cached.
+    /// The prompt chunk with this hash is no longer cached.
     Removed(u64),
 }
 
@@ -202,6 +202,6 @@
 pub struct CacheSnapshot {
     /// Number of the last event that it includes.
     pub sequence: u64,
-    /// Hashes of the cached prompt pieces.
+    /// Hashes of the cached prompt chunks.
     pub hashes: Vec<u64>,
 }
--- a/lovagedock-sidecar/src/adapter/prometheus_report.rs
+++ b/lovagedock-sidecar/src/adapter/prometheus_report.rs
@@ -103,7 +103,9 @@
     let number: Option<f64> = value.and_then(|value| value.trim().parse().ok());
     match number {
         Some(number) if number.is_finite() && number >= 0.0 => Ok(number as u64),
-        _ => Err(EngineError::failed(format!("no usable metric {name}"))),
+        _ => Err(EngineError::failed(format!(
+            "metric {name} is missing or not a valid number"
+        ))),
     }
 }
 
--- a/lovagedock-sidecar/src/adapter/sse.rs
+++ b/lovagedock-sidecar/src/adapter/sse.rs
@@ -180,7 +180,7 @@
         }
         let body = self.response.inner.body_mut();
         match self.client.within_idle_timeout(body.frame()).await? {
-            None => Err(EngineError::lost("the answer was cut")),
+            None => Err(EngineError::lost("the answer was truncated")),
             Some(Err(error)) => Err(EngineError::lost(error)),
             Some(Ok(frame)) => {
                 if let Ok(data) = frame.into_data() {
--- a/lovagedock-sidecar/src/answers.rs
+++ b/lovagedock-sidecar/src/answers.rs
@@ -1,7 +1,8 @@
 //! Requests that a sidecar holds: what the caller sent and what the engine has answered so far.
 //!
 //! Answers are stored, not only forwarded, so that a gateway can resume an answer from an offset on
-//! another connection, and so that a slow caller does not occupy an engine.
+//! another connection, and so that a slow caller does not occupy an engine. A sink sends one answer
+//! over the connection of one gateway.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -23,11 +24,11 @@
     hasher: blake3::Hasher,
     visible_end: u64,
     end: Option<AnswerEnd>,
-    /// Number of the connection that receives the answer. It increases with each new connection;
-    /// sinks with an older number stop.
+    /// Number of the sink that sends the answer. It increases with each new sink; sinks with an
+    /// older number stop.
     sink_id: u64,
     delivered: bool,
-    /// Whether a connection receives the answer, or is about to.
+    /// Whether a sink sends the answer, or is about to.
     has_sink: bool,
     /// Whether the record is kept only because its end has not been sent yet.
     forgotten: bool,
@@ -46,7 +47,7 @@
     End(AnswerEnd),
     /// Nothing to send yet.
     Wait,
-    /// Another connection receives the answer now, or the request was removed.
+    /// Another sink sends the answer now, or the request was removed.
     Stop,
 }
 
@@ -129,8 +130,8 @@
         }
     }
 
-    /// Makes a connection the current receiver of the answer. The returned receiver signals changes
-    /// of the answer.
+    /// Creates a new sink and makes it the current one of the answer. The returned receiver signals
+    /// changes of the answer.
     pub(crate) fn attach(
         &mut self,
         key: AttemptKey,
--- a/lovagedock-sidecar/src/engine_task.rs
+++ b/lovagedock-sidecar/src/engine_task.rs
@@ -14,8 +14,8 @@
     state::SidecarState,
 };
 
-/// Difference between the priorities of two length buckets. It exceeds the difference between any
-/// two tiers.
+/// Difference between the priorities of two adjacent length buckets. It exceeds the difference
+/// between any two tiers.
 const LENGTH_PRIORITY_STEP: i32 = 3;
 /// Maximum length of an answer; equals the limit for a whole (not streamed) answer of a model
 /// engine.
@@ -42,8 +42,8 @@
 }
 
 /// Whether the engine's process has ended, in which case its port refuses connections. A broken
-/// connection alone does not show this. If it were reported to the gateways as an end of the engine
-/// process, it would be counted against the request.
+/// connection alone does not show this. If every broken connection were reported to the gateways as
+/// an end of the engine process, it would be counted against the request.
 async fn has_exited(state: &Arc<SidecarState>) -> bool {
     let load_result = timeout(EXIT_PROBE_TIMEOUT, state.adapter.load()).await;
     matches!(load_result, Ok(Err(EngineError::Unreachable { .. })))
@@ -54,9 +54,9 @@
 ///
 /// Engines prefill in chunks, the highest priority first. If the priority did not include the
 /// length, a prompt of a thousand tokens that arrives after one of a million would wait for all
-/// chunks of the long prompt. If the tier came before the length, it would still wait whenever the
-/// long prompt has a higher tier. Tiers are respected by the queue of the sidecar. On the engine, a
-/// short prompt delays a long prompt of any tier only a little.
+/// chunks of the long prompt. If the tier came before the length, the short prompt would still wait
+/// whenever the long prompt has a higher tier. Tiers are respected by the queue of the sidecar. On
+/// the engine, a short prompt delays a long prompt of any tier only a little.
 pub(crate) fn engine_priority(tier: PriorityTier, prompt_tokens: TokenCount) -> i32 {
     let tier = match tier {
         PriorityTier::Batch => 0,
--- a/lovagedock-sidecar/src/orders.rs
+++ b/lovagedock-sidecar/src/orders.rs
@@ -1,5 +1,5 @@
-//! Executes the orders of lease holders and checks their fencing numbers, independent of the
-//! engine's own checks.
+//! Executes the orders of lease holders and checks their fencing numbers, independently of
+//! the engine's own checks.
 
 use std::{sync::Arc, time::Duration};
 
@@ -72,7 +72,7 @@
         self.state.lock().artifacts.forget();
     }
 
-    /// What is known about the engine.
+    /// What the engine has loaded, as far as known, and the pool's highest known fencing number.
     pub(crate) fn report(&self, pool: &str) -> LoadedReport {
         let state = self.state.lock();
         LoadedReport {
@@ -112,10 +112,10 @@
     ///
     /// After a restart of the sidecar the first number that arrives becomes the highest known one.
     /// The sidecar does not compare it with the store, since sidecars have no access to the store.
-    /// An order of a former holder cannot arrive first and be accepted: it checked its lease after
-    /// this incarnation of the sidecar had replied to it, so no successor held the lease before
-    /// that. What a successor sends later arrives at this incarnation and raises the highest known
-    /// number.
+    /// An order of a former holder cannot arrive first and be accepted: the former holder checked
+    /// its lease after this incarnation of the sidecar had replied to it, so no successor held the
+    /// lease before that. What a successor sends later arrives at this incarnation and raises the
+    /// highest known number.
     fn check_fence(&self, message: &OrderMessage) -> OrderReply {
         let pool = message.pool.clone();
         let epoch = message.epoch;
@@ -160,7 +160,7 @@
     /// What the engine has to load for the order that is being passed; `None` if it is already
     /// loaded.
     ///
-    /// A holder whose session broke while the engine was loading sends the same order again.
+    /// A lease holder whose session broke while the engine was loading sends the same order again.
     /// Loading twice would take the engine out of service without need.
     fn start_load(&self, fenced: &FencedOrder) -> Option<LoadOrder> {
         let mut state = self.state.lock();
@@ -198,8 +198,8 @@
         for action in actions {
             match action {
                 FenceAction::Pass(fenced) => {
-                    // Runs in a separate task, so that the order continues when the holder's
-                    // session breaks.
+                    // Runs in a separate task, so that the order continues when the lease
+                    // holder's session breaks.
                     tokio::spawn(run(Arc::clone(sidecar), fenced));
                 }
                 FenceAction::Refuse {
@@ -225,7 +225,7 @@
         else {
             return;
         };
-        // The receiver is dropped when the holder has disconnected.
+        // The receiver is dropped when the lease holder has disconnected.
         let _receiver_dropped = self.waiting.swap_remove(index).reply.send(end);
     }
 }
--- a/lovagedock-sidecar/src/segment.rs
+++ b/lovagedock-sidecar/src/segment.rs
@@ -1,4 +1,5 @@
-//! Prefills one part of a prompt that does not fit on a single engine.
+//! Prefills segments. A segment is one part of a prompt that does not fit on a single engine; a
+//! span is a request whose segments are held by several engines.
 
 use std::{borrow::Cow, collections::BTreeMap, time::Duration};
 
@@ -9,22 +10,22 @@
 
 use crate::{adapter::SegmentRequest, engine_task::engine_priority, state::SidecarState};
 
-/// Prompt length from which the engine priority of a part of a span is computed.
+/// Prompt length from which the engine priority of a segment is computed.
 ///
-/// A span holds memory on several engines until its parts, one after the other, have been
-/// prefilled. With the priority of its whole length, each part would wait behind all requests that
-/// arrive meanwhile, on one engine after the other, and the prompt would miss its deadline.
+/// A span holds memory on several engines until its segments, one after the other, have been
+/// prefilled. With the priority of its whole length, each segment would wait behind all requests
+/// that arrive meanwhile, on one engine after the other, and the prompt would miss its deadline.
 const SEGMENT_PRIORITY_TOKENS: TokenCount = 64_000;
 
-/// Prefills a part into the memory that its attempt has reserved on this endpoint.
+/// Prefills a segment into the memory that its attempt has reserved on this endpoint.
 pub(crate) async fn prefill(
     state: &SidecarState,
     work: &WorkMessage,
     range: SegmentRange,
     bytes_per_token: f64,
 ) -> SegmentReply {
-    // Without the reservation the part would use memory that the ledger has granted to other
-    // requests.
+    // Without the reservation the segment would use memory that the core's memory ledger has
+    // granted to other requests.
     if !state.read(|core| core.holds_reservation(work.key)) {
         return refused_reply("the reservation has expired");
     }
@@ -58,10 +59,10 @@
     }
 }
 
-/// Parts of spans that the engine is prefilling; the load report includes them.
+/// Segments that the engine is prefilling; the load report includes them.
 ///
 /// They are not requests of this endpoint. If they were not counted, a report would show an idle
-/// engine while it is busy with a long part, and gateways would send it short prompts.
+/// engine while it is busy with a long segment, and gateways would send it short prompts.
 ///
 /// Lock order: no other lock is taken while this one is held.
 #[derive(Default)]
@@ -75,7 +76,8 @@
 }
 
 impl ActiveSegments {
-    /// Counts a part until the guard is dropped, which also happens when its gateway disconnects.
+    /// Counts a segment until the guard is dropped, which also happens when its gateway
+    /// disconnects.
     pub(crate) fn begin(
         &self,
         request: RequestId,
@@ -97,7 +99,7 @@
         self.segments.lock().len()
     }
 
-    /// Predicted remaining prefill time of all parts.
+    /// Predicted remaining prefill time of all segments.
     pub(crate) fn prefill_left(&self, now: Timestamp, cost: CostParameters) -> Duration {
         let segments = self.segments.lock();
         let left = segments.values().map(|segment| {
@@ -109,7 +111,7 @@
     }
 }
 
-/// Removes a part from the count when it is dropped.
+/// Removes a segment from the count when it is dropped.
 pub(crate) struct SegmentGuard<'a> {
     segments: &'a ActiveSegments,
     request: RequestId,
--- a/lovagedock-sidecar/src/session.rs
+++ b/lovagedock-sidecar/src/session.rs
@@ -146,7 +146,8 @@
         self.record_activity();
         match self.state.decide(EndpointEvent::Revoke(key)) {
             Some(CoreReply::Verdict(verdict)) => verdict,
-            // The core returns a verdict for every revoke. Without a verdict nothing is guaranteed.
+            // The core returns a verdict for every revoke. If there were none, it would be unknown
+            // whether the attempt ran.
             _ => RevokeVerdict::OtherLife,
         }
     }
--- a/lovagedock-sidecar/src/settings.rs
+++ b/lovagedock-sidecar/src/settings.rs
@@ -27,7 +27,7 @@
     #[serde(default = "default_drain_ms")]
     pub drain_ms: u64,
     /// How long a drained sidecar continues to refuse requests before it exits, in milliseconds;
-    /// longer than the gateways' heartbeat interval.
+    /// it should be longer than the gateways' heartbeat interval.
     #[serde(default = "default_linger_ms")]
     pub linger_ms: u64,
 }
--- a/lovagedock-sidecar/src/sidecar.rs
+++ b/lovagedock-sidecar/src/sidecar.rs
@@ -24,10 +24,10 @@
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Interval between checks whether all answers have been sent to their gateways.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Time after the drain to report the outcome of requests that did not end during the drain.
+/// Time limit for reporting the outcome of requests that did not end within the drain time.
 const CANCEL_REPORT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Maximum number of requests of each kind that are logged when the process exits before they end.
-/// The rest is only counted.
+/// Maximum number of unfinished requests, and of unsent answers, that are logged individually when
+/// the process exits. The others are only counted.
 const MAX_LOGGED_REQUESTS: usize = 200;
 
 /// Error that prevents a sidecar from starting.
@@ -208,7 +208,8 @@
     /// Cancels the running requests and reports their outcome to the gateways.
     ///
     /// Without this report a gateway would try to reach this sidecar for seconds before it
-    /// continues. A drain time of zero requests an immediate exit.
+    /// handles the loss of these requests. A drain time of zero requests an immediate exit, so
+    /// nothing is reported.
     async fn report_cancelled_requests(&self) {
         if self.drain_time.is_zero() {
             return;
--- a/lovagedock-sidecar/src/state.rs
+++ b/lovagedock-sidecar/src/state.rs
@@ -55,7 +55,7 @@
     pub(crate) clock: ProcessClock,
     /// Adapter to the endpoint.
     pub(crate) adapter: Arc<dyn EngineAdapter>,
-    /// Parts of spans that the engine is prefilling.
+    /// Segments that the engine is prefilling.
     pub(crate) segments: ActiveSegments,
     /// Logger of the sidecar.
     pub(crate) log: Logger,
