--- a/lovagedock-sidecar/src/segment.rs
+++ b/lovagedock-sidecar/src/segment.rs
@@ -67,7 +67,7 @@
 /// Lock order: no other lock is taken while this one is held.
 #[derive(Default)]
 pub(crate) struct ActiveSegments {
-    segments: Mutex<BTreeMap<RequestId, ActiveSegment>>,
+    by_request: Mutex<BTreeMap<RequestId, ActiveSegment>>,
 }
 
 struct ActiveSegment {
@@ -88,7 +88,7 @@
             range,
             started_at: now,
         };
-        self.segments.lock().insert(request, segment);
+        self.by_request.lock().insert(request, segment);
         SegmentGuard {
             segments: self,
             request,
@@ -96,12 +96,12 @@
     }
 
     pub(crate) fn count(&self) -> usize {
-        self.segments.lock().len()
+        self.by_request.lock().len()
     }
 
     /// Predicted remaining prefill time of all segments.
     pub(crate) fn prefill_left(&self, now: Timestamp, cost: CostParameters) -> Duration {
-        let segments = self.segments.lock();
+        let segments = self.by_request.lock();
         let left = segments.values().map(|segment| {
             let end = segment.range.start + segment.range.tokens;
             let total = cost.or_assumed().prefill(end, segment.range.start);
@@ -119,7 +119,7 @@
 
 impl Drop for SegmentGuard<'_> {
     fn drop(&mut self) {
-        self.segments.segments.lock().remove(&self.request);
+        self.segments.by_request.lock().remove(&self.request);
     }
 }
 
