--- a/lovagedock-sidecar/src/adapter/json_report.rs
+++ b/lovagedock-sidecar/src/adapter/json_report.rs
@@ -83,7 +83,7 @@
 }
 
 /// Returns `None` for an id that is not a lovagedock request id. Such a request did not come
-/// through a sidecar and is left alone.
+/// through a sidecar and is ignored.
 fn engine_allocation(allocation: &RequestAllocation) -> Option<EngineAllocation> {
     Some(EngineAllocation {
         request_id: parse_request_id(&allocation.request_id)?,
