--- a/lovagedock-cli/src/config.rs
+++ b/lovagedock-cli/src/config.rs
@@ -45,8 +45,8 @@
     let text = format!(
         "// generation {}, by {}, {}\n{config:#}\n",
         accepted.generation,
-        one_line(&accepted.author),
-        one_line(&loaded.root.accepted_at),
+        strip_control_characters(&accepted.author),
+        strip_control_characters(&loaded.root.accepted_at),
     );
     let value = json!({
         "generation": accepted.generation,
@@ -57,8 +57,9 @@
     Ok(CommandReport::new(ExitStatus::Done, text, value))
 }
 
-/// Old chunks that one apply deletes at most; more than a file of 25,000 organisations has.
-const COLLECTED_CHUNKS: usize = 256;
+/// Maximum number of old chunks that one apply deletes; more than the number of chunks of a
+/// configuration with 25,000 organisations.
+const MAX_DELETED_CHUNKS: usize = 256;
 
 pub(crate) async fn apply_files(
     runner: &CommandRunner,
@@ -73,11 +74,12 @@
     let expected = arguments.expect_generation;
     let request = ApplyRequest::new(bytes, expected, &arguments.author, nonce.clone())
         .with_submitted_at(&httpdate::fmt_http_date(SystemTime::now()))
-        .with_patience(Duration::from_millis(arguments.patience_ms));
+        .with_patience(Duration::from_millis(arguments.timeout_ms));
     Ok(match store.apply(&request).await {
         ApplyOutcome::Accepted { generation } => {
-            // Old chunks that stay for want of an answer are deleted after the next apply.
-            let _later = store.collect_chunks(COLLECTED_CHUNKS).await;
+            // Old chunks that could not be deleted because the store did not respond are deleted
+            // after the next apply.
+            let _retried_later = store.collect_chunks(MAX_DELETED_CHUNKS).await;
             report_accepted(generation)
         }
         ApplyOutcome::Conflict { winner, author } => {
@@ -96,14 +98,15 @@
     CommandReport::new(ExitStatus::Done, text, value)
 }
 
-/// Names the winner and shows what the loser's file would change now.
+/// Reports the configuration that was accepted first, and what the operator's own file would change
+/// now.
 async fn report_conflict(
     store: &ConfigStore,
     config: &FleetConfig,
     winner: Generation,
     author: &str,
 ) -> CommandReport {
-    let author = one_line(author);
+    let author = strip_control_characters(author);
     let mut text = format!(
         "not accepted: the file of {author} was accepted as generation {winner} in its place ({})\n",
         ResultCode::ConfigConflict.number(),
@@ -129,8 +132,9 @@
     CommandReport::new(ExitStatus::Conflict, text, value)
 }
 
-/// With the nonce of an earlier apply, this call's failure says nothing of that one: told "not
-/// accepted", the operator would apply another file over one that is in force.
+/// If the call repeats an earlier apply with its nonce, its failure does not show what happened to
+/// the earlier one. If "not accepted" were reported, the operator would apply another file over a
+/// configuration that is in force.
 fn report_not_accepted(
     reason: &NotAcceptedReason,
     expected: Generation,
@@ -184,11 +188,11 @@
 
 async fn load_accepted(store: &ConfigStore) -> Result<Option<LoadedConfig>, CommandReport> {
     let loaded = store.load_latest(&mut ChunkCache::new()).await;
-    loaded.map_err(|error| report_load(&error))
+    loaded.map_err(|error| report_load_error(&error))
 }
 
 /// Reports why the accepted configuration cannot be read.
-pub(crate) fn report_load(error: &LoadError) -> CommandReport {
+pub(crate) fn report_load_error(error: &LoadError) -> CommandReport {
     let status = match error {
         LoadError::Store(_) => ExitStatus::Unreachable,
         LoadError::CorruptRoot
@@ -212,7 +216,8 @@
     changes.iter().map(|change| format!("{change}\n")).collect()
 }
 
-/// Another operator's text goes to a terminal, or into a comment that ends with its line.
-fn one_line(text: &str) -> String {
+/// Removes control characters from another operator's text, since it is written to a terminal or
+/// into a comment that ends with its line.
+fn strip_control_characters(text: &str) -> String {
     text.chars().filter(|c| !c.is_control()).collect()
 }
--- a/lovagedock-cli/src/lib.rs
+++ b/lovagedock-cli/src/lib.rs
@@ -1,15 +1,15 @@
-//! The operators' command line.
+//! Command line for operators.
 //!
 //! Each command is a function from its arguments to a [`CommandReport`]: text for people, a value
-//! for programs, and an [`ExitStatus`] that scripts can rely on. [`CommandRunner`] gets the store
-//! and the way to processes from outside, so that tests can put fakes in their place.
+//! for programs, and an [`ExitStatus`] that scripts can rely on. The store and the process client
+//! of a [`CommandRunner`] can be replaced by fakes in tests.
 
 mod arguments;
+mod client;
 mod codes;
 mod config;
 mod files;
-mod fleet;
-mod port;
+mod processes;
 mod report;
 mod runner;
 mod settings;
@@ -17,8 +17,8 @@
 mod status;
 
 pub use arguments::{ApplyArguments, CommandArguments, CommandLine, OutputFormat};
+pub use client::{HttpProcessClient, ProcessClient, ProcessError, ProcessMethod};
 pub use codes::codes_page;
-pub use port::{HttpProcessPort, ProcessError, ProcessMethod, ProcessPort};
 pub use report::{CommandReport, ExitStatus};
 pub use runner::CommandRunner;
 pub use settings::{OperatorSettings, ProcessAddress};
--- a/lovagedock-cli/tests/cli/main.rs
+++ b/lovagedock-cli/tests/cli/main.rs
@@ -1,7 +1,7 @@
-//! Contract of the operators' command line: what it prints and what it exits with.
+//! Tests of the operators' command line: its output and its exit codes.
 
 mod apply;
 mod commands;
 mod common;
-mod http_port;
+mod http_client;
 mod settings;
--- a/lovagedock-sidecar/src/adapter/prometheus_report.rs
+++ b/lovagedock-sidecar/src/adapter/prometheus_report.rs
@@ -1,4 +1,4 @@
-//! Vendor whose engines report in Prometheus text.
+//! Adapter to engines that report their load as Prometheus text.
 
 use std::sync::Arc;
 
@@ -35,21 +35,28 @@
 struct PrometheusReport;
 
 #[derive(Debug, Deserialize)]
-struct AccountAnswer {
-    sequences: Vec<SequenceHolding>,
+struct AllocationsResponse {
+    sequences: Vec<SequenceAllocation>,
 }
 
 #[derive(Debug, Deserialize)]
-struct SequenceHolding {
+struct SequenceAllocation {
     id: String,
     kv_tokens: TokenCount,
 }
 
 #[async_trait]
 impl VendorDialect for PrometheusReport {
-    async fn account(&self, client: &EngineClient) -> Result<Vec<EngineAllocation>, EngineError> {
-        let answer: AccountAnswer = client.get("/v1/requests").await?;
-        Ok(answer.sequences.iter().filter_map(holding).collect())
+    async fn allocations(
+        &self,
+        client: &EngineClient,
+    ) -> Result<Vec<EngineAllocation>, EngineError> {
+        let response: AllocationsResponse = client.get("/v1/requests").await?;
+        Ok(response
+            .sequences
+            .iter()
+            .filter_map(engine_allocation)
+            .collect())
     }
 
     async fn load(&self, client: &EngineClient) -> Result<EngineLoad, EngineError> {
@@ -61,10 +68,10 @@
     }
 }
 
-fn holding(holding: &SequenceHolding) -> Option<EngineAllocation> {
+fn engine_allocation(allocation: &SequenceAllocation) -> Option<EngineAllocation> {
     Some(EngineAllocation {
-        request_id: parse_request_id(&holding.id)?,
-        tokens: holding.kv_tokens,
+        request_id: parse_request_id(&allocation.id)?,
+        tokens: allocation.kv_tokens,
     })
 }
 
@@ -96,7 +103,9 @@
     let number: Option<f64> = value.and_then(|value| value.trim().parse().ok());
     match number {
         Some(number) if number.is_finite() && number >= 0.0 => Ok(number as u64),
-        _ => Err(EngineError::failed(format!("no usable metric {name}"))),
+        _ => Err(EngineError::failed(format!(
+            "metric {name} is missing or not a valid number"
+        ))),
     }
 }
 
--- a/lovagedock-sidecar/src/admin.rs
+++ b/lovagedock-sidecar/src/admin.rs
@@ -1,10 +1,10 @@
-//! What a sidecar shows to operators.
+//! Operators' interface of a sidecar.
 
 use std::sync::Arc;
 
 use async_trait::async_trait;
 use lovagedock::{EndpointCore, EndpointEvent};
-use lovagedock_daemon::{AdminCall, AdminMethod, AdminReply, AdminRoute, AdminSurface};
+use lovagedock_daemon::{AdminCall, AdminHandler, AdminMethod, AdminReply, AdminRoute};
 use serde_json::{Value, json};
 
 use crate::{config::SidecarConfig, state::SidecarState};
@@ -13,14 +13,14 @@
 const DRAIN_PATH: &str = "/drain";
 const UNDRAIN_PATH: &str = "/undrain";
 
-/// The operators' view of a sidecar.
-pub(crate) struct SidecarSurface {
+/// Handles operators' calls to a sidecar.
+pub(crate) struct SidecarAdminHandler {
     state: Arc<SidecarState>,
     config: Arc<SidecarConfig>,
 }
 
-impl SidecarSurface {
-    /// A view of this sidecar.
+impl SidecarAdminHandler {
+    /// Creates a handler for this sidecar.
     pub(crate) fn new(state: Arc<SidecarState>, config: Arc<SidecarConfig>) -> Self {
         Self { state, config }
     }
@@ -37,7 +37,7 @@
 }
 
 #[async_trait]
-impl AdminSurface for SidecarSurface {
+impl AdminHandler for SidecarAdminHandler {
     fn ready(&self) -> bool {
         let load = self.state.read(EndpointCore::load);
         load.engine_up && !load.draining
--- a/lovagedock-sidecar/src/orders.rs
+++ b/lovagedock-sidecar/src/orders.rs
@@ -1,4 +1,5 @@
-//! Carries out the orders of lease holders, whatever the engine itself checks.
+//! Executes the orders of lease holders and checks their fencing numbers, independently of
+//! the engine's own checks.
 
 use std::{sync::Arc, time::Duration};
 
@@ -17,24 +18,24 @@
     state::SidecarState,
 };
 
-/// Time that the engine may take for one order. An engine that never answers would hold up every
-/// later order; after this time the order counts as lost and the next one passes.
-const ORDER_TIME: Duration = Duration::from_secs(15 * 60);
+/// Time limit for one order on the engine. An engine that never responds would block all later
+/// orders. After this time the order counts as lost and the next one is passed.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(15 * 60);
 /// HTTP status of an engine that has seen a higher fencing number.
 const CONFLICT_STATUS: u16 = 409;
 
-/// The one way of orders to the engine.
+/// Passes orders to the engine, one at a time; no order reaches the engine in another way.
 ///
 /// Lock order: this lock is taken alone.
 #[derive(Default)]
-pub(crate) struct OrderDoor {
-    state: Mutex<DoorState>,
+pub(crate) struct OrderExecutor {
+    state: Mutex<ExecutorState>,
 }
 
 #[derive(Default)]
-struct DoorState {
+struct ExecutorState {
     gate: FenceGate,
-    memory: LoadedArtifacts,
+    artifacts: LoadedArtifacts,
     waiting: Vec<WaitingOrder>,
 }
 
@@ -44,7 +45,7 @@
     reply: oneshot::Sender<OrderEnd>,
 }
 
-/// How an order ended.
+/// Result of an order.
 struct OrderEnd {
     code: ResultCode,
     detail: String,
@@ -59,41 +60,41 @@
     }
 }
 
-impl OrderDoor {
-    /// Takes what the engine reports of itself.
-    pub(crate) fn reported(&self, now: Timestamp, load: &EngineLoad) {
+impl OrderExecutor {
+    /// Records the model and the adapters that the engine reports.
+    pub(crate) fn record_load(&self, now: Timestamp, load: &EngineLoad) {
         let mut state = self.state.lock();
-        state.memory.report(now, &load.model, &load.adapters);
+        state.artifacts.report(now, &load.model, &load.adapters);
     }
 
-    /// The engine is down and has lost what it had loaded.
-    pub(crate) fn engine_down(&self) {
-        self.state.lock().memory.forget();
+    /// Records that the engine is down and has lost everything it had loaded.
+    pub(crate) fn record_engine_down(&self) {
+        self.state.lock().artifacts.forget();
     }
 
-    /// What is known of the engine.
+    /// What the engine has loaded, as far as known, and the pool's highest known fencing number.
     pub(crate) fn report(&self, pool: &str) -> LoadedReport {
         let state = self.state.lock();
         LoadedReport {
-            loaded: state.memory.current(),
+            loaded: state.artifacts.current(),
             busy: state.gate.passing().is_some(),
-            unsettled: state.memory.is_unsettled(),
+            unsettled: state.artifacts.is_unsettled(),
             highest: state.gate.highest(pool).unwrap_or_default(),
         }
     }
 
-    /// What a dump shows.
+    /// State of the orders for a dump.
     pub(crate) fn dump(&self) -> Value {
         let state = self.state.lock();
         json!({
-            "loaded": state.memory.current(),
-            "unsettled": state.memory.is_unsettled(),
+            "loaded": state.artifacts.current(),
+            "unsettled": state.artifacts.is_unsettled(),
             "passing": state.gate.passing().map(|order| order.epoch),
             "waiting": state.waiting.len(),
         })
     }
 
-    /// Refuses an order that is not even brought to the fence.
+    /// Refuses an order before its fencing number is checked.
     pub(crate) fn refuse(&self, pool: &str, detail: String) -> OrderReply {
         let code = ResultCode::ConfigConflict;
         self.reply(pool, OrderEnd { code, detail })
@@ -107,13 +108,15 @@
         }
     }
 
-    /// Notes the fencing number of a holder.
+    /// Records the fencing number of a lease holder.
     ///
-    /// After a restart the first number that comes is the mark, without a look at the store, where
-    /// a sidecar does not go. A former holder cannot come first with success: it checked its lease
-    /// after this life of the sidecar had answered it, so no successor held the lease before, and
-    /// what a successor does later goes through this life and raises the mark.
-    fn look(&self, message: &OrderMessage) -> OrderReply {
+    /// After a restart of the sidecar the first number that arrives becomes the highest known one.
+    /// The sidecar does not compare it with the store, since sidecars have no access to the store.
+    /// An order of a former holder cannot arrive first and be accepted: the former holder checked
+    /// its lease after this incarnation of the sidecar had replied to it, so no successor held the
+    /// lease before that. What a successor sends later arrives at this incarnation and raises the
+    /// highest known number.
+    fn check_fence(&self, message: &OrderMessage) -> OrderReply {
         let pool = message.pool.clone();
         let epoch = message.epoch;
         let highest = {
@@ -124,15 +127,15 @@
         let end = match epoch < highest {
             true => OrderEnd::new(
                 ResultCode::FenceStale,
-                format!("a holder with number {highest} is known"),
+                format!("a lease holder with fencing number {highest} is known"),
             ),
             false => OrderEnd::new(ResultCode::Complete, ""),
         };
         self.reply(&message.pool, end)
     }
 
-    /// Passes the order if the fence lets it; its end comes through the receiver.
-    fn begin(
+    /// Passes the order to the engine if the fence allows it. The receiver gets the result.
+    fn submit(
         &self,
         sidecar: &Arc<SidecarState>,
         fenced: FencedOrder,
@@ -140,8 +143,8 @@
     ) -> oneshot::Receiver<OrderEnd> {
         let (reply, end) = oneshot::channel();
         let mut state = self.state.lock();
-        if state.waiting.iter().any(|it| it.fenced == fenced) {
-            let _asker_gone = reply.send(repeated());
+        if state.waiting.iter().any(|waiting| waiting.fenced == fenced) {
+            let _receiver_dropped = reply.send(repeated_order());
             return end;
         }
         state.waiting.push(WaitingOrder {
@@ -150,48 +153,53 @@
             reply,
         });
         let actions = state.gate.handle(FenceEvent::Order(fenced));
-        state.carry_out(sidecar, actions);
+        state.execute(sidecar, actions);
         end
     }
 
-    /// What the engine has to do for the order that passes; `None` if it has done it already.
+    /// What the engine has to load for the order that is being passed; `None` if it is already
+    /// loaded.
     ///
-    /// A holder whose session broke while the engine loaded gives the same order again; loading
-    /// twice would take the engine out for nothing.
-    fn start(&self, fenced: &FencedOrder) -> Option<LoadOrder> {
+    /// A lease holder whose session broke while the engine was loading sends the same order again.
+    /// Loading twice would take the engine out of service without need.
+    fn start_load(&self, fenced: &FencedOrder) -> Option<LoadOrder> {
         let mut state = self.state.lock();
-        let waiting = state.waiting.iter().find(|it| it.fenced == *fenced)?;
+        let waiting = state
+            .waiting
+            .iter()
+            .find(|waiting| waiting.fenced == *fenced)?;
         let order = waiting.order.clone();
-        if state.memory.holds(&order) {
+        if state.artifacts.holds(&order) {
             return None;
         }
-        state.memory.begin(&order);
+        state.artifacts.begin(&order);
         Some(order)
     }
 
-    fn settle(&self, now: Timestamp, order: LoadOrder, result: &Result<(), EngineError>) {
-        let memory = &mut self.state.lock().memory;
+    fn record_result(&self, now: Timestamp, order: LoadOrder, result: &Result<(), EngineError>) {
+        let artifacts = &mut self.state.lock().artifacts;
         match result {
-            Ok(()) => memory.confirm(now, order),
-            Err(error) if error.ran() == RanState::No => memory.withdraw(),
+            Ok(()) => artifacts.confirm(now, order),
+            Err(error) if error.ran() == RanState::No => artifacts.withdraw(),
             Err(_) => {}
         }
     }
 
     fn finish(&self, sidecar: &Arc<SidecarState>, fenced: FencedOrder, end: OrderEnd) {
         let mut state = self.state.lock();
-        state.answer(&fenced, end);
+        state.send_reply(&fenced, end);
         let actions = state.gate.handle(FenceEvent::Finished(fenced));
-        state.carry_out(sidecar, actions);
+        state.execute(sidecar, actions);
     }
 }
 
-impl DoorState {
-    fn carry_out(&mut self, sidecar: &Arc<SidecarState>, actions: Vec<FenceAction>) {
+impl ExecutorState {
+    fn execute(&mut self, sidecar: &Arc<SidecarState>, actions: Vec<FenceAction>) {
         for action in actions {
             match action {
                 FenceAction::Pass(fenced) => {
-                    // A task of its own: the order goes on when the holder's session breaks.
+                    // Runs in a separate task, so that the order continues when the lease
+                    // holder's session breaks.
                     tokio::spawn(run(Arc::clone(sidecar), fenced));
                 }
                 FenceAction::Refuse {
@@ -201,59 +209,63 @@
                 } => {
                     warn!(sidecar.log, "order refused"; "pool" => &*order.pool,
                         "epoch" => order.epoch, "highest" => highest, "code" => code.number());
-                    let detail = format!("highest number seen is {highest}");
-                    self.answer(&order, OrderEnd { code, detail });
+                    let detail = format!("the highest known fencing number is {highest}");
+                    self.send_reply(&order, OrderEnd { code, detail });
                 }
-                FenceAction::Repeated(order) => self.answer(&order, repeated()),
+                FenceAction::Repeated(order) => self.send_reply(&order, repeated_order()),
             }
         }
     }
 
-    fn answer(&mut self, fenced: &FencedOrder, end: OrderEnd) {
-        let Some(index) = self.waiting.iter().position(|it| it.fenced == *fenced) else {
+    fn send_reply(&mut self, fenced: &FencedOrder, end: OrderEnd) {
+        let Some(index) = self
+            .waiting
+            .iter()
+            .position(|waiting| waiting.fenced == *fenced)
+        else {
             return;
         };
-        // A holder that is gone does not wait.
-        let _asker_gone = self.waiting.swap_remove(index).reply.send(end);
+        // The receiver is dropped when the lease holder has disconnected.
+        let _receiver_dropped = self.waiting.swap_remove(index).reply.send(end);
     }
 }
 
-/// Takes one call of a lease holder.
-pub(crate) async fn take(sidecar: &Arc<SidecarState>, message: OrderMessage) -> OrderReply {
-    let door = &sidecar.orders;
+/// Handles one call of a lease holder.
+pub(crate) async fn handle(sidecar: &Arc<SidecarState>, message: OrderMessage) -> OrderReply {
+    let executor = &sidecar.orders;
     let Some(order) = message.order.clone() else {
-        return door.look(&message);
+        return executor.check_fence(&message);
     };
     let fenced = FencedOrder {
         pool: message.pool.clone(),
         epoch: message.epoch,
         sequence: message.sequence,
     };
-    let end = door.begin(sidecar, fenced, order).await;
+    let end = executor.submit(sidecar, fenced, order).await;
     let end = end.unwrap_or_else(|_| OrderEnd::new(ResultCode::EndpointLost, ""));
-    door.reply(&message.pool, end)
+    executor.reply(&message.pool, end)
 }
 
-/// Carries one order out at the engine.
+/// Executes one order on the engine.
 async fn run(sidecar: Arc<SidecarState>, fenced: FencedOrder) {
-    let door = &sidecar.orders;
-    let Some(order) = door.start(&fenced) else {
-        let end = OrderEnd::new(ResultCode::Complete, "loaded already");
-        return door.finish(&sidecar, fenced, end);
+    let executor = &sidecar.orders;
+    let Some(order) = executor.start_load(&fenced) else {
+        let end = OrderEnd::new(ResultCode::Complete, "already loaded");
+        return executor.finish(&sidecar, fenced, end);
     };
     let engine_order = EngineOrder {
         fence: fenced.epoch,
         kind: order_kind(&order),
     };
-    let ordered = timeout(ORDER_TIME, sidecar.adapter.order(engine_order)).await;
-    let result = ordered.unwrap_or_else(|_| {
-        let detail = format!("no end within {ORDER_TIME:?}");
+    let outcome = timeout(ORDER_TIMEOUT, sidecar.adapter.order(engine_order)).await;
+    let result = outcome.unwrap_or_else(|_| {
+        let detail = format!("the order did not end within {ORDER_TIMEOUT:?}");
         Err(EngineError::Lost { detail })
     });
     info!(sidecar.log, "order ended"; "pool" => &*fenced.pool, "epoch" => fenced.epoch,
         "order" => format!("{order:?}"), "result" => format!("{result:?}"));
-    door.settle(sidecar.clock.now(), order, &result);
-    door.finish(&sidecar, fenced, order_end(result));
+    executor.record_result(sidecar.clock.now(), order, &result);
+    executor.finish(&sidecar, fenced, order_end(result));
 }
 
 fn order_kind(order: &LoadOrder) -> OrderKind {
@@ -282,6 +294,6 @@
     OrderEnd::new(code, error.to_string())
 }
 
-fn repeated() -> OrderEnd {
-    OrderEnd::new(ResultCode::FenceStale, "the order has passed before")
+fn repeated_order() -> OrderEnd {
+    OrderEnd::new(ResultCode::FenceStale, "the order was already received")
 }
--- a/lovagedock-sidecar/src/segment.rs
+++ b/lovagedock-sidecar/src/segment.rs
@@ -1,4 +1,5 @@
-//! Prefills one part of a prompt that is larger than any engine.
+//! Prefills segments. A segment is one part of a prompt that does not fit on a single engine; a
+//! span is a request whose segments are held by several engines.
 
 use std::{borrow::Cow, collections::BTreeMap, time::Duration};
 
@@ -9,33 +10,34 @@
 
 use crate::{adapter::SegmentRequest, engine_task::engine_priority, state::SidecarState};
 
-/// Length that a part of a span counts as for the engine's priority.
+/// Prompt length from which the engine priority of a segment is computed.
 ///
-/// A span holds memory on several engines for as long as its parts take, one after the other. At
-/// the rank of its whole length each part would wait behind all that comes meanwhile, on one
-/// engine after the other, and the prompt would run out of time.
-const SEGMENT_RANK: TokenCount = 64_000;
+/// A span holds memory on several engines until its segments, one after the other, have been
+/// prefilled. With the priority of its whole length, each segment would wait behind all requests
+/// that arrive meanwhile, on one engine after the other, and the prompt would miss its deadline.
+const SEGMENT_PRIORITY_TOKENS: TokenCount = 64_000;
 
-/// Prefills a part into memory that its attempt has reserved here.
+/// Prefills a segment into the memory that its attempt has reserved on this endpoint.
 pub(crate) async fn prefill(
     state: &SidecarState,
     work: &WorkMessage,
     range: SegmentRange,
     bytes_per_token: f64,
 ) -> SegmentReply {
-    // Without the reservation the part would take memory that the ledger has promised to others.
+    // Without the reservation the segment would use memory that the core's memory ledger has
+    // granted to other requests.
     if !state.read(|core| core.holds_reservation(work.key)) {
-        return refused("the reservation has lapsed");
+        return refused_reply("the reservation has expired");
     }
     let Some(prompt) = prompt_text(&work.body) else {
-        return refused("the body has no prompt");
+        return refused_reply("the body has no prompt");
     };
     let request = SegmentRequest {
         request_id: work.key.request,
-        priority: engine_priority(work.tier, SEGMENT_RANK),
+        priority: engine_priority(work.tier, SEGMENT_PRIORITY_TOKENS),
         start: range.start,
         tokens: range.tokens,
-        prompt_part: part_of(&prompt, range, bytes_per_token).to_owned(),
+        prompt_part: prompt_slice(&prompt, range, bytes_per_token).to_owned(),
     };
     let prefilled = {
         let _active = state
@@ -57,59 +59,59 @@
     }
 }
 
-/// Parts of spans that the engine prefills now; the load report counts them.
+/// Segments that the engine is prefilling; the load report includes them.
 ///
-/// They are no requests of this endpoint. Without them a report shows an idle engine while it is
-/// busy with a long part, and gateways send it the short prompts.
+/// They are not requests of this endpoint. If they were not counted, a report would show an idle
+/// engine while it is busy with a long segment, and gateways would send it short prompts.
 ///
-/// Lock order: a leaf.
+/// Lock order: no other lock is taken while this one is held.
 #[derive(Default)]
 pub(crate) struct ActiveSegments {
-    parts: Mutex<BTreeMap<RequestId, ActiveSegment>>,
+    by_request: Mutex<BTreeMap<RequestId, ActiveSegment>>,
 }
 
 struct ActiveSegment {
     range: SegmentRange,
-    begun_at: Timestamp,
+    started_at: Timestamp,
 }
 
 impl ActiveSegments {
-    /// Counts a part until the guard is dropped, also when its gateway goes away.
+    /// Counts a segment until the guard is dropped, which also happens when its gateway
+    /// disconnects.
     pub(crate) fn begin(
         &self,
         request: RequestId,
         range: SegmentRange,
         now: Timestamp,
     ) -> SegmentGuard<'_> {
-        let part = ActiveSegment {
+        let segment = ActiveSegment {
             range,
-            begun_at: now,
+            started_at: now,
         };
-        self.parts.lock().insert(request, part);
+        self.by_request.lock().insert(request, segment);
         SegmentGuard {
             segments: self,
             request,
         }
     }
 
-    /// Number of parts.
     pub(crate) fn count(&self) -> usize {
-        self.parts.lock().len()
+        self.by_request.lock().len()
     }
 
-    /// Prefill time that is predicted to be left.
+    /// Predicted remaining prefill time of all segments.
     pub(crate) fn prefill_left(&self, now: Timestamp, cost: CostParameters) -> Duration {
-        let parts = self.parts.lock();
-        let left = parts.values().map(|part| {
-            let end = part.range.start + part.range.tokens;
-            let whole = cost.or_assumed().prefill(end, part.range.start);
-            whole.saturating_sub(now.saturating_sub(part.begun_at))
+        let segments = self.by_request.lock();
+        let left = segments.values().map(|segment| {
+            let end = segment.range.start + segment.range.tokens;
+            let total = cost.or_assumed().prefill(end, segment.range.start);
+            total.saturating_sub(now.saturating_sub(segment.started_at))
         });
         left.sum()
     }
 }
 
-/// Ends the count of a part when it is dropped.
+/// Removes a segment from the count when it is dropped.
 pub(crate) struct SegmentGuard<'a> {
     segments: &'a ActiveSegments,
     request: RequestId,
@@ -117,11 +119,11 @@
 
 impl Drop for SegmentGuard<'_> {
     fn drop(&mut self) {
-        self.segments.parts.lock().remove(&self.request);
+        self.segments.by_request.lock().remove(&self.request);
     }
 }
 
-fn refused(detail: &str) -> SegmentReply {
+fn refused_reply(detail: &str) -> SegmentReply {
     SegmentReply {
         end: AnswerEnd::new(ResultCode::EngineRefused).with_detail(detail),
         locator: String::new(),
@@ -144,7 +146,7 @@
     content: Cow<'a, str>,
 }
 
-/// The prompt as the engine sees it: a chat is one line for each message.
+/// The prompt as the engine receives it; a chat has one line per message.
 fn prompt_text(body: &[u8]) -> Option<String> {
     let body: PromptBody<'_> = serde_json::from_slice(body).ok()?;
     if !body.prompt.is_empty() {
@@ -161,14 +163,14 @@
     )
 }
 
-fn part_of(prompt: &str, range: SegmentRange, bytes_per_token: f64) -> &str {
-    let from = boundary(prompt, range.start, bytes_per_token);
-    let until = boundary(prompt, range.start + range.tokens, bytes_per_token);
-    &prompt[from..until]
+fn prompt_slice(prompt: &str, range: SegmentRange, bytes_per_token: f64) -> &str {
+    let start = token_boundary(prompt, range.start, bytes_per_token);
+    let end = token_boundary(prompt, range.start + range.tokens, bytes_per_token);
+    &prompt[start..end]
 }
 
-/// The byte at which a token begins, moved back to the beginning of a character.
-fn boundary(prompt: &str, token: TokenCount, bytes_per_token: f64) -> usize {
+/// The estimated byte at which a token begins, moved back to the start of a character.
+fn token_boundary(prompt: &str, token: TokenCount, bytes_per_token: f64) -> usize {
     let byte = (token as f64 * bytes_per_token) as usize;
     prompt.floor_char_boundary(byte.min(prompt.len()))
 }
