--- a/lovagedock/src/orders/planner.rs
+++ b/lovagedock/src/orders/planner.rs
@@ -214,9 +214,9 @@
             return true;
         }
         let others = self.endpoints.iter().filter(|(id, _)| *id != name);
-        let replacing = others.filter(|(_, endpoint)| self.is_out_of_service(endpoint));
-        let share = self.endpoints.len() * self.limits.max_replaced_percent / 100;
-        replacing.count() < share.max(1)
+        let out_of_service = others.filter(|(_, endpoint)| self.is_out_of_service(endpoint));
+        let max_replaced = self.endpoints.len() * self.limits.max_replaced_percent / 100;
+        out_of_service.count() < max_replaced.max(1)
     }
 
     fn schedule_wake(&mut self, now: Timestamp, actions: &mut Vec<OrderAction>) {
--- a/lovagedock/src/request/answer.rs
+++ b/lovagedock/src/request/answer.rs
@@ -65,12 +65,12 @@
         self.mark_started();
         // A repeated frame would duplicate bytes and a missing frame would drop some, so the caller
         // would read a wrong answer. The offset reveals both cases on any connection.
-        let place = if self.safeguards.check_offsets {
+        let position = if self.safeguards.check_offsets {
             self.answer.locate(offset, length)
         } else {
             ChunkPosition::Fits { skip: 0 }
         };
-        match place {
+        match position {
             ChunkPosition::Fits { skip } => self.deliver(number, offset, length, skip),
             ChunkPosition::Repeated => {}
             ChunkPosition::Gap => self.repair_gap(now),
--- a/lovagedock/src/request/finish.rs
+++ b/lovagedock/src/request/finish.rs
@@ -69,11 +69,11 @@
             end.code = ResultCode::CallerGone;
         }
         if !self.may_retry(&end, prefilling, only_prefilled) {
-            self.abandon_attempt_unless(end.ran == RanState::No || frees_endpoint(&end));
+            self.abandon_attempt_unless(end.ran == RanState::No || is_released_by_sidecar(&end));
             self.conclude(end);
             return;
         }
-        self.abandon_attempt_unless(end.ran == RanState::No || frees_endpoint(&end));
+        self.abandon_attempt_unless(end.ran == RanState::No || is_released_by_sidecar(&end));
         self.exclude(&end);
         self.earlier_ran = merge_ran_states(self.earlier_ran, end.ran);
         if end.ran != RanState::No {
@@ -90,14 +90,14 @@
     }
 
     fn may_retry(&self, end: &AnswerEnd, prefilling: bool, only_prefilled: bool) -> bool {
-        let given_up = self.caller_gone || self.stopping;
-        let spent = self.attempts >= self.spec.timing.max_attempts;
-        if given_up || spent || self.answer.delivered > 0 {
+        let is_abandoned = self.caller_gone || self.stopping;
+        let no_attempts_left = self.attempts >= self.spec.timing.max_attempts;
+        if is_abandoned || no_attempts_left || self.answer.delivered > 0 {
             return false;
         }
         // An attempt that this request revoked can end on its old connection before the verdict
         // arrives. That end is equivalent to the verdict.
-        let engine_side = matches!(
+        let endpoint_failed = matches!(
             end.code,
             ResultCode::EndpointLost
                 | ResultCode::EngineFailed
@@ -113,7 +113,7 @@
             || !self.safeguards.revoke_before_retry;
         // The span coordinator has already tried other engines until its time limit.
         let span_gave_up = prefilling && end.code == ResultCode::NoCapacity;
-        (engine_side || end.code.may_go_elsewhere()) && repeatable && !span_gave_up
+        (endpoint_failed || end.code.may_go_elsewhere()) && repeatable && !span_gave_up
     }
 
     fn exclude(&mut self, end: &AnswerEnd) {
@@ -252,12 +252,12 @@
     ///
     /// A non-idempotent attempt is revoked instead of cancelled: once started it runs to its end,
     /// so that its answer can be recorded.
-    fn abandon_attempt_unless(&mut self, is_over: bool) {
+    fn abandon_attempt_unless(&mut self, is_released: bool) {
         let Some(attempt) = &self.attempt else {
             return;
         };
         let revoking = matches!(self.phase, RequestPhase::Revoking { .. });
-        if is_over || attempt.incarnation_ended || !attempt.submitted {
+        if is_released || attempt.incarnation_ended || !attempt.submitted {
             return;
         }
         if !self.spec.non_idempotent {
@@ -274,7 +274,7 @@
 
 /// Whether this end came from a sidecar's end frame, which means that the sidecar has already
 /// released the attempt.
-fn frees_endpoint(end: &AnswerEnd) -> bool {
+fn is_released_by_sidecar(end: &AnswerEnd) -> bool {
     matches!(
         end.code,
         ResultCode::EngineFailed | ResultCode::ExpiredRunning | ResultCode::Complete
--- a/lovagedock/src/request/machine.rs
+++ b/lovagedock/src/request/machine.rs
@@ -272,8 +272,8 @@
     fn tick(&mut self, now: Timestamp) {
         match self.phase {
             RequestPhase::BackingOff { until } if now >= until => self.place(),
-            RequestPhase::Resuming { until, again_at } => self.resume_tick(now, until, again_at),
-            RequestPhase::Revoking { until, again_at } => self.revoke_tick(now, until, again_at),
+            RequestPhase::Resuming { until, resend_at } => self.resume_tick(now, until, resend_at),
+            RequestPhase::Revoking { until, resend_at } => self.revoke_tick(now, until, resend_at),
             _ => {}
         }
     }
--- a/lovagedock/src/request/phase.rs
+++ b/lovagedock/src/request/phase.rs
@@ -15,15 +15,15 @@
     Spanning,
     Submitting,
     Attached,
-    /// A resume was sent, or will be sent again at `again_at`.
+    /// A resume was sent, or will be sent again at `resend_at`.
     Resuming {
         until: Timestamp,
-        again_at: Option<Timestamp>,
+        resend_at: Option<Timestamp>,
     },
-    /// A revoke was sent, or will be sent again at `again_at`.
+    /// A revoke was sent, or will be sent again at `resend_at`.
     Revoking {
         until: Timestamp,
-        again_at: Option<Timestamp>,
+        resend_at: Option<Timestamp>,
     },
     Checking {
         end: AnswerEnd,
@@ -51,8 +51,8 @@
     pub(super) fn wake_at(&self) -> Option<Timestamp> {
         match *self {
             Self::BackingOff { until } => Some(until),
-            Self::Resuming { until, again_at } | Self::Revoking { until, again_at } => {
-                Some(again_at.unwrap_or(until).min(until))
+            Self::Resuming { until, resend_at } | Self::Revoking { until, resend_at } => {
+                Some(resend_at.unwrap_or(until).min(until))
             }
             _ => None,
         }
--- a/lovagedock/src/request/recovery.rs
+++ b/lovagedock/src/request/recovery.rs
@@ -48,13 +48,13 @@
         match self.phase {
             RequestPhase::Resuming {
                 until,
-                again_at: Some(_),
+                resend_at: Some(_),
             } if same_incarnation => {
                 self.send_resume(until);
             }
             RequestPhase::Revoking {
                 until,
-                again_at: Some(_),
+                resend_at: Some(_),
             } if same_incarnation => {
                 self.send_revoke(until);
             }
@@ -106,8 +106,8 @@
             return;
         }
         let pause = self.spec.timing.reconnect_pause;
-        if let RequestPhase::Resuming { again_at, .. } = &mut self.phase {
-            *again_at = Some(now + pause);
+        if let RequestPhase::Resuming { resend_at, .. } = &mut self.phase {
+            *resend_at = Some(now + pause);
         }
     }
 
@@ -115,11 +115,11 @@
         &mut self,
         now: Timestamp,
         until: Timestamp,
-        again_at: Option<Timestamp>,
+        resend_at: Option<Timestamp>,
     ) {
         if now >= until {
             self.resolve_attempt(now);
-        } else if again_at.is_some_and(|again_at| now >= again_at) {
+        } else if resend_at.is_some_and(|resend_at| now >= resend_at) {
             self.send_resume(until);
         }
     }
@@ -132,7 +132,7 @@
         ) {
             return;
         }
-        if self.spend_repair() {
+        if self.consume_repair() {
             self.resume(now);
         } else {
             self.attempt_failed(now, AnswerEnd::new(ResultCode::AnswerDamaged));
@@ -151,7 +151,7 @@
             self.fail_endpoint_lost(now);
             return;
         }
-        if self.spend_repair() {
+        if self.consume_repair() {
             self.send_revoke(now + self.spec.timing.revoke_wait);
         } else {
             self.fail_endpoint_lost(now);
@@ -206,8 +206,8 @@
         if number != self.attempts {
             return;
         }
-        if let RequestPhase::Revoking { again_at, .. } = &mut self.phase {
-            *again_at = Some(now + pause);
+        if let RequestPhase::Revoking { resend_at, .. } = &mut self.phase {
+            *resend_at = Some(now + pause);
         }
     }
 
@@ -215,11 +215,11 @@
         &mut self,
         now: Timestamp,
         until: Timestamp,
-        again_at: Option<Timestamp>,
+        resend_at: Option<Timestamp>,
     ) {
         if now >= until {
             self.fail_endpoint_lost(now);
-        } else if again_at.is_some_and(|again_at| now >= again_at) {
+        } else if resend_at.is_some_and(|resend_at| now >= resend_at) {
             self.send_revoke(until);
         }
     }
@@ -236,7 +236,7 @@
     fn send_resume(&mut self, until: Timestamp) {
         self.phase = RequestPhase::Resuming {
             until,
-            again_at: None,
+            resend_at: None,
         };
         let offset = self.answer.delivered;
         self.actions
@@ -251,7 +251,7 @@
     fn send_revoke(&mut self, until: Timestamp) {
         self.phase = RequestPhase::Revoking {
             until,
-            again_at: None,
+            resend_at: None,
         };
         self.push_revoke();
     }
@@ -265,7 +265,7 @@
             }));
     }
 
-    fn spend_repair(&mut self) -> bool {
+    fn consume_repair(&mut self) -> bool {
         let limit = self.spec.timing.max_repairs;
         self.attempt.as_mut().is_some_and(|attempt| {
             attempt.repairs += 1;
--- a/lovagedock/src/wake.rs
+++ b/lovagedock/src/wake.rs
@@ -23,9 +23,9 @@
         self.at = Some(at);
     }
 
-    /// Returns the time to wake up, at most `longest` from now.
-    pub fn next(&self, now: Timestamp, longest: Timestamp) -> Timestamp {
-        let latest = now.saturating_add(longest);
+    /// Returns the time to wake up, at most `max_delay` from now.
+    pub fn next(&self, now: Timestamp, max_delay: Timestamp) -> Timestamp {
+        let latest = now.saturating_add(max_delay);
         self.at.map_or(latest, |at| at.min(latest))
     }
 
