--- a/lovagedock/src/lease/holder.rs
+++ b/lovagedock/src/lease/holder.rs
@@ -91,7 +91,7 @@
     /// Handles an event and returns the actions to carry out.
     pub fn handle(&mut self, now: Timestamp, event: LeaseEvent) -> Vec<LeaseAction> {
         let mut actions = Vec::new();
-        self.drop_if_lapsed(now, &mut actions);
+        self.drop_if_expired(now, &mut actions);
         match event {
             LeaseEvent::Want => self.wanted = true,
             LeaseEvent::Release => self.release(now, &mut actions),
@@ -107,9 +107,9 @@
     }
 
     /// Drops the lease if its time is over, which may be noticed late after a pause of the process.
-    fn drop_if_lapsed(&mut self, now: Timestamp, actions: &mut Vec<LeaseAction>) {
-        let over = |held: &mut HeldLease| held.expires_at <= now;
-        if let Some(held) = self.held.take_if(over) {
+    fn drop_if_expired(&mut self, now: Timestamp, actions: &mut Vec<LeaseAction>) {
+        let is_expired = |held: &mut HeldLease| held.expires_at <= now;
+        if let Some(held) = self.held.take_if(is_expired) {
             let epoch = held.epoch;
             actions.push(LeaseAction::Lost { epoch });
         }
@@ -169,9 +169,9 @@
     }
 
     /// Returns when the lease of another holder lapses by this process's clock.
-    pub(super) fn lapse_of(&self, known: &KnownRecord, record: &LeaseRecord) -> Timestamp {
+    pub(super) fn expiry_of(&self, known: &KnownRecord, record: &LeaseRecord) -> Timestamp {
         let is_free = record.holder.is_none_or(|holder| holder == self.owner);
-        if !self.safeguards.lease_waits_lapse || is_free {
+        if !self.safeguards.lease_waits_for_expiry || is_free {
             return known.first_seen;
         }
         let margin = self.limits.clock_margin_percent;
--- a/lovagedock/src/lease/store.rs
+++ b/lovagedock/src/lease/store.rs
@@ -44,7 +44,7 @@
         let due = match (&self.held, &known.record) {
             (Some(held), _) => held.renew_at,
             (None, None) => known.first_seen,
-            (None, Some(record)) => self.lapse_of(known, record),
+            (None, Some(record)) => self.expiry_of(known, record),
         };
         Some(due.max(self.retry_at))
     }
@@ -72,7 +72,7 @@
         let Some(record) = known.record.as_ref().filter(|_| self.held.is_none()) else {
             return true;
         };
-        known.checked >= self.lapse_of(known, record)
+        known.checked >= self.expiry_of(known, record)
     }
 
     pub(super) fn write(
--- a/lovagedock/src/safeguards.rs
+++ b/lovagedock/src/safeguards.rs
@@ -22,7 +22,7 @@
     pub lease_from_request: bool,
     /// A successor waits for the whole duration, by its own clock, without a renewal. Off, it
     /// takes over as soon as it sees another holder.
-    pub lease_waits_lapse: bool,
+    pub lease_waits_for_expiry: bool,
     /// A process adopts only higher generations. Off, a late or repeated message takes it back.
     pub generations_ascend: bool,
     /// A received configuration must match its digest. Off, a damaged one comes into force.
@@ -37,7 +37,7 @@
             lapsed_claims_stay: true,
             verified_replays: true,
             lease_from_request: true,
-            lease_waits_lapse: true,
+            lease_waits_for_expiry: true,
             generations_ascend: true,
             digests_verified: true,
         }
--- a/lovagedock/src/span/coordinator.rs
+++ b/lovagedock/src/span/coordinator.rs
@@ -77,7 +77,7 @@
         if self.is_finished() {
             return Vec::new();
         }
-        if event != SpanEvent::Released && self.has_lapsed(now) {
+        if event != SpanEvent::Released && self.may_have_expired(now) {
             self.fail_endpoint_lost();
             return self.take_actions();
         }
@@ -124,8 +124,8 @@
         if self.state != SpanState::Choosing {
             return;
         }
-        let room: TokenCount = parts.iter().map(|part| part.tokens).sum();
-        if room < self.plan.prompt_tokens {
+        let capacity: TokenCount = parts.iter().map(|part| part.tokens).sum();
+        if capacity < self.plan.prompt_tokens {
             self.back_off(now);
             return;
         }
--- a/lovagedock/src/span/renewal.rs
+++ b/lovagedock/src/span/renewal.rs
@@ -20,9 +20,10 @@
     /// lost and the answer would be computed without them. Therefore the time of a renewal counts
     /// from before it was requested, and its answer must arrive before the previous reservation
     /// expires. This guarantees that the sidecar held the memory without interruption.
-    pub(super) fn has_lapsed(&self, now: Timestamp) -> bool {
-        let lapsed = |member: &SpanMember| member.held_until().is_some_and(|until| now >= until);
-        self.holds_reservations() && self.members.iter().any(lapsed)
+    pub(super) fn may_have_expired(&self, now: Timestamp) -> bool {
+        let is_expired =
+            |member: &SpanMember| member.held_until().is_some_and(|until| now >= until);
+        self.holds_reservations() && self.members.iter().any(is_expired)
     }
 
     pub(super) fn on_member_lost(
