--- a/lovagedock/src/adoption/bundle.rs
+++ b/lovagedock/src/adoption/bundle.rs
@@ -103,8 +103,8 @@
         verify: bool,
     ) -> Result<Self, BundleError> {
         let base = base.filter(|_| bundle.base > 0);
-        let has = base.map_or(0, |base| base.manifest.generation);
-        if has != bundle.base {
+        let base_generation = base.map_or(0, |base| base.manifest.generation);
+        if base_generation != bundle.base {
             return Err(BundleError::OtherBase);
         }
         let chunks = splice(base, bundle)?;
--- a/lovagedock/src/adoption/counter.rs
+++ b/lovagedock/src/adoption/counter.rs
@@ -51,7 +51,7 @@
         for process in &self.expected {
             match self.reported.get(process) {
                 None => count.silent.push(process.clone()),
-                Some(has) if *has < generation => count.behind.push(process.clone()),
+                Some(reported) if *reported < generation => count.behind.push(process.clone()),
                 Some(_) => count.in_force += 1,
             }
         }
--- a/lovagedock/src/adoption/push.rs
+++ b/lovagedock/src/adoption/push.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct PushProgress {
     /// Generation that it last reported.
-    pub(super) has: Option<Generation>,
+    pub(super) reported: Option<Generation>,
     /// Number of pushes sent for the generation in force.
     sent: u32,
     in_flight: bool,
@@ -70,29 +70,29 @@
         for to in due {
             let progress = self.pushes.entry(to.clone()).or_default();
             progress.due = None;
-            let has = progress.has.unwrap_or(guess);
-            if has >= generation || progress.sent >= max_pushes {
+            let reported = progress.reported.unwrap_or(guess);
+            if reported >= generation || progress.sent >= max_pushes {
                 continue;
             }
             progress.sent += 1;
             progress.in_flight = true;
-            let bundle = self.bundle(has);
+            let bundle = self.bundle(reported);
             actions.extend(bundle.map(|bundle| AdoptionAction::Push { to, bundle }));
         }
     }
 
-    pub(super) fn on_push_answered(&mut self, now: Timestamp, to: ProcessId, has: Generation) {
-        self.record_generation(has);
+    pub(super) fn on_push_answered(&mut self, now: Timestamp, to: ProcessId, reported: Generation) {
+        self.record_generation(reported);
         let generation = self.generation();
-        if has > generation {
+        if reported > generation {
             self.repair.schedule_pull(to.clone(), now);
         }
         let Some(progress) = self.pushes.get_mut(&to) else {
             return;
         };
         progress.in_flight = false;
-        progress.has = Some(has);
-        if has < generation {
+        progress.reported = Some(reported);
+        if reported < generation {
             progress.due = Some(now);
         }
     }
@@ -107,17 +107,22 @@
 
     /// Records the generation that a receiver reported on its own. A receiver that is behind gets a
     /// push again, also from a process that only sends it offers, because its parent may be gone.
-    pub(super) fn record_receiver(&mut self, now: Timestamp, peer: &ProcessId, has: Generation) {
+    pub(super) fn record_receiver(
+        &mut self,
+        now: Timestamp,
+        peer: &ProcessId,
+        reported: Generation,
+    ) {
         let generation = self.generation();
         let retry = self.limits.push_retry;
-        if self.role.offers.contains(peer) && has < generation {
+        if self.role.offers.contains(peer) && reported < generation {
             self.pushes.entry(peer.clone()).or_default();
         }
         let Some(progress) = self.pushes.get_mut(peer) else {
             return;
         };
-        progress.has = Some(has);
-        if has < generation && !progress.in_flight && progress.due.is_none() {
+        progress.reported = Some(reported);
+        if reported < generation && !progress.in_flight && progress.due.is_none() {
             progress.sent = 0;
             progress.due = Some(now + retry);
         }
--- a/lovagedock/src/adoption/startup.rs
+++ b/lovagedock/src/adoption/startup.rs
@@ -14,7 +14,7 @@
 #[derive(Debug, Default)]
 pub(super) struct StartupState {
     asked: BTreeMap<ProcessId, Option<PullAnswer>>,
-    open: usize,
+    pending: usize,
     decide_at: Option<Timestamp>,
     ask_at: Option<Timestamp>,
 }
@@ -48,12 +48,12 @@
         let answers = self.startup.asked.values().flatten();
         let best = answers.map(|answer| answer.generation).max();
         // No peer can have a newer generation than the root in the store, if that was read.
-        let is_newest = best.is_some() && best == self.wanted_generation();
+        let is_newest = best.is_some() && best == self.fetch_generation();
         if best.is_some() && self.startup.decide_at.is_none() {
             self.startup.decide_at = Some(now + self.limits.startup_wait);
         }
-        let is_time = self.startup.decide_at.is_some_and(|at| at <= now);
-        if !self.startup.asked.is_empty() && (self.startup.open == 0 || is_time || is_newest) {
+        let is_due = self.startup.decide_at.is_some_and(|at| at <= now);
+        if !self.startup.asked.is_empty() && (self.startup.pending == 0 || is_due || is_newest) {
             self.apply_startup_answers(now, actions);
         }
     }
@@ -62,7 +62,7 @@
         let mut peers = self.role.peers.clone();
         peers.shuffle(&mut self.rng);
         peers.truncate(self.limits.startup_peers);
-        self.startup.open = peers.len();
+        self.startup.pending = peers.len();
         let pause = self.jitter(self.limits.compare_interval);
         self.startup.ask_at = Some(now + pause);
         for from in peers {
@@ -80,7 +80,7 @@
         let Some(slot) = self.startup.asked.get_mut(from) else {
             return false;
         };
-        self.startup.open = self.startup.open.saturating_sub(1);
+        self.startup.pending = self.startup.pending.saturating_sub(1);
         *slot = answer.cloned();
         true
     }
--- a/lovagedock/src/adoption/state.rs
+++ b/lovagedock/src/adoption/state.rs
@@ -159,7 +159,8 @@
             AdoptionEvent::Pulled { from, answer } => self.on_pulled(now, from, answer, actions),
             AdoptionEvent::Accepted { generation } => {
                 self.record_generation(generation);
-                self.upstream.poll_soon(generation > self.generation());
+                self.upstream
+                    .request_poll_if(generation > self.generation());
             }
             AdoptionEvent::Tick => {}
         }
--- a/lovagedock/src/adoption/upstream.rs
+++ b/lovagedock/src/adoption/upstream.rs
@@ -20,7 +20,7 @@
     pub(super) failures: u32,
     in_flight: bool,
     next_at: Option<Timestamp>,
-    soon: bool,
+    poll_requested: bool,
     /// Whether this process watches the store, by plan or as a standby.
     pub(super) watching: bool,
     /// Whether the first read was answered, or a peer was faster.
@@ -43,8 +43,8 @@
 }
 
 impl UpstreamState {
-    pub(super) fn poll_soon(&mut self, wanted: bool) {
-        self.soon |= wanted;
+    pub(super) fn request_poll_if(&mut self, is_newer: bool) {
+        self.poll_requested |= is_newer;
     }
 
     pub(super) fn next_wake(&self) -> Option<Timestamp> {
@@ -88,13 +88,13 @@
             let pause = self.jitter(self.limits.startup_wait);
             self.upstream.next_at = Some(now + pause);
         }
-        let is_soon = self.upstream.soon && self.upstream.failures == 0;
+        let is_requested = self.upstream.poll_requested && self.upstream.failures == 0;
         let is_due = self.upstream.next_at.is_none_or(|at| at <= now);
-        if !is_soon && !is_due {
+        if !is_requested && !is_due {
             return;
         }
         self.upstream.in_flight = true;
-        self.upstream.soon = false;
+        self.upstream.poll_requested = false;
         let above = self.generation();
         // Before the first configuration is accepted, there is no plan and no peer can push, so
         // every process watches. A poll would find the first configuration minutes later.
@@ -102,7 +102,7 @@
             0 => self.upstream.is_empty,
             _ => self.upstream.watching,
         };
-        let action = match may_watch && !is_soon {
+        let action = match may_watch && !is_requested {
             true => AdoptionAction::WatchRoot { above },
             false => AdoptionAction::ReadRoot,
         };
@@ -138,7 +138,7 @@
     }
 
     /// Returns the generation that is being read from the store.
-    pub(super) fn wanted_generation(&self) -> Option<Generation> {
+    pub(super) fn fetch_generation(&self) -> Option<Generation> {
         let fetch = self.upstream.fetch.as_ref();
         fetch.map(|fetch| fetch.manifest.generation)
     }
