--- a/lovagedock/examples/claims_capacity.rs
+++ b/lovagedock/examples/claims_capacity.rs
@@ -149,7 +149,7 @@
             recorded: BTreeMap::new(),
             report: Report::default(),
         };
-        simulation.plan_arrival();
+        simulation.schedule_arrival();
         simulation
     }
 
@@ -173,14 +173,14 @@
         self.now >= WARM_UP
     }
 
-    fn plan_arrival(&mut self) {
+    fn schedule_arrival(&mut self) {
         let machine = self.rng.random_range(0..self.machines.len());
         let gap = self.exponential(1.0 / self.case.claims_per_second);
         self.push(self.now + gap, Step::Arrive(machine));
     }
 
     fn arrive(&mut self, machine: usize) {
-        self.plan_arrival();
+        self.schedule_arrival();
         let mut key = [0; 16];
         self.rng.fill_bytes(&mut key);
         let request = RequestId::from(self.count);
--- a/lovagedock/tests/adoption_first.rs
+++ b/lovagedock/tests/adoption_first.rs
@@ -46,7 +46,7 @@
         }
     }
 
-    fn take(&mut self, event: AdoptionEvent) -> Vec<AdoptionAction> {
+    fn handle(&mut self, event: AdoptionEvent) -> Vec<AdoptionAction> {
         let actions = self.state.handle(self.now, event);
         for action in &actions {
             if let AdoptionAction::WakeAt(at) = action {
@@ -70,14 +70,14 @@
                     | AdoptionAction::WatchRoot { .. }
                     | AdoptionAction::ReadChunk { .. } => return Some(action),
                     AdoptionAction::Pull { from, .. } => {
-                        self.take(AdoptionEvent::Pulled { from, answer: None });
+                        self.handle(AdoptionEvent::Pulled { from, answer: None });
                     }
                     _ => {}
                 }
             }
             let wake_at = self.wake_at.filter(|at| *at <= end)?;
             self.now = wake_at.max(self.now + Duration::from_millis(1));
-            actions = self.take(AdoptionEvent::Tick);
+            actions = self.handle(AdoptionEvent::Tick);
         }
     }
 }
@@ -90,18 +90,18 @@
 fn a_process_with_nothing_in_force_watches_an_empty_store() {
     for case in CASES {
         let mut driver = ProcessDriver::new();
-        let actions = driver.take(AdoptionEvent::Role((case.role)()));
+        let actions = driver.handle(AdoptionEvent::Role((case.role)()));
         let soon = Duration::from_secs(1);
         let first = driver.next_store_call(actions, soon);
         assert_eq!(first, Some(AdoptionAction::ReadRoot), "{}", case.name);
-        let actions = driver.take(AdoptionEvent::RootRead(RootOutcome::Unchanged));
+        let actions = driver.handle(AdoptionEvent::RootRead(RootOutcome::Unchanged));
         let second = driver.next_store_call(actions, soon);
         let watch = AdoptionAction::WatchRoot { above: 0 };
         assert_eq!(second, Some(watch), "{}", case.name);
 
         let chunk = Bytes::from_static(b"{}");
         let manifest = ConfigManifest::new(1, std::slice::from_ref(&chunk));
-        let actions = driver.take(AdoptionEvent::RootRead(RootOutcome::Found(manifest)));
+        let actions = driver.handle(AdoptionEvent::RootRead(RootOutcome::Found(manifest)));
         let hash = chunk_hash(&chunk);
         let third = driver.next_store_call(actions, soon * 2);
         assert_eq!(
@@ -112,7 +112,7 @@
         );
         let bytes = Some(chunk);
         driver.now += soon;
-        let actions = driver.take(AdoptionEvent::ChunkRead { hash, bytes });
+        let actions = driver.handle(AdoptionEvent::ChunkRead { hash, bytes });
         let is_call = |action: &AdoptionAction| {
             matches!(
                 action,
@@ -121,7 +121,7 @@
         };
         assert!(!actions.iter().any(is_call), "{}: {actions:?}", case.name);
         assert_eq!(driver.state.generation(), 1, "{}", case.name);
-        let actions = driver.take(AdoptionEvent::Role(RelayRole::default()));
+        let actions = driver.handle(AdoptionEvent::Role(RelayRole::default()));
         let early = AdoptionLimits::default().poll_interval / 4;
         assert_eq!(
             driver.next_store_call(actions, early),
@@ -129,7 +129,7 @@
             "{}",
             case.name
         );
-        let actions = driver.take(AdoptionEvent::Tick);
+        let actions = driver.handle(AdoptionEvent::Tick);
         let fourth = driver.next_store_call(actions, early * 8);
         assert_eq!(fourth, Some(AdoptionAction::ReadRoot), "{}", case.name);
     }
--- a/lovagedock/tests/claim_scenarios.rs
+++ b/lovagedock/tests/claim_scenarios.rs
@@ -41,7 +41,7 @@
     limits: ClaimLimits,
     store: FakeStore,
     gateways: BTreeMap<String, Gateway>,
-    lives: u64,
+    incarnations: u64,
 }
 
 struct Gateway {
@@ -86,10 +86,10 @@
                 self.gateways.remove(name);
                 self.start(name);
             }
-            "store" => self.answer(name, words[1], shown),
+            "store" => self.end_calls(name, words[1], shown),
             "settle" => {
                 while !self.gateways[name].calls.is_empty() {
-                    self.answer(name, "ok", shown);
+                    self.end_calls(name, "ok", shown);
                 }
             }
             _ => {
@@ -103,9 +103,9 @@
         if self.gateways.contains_key(name) {
             return;
         }
-        self.lives += 1;
+        self.incarnations += 1;
         let gateway = Gateway {
-            machine: ClaimPartition::new(0, self.lives, self.limits.clone()),
+            machine: ClaimPartition::new(0, self.incarnations, self.limits.clone()),
             calls: Vec::new(),
             wake_at: None,
         };
@@ -154,7 +154,7 @@
         }
     }
 
-    fn answer(&mut self, name: &str, fault: &str, shown: &mut Vec<String>) {
+    fn end_calls(&mut self, name: &str, fault: &str, shown: &mut Vec<String>) {
         let gateway = self.gateways.get_mut(name).expect("gateway was started");
         for call in std::mem::take(&mut gateway.calls) {
             let event = self.end_call(call, fault);
--- a/lovagedock/tests/lease_scenarios.rs
+++ b/lovagedock/tests/lease_scenarios.rs
@@ -86,10 +86,10 @@
                 self.handle(name, LeaseEvent::Tick, shown);
             }
             "order" => self.order(name, shown),
-            "store" => self.answer(name, words[1], shown),
+            "store" => self.end_calls(name, words[1], shown),
             "settle" => {
                 while !self.contenders[name].calls.is_empty() {
-                    self.answer(name, "ok", shown);
+                    self.end_calls(name, "ok", shown);
                 }
             }
             other => panic!("unknown step {other}"),
@@ -129,7 +129,7 @@
         }
     }
 
-    fn answer(&mut self, name: &str, fault: &str, shown: &mut Vec<String>) {
+    fn end_calls(&mut self, name: &str, fault: &str, shown: &mut Vec<String>) {
         let contender = self.contenders.get_mut(name).expect("contender is known");
         for call in std::mem::take(&mut contender.calls) {
             let event = self.end_call(call, fault);
--- a/lovagedock/tests/relay_plan.rs
+++ b/lovagedock/tests/relay_plan.rs
@@ -122,15 +122,15 @@
 // When one relay leaves, only its children and the relays that move up in the heaps of its domain
 // get another parent. In particular, the watchers stay the same.
 #[test]
-fn watchers_stay_when_another_process_leaves() {
+fn watchers_stay_when_another_process_is_removed() {
     let fleet = &FLEETS[3];
     let mut members = members(fleet);
     let before = RelayPlan::new(&members, &RelayLimits::default());
     let watching: BTreeSet<ProcessId> = before.watchers().iter().cloned().collect();
-    let leaving_index = members
+    let removed_index = members
         .iter()
         .position(|member| !watching.contains(&member.process));
-    members.remove(leaving_index.expect("a member that does not watch"));
+    members.remove(removed_index.expect("a member that does not watch"));
     let after = RelayPlan::new(&members, &RelayLimits::default());
     assert_eq!(before.watchers(), after.watchers());
 }
--- a/lovagedock/tests/request_scenarios.rs
+++ b/lovagedock/tests/request_scenarios.rs
@@ -101,7 +101,7 @@
             endpoint: endpoint(),
             incarnation: incarnation(),
         },
-        "session-back" => RequestEvent::SessionReconnected {
+        "session-reconnected" => RequestEvent::SessionReconnected {
             endpoint: endpoint(),
             incarnation: incarnation(),
         },
--- a/lovagedock/tests/request_support/checks.rs
+++ b/lovagedock/tests/request_support/checks.rs
@@ -15,25 +15,25 @@
             found.push(Violation::RanTwice);
         }
         match self.finishes.as_slice() {
-            [] => found.push(Violation::NoFinalAnswer),
+            [] => found.push(Violation::NoFinalResult),
             [(at, outcome)] => {
                 if *at > schedule.deadline_ms {
-                    found.push(Violation::LateFinalAnswer);
+                    found.push(Violation::LateFinalResult);
                 }
                 if outcome.ran == RanState::No && !self.starts.is_empty() {
                     found.push(Violation::RanAfterNotRun);
                 }
-                let whole = (1..=outcome.attempts)
+                let is_complete = (1..=outcome.attempts)
                     .any(|attempt| self.read == answer_bytes(attempt, 0, ANSWER_BYTES));
-                if outcome.code == ResultCode::Complete && !whole {
+                if outcome.code == ResultCode::Complete && !is_complete {
                     found.push(Violation::WrongAnswer);
                 }
             }
-            _ => found.push(Violation::SecondFinalAnswer),
+            _ => found.push(Violation::SecondFinalResult),
         }
-        let genuine = (1..=9u32)
+        let is_from_one_attempt = (1..=9u32)
             .any(|attempt| answer_bytes(attempt, 0, ANSWER_BYTES).starts_with(&self.read));
-        if !self.corrupted && !genuine {
+        if !self.corrupted && !is_from_one_attempt {
             found.push(Violation::MixedAnswer);
         }
         found
--- a/lovagedock/tests/request_support/core_sidecar.rs
+++ b/lovagedock/tests/request_support/core_sidecar.rs
@@ -76,16 +76,16 @@
             return;
         };
         for action in core.handle(now, event) {
-            self.act_on_core(endpoint, link, action);
+            self.apply_core_action(endpoint, link, action);
         }
     }
 
-    fn act_on_core(&mut self, endpoint: usize, origin: usize, action: EndpointAction) {
+    fn apply_core_action(&mut self, endpoint: usize, origin: usize, action: EndpointAction) {
         let sidecar_incarnation = self.sidecars[endpoint].incarnation;
         match action {
             EndpointAction::Accept(key) => {
                 let (attempt, incarnation) = (key.attempt, key.incarnation);
-                self.answer(
+                self.reply(
                     origin,
                     RequestEvent::SubmitAccepted {
                         attempt,
@@ -94,7 +94,7 @@
                 );
             }
             EndpointAction::Refuse { key, end } => {
-                self.answer(
+                self.reply(
                     origin,
                     RequestEvent::SubmitRefused {
                         attempt: key.attempt,
@@ -138,14 +138,14 @@
                     incarnation: sidecar_incarnation,
                     verdict,
                 };
-                self.answer(origin, event);
+                self.reply(origin, event);
             }
             EndpointAction::ResumeFrom { key, offset, end } => {
                 self.resume_core(endpoint, origin, key.attempt, offset, end);
             }
             EndpointAction::NotFound(key) => {
                 let attempt = key.attempt;
-                self.answer(
+                self.reply(
                     origin,
                     RequestEvent::ResumeAnswered {
                         attempt,
@@ -223,7 +223,7 @@
             .map_or(0, |work| work.link)
     }
 
-    fn answer(&mut self, link: usize, event: RequestEvent) {
+    fn reply(&mut self, link: usize, event: RequestEvent) {
         self.send(link, Step::ToGateway(link, event, Vec::new()));
     }
 }
--- a/lovagedock/tests/request_support/gateway.rs
+++ b/lovagedock/tests/request_support/gateway.rs
@@ -112,7 +112,7 @@
         failed: Option<RequestEvent>,
     ) {
         let endpoint = index(endpoint);
-        if self.cut_until[endpoint] > self.now {
+        if self.partitioned_until[endpoint] > self.now {
             if let Some(event) = failed {
                 self.after(CONNECT_TIMEOUT_MS, Step::Event(event));
             }
--- a/lovagedock/tests/request_support/mod.rs
+++ b/lovagedock/tests/request_support/mod.rs
@@ -45,7 +45,7 @@
     /// The engine fails all running attempts.
     EngineFails,
     /// The sidecar refuses new work.
-    Leaves,
+    Drains,
     /// The next frame is lost, sent twice, delayed or damaged.
     DropFrame,
     RepeatFrame,
@@ -60,9 +60,9 @@
 pub(crate) enum Violation {
     RanTwice,
     RanAfterNotRun,
-    NoFinalAnswer,
-    LateFinalAnswer,
-    SecondFinalAnswer,
+    NoFinalResult,
+    LateFinalResult,
+    SecondFinalResult,
     /// A clean end without exactly one complete answer.
     WrongAnswer,
     /// The caller read bytes that no attempt sent, although no frame was damaged.
@@ -73,14 +73,14 @@
 
 pub(crate) fn schedules(
     real_sidecars: bool,
-    least_faults: usize,
+    min_faults: usize,
 ) -> impl Strategy<Value = FaultSchedule> {
     let kind = prop_oneof![
         3 => Just(FaultKind::Silence),
         3 => Just(FaultKind::Partition),
         3 => Just(FaultKind::Restart),
         1 => Just(FaultKind::EngineFails),
-        1 => Just(FaultKind::Leaves),
+        1 => Just(FaultKind::Drains),
         1 => Just(FaultKind::DropFrame),
         1 => Just(FaultKind::RepeatFrame),
         1 => Just(FaultKind::DelayFrame),
@@ -98,7 +98,7 @@
                 length_ms,
             }
         });
-    let faults = prop::collection::vec(fault, least_faults..7);
+    let faults = prop::collection::vec(fault, min_faults..7);
     let delays = prop::collection::vec(1..25u64, 8);
     (any::<bool>(), 200..9000u64, faults, delays).prop_map(
         move |(non_idempotent, deadline_ms, faults, delays)| FaultSchedule {
--- a/lovagedock/tests/request_support/sidecar.rs
+++ b/lovagedock/tests/request_support/sidecar.rs
@@ -29,7 +29,7 @@
     /// The real state machine, if it replaces the model.
     pub(crate) core: Option<EndpointCore>,
     pub(crate) incarnation: Incarnation,
-    pub(crate) leaving: bool,
+    pub(crate) draining: bool,
     pub(crate) work: BTreeMap<AttemptNumber, Work>,
 }
 
@@ -38,7 +38,7 @@
         Self {
             core: None,
             incarnation,
-            leaving: false,
+            draining: false,
             work: BTreeMap::new(),
         }
     }
@@ -52,7 +52,7 @@
         if incarnation != self.incarnation {
             return Err(ResultCode::StaleIncarnation);
         }
-        if self.leaving {
+        if self.draining {
             return Err(ResultCode::Draining);
         }
         if self.work.contains_key(&attempt) {
--- a/lovagedock/tests/request_support/simulation.rs
+++ b/lovagedock/tests/request_support/simulation.rs
@@ -54,7 +54,7 @@
     pub(super) sidecars: Vec<SidecarModel>,
     pub(super) links: Vec<Link>,
     pub(super) sessions: Vec<Option<usize>>,
-    pub(super) cut_until: Vec<u64>,
+    pub(super) partitioned_until: Vec<u64>,
     pub(super) next_frame: Option<FaultKind>,
     pub(super) corrupted: bool,
     pub(super) starts: Vec<AttemptNumber>,
@@ -103,7 +103,7 @@
                 .collect(),
             links: Vec::new(),
             sessions: vec![None; ENDPOINTS],
-            cut_until: vec![0; ENDPOINTS],
+            partitioned_until: vec![0; ENDPOINTS],
             next_frame: None,
             corrupted: false,
             starts: Vec::new(),
@@ -200,7 +200,7 @@
         match fault.kind {
             FaultKind::Silence => self.silence_links(endpoint, fault.length_ms),
             FaultKind::Partition => {
-                self.cut_until[endpoint] = self.now + fault.length_ms;
+                self.partitioned_until[endpoint] = self.now + fault.length_ms;
                 self.silence_links(endpoint, fault.length_ms);
             }
             FaultKind::Restart => {
@@ -211,8 +211,8 @@
                 }
             }
             FaultKind::EngineFails => self.fail_running(endpoint),
-            FaultKind::Leaves => {
-                self.sidecars[endpoint].leaving = true;
+            FaultKind::Drains => {
+                self.sidecars[endpoint].draining = true;
                 self.send_to_core(endpoint, 0, EndpointEvent::Drain(true));
             }
             FaultKind::CallerGone => return Some(RequestEvent::CallerGone),
@@ -258,7 +258,7 @@
     }
 
     pub(super) fn reconnect(&mut self, endpoint: usize) -> Option<RequestEvent> {
-        if self.cut_until[endpoint] > self.now {
+        if self.partitioned_until[endpoint] > self.now {
             self.after(RECONNECT_MS, Step::Reconnect(endpoint));
             return None;
         }
--- a/lovagedock/tests/span_model/mod.rs
+++ b/lovagedock/tests/span_model/mod.rs
@@ -17,7 +17,7 @@
     /// The connection goes silent. Reservations stay until they expire.
     Silent,
     /// A new session to the same incarnation is established.
-    Back,
+    Reconnected,
     /// The sidecar restarts and loses its reservations.
     Restart,
     /// The prefill of the current segment fails.
@@ -28,7 +28,7 @@
 /// Engines that grant, expire and lose reservations, and answer at once.
 pub(crate) struct Engines {
     pub(crate) now: Duration,
-    pub(crate) lives: [Incarnation; ENGINES],
+    pub(crate) incarnations: [Incarnation; ENGINES],
     pub(crate) busy_until: [Duration; ENGINES],
     pub(crate) reachable: [bool; ENGINES],
     pub(crate) held_until: BTreeMap<usize, Duration>,
@@ -46,7 +46,7 @@
     pub(crate) fn new() -> Self {
         Self {
             now: Duration::ZERO,
-            lives: [7; ENGINES],
+            incarnations: [7; ENGINES],
             busy_until: [Duration::ZERO; ENGINES],
             reachable: [true; ENGINES],
             held_until: BTreeMap::new(),
@@ -63,7 +63,7 @@
     pub(crate) fn parts(&self) -> Vec<SpanPart> {
         let part = |at: usize| SpanPart {
             endpoint: name(at),
-            incarnation: self.lives[at],
+            incarnation: self.incarnations[at],
             tokens: PROMPT / 3 + 1,
         };
         (0..ENGINES)
@@ -79,7 +79,7 @@
     }
 
     pub(crate) fn inject_fault(&mut self, at: usize, fault: Fault) -> Option<SpanEvent> {
-        let (endpoint, incarnation) = (name(at), self.lives[at]);
+        let (endpoint, incarnation) = (name(at), self.incarnations[at]);
         match fault {
             Fault::Busy => self.busy_until[at] = self.now + Duration::from_secs(2),
             Fault::Silent if self.reachable[at] => {
@@ -90,7 +90,7 @@
                     incarnation,
                 });
             }
-            Fault::Back if !self.reachable[at] => {
+            Fault::Reconnected if !self.reachable[at] => {
                 self.reachable[at] = true;
                 return Some(SpanEvent::MemberReconnected {
                     endpoint,
@@ -98,11 +98,11 @@
                 });
             }
             Fault::Restart => {
-                self.lives[at] += 1;
+                self.incarnations[at] += 1;
                 self.held_until.remove(&at);
                 self.reachable[at] = true;
                 self.answers.retain(|answer| !is_from(answer, &endpoint));
-                let incarnation = self.lives[at];
+                let incarnation = self.incarnations[at];
                 return Some(SpanEvent::MemberReconnected {
                     endpoint,
                     incarnation,
@@ -110,7 +110,7 @@
             }
             Fault::SegmentFails => self.segment_fails = true,
             Fault::Released => return Some(SpanEvent::Released),
-            Fault::Silent | Fault::Back => {}
+            Fault::Silent | Fault::Reconnected => {}
         }
         None
     }
@@ -135,13 +135,13 @@
                     incarnation,
                 } => {
                     let at = index(&endpoint);
-                    if self.reachable[at] && self.lives[at] == incarnation {
+                    if self.reachable[at] && self.incarnations[at] == incarnation {
                         self.held_until.remove(&at);
                     }
                 }
                 SpanAction::Segment(segment) => {
                     let at = index(&segment.endpoint);
-                    if !self.reachable[at] || self.lives[at] != segment.incarnation {
+                    if !self.reachable[at] || self.incarnations[at] != segment.incarnation {
                         continue;
                     }
                     assert!(
@@ -178,12 +178,12 @@
     pub(crate) fn reserve(
         &mut self,
         endpoint: EndpointId,
-        life: Incarnation,
+        incarnation: Incarnation,
         round: u32,
         hold: Duration,
     ) {
         let at = index(&endpoint);
-        if !self.reachable[at] || self.lives[at] != life {
+        if !self.reachable[at] || self.incarnations[at] != incarnation {
             return;
         }
         let held = self.held_until.contains_key(&at);
--- a/lovagedock/tests/span_properties.rs
+++ b/lovagedock/tests/span_properties.rs
@@ -69,7 +69,7 @@
     let fault = prop_oneof![
         3 => Just(Fault::Busy),
         3 => Just(Fault::Silent),
-        3 => Just(Fault::Back),
+        3 => Just(Fault::Reconnected),
         1 => Just(Fault::Restart),
         1 => Just(Fault::SegmentFails),
         1 => Just(Fault::Released),
@@ -119,7 +119,7 @@
         },
         EndCase {
             name: "a silent connection is replaced in time",
-            faults: &[(5, 1, Fault::Silent), (40, 1, Fault::Back)],
+            faults: &[(5, 1, Fault::Silent), (40, 1, Fault::Reconnected)],
             decoded: 1,
             failed: None,
         },
@@ -131,7 +131,7 @@
         },
         EndCase {
             name: "the lead is silent during the decode: its request is resumed, the span stays",
-            faults: &[(60, 0, Fault::Silent), (150, 0, Fault::Back)],
+            faults: &[(60, 0, Fault::Silent), (150, 0, Fault::Reconnected)],
             decoded: 1,
             failed: None,
         },
--- a/lovagedock/tests/span_support/arbiter.rs
+++ b/lovagedock/tests/span_support/arbiter.rs
@@ -22,8 +22,8 @@
     }
 
     /// Returns the answers to send. A span that has to wait gets its answer from a later
-    /// [`EngineArbiter::free`].
-    pub(super) fn ask(
+    /// [`EngineArbiter::release`].
+    pub(super) fn reserve(
         &mut self,
         span: usize,
         round: u32,
@@ -48,7 +48,7 @@
     }
 
     /// Releases the reservation or the waiting entry of the span. Returns the next holder.
-    pub(super) fn free(&mut self, key: (usize, u32), by_age: bool) -> Option<(usize, u32)> {
+    pub(super) fn release(&mut self, key: (usize, u32), by_age: bool) -> Option<(usize, u32)> {
         self.waiting.retain(|waiting| *waiting != key);
         if self.holder != Some(key) {
             return None;
--- a/lovagedock/tests/span_support/figures.rs
+++ b/lovagedock/tests/span_support/figures.rs
@@ -45,8 +45,8 @@
                 state: SpanState::Waiting,
                 wait_ms: None,
             });
-            self.at(at as u64, Step::Arrive(span));
-            self.at(at as u64 + GIVE_UP_MS, Step::GiveUp(span));
+            self.schedule(at as u64, Step::Arrive(span));
+            self.schedule(at as u64 + GIVE_UP_MS, Step::GiveUp(span));
         }
     }
 
--- a/lovagedock/tests/span_support/mod.rs
+++ b/lovagedock/tests/span_support/mod.rs
@@ -32,12 +32,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Step {
     Arrive(usize),
-    Ask {
+    Reserve {
         engine: usize,
         span: usize,
         round: u32,
     },
-    Free {
+    Release {
         engine: usize,
         span: usize,
         round: u32,
@@ -116,14 +116,14 @@
         self.figures()
     }
 
-    fn at(&mut self, at: u64, step: Step) {
+    fn schedule(&mut self, at: u64, step: Step) {
         self.sequence += 1;
         self.steps.push(Reverse((at, self.sequence, step)));
     }
 
     fn send(&mut self, step: Step) {
         self.messages += 1;
-        self.at(self.now + ONE_WAY_MS, step);
+        self.schedule(self.now + ONE_WAY_MS, step);
     }
 
     fn pass_time(&mut self, at: u64) {
@@ -141,16 +141,16 @@
     fn process_step(&mut self, step: Step) {
         match step {
             Step::Arrive(span) => self.begin_round(span),
-            Step::Ask {
+            Step::Reserve {
                 engine,
                 span,
                 round,
-            } => self.ask(engine, span, round),
-            Step::Free {
+            } => self.reserve(engine, span, round),
+            Step::Release {
                 engine,
                 span,
                 round,
-            } => self.free(engine, span, round),
+            } => self.release(engine, span, round),
             Step::Answer {
                 engine,
                 span,
@@ -195,7 +195,7 @@
         };
         for at in 0..first {
             let engine = self.spans[span].members[at];
-            self.send(Step::Ask {
+            self.send(Step::Reserve {
                 engine,
                 span,
                 round,
@@ -222,14 +222,14 @@
         engines
     }
 
-    fn ask(&mut self, engine: usize, span: usize, round: u32) {
+    fn reserve(&mut self, engine: usize, span: usize, round: u32) {
         let waits = matches!(
             self.strategy,
             ReserveStrategy::Ordered | ReserveStrategy::WoundWait
         );
         let wounds = self.strategy == ReserveStrategy::WoundWait;
         let begun = |holder: usize| self.spans[holder].state == SpanState::Begun;
-        let answers = self.engines[engine].ask(span, round, waits, wounds, begun);
+        let answers = self.engines[engine].reserve(span, round, waits, wounds, begun);
         for (span, round, verdict) in answers {
             self.send(Step::Answer {
                 engine,
@@ -240,9 +240,9 @@
         }
     }
 
-    fn free(&mut self, engine: usize, span: usize, round: u32) {
+    fn release(&mut self, engine: usize, span: usize, round: u32) {
         let by_age = self.strategy == ReserveStrategy::WoundWait;
-        if let Some((next, round)) = self.engines[engine].free((span, round), by_age) {
+        if let Some((next, round)) = self.engines[engine].release((span, round), by_age) {
             self.send(Step::Answer {
                 engine,
                 span: next,
@@ -255,7 +255,7 @@
     fn answer(&mut self, engine: usize, span: usize, round: u32, verdict: Verdict) {
         if !self.is_current(span, round) {
             if verdict == Verdict::Granted && self.spans[span].state != SpanState::Begun {
-                self.send(Step::Free {
+                self.send(Step::Release {
                     engine,
                     span,
                     round,
@@ -276,11 +276,11 @@
             state.state = SpanState::Begun;
             state.wait_ms = Some(self.now - state.arrived);
             let end = self.now + state.service_ms;
-            self.at(end, Step::Done(span));
+            self.schedule(end, Step::Done(span));
         } else if self.strategy == ReserveStrategy::Ordered {
             let next = state.members[state.granted.len()];
             let round = state.round;
-            self.send(Step::Ask {
+            self.send(Step::Reserve {
                 engine: next,
                 span,
                 round,
@@ -301,13 +301,13 @@
             _ => backoff.curve.delay(round, jitter),
         };
         let pause = pause.as_millis() as u64;
-        self.at(self.now + pause, Step::Retry { span, round });
+        self.schedule(self.now + pause, Step::Retry { span, round });
     }
 
     fn release_all(&mut self, span: usize) {
         let round = self.spans[span].round;
         for engine in self.spans[span].members.clone() {
-            self.send(Step::Free {
+            self.send(Step::Release {
                 engine,
                 span,
                 round,
--- a/lovagedock/tests/support/claim_simulation/calls.rs
+++ b/lovagedock/tests/support/claim_simulation/calls.rs
@@ -70,7 +70,7 @@
         call.outcome = Some(event);
     }
 
-    pub(super) fn answer(&mut self, id: u64) {
+    pub(super) fn report_call(&mut self, id: u64) {
         let call = &self.calls[&id];
         let (gateway, incarnation) = (call.gateway, call.incarnation);
         let event = match (&call.action, call.confirmed) {
--- a/lovagedock/tests/support/claim_simulation/endpoint.rs
+++ b/lovagedock/tests/support/claim_simulation/endpoint.rs
@@ -11,18 +11,21 @@
 impl ClaimSimulation {
     pub(super) fn grant(&mut self, request: RequestId) {
         self.report.granted += 1;
-        self.end(request);
-        let delivery = self.deliveries.get_mut(&request).expect("request is known");
-        if self.now >= delivery.deadline {
+        self.record_end(request);
+        let state = self
+            .request_states
+            .get_mut(&request)
+            .expect("request is known");
+        if self.now >= state.deadline {
             let text = format!("request {request} granted after its deadline");
             self.report.violations.push(text);
         }
-        let (key, gateway, incarnation) = (delivery.key, delivery.gateway, delivery.incarnation);
+        let (key, gateway, incarnation) = (state.key, state.gateway, state.incarnation);
         if self.chance(self.schedule.faults.abandon) {
             self.deliver(gateway, incarnation, ClaimEvent::Abandon { key, request });
             return;
         }
-        self.deliveries.get_mut(&request).expect("known").ran = true;
+        self.request_states.get_mut(&request).expect("known").ran = true;
         let runs = self.runs.entry(key).or_default();
         runs.push(request);
         if runs.len() > 1 {
@@ -43,9 +46,9 @@
         let mut bytes = vec![0; length];
         self.rng.fill_bytes(&mut bytes);
         let answer = Bytes::from(bytes);
-        self.made.insert(request, answer.clone());
-        let delivery = &self.deliveries[&request];
-        let (key, gateway, incarnation) = (delivery.key, delivery.gateway, delivery.incarnation);
+        self.produced.insert(request, answer.clone());
+        let state = &self.request_states[&request];
+        let (key, gateway, incarnation) = (state.key, state.gateway, state.incarnation);
         let local = self.now - self.gateways[gateway].started;
         let event = ClaimEvent::Record {
             key,
@@ -56,16 +59,19 @@
         self.deliver(gateway, incarnation, event);
     }
 
-    pub(super) fn end(&mut self, request: RequestId) {
-        let delivery = self.deliveries.get_mut(&request).expect("request is known");
-        if std::mem::replace(&mut delivery.ended, true) {
+    pub(super) fn record_end(&mut self, request: RequestId) {
+        let state = self
+            .request_states
+            .get_mut(&request)
+            .expect("request is known");
+        if std::mem::replace(&mut state.ended, true) {
             let text = format!("request {request} ended twice");
             self.report.violations.push(text);
         }
     }
 
-    pub(super) fn delivered(&mut self, request: RequestId, answer: Bytes) {
-        let key = self.deliveries[&request].key;
+    pub(super) fn record_answer(&mut self, request: RequestId, answer: Bytes) {
+        let key = self.request_states[&request].key;
         let answers = self.answers.entry(key).or_default();
         answers.insert(answer);
         if answers.len() > 1 {
@@ -75,8 +81,8 @@
     }
 
     pub(super) fn check_end(&mut self) {
-        for (request, delivery) in &self.deliveries {
-            if !delivery.ended {
+        for (request, state) in &self.request_states {
+            if !state.ended {
                 let text = format!("request {request} never ended");
                 self.report.violations.push(text);
             }
--- a/lovagedock/tests/support/claim_simulation/mod.rs
+++ b/lovagedock/tests/support/claim_simulation/mod.rs
@@ -80,11 +80,11 @@
     incarnation: u32,
     started: Timestamp,
     paused: bool,
-    held: Vec<(u32, ClaimEvent)>,
+    pending_events: Vec<(u32, ClaimEvent)>,
 }
 
 #[derive(Debug)]
-struct Delivery {
+struct RequestState {
     key: KeyHash,
     gateway: usize,
     incarnation: u32,
@@ -103,10 +103,10 @@
     store: FakeStore,
     calls: BTreeMap<u64, Call>,
     gateways: Vec<Gateway>,
-    deliveries: BTreeMap<RequestId, Delivery>,
+    request_states: BTreeMap<RequestId, RequestState>,
     runs: BTreeMap<KeyHash, Vec<RequestId>>,
     answers: BTreeMap<KeyHash, BTreeSet<Bytes>>,
-    made: BTreeMap<RequestId, Bytes>,
+    produced: BTreeMap<RequestId, Bytes>,
     report: SimulationReport,
 }
 
@@ -121,10 +121,10 @@
             store: FakeStore::default(),
             calls: BTreeMap::new(),
             gateways: Vec::new(),
-            deliveries: BTreeMap::new(),
+            request_states: BTreeMap::new(),
             runs: BTreeMap::new(),
             answers: BTreeMap::new(),
-            made: BTreeMap::new(),
+            produced: BTreeMap::new(),
             report: SimulationReport::default(),
             schedule,
         };
@@ -162,7 +162,7 @@
             // Each process has a different clock.
             started: self.now - Duration::from_secs(17 * (index as u64 + 1)),
             paused: false,
-            held: Vec::new(),
+            pending_events: Vec::new(),
         }
     }
 
@@ -170,7 +170,7 @@
         match step {
             Step::Arrive(index) => self.arrive(index),
             Step::ApplyCall(call) => self.apply_call(call),
-            Step::Report(call) => self.answer(call),
+            Step::Report(call) => self.report_call(call),
             Step::Tick(gateway, incarnation) => {
                 self.deliver(gateway, incarnation, ClaimEvent::Tick)
             }
@@ -193,23 +193,23 @@
         }
         let key = [self.rng.random_range(0..self.schedule.keys); 16];
         let request = index as RequestId + 1;
-        let time = self.millis(200..4_000);
+        let timeout = self.millis(200..4_000);
         let local = self.now - self.gateways[gateway].started;
         let incarnation = self.gateways[gateway].incarnation;
-        let delivery = Delivery {
+        let state = RequestState {
             key,
             gateway,
             incarnation,
-            deadline: self.now + time,
+            deadline: self.now + timeout,
             ended: false,
             ran: false,
         };
-        self.deliveries.insert(request, delivery);
+        self.request_states.insert(request, state);
         let claim = ClaimRequest {
             key,
             request,
             body: key,
-            deadline: local + time,
+            deadline: local + timeout,
         };
         self.deliver(gateway, incarnation, ClaimEvent::Claim(claim));
     }
@@ -220,7 +220,7 @@
             return;
         }
         if target.paused {
-            target.held.push((incarnation, event));
+            target.pending_events.push((incarnation, event));
             return;
         }
         let local = self.now - target.started;
@@ -235,17 +235,17 @@
             ClaimAction::Grant { request } => self.grant(request),
             ClaimAction::Replay { request, answer } => {
                 self.report.replayed += 1;
-                self.end(request);
-                self.delivered(request, answer);
+                self.record_end(request);
+                self.record_answer(request, answer);
             }
             ClaimAction::Refuse { request, code } => {
                 *self.report.refused.entry(code.number()).or_default() += 1;
-                self.end(request);
+                self.record_end(request);
             }
             ClaimAction::Recorded { request } => {
                 self.report.recorded += 1;
-                let answer = self.made[&request].clone();
-                self.delivered(request, answer);
+                let answer = self.produced[&request].clone();
+                self.record_answer(request, answer);
             }
             ClaimAction::NotRecorded { .. } | ClaimAction::InProgress { .. } => {}
             ClaimAction::WakeAt(at) => {
@@ -261,15 +261,15 @@
     fn crash(&mut self, gateway: usize) {
         let incarnation = self.gateways[gateway].incarnation + 1;
         self.gateways[gateway] = self.start_gateway(gateway, incarnation);
-        let lost = |d: &&mut Delivery| d.gateway == gateway && d.incarnation < incarnation;
-        for delivery in self.deliveries.values_mut().filter(lost) {
-            delivery.ended = true;
+        let lost = |d: &&mut RequestState| d.gateway == gateway && d.incarnation < incarnation;
+        for state in self.request_states.values_mut().filter(lost) {
+            state.ended = true;
         }
     }
 
     fn resume(&mut self, gateway: usize) {
         self.gateways[gateway].paused = false;
-        for (incarnation, event) in std::mem::take(&mut self.gateways[gateway].held) {
+        for (incarnation, event) in std::mem::take(&mut self.gateways[gateway].pending_events) {
             self.deliver(gateway, incarnation, event);
         }
     }
--- a/lovagedock/tests/support/lease_simulation.rs
+++ b/lovagedock/tests/support/lease_simulation.rs
@@ -54,7 +54,7 @@
     /// Rate of its clock, in thousandths.
     rate: u32,
     paused: bool,
-    held: Vec<LeaseEvent>,
+    pending_events: Vec<LeaseEvent>,
 }
 
 /// Simulation of one schedule.
@@ -85,7 +85,7 @@
             offset: Duration::from_secs(rng.random_range(1..1_000)),
             rate: rng.random_range(980..1_020),
             paused: false,
-            held: Vec::new(),
+            pending_events: Vec::new(),
         });
         let contenders = contenders.collect();
         let mut simulation = Self {
@@ -121,12 +121,12 @@
         self.report
     }
 
-    fn local(&self, index: usize) -> Timestamp {
+    fn local_time(&self, index: usize) -> Timestamp {
         let contender = &self.contenders[index];
         contender.offset + self.now * contender.rate / 1_000
     }
 
-    fn global(&self, index: usize, local: Timestamp) -> Timestamp {
+    fn global_time(&self, index: usize, local: Timestamp) -> Timestamp {
         let contender = &self.contenders[index];
         local.saturating_sub(contender.offset) * 1_000 / contender.rate + Duration::from_micros(1)
     }
@@ -141,7 +141,7 @@
             Step::Order(index, epoch) => self.order(index, epoch),
             Step::Resume(index) => {
                 self.contenders[index].paused = false;
-                for event in std::mem::take(&mut self.contenders[index].held) {
+                for event in std::mem::take(&mut self.contenders[index].pending_events) {
                     self.deliver(index, event);
                 }
             }
@@ -149,10 +149,10 @@
     }
 
     fn deliver(&mut self, index: usize, event: LeaseEvent) {
-        let now = self.local(index);
+        let now = self.local_time(index);
         let contender = &mut self.contenders[index];
         if contender.paused {
-            contender.held.push(event);
+            contender.pending_events.push(event);
             return;
         }
         for action in contender.machine.handle(now, event) {
@@ -163,7 +163,7 @@
     fn act(&mut self, index: usize, action: LeaseAction) {
         match action {
             LeaseAction::WakeAt(at) => {
-                let at = self.global(index, at);
+                let at = self.global_time(index, at);
                 self.push(at, Step::Event(index, LeaseEvent::Tick));
             }
             LeaseAction::Acquired { epoch, .. } => {
@@ -238,7 +238,7 @@
         if self.contenders[index].paused {
             return;
         }
-        let fence = self.contenders[index].machine.fence(self.local(index));
+        let fence = self.contenders[index].machine.fence(self.local_time(index));
         if let Some(epoch) = fence {
             // The process may be paused between the check of its fence and the sending of the
             // order.
@@ -280,7 +280,7 @@
 
     fn check_holders(&mut self) {
         let holders = (0..CONTENDERS).filter(|index| {
-            let now = self.local(*index);
+            let now = self.local_time(*index);
             self.contenders[*index].machine.fence(now).is_some()
         });
         let holders: Vec<usize> = holders.collect();
--- a/lovagedock/tests/support/relay_simulation/lifecycle.rs
+++ b/lovagedock/tests/support/relay_simulation/lifecycle.rs
@@ -65,10 +65,10 @@
     pub(super) fn link_leaves(&mut self) {
         for position in 0..self.processes.len() {
             let role = self.plan.role_of(&self.processes[position].member.process);
-            for fed in role.children.iter().chain(&role.offers) {
-                let fed = self.index[fed];
-                if self.processes[fed].member.kind == RelayKind::Leaf {
-                    self.processes[fed].parents.push(position);
+            for child in role.children.iter().chain(&role.offers) {
+                let child = self.index[child];
+                if self.processes[child].member.kind == RelayKind::Leaf {
+                    self.processes[child].parents.push(position);
                 }
             }
         }
--- a/lovagedock/tests/support/relay_simulation/mod.rs
+++ b/lovagedock/tests/support/relay_simulation/mod.rs
@@ -189,9 +189,11 @@
                 }
             }
             Step::Push(from, incarnation, to, bundle, hops) => {
-                self.arrive(from, incarnation, to, bundle, hops)
+                self.receive_push(from, incarnation, to, bundle, hops)
+            }
+            Step::Pull(from, incarnation, to, above) => {
+                self.receive_pull(from, incarnation, to, above)
             }
-            Step::Pull(from, incarnation, to, above) => self.pulled(from, incarnation, to, above),
             Step::Root(position, incarnation) => {
                 let event = AdoptionEvent::RootRead(self.root_of(position));
                 self.push(self.now, Step::Event(position, incarnation, event, 0));
--- a/lovagedock/tests/support/relay_simulation/traffic.rs
+++ b/lovagedock/tests/support/relay_simulation/traffic.rs
@@ -73,7 +73,7 @@
         let to = *self.index.get(to)?;
         self.tallies[from].messages += 1;
         self.tallies[from].bytes += bytes;
-        if !self.is_passed(from, to) {
+        if !self.is_delivered(from, to) {
             return None;
         }
         let at = self.now + self.latency(from, to);
@@ -101,7 +101,7 @@
             Step::Push(from, incarnation, to, bundle, hops)
         });
         if sent.is_none() {
-            self.fail(from, AdoptionEvent::PushFailed { to: name });
+            self.schedule_failure(from, AdoptionEvent::PushFailed { to: name });
         }
     }
 
@@ -112,7 +112,7 @@
         });
         if sent.is_none() {
             let from_peer = peer.clone();
-            self.fail(
+            self.schedule_failure(
                 from,
                 AdoptionEvent::Pulled {
                     from: from_peer,
@@ -122,13 +122,13 @@
         }
     }
 
-    pub(super) fn fail(&mut self, position: usize, event: AdoptionEvent) {
+    pub(super) fn schedule_failure(&mut self, position: usize, event: AdoptionEvent) {
         let incarnation = self.processes[position].incarnation;
         let at = self.now + CALL_TIMEOUT;
         self.push(at, Step::Event(position, incarnation, event, 0));
     }
 
-    pub(super) fn arrive(
+    pub(super) fn receive_push(
         &mut self,
         from: usize,
         incarnation: u32,
@@ -153,7 +153,7 @@
         let generation = self.generation(to);
         self.tallies[to].messages += 1;
         self.tallies[to].bytes += CONTROL_BYTES;
-        let (delay, event) = match self.is_passed(to, from) {
+        let (delay, event) = match self.is_delivered(to, from) {
             true => {
                 let event = AdoptionEvent::PushAnswered {
                     to: name,
@@ -170,10 +170,16 @@
         );
     }
 
-    pub(super) fn pulled(&mut self, from: usize, incarnation: u32, to: usize, above: Generation) {
+    pub(super) fn receive_pull(
+        &mut self,
+        from: usize,
+        incarnation: u32,
+        to: usize,
+        above: Generation,
+    ) {
         let name = self.processes[to].member.process.clone();
         let hops = self.tallies[to].hops + 1;
-        let passed = self.processes[to].alive && self.is_passed(to, from);
+        let passed = self.processes[to].alive && self.is_delivered(to, from);
         if !passed {
             let event = AdoptionEvent::Pulled {
                 from: name,
@@ -199,16 +205,16 @@
     }
 
     pub(super) fn heartbeat(&mut self, leaf: usize) {
-        for feeder in self.processes[leaf].parents.clone() {
-            let both = self.processes[leaf].alive && self.processes[feeder].alive;
-            if !both || !self.is_passed(feeder, leaf) {
+        for parent in self.processes[leaf].parents.clone() {
+            let both = self.processes[leaf].alive && self.processes[parent].alive;
+            if !both || !self.is_delivered(parent, leaf) {
                 continue;
             }
             let generation = self.generation(leaf);
             let from = self.processes[leaf].member.process.clone();
-            let hops = self.tallies[feeder].hops;
+            let hops = self.tallies[parent].hops;
             self.deliver(
-                feeder,
+                parent,
                 AdoptionEvent::PeerReported { from, generation },
                 hops,
             );
@@ -216,7 +222,7 @@
         self.push(self.now + HEARTBEAT, Step::Heartbeat(leaf));
     }
 
-    pub(super) fn is_passed(&mut self, from: usize, to: usize) -> bool {
+    pub(super) fn is_delivered(&mut self, from: usize, to: usize) -> bool {
         let regions = (self.processes[from].region, self.processes[to].region);
         let crosses = regions.0 != regions.1;
         let is_cut = self.cut.contains(&regions.0) || self.cut.contains(&regions.1);
