--- a/lovagedock/examples/claims_capacity.rs
+++ b/lovagedock/examples/claims_capacity.rs
@@ -75,7 +75,7 @@
         "Store: {STORE_WRITES_PER_SECOND} writes/s shared by all partitions; window {WINDOW:?}.\n"
     );
     println!(
-        "| claims/s | of 43,000 % | partitions | gateways writing each | writes/s | conflicts/s | \
+        "| claims/s | % of 43,000 | partitions | gateways writing each | writes/s | conflicts/s | \
          claims per write | added p50 ms | added p99 ms | record p50 ms | record p99 ms | refused % \
          | largest object KB | MB/s written |"
     );
--- a/lovagedock/examples/relay_capacity.rs
+++ b/lovagedock/examples/relay_capacity.rs
@@ -58,7 +58,7 @@
     println!(
         "Change of one chunk of {CHUNK_BYTES} bytes, {CHANGES} changes, {SEEDS} seeds; bytes and"
     );
-    println!("messages are what a process sends; B/s counts 19,000 changes a day and the rest.\n");
+    println!("messages are what a process sends; B/s is idle traffic plus 19,000 changes a day.\n");
     println!(
         "| relays | leaves | regions | loss % | watchers | in force p50 ms | p99 ms | max ms | \
          hops max | messages/change mean | max | bytes/change mean | max | idle B/s mean | \
--- a/lovagedock/src/adoption/bundle.rs
+++ b/lovagedock/src/adoption/bundle.rs
@@ -1,4 +1,5 @@
-//! Bundles that transfer a configuration between processes as a difference to an older generation.
+//! Bundles that transfer a configuration between processes as a difference from an older
+//! generation.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -11,7 +12,7 @@
 use super::manifest::{ChunkHash, ConfigManifest, ManifestDigest, chunk_hash};
 use crate::ids::Generation;
 
-/// A generation, either complete or as a difference to another one.
+/// A generation, either complete or as a difference from another one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigBundle {
     /// Generation that the receiver has after applying the bundle.
@@ -73,7 +74,7 @@
         Bytes::from(parts.concat())
     }
 
-    /// Returns the difference to `base`, or a complete bundle without a base.
+    /// Returns the difference from `base`, or a complete bundle if there is no base.
     pub(crate) fn bundle(&self, base: Option<&ConfigManifest>) -> ConfigBundle {
         let none: Arc<[ChunkHash]> = Arc::new([]);
         let old = base.map_or(&none, |base| &base.chunks);
--- a/lovagedock/src/adoption/plan.rs
+++ b/lovagedock/src/adoption/plan.rs
@@ -1,4 +1,5 @@
-//! Plan of the relay: which processes watch the store, and which process pushes to which.
+//! Plan for distributing configurations: which processes watch the store, and which process pushes
+//! to which.
 
 use std::{
     cmp::Reverse,
@@ -19,13 +20,13 @@
 const PEER_SEED: u64 = 5;
 const LEAF_SLACK_PERCENT: usize = 25;
 
-/// The relay of a fleet. The plan is the same at every process that knows the same members.
+/// Distribution plan of a fleet. It is the same at every process that knows the same members.
 ///
 /// In each region a few watchers are the roots of a tree. Their children are the heads of the
 /// region's failure domains, and each head has the other relays of its domain below it. Both levels
 /// are heaps of bounded width, so the depth grows with the logarithm of the domain's size. Only
-/// watchers communicate across regions. A second tree with other heads carries offers, so that no
-/// single process can cut off those below it.
+/// watchers communicate across regions. A second tree with other heads carries offers, which
+/// contain only the generation number, so that no single process can cut off those below it.
 #[derive(Clone, Debug)]
 pub struct RelayPlan {
     roles: BTreeMap<ProcessId, RelayRole>,
@@ -165,9 +166,9 @@
         }
     }
 
-    /// Assigns leaves by rendezvous hashing with a bound on the number of children of a relay, its
-    /// children in the tree included. Without the bound the busiest relay sends twice as much as
-    /// the mean and exceeds its budget.
+    /// Assigns leaves by rendezvous hashing with a bound on the number of children of a relay,
+    /// including its children in the tree. Without the bound the busiest relay sends twice as much
+    /// as the mean and exceeds its budget.
     fn assign_leaves(&mut self, leaves: &MemberList<'_>, parents: &MemberList<'_>) {
         let edges = leaves.len() + parents.len();
         let bound = (edges * (100 + LEAF_SLACK_PERCENT)).div_ceil(100 * parents.len().max(1));
@@ -234,7 +235,8 @@
     first.into_iter().chain(rest).take(count).collect()
 }
 
-/// Returns steps around a ring that double, so that comparisons reach across the whole ring.
+/// Returns distances to peers on a ring. They double, so that comparisons reach across the whole
+/// ring. If more are needed, the smallest unused distances follow.
 fn spread_steps(length: usize, count: usize) -> Vec<usize> {
     let mut steps: Vec<usize> = (0..count as u32)
         .map(|power| 1usize << power.min(30))
--- a/lovagedock/src/adoption/repair.rs
+++ b/lovagedock/src/adoption/repair.rs
@@ -114,9 +114,10 @@
         let Some(bundle) = answer.bundle else {
             return;
         };
-        // Pulls that are due from other peers would most likely return the same generation.
         let source = AdoptionSource::Pull(from.clone());
         self.apply_bundle(now, from, &bundle, source, actions);
+        // Pulls that are due from other peers would most likely return the same generation. Those
+        // from higher-ranked relays stay, since a standby needs them to detect which are alive.
         if self.generation() >= self.highest_seen {
             self.repair
                 .due
--- a/lovagedock/src/adoption/role.rs
+++ b/lovagedock/src/adoption/role.rs
@@ -1,9 +1,9 @@
-//! The role of a process in the relay.
+//! The role of a process in the distribution of configurations.
 
 use super::types::ProcessId;
 use crate::ids::{DomainId, HostId};
 
-/// A process that takes part in the relay.
+/// A process that takes part in the distribution of configurations.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RelayMember {
     /// Unique name.
@@ -27,7 +27,7 @@
     Leaf,
 }
 
-/// Size limits of the relay.
+/// Size limits of a [`super::RelayPlan`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RelayLimits {
     /// Processes per region that watch the store, in different failure domains where there are
--- a/lovagedock/src/adoption/standby.rs
+++ b/lovagedock/src/adoption/standby.rs
@@ -40,8 +40,8 @@
     /// Checks the higher-ranked relays periodically and decides whether to watch the store.
     ///
     /// If all watchers of a region die, no process there learns of a change until its next poll,
-    /// minutes later. The relay ranked next detects this by their silence. If a standby takes over
-    /// needlessly, the only cost is one more watch at the store.
+    /// minutes later. A standby detects this when it has had no contact with them for the timeout.
+    /// If it takes over needlessly, the only cost is one more watch at the store.
     pub(super) fn drive_standby(&mut self, now: Timestamp) {
         if self.standby.check_at.is_some_and(|at| at <= now) {
             self.check_higher_ranked(now);
--- a/lovagedock/src/adoption/startup.rs
+++ b/lovagedock/src/adoption/startup.rs
@@ -10,7 +10,7 @@
 };
 use crate::ids::Timestamp;
 
-/// Peers that were asked at startup, and their answers.
+/// Peers that were asked at startup, and their answers; `None` for a peer that has not answered.
 #[derive(Debug, Default)]
 pub(super) struct StartupState {
     asked: BTreeMap<ProcessId, Option<PullAnswer>>,
--- a/lovagedock/src/adoption/state.rs
+++ b/lovagedock/src/adoption/state.rs
@@ -230,7 +230,7 @@
         self.propagate(now, &source, actions);
     }
 
-    /// Returns the difference to the generation `base` if that is known, else a complete bundle.
+    /// Returns the difference from the generation `base` if that is known, else a complete bundle.
     pub(super) fn bundle(&self, base: Generation) -> Option<ConfigBundle> {
         let current = self.current.as_ref()?;
         let base = self.history.iter().find(|old| old.generation == base);
--- a/lovagedock/src/adoption/types.rs
+++ b/lovagedock/src/adoption/types.rs
@@ -37,8 +37,8 @@
 /// An event that an adoption state reacts to.
 #[derive(Clone, Debug)]
 pub enum AdoptionEvent {
-    /// The role of this process in the relay. Before there is a plan, it holds the peers from the
-    /// settings.
+    /// The role of this process in the distribution plan. Before there is a plan, it contains only
+    /// the peers from the settings.
     Role(RelayRole),
     /// A read or watch of the root ended.
     RootRead(RootOutcome),
@@ -71,7 +71,7 @@
         /// Generation in force at the receiver.
         generation: Generation,
     },
-    /// A push was not answered in time.
+    /// A push failed or was not answered in time.
     PushFailed {
         /// The receiver.
         to: ProcessId,
@@ -173,7 +173,7 @@
     pub watch_pause: Duration,
     /// First pause after a store failure. It doubles up to `max_backoff` and has jitter.
     pub backoff: Duration,
-    /// Longest pause after a store failure.
+    /// Maximum pause after a store failure.
     pub max_backoff: Duration,
     /// Pause before a failed push is repeated, with jitter.
     pub push_retry: Duration,
--- a/lovagedock/src/adoption/upstream.rs
+++ b/lovagedock/src/adoption/upstream.rs
@@ -23,7 +23,7 @@
     poll_requested: bool,
     /// Whether this process watches the store, by plan or as a standby.
     pub(super) watching: bool,
-    /// Whether the first read was answered, or a peer was faster.
+    /// Whether the first read was answered, or a configuration from a peer arrived earlier.
     started: bool,
     /// Whether the store reported that no configuration was accepted yet.
     is_empty: bool,
@@ -73,8 +73,8 @@
         self.upstream.watching = watching;
     }
 
-    /// Reads the root at startup, then watches or polls it. Only failures and hints of a newer
-    /// generation change the interval. Failures make it longer.
+    /// Reads the root at startup, then watches or polls it. Failures make the interval longer. A
+    /// notification of a newer generation causes a read at once unless the last call failed.
     pub(super) fn drive_upstream(&mut self, now: Timestamp, actions: &mut Vec<AdoptionAction>) {
         if self.upstream.failures == 0 {
             self.read_chunks(now, actions);
@@ -143,7 +143,7 @@
         fetch.map(|fetch| fetch.manifest.generation)
     }
 
-    /// Stops reads that are superseded by a configuration from a peer.
+    /// Stops reads that are superseded by the adopted configuration, and reschedules the next one.
     pub(super) fn record_adopted(&mut self, now: Timestamp) {
         let generation = self.generation();
         let is_superseded = |fetch: &mut ChunkFetch| fetch.manifest.generation <= generation;
@@ -244,7 +244,7 @@
         let Some(fetch) = self.upstream.fetch.take_if(done) else {
             return;
         };
-        // A push or pull from a peer may have been faster.
+        // A push or pull from a peer may have provided this generation already.
         if !self.is_newer(fetch.manifest.generation) {
             return;
         }
--- a/lovagedock/src/claim/answer.rs
+++ b/lovagedock/src/claim/answer.rs
@@ -37,7 +37,7 @@
     answer.slice(start..end)
 }
 
-/// State of reading a split answer for a repeated request.
+/// Progress of reading a split answer for a repeated request.
 #[derive(Clone, Debug)]
 pub(crate) struct ReplayRead {
     pub(crate) request: RequestId,
--- a/lovagedock/src/claim/pending.rs
+++ b/lovagedock/src/claim/pending.rs
@@ -43,7 +43,8 @@
     pub(crate) request: RequestId,
     pub(crate) answer: Bytes,
     pub(crate) deadline: Timestamp,
-    /// The delivery has already ended as not recorded. The answer is still recorded for repeats.
+    /// [`super::ClaimAction::NotRecorded`] was returned for it. The answer is still recorded for
+    /// repeats.
     pub(crate) late: bool,
     pub(crate) split: Option<SplitProgress>,
 }
--- a/lovagedock/src/claim/types.rs
+++ b/lovagedock/src/claim/types.rs
@@ -22,7 +22,7 @@
 pub struct ClaimRequest {
     /// The key.
     pub key: KeyHash,
-    /// Id of this delivery. A repeat of the same call has another id.
+    /// Id of this request. A repeat with the same key has another id.
     pub request: RequestId,
     /// Digest of the request that uses the key.
     pub body: BodyDigest,
@@ -167,7 +167,7 @@
     pub poll_interval: Duration,
     /// First pause after the store failed or refused a call. It doubles up to `max_backoff`.
     pub backoff: Duration,
-    /// Longest pause after the store failed or refused a call.
+    /// Maximum pause after the store failed or refused a call.
     pub max_backoff: Duration,
 }
 
--- a/lovagedock/src/fence.rs
+++ b/lovagedock/src/fence.rs
@@ -55,6 +55,8 @@
     Repeated(FencedOrder),
 }
 
+/// Highest fencing number seen for a pool, and the sequence number of the last order that passed
+/// with it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct PoolMark {
     epoch: Epoch,
--- a/lovagedock/src/lease/holder.rs
+++ b/lovagedock/src/lease/holder.rs
@@ -122,7 +122,8 @@
         };
         let epoch = held.epoch;
         actions.push(LeaseAction::Lost { epoch });
-        // The next holder can then start at once. If the write is lost, it waits for the lapse.
+        // The next holder can then acquire the lease at once. If this write is lost, it has to wait
+        // until the lease expires.
         if matches!(self.call, LeaseCall::Idle) {
             self.write(now, None, epoch, actions);
         }
@@ -168,7 +169,7 @@
         }
     }
 
-    /// Returns when the lease of another holder lapses by this process's clock.
+    /// Returns when the lease of another holder expires by this process's clock.
     pub(super) fn expiry_of(&self, known: &KnownRecord, record: &LeaseRecord) -> Timestamp {
         let is_free = record.holder.is_none_or(|holder| holder == self.owner);
         if !self.safeguards.lease_waits_for_expiry || is_free {
--- a/lovagedock/src/lease/store.rs
+++ b/lovagedock/src/lease/store.rs
@@ -66,7 +66,7 @@
         self.write(now, Some(self.owner), epoch, actions);
     }
 
-    /// Whether a read after the lapse of another holder's lease has shown that it was not renewed.
+    /// Whether a read after the expiry of another holder's lease has shown that it was not renewed.
     /// Such a read is cheaper than a refused write.
     fn is_checked(&self, known: &KnownRecord) -> bool {
         let Some(record) = known.record.as_ref().filter(|_| self.held.is_none()) else {
--- a/lovagedock/src/lease/types.rs
+++ b/lovagedock/src/lease/types.rs
@@ -52,14 +52,14 @@
     Acquired {
         /// Fencing number of all orders.
         epoch: Epoch,
-        /// When the lease lapses unless it is renewed.
+        /// When the lease expires unless it is renewed.
         expires_at: Timestamp,
     },
     /// The lease was extended.
     Renewed {
         /// Fencing number, unchanged.
         epoch: Epoch,
-        /// When the lease lapses unless it is renewed again.
+        /// When the lease expires unless it is renewed again.
         expires_at: Timestamp,
     },
     /// The lease is no longer held. Give no more orders.
--- a/lovagedock/src/orders/endpoint.rs
+++ b/lovagedock/src/orders/endpoint.rs
@@ -71,9 +71,9 @@
         let succeeded = answer.code == ResultCode::Complete;
         self.model_failed = match &answer.report {
             Some(report) => report.unsettled,
-            // The endpoint is unreachable, so its host is considered lost with everything that was
-            // loaded there. If the other engines waited for it, no pool that has lost a host could
-            // change its model.
+            // A poll got no reply. The endpoint is unreachable, so its host is considered lost with
+            // everything that was loaded there. If the other engines waited for it, no pool that
+            // has lost a host could change its model.
             None if sent.order.is_none() => false,
             None => {
                 self.model_failed || (sent.replaces_model() && answer.code.ran() != RanState::No)
--- a/lovagedock/src/orders/loaded.rs
+++ b/lovagedock/src/orders/loaded.rs
@@ -1,4 +1,4 @@
-//! A sidecar's knowledge of the artifacts that its engine has loaded.
+//! Tracks, at a sidecar, the artifacts that its engine has loaded.
 
 use std::time::Duration;
 
@@ -66,7 +66,8 @@
         });
     }
 
-    /// Drops all knowledge because the engine is down. After its restart a new report is needed.
+    /// Resets the state because the engine is down. A new report is needed after its restart. The
+    /// load of a model that was not confirmed stays unsettled.
     pub fn forget(&mut self) {
         let unsettled = self.unsettled;
         *self = Self {
--- a/lovagedock/src/orders/types.rs
+++ b/lovagedock/src/orders/types.rs
@@ -40,7 +40,7 @@
     Lease {
         /// Fencing number.
         epoch: Epoch,
-        /// When the lease lapses.
+        /// When the lease expires.
         expires_at: Timestamp,
     },
     /// This process no longer holds the lease.
@@ -98,7 +98,7 @@
     pub busy_poll_interval: Duration,
     /// Pause after the first failure at an endpoint. It doubles with each further failure.
     pub retry: Duration,
-    /// Longest pause after a failure.
+    /// Maximum pause after a failure.
     pub max_retry: Duration,
 }
 
--- a/lovagedock/src/request/event.rs
+++ b/lovagedock/src/request/event.rs
@@ -242,7 +242,7 @@
         /// BLAKE3 hash of the whole answer.
         expected: [u8; 32],
     },
-    /// Give the caller the final answer; no action follows it. Unless the code is `Complete`, a
+    /// Give the caller the final result; no action follows it. Unless the code is `Complete`, a
     /// stream that has begun is aborted instead of being ended cleanly.
     Finish(RequestOutcome),
     /// Send [`RequestEvent::Tick`] at this time; replaces an earlier one.
--- a/lovagedock/src/request/finish.rs
+++ b/lovagedock/src/request/finish.rs
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Handles the deadline: the caller gets the final answer at once.
+    /// Handles the deadline: the caller gets the final result at once.
     pub(super) fn expire(&mut self) {
         let code = match self.ran_so_far() {
             RanState::No if self.stopping => ResultCode::GatewayStopping,
@@ -201,7 +201,7 @@
         }
     }
 
-    /// Gives the final answer.
+    /// Ends the request with its final result.
     pub(super) fn conclude(&mut self, end: AnswerEnd) {
         let ran = match end.code {
             ResultCode::Complete => RanState::Yes,
@@ -210,6 +210,8 @@
             // reported, the caller would repeat a request that ran.
             _ => merge_ran_states(self.earlier_ran, end.ran),
         };
+        // A code that implies "not run" would contradict `ran`, so the earlier failure is reported
+        // instead.
         let contradicts = end.code.ran() == RanState::No && ran != RanState::No;
         let decisive = match (contradicts, &self.earlier_failure) {
             (true, Some(failure)) => failure.clone(),
--- a/lovagedock/src/request/machine.rs
+++ b/lovagedock/src/request/machine.rs
@@ -16,7 +16,7 @@
     outcome::AnswerEnd,
 };
 
-/// Makes all decisions about one caller's request from its admission to its final answer.
+/// Makes all decisions about one caller's request from its admission to its final result.
 ///
 /// Each event returns actions, which the daemon carries out in order. The machine returns exactly
 /// one [`RequestAction::Finish`], by the deadline at the latest, provided that the daemon sends the
@@ -31,8 +31,9 @@
     pub(super) attempts: AttemptNumber,
     pub(super) excluded: Vec<EndpointId>,
     pub(super) answer: AnswerProgress,
-    /// Whether an attempt before the current one ran, and the failure of that attempt.
+    /// Whether any attempt before the current one ran.
     pub(super) earlier_ran: RanState,
+    /// Failure of the last earlier attempt that ran or may have run.
     pub(super) earlier_failure: Option<AnswerEnd>,
     pub(super) caller_gone: bool,
     pub(super) stopping: bool,
@@ -93,7 +94,7 @@
         &self.spec
     }
 
-    /// Whether the final answer was given.
+    /// Whether the final result was returned.
     pub fn is_finished(&self) -> bool {
         matches!(self.phase, RequestPhase::Finished)
     }
--- a/lovagedock/src/request/spec.rs
+++ b/lovagedock/src/request/spec.rs
@@ -21,7 +21,7 @@
     pub tier: PriorityTier,
     /// Whether the request must not run twice.
     pub non_idempotent: bool,
-    /// Time from admission within which the caller gets the final answer.
+    /// Time from admission within which the caller gets the final result.
     pub deadline: Duration,
     /// Time limits and counts that bound recovery.
     pub timing: RequestTiming,
--- a/lovagedock/src/span/backoff.rs
+++ b/lovagedock/src/span/backoff.rs
@@ -14,7 +14,7 @@
 pub struct ReserveBackoff {
     /// Backoff of a span that has just arrived.
     pub curve: BackoffCurve,
-    /// Shortest pause at any age.
+    /// Minimum pause at any age, before jitter.
     pub floor: Duration,
 }
 
--- a/lovagedock/src/span/event.rs
+++ b/lovagedock/src/span/event.rs
@@ -15,7 +15,8 @@
     /// Placement answered a [`SpanAction::ChooseEngines`]. The list is empty if there is currently
     /// no choice.
     EnginesChosen(Vec<SpanPart>),
-    /// A sidecar answered a reservation or its renewal. Answers from a lost session are dropped.
+    /// A sidecar answered a reservation or its renewal. The daemon does not pass on answers from a
+    /// lost session.
     ReserveAnswered {
         /// The sidecar's endpoint.
         endpoint: EndpointId,
--- a/lovagedock/src/wake.rs
+++ b/lovagedock/src/wake.rs
@@ -4,8 +4,9 @@
 
 /// Stores the last wake-up time of a state machine for the task that drives it.
 ///
-/// A machine requests each time once, and none if nothing is due any more. If the task kept a time
-/// after it was due, it would wake up again immediately and occupy a core without doing any work.
+/// A machine requests each wake-up time only once, and requests none if nothing is due any more. If
+/// the task kept a time after it was due, it would wake up again immediately and occupy a core
+/// without doing any work.
 /// [`Self::clear_if_due`] therefore clears the time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WakeTimer {
--- a/lovagedock/tests/lease_properties.rs
+++ b/lovagedock/tests/lease_properties.rs
@@ -74,7 +74,7 @@
         symptom: "hold the lease at the same time",
     },
     SafeguardCase {
-        name: "taken over before the lapse",
+        name: "taken over before the expiry",
         switch_off: |safeguards| safeguards.lease_waits_for_expiry = false,
         symptom: "hold the lease at the same time",
     },
--- a/lovagedock/tests/relay_plan.rs
+++ b/lovagedock/tests/relay_plan.rs
@@ -119,8 +119,8 @@
     }
 }
 
-// When one relay leaves, only its children and the relays that move up in the heaps of its domain
-// get another parent. In particular, the watchers stay the same.
+// When one relay is removed, only its children and the relays that move up in the heaps of its
+// domain get another parent. In particular, the watchers stay the same.
 #[test]
 fn watchers_stay_when_another_process_is_removed() {
     let fleet = &FLEETS[3];
--- a/lovagedock/tests/request_properties.rs
+++ b/lovagedock/tests/request_properties.rs
@@ -25,7 +25,7 @@
 
 // Faults in any order and number: connections go silent, sidecars restart, frames are lost,
 // repeated, delayed or damaged, the caller disconnects, the gateway stops. The caller gets exactly
-// one correct final answer by its deadline and a clean end only after a complete answer. A
+// one correct final result by its deadline and a clean end only after a complete answer. A
 // non-idempotent request never starts twice.
 #[test]
 fn guarantees_hold_under_any_schedule() {
--- a/lovagedock/tests/request_support/checks.rs
+++ b/lovagedock/tests/request_support/checks.rs
@@ -1,4 +1,4 @@
-//! Checks a completed schedule: which attempts ran and what the caller read.
+//! Checks a completed schedule: which attempts ran and which bytes the caller received.
 
 use lovagedock::prelude::*;
 
--- a/lovagedock/tests/span_contention.rs
+++ b/lovagedock/tests/span_contention.rs
@@ -49,7 +49,7 @@
 #[test]
 fn aged_back_off_gives_up_least() {
     let mut table = String::from(
-        "load  way             begun  gave up  p50      p95      p95 of 6  held idle  messages\n",
+        "load  strategy        begun  gave up  p50      p95      p95 of 6  held idle  messages\n",
     );
     for load in [0.4, 0.6, 0.75] {
         for case in &CASES {
@@ -70,7 +70,7 @@
         }
     }
     expect![[r#"
-        load  way             begun  gave up  p50      p95      p95 of 6  held idle  messages
+        load  strategy        begun  gave up  p50      p95      p95 of 6  held idle  messages
         0.4   ordered          1143        0       12     9696    19862      3.7%      8.8
         0.4   wound-wait       1140        3        4    19072    26139      7.8%      8.8
         0.4   back-off         1143        0        4     2164     6076      0.0%     16.4
--- a/lovagedock/tests/span_support/arbiter.rs
+++ b/lovagedock/tests/span_support/arbiter.rs
@@ -4,7 +4,7 @@
 pub(super) enum Verdict {
     Granted,
     Refused,
-    /// An older span needs the engine, so the span must release all its engines.
+    /// An older span needs the engine, so the holder must release all its engines.
     Wounded,
 }
 
--- a/lovagedock/tests/support/claim_simulation/endpoint.rs
+++ b/lovagedock/tests/support/claim_simulation/endpoint.rs
@@ -1,4 +1,4 @@
-//! Executions and deliveries, and checks of both.
+//! Executions of requests and delivered answers, and checks of both.
 
 use std::time::Duration;
 
--- a/lovagedock/tests/support/relay_simulation/traffic.rs
+++ b/lovagedock/tests/support/relay_simulation/traffic.rs
@@ -222,6 +222,8 @@
         self.push(self.now + HEARTBEAT, Step::Heartbeat(leaf));
     }
 
+    /// Whether a message is delivered. It is lost at random, or if it crosses to or from a region
+    /// that is cut off.
     pub(super) fn is_delivered(&mut self, from: usize, to: usize) -> bool {
         let regions = (self.processes[from].region, self.processes[to].region);
         let crosses = regions.0 != regions.1;
--- a/lovagedock/tests/wake.rs
+++ b/lovagedock/tests/wake.rs
@@ -6,9 +6,9 @@
 
 const MAX_DELAY: Duration = Duration::from_secs(60);
 
-/// A task of a claim partition kept a wake-up time after it was due, although nothing else was to
-/// do. It woke up in a busy loop and used 33 s of processor time where 2 s were needed. A due time
-/// must be returned only once.
+/// A task of a claim partition kept a wake-up time after it was due, although there was nothing
+/// else to do. It woke up in a busy loop and used 33 s of processor time where 2 s were needed. A
+/// due time must be returned only once.
 #[test]
 fn a_due_time_is_cleared() {
     let mut timer = WakeTimer::new();
