--- a/lovagedock/examples/relay_capacity.rs
+++ b/lovagedock/examples/relay_capacity.rs
@@ -195,12 +195,12 @@
     let mut simulation = RelaySimulation::new(setup(size, 2, 1));
     simulation.run(Duration::from_secs(15));
     let before = per_second(&mut simulation, 10);
-    simulation.cut.insert(size.regions - 1);
+    simulation.cut_regions.insert(size.regions - 1);
     for _ in 0..13 {
         simulation.accept();
         simulation.run(Duration::from_millis(4_600));
     }
-    simulation.cut.clear();
+    simulation.cut_regions.clear();
     let healed_at = simulation.now;
     let mut settled_at = None;
     let mut worst = Totals::default();
--- a/lovagedock/tests/adoption_properties.rs
+++ b/lovagedock/tests/adoption_properties.rs
@@ -30,9 +30,9 @@
             5 => simulation.store_up = false,
             6 => simulation.store_up = true,
             7 => {
-                simulation.cut.insert(rng.random_range(0..regions));
+                simulation.cut_regions.insert(rng.random_range(0..regions));
             }
-            _ => simulation.cut.clear(),
+            _ => simulation.cut_regions.clear(),
         }
     }
     simulation
@@ -41,7 +41,7 @@
 /// Ends all faults, accepts a change and runs until it must be in force everywhere.
 fn repair_and_accept(simulation: &mut RelaySimulation) {
     simulation.store_up = true;
-    simulation.cut.clear();
+    simulation.cut_regions.clear();
     simulation.setup.loss = 0;
     simulation.setup.damage = 0;
     for position in 0..simulation.len() {
--- a/lovagedock/tests/adoption_scenarios.rs
+++ b/lovagedock/tests/adoption_scenarios.rs
@@ -64,9 +64,11 @@
         )),
         "store" => simulation.store_up = words[1] == "up",
         "cut" => {
-            simulation.cut.insert(words[1].parse().expect("a region"));
+            simulation
+                .cut_regions
+                .insert(words[1].parse().expect("a region"));
         }
-        "heal" => simulation.cut.clear(),
+        "heal" => simulation.cut_regions.clear(),
         "kill" => {
             let position = simulation.position(words[1]);
             simulation.kill(position);
--- a/lovagedock/tests/support/relay_simulation/store.rs
+++ b/lovagedock/tests/support/relay_simulation/store.rs
@@ -46,7 +46,7 @@
 
     /// Whether a process can reach the store. The store is in region 0.
     pub(super) fn reaches_store(&self, position: usize) -> bool {
-        self.store_up && !self.cut.contains(&self.processes[position].region)
+        self.store_up && !self.cut_regions.contains(&self.processes[position].region)
     }
 
     pub(super) fn store_latency(&mut self) -> Duration {
--- a/lovagedock/tests/support/relay_simulation/traffic.rs
+++ b/lovagedock/tests/support/relay_simulation/traffic.rs
@@ -227,7 +227,7 @@
     pub(super) fn is_delivered(&mut self, from: usize, to: usize) -> bool {
         let regions = (self.processes[from].region, self.processes[to].region);
         let crosses = regions.0 != regions.1;
-        let is_cut = self.cut.contains(&regions.0) || self.cut.contains(&regions.1);
+        let is_cut = self.cut_regions.contains(&regions.0) || self.cut_regions.contains(&regions.1);
         let is_lost = self.rng.random_range(0..100) < self.setup.loss;
         !(is_lost || crosses && is_cut)
     }
