--- a/lovagedock/src/adoption/state.rs
+++ b/lovagedock/src/adoption/state.rs
@@ -159,7 +159,8 @@
             AdoptionEvent::Pulled { from, answer } => self.on_pulled(now, from, answer, actions),
             AdoptionEvent::Accepted { generation } => {
                 self.record_generation(generation);
-                self.upstream.poll_soon(generation > self.generation());
+                self.upstream
+                    .request_poll_if(generation > self.generation());
             }
             AdoptionEvent::Tick => {}
         }
@@ -229,7 +230,7 @@
         self.propagate(now, &source, actions);
     }
 
-    /// Returns the difference to the generation `base` if that is known, else a complete bundle.
+    /// Returns the difference from the generation `base` if that is known, else a complete bundle.
     pub(super) fn bundle(&self, base: Generation) -> Option<ConfigBundle> {
         let current = self.current.as_ref()?;
         let base = self.history.iter().find(|old| old.generation == base);
--- a/lovagedock/tests/lease_properties.rs
+++ b/lovagedock/tests/lease_properties.rs
@@ -74,8 +74,8 @@
         symptom: "hold the lease at the same time",
     },
     SafeguardCase {
-        name: "taken over before the lapse",
-        switch_off: |safeguards| safeguards.lease_waits_lapse = false,
+        name: "taken over before the expiry",
+        switch_off: |safeguards| safeguards.lease_waits_for_expiry = false,
         symptom: "hold the lease at the same time",
     },
     SafeguardCase {
