--- a/lovagedock-cli/tests/cli/apply.rs
+++ b/lovagedock-cli/tests/cli/apply.rs
@@ -1,8 +1,8 @@
-//! `apply`, `get` and `diff` against a store that fails in every way it can.
+//! `apply`, `get` and `diff` against a store with every kind of fault.
 
 use std::sync::Arc;
 
-use super::common::{ScriptedPort, new_runner, run, show};
+use super::common::{ScriptedClient, new_runner, run, show};
 use expect_test::{Expect, expect};
 use lovagedock_cli::ExitStatus;
 use lovagedock_platform::{
@@ -14,7 +14,7 @@
 const ROOT: &str = "config/root";
 const ALWAYS: u32 = u32::MAX;
 
-/// A fault that is on while one line of a case runs.
+/// A store fault that is active during one step.
 struct StoreFault {
     kind: CallKind,
     key_prefix: &'static str,
@@ -22,26 +22,26 @@
     fault: MemoryFault,
 }
 
-/// One command line, the fault under it, and what the operator sees.
+/// A command line, the fault that is active while it runs, and the expected output.
 struct ApplyStep {
     fault: Option<StoreFault>,
     line: String,
-    sees: Expect,
+    expected: Expect,
 }
 
-fn step(line: &str, sees: Expect) -> ApplyStep {
+fn step(line: &str, expected: Expect) -> ApplyStep {
     ApplyStep {
         fault: None,
         line: line.to_owned(),
-        sees,
+        expected,
     }
 }
 
-fn faulty(fault: StoreFault, line: &str, sees: Expect) -> ApplyStep {
+fn faulty_step(fault: StoreFault, line: &str, expected: Expect) -> ApplyStep {
     ApplyStep {
         fault: Some(fault),
         line: line.to_owned(),
-        sees,
+        expected,
     }
 }
 
@@ -54,7 +54,7 @@
 
 async fn check_steps(steps: Vec<ApplyStep>) {
     let store = Arc::new(MemoryStore::new());
-    let runner = new_runner(store.clone(), ScriptedPort::default());
+    let runner = new_runner(store.clone(), ScriptedClient::default());
     for step in steps {
         if let Some(StoreFault {
             kind,
@@ -67,12 +67,12 @@
         }
         let report = run(&runner, &step.line).await;
         store.clear_faults();
-        step.sees.assert_eq(&show(&report));
+        step.expected.assert_eq(&show(&report));
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_accepted_file_is_what_get_and_diff_see() {
+async fn get_and_diff_show_the_accepted_file() {
     check_steps(vec![
         step(
             "get",
@@ -115,12 +115,13 @@
     .await;
 }
 
-/// Two operators apply at the same moment, both on generation 0. One is accepted; the other gets
-/// a conflict that names the winner and what the own file would change now. Nothing is merged.
+/// Two operators apply at the same time, both on generation 0. One file is accepted. The other
+/// operator gets a conflict that names the accepted configuration and what the second file
+/// would change now. The files are not merged.
 #[tokio::test(start_paused = true)]
-async fn the_slower_of_two_operators_gets_a_conflict() {
+async fn the_second_of_two_concurrent_applies_gets_a_conflict() {
     let store = Arc::new(MemoryStore::new());
-    let runner = new_runner(store.clone(), ScriptedPort::default());
+    let runner = new_runner(store.clone(), ScriptedClient::default());
     let first = run(&runner, &apply(LOCAL, "asha", 0, "n1")).await;
     assert_eq!(first.status.number(), 0);
     let second = run(&runner, &apply(MAFRAQ, "biju", 0, "n2")).await;
@@ -139,10 +140,11 @@
     assert_eq!(third.value["author"], "asha");
 }
 
-/// The write of the root takes effect and its answer is lost. The store answers reads, so the
-/// nonce in the root settles it: the operator reads "accepted", and nothing is applied twice.
+/// The write of the root takes effect, but its response is lost. The store still serves reads, so
+/// the nonce in the root shows the outcome. The operator sees "accepted", and nothing is applied
+/// twice.
 #[tokio::test(start_paused = true)]
-async fn a_lost_confirmation_is_settled_by_the_nonce() {
+async fn a_lost_confirmation_is_resolved_by_the_nonce() {
     let lost = StoreFault {
         kind: CallKind::Write,
         key_prefix: ROOT,
@@ -150,7 +152,7 @@
         fault: MemoryFault::LoseAnswer,
     };
     check_steps(vec![
-        faulty(
+        faulty_step(
             lost,
             &apply(LOCAL, "asha", 0, "n1"),
             expect![[r#"
@@ -169,14 +171,14 @@
     .await;
 }
 
-/// The answer to the write of the root is lost and the store stays silent to every further write
-/// and read. Nobody can tell what happened, so the operator reads "unknown" and how to find out;
-/// later, the same nonce gives the truth.
+/// The response to the write of the root is lost, and every later write and read of the root fails.
+/// The outcome cannot be determined, so the operator sees "unknown" and how to find out. Later, a
+/// repeat with the same nonce shows the outcome.
 #[tokio::test(start_paused = true)]
 async fn an_outage_after_the_write_leaves_the_outcome_unknown() {
     let store = Arc::new(MemoryStore::new());
-    let runner = new_runner(store.clone(), ScriptedPort::default());
-    // The base is read once before the write.
+    let runner = new_runner(store.clone(), ScriptedClient::default());
+    // The current root is read once before the write.
     store.script_fault(CallKind::Read, ROOT, 1, ALWAYS, MemoryFault::Down);
     store.script_fault(CallKind::Write, ROOT, 0, 1, MemoryFault::LoseAnswer);
     store.script_fault(CallKind::Write, ROOT, 0, ALWAYS, MemoryFault::Down);
@@ -190,7 +192,8 @@
     .assert_eq(&show(&report));
     assert_eq!(report.value["code"], 4003);
 
-    // Still down: a repeat knows no more than before, and does not say "not accepted".
+    // The store is still down. A repeat cannot determine the outcome either, and must not report
+    // "not accepted".
     store.clear_faults();
     store.script_fault(CallKind::Read, "", 0, ALWAYS, MemoryFault::Down);
     expect![[r#"
@@ -207,26 +210,27 @@
     .assert_eq(&show(&run(&runner, &line).await));
 }
 
-/// The store is down from the start: nothing was written, and the operator reads just that.
+/// The store is down before the write: nothing was written, and the operator sees "not
+/// accepted".
 #[tokio::test(start_paused = true)]
-async fn an_outage_before_the_write_is_not_accepted() {
+async fn an_outage_before_the_write_reports_not_accepted() {
     let down = || StoreFault {
         kind: CallKind::Read,
         key_prefix: "",
         times: ALWAYS,
         fault: MemoryFault::Down,
     };
-    let fresh = format!("apply {LOCAL} --author asha --expect-generation 0 --patience-ms 500");
+    let apply_line = format!("apply {LOCAL} --author asha --expect-generation 0 --patience-ms 500");
     check_steps(vec![
-        faulty(
+        faulty_step(
             down(),
-            &fresh,
+            &apply_line,
             expect![[r#"
             exit 5
             not accepted: the store is unavailable (4004)
         "#]],
         ),
-        faulty(
+        faulty_step(
             down(),
             "get",
             expect![[r#"
@@ -234,7 +238,7 @@
             the configuration could not be read: the store is unavailable (4004)
         "#]],
         ),
-        faulty(
+        faulty_step(
             down(),
             &format!("diff {LOCAL}"),
             expect![[r#"
@@ -243,7 +247,7 @@
         "#]],
         ),
         step(
-            &fresh,
+            &apply_line,
             expect![[r#"
             exit 0
             accepted as generation 1
@@ -253,8 +257,8 @@
     .await;
 }
 
-/// The operator expects a generation that never was: the file is refused, and not applied on
-/// whatever is there.
+/// The operator expects a generation that does not exist. The file is refused, and not applied on
+/// top of the current generation.
 #[tokio::test(start_paused = true)]
 async fn a_wrong_generation_is_refused() {
     check_steps(vec![
@@ -265,7 +269,8 @@
                 not accepted: generation 7 is not the store's; see `get` (4002)
             "#]],
         ),
-        // A nonce says that there was an earlier apply, of which the store may have forgotten.
+        // A nonce means that there was an earlier apply, which the store may no longer have a
+        // record of.
         step(&apply(LOCAL, "asha", 7, "n1"), expect![[r#"
             exit 4
             still unknown: the expected generation is not the store's; see `get`, or apply again with --nonce (4003)
@@ -281,12 +286,12 @@
     .await;
 }
 
-/// Operators apply file after file. Without collection each leaves its chunks in the platform's
-/// store for good; the newest and those that slow readers may still need stay.
+/// Each apply would leave its chunks in the platform's store forever if unused ones were not
+/// deleted. The newest chunks, and those that slow readers may still need, are kept.
 #[tokio::test(start_paused = true)]
-async fn applies_leave_no_chunks_that_nobody_needs() {
+async fn applies_delete_unused_chunks() {
     let store = Arc::new(MemoryStore::new());
-    let runner = new_runner(store.clone(), ScriptedPort::default());
+    let runner = new_runner(store.clone(), ScriptedClient::default());
     let text = std::fs::read_to_string(LOCAL).expect("the example");
     let file = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("collected.jsonc");
     let mut sizes = Vec::new();
--- a/lovagedock-daemon/examples/make_keys.rs
+++ b/lovagedock-daemon/examples/make_keys.rs
@@ -1,8 +1,8 @@
-//! Makes an authority and certificates for trying TLS by hand:
-//! `make_keys FOLDER [--address IP]... NAME...`.
+//! Creates a certificate authority and certificates to try out TLS: `make_keys FOLDER [--address
+//! IP]... NAME...`.
 //!
-//! Run again in the same folder, it keeps the authority and renews the named certificates. Real
-//! fleets use their own authority.
+//! If it runs again in the same folder, it keeps the authority and renews the named certificates.
+//! Real fleets use their own authority.
 
 use std::{
     error::Error,
@@ -20,21 +20,21 @@
 const AUTHORITY_NAME: &str = "lovagedock example authority";
 const OWNER_ONLY: u32 = 0o600;
 
-type Outcome<T> = Result<T, Box<dyn Error>>;
+type KeyResult<T> = Result<T, Box<dyn Error>>;
 
 #[derive(Parser)]
 struct KeyArguments {
-    /// Folder that gets `roots.pem`, `roots.key` and NAME.pem, NAME.key for each name.
+    /// Folder for `roots.pem`, `roots.key` and, for each name, NAME.pem and NAME.key.
     folder: PathBuf,
     /// IP address or DNS name that the certificates are for; may be repeated.
     #[arg(long = "address", default_value = "127.0.0.1")]
     addresses: Vec<String>,
-    /// Processes that get a certificate.
+    /// Names of the processes that get a certificate.
     #[arg(required = true)]
     names: Vec<String>,
 }
 
-fn main() -> Outcome<()> {
+fn main() -> KeyResult<()> {
     let arguments = KeyArguments::parse();
     fs::create_dir_all(&arguments.folder)?;
     let authority = open_authority(&arguments.folder)?;
@@ -50,7 +50,7 @@
     Ok(())
 }
 
-fn open_authority(folder: &Path) -> Outcome<Issuer<'static, KeyPair>> {
+fn open_authority(folder: &Path) -> KeyResult<Issuer<'static, KeyPair>> {
     let file = folder.join(ROOTS_KEY_FILE);
     if file.exists() {
         let key = KeyPair::from_pem(&fs::read_to_string(file)?)?;
@@ -64,10 +64,10 @@
     Ok(Issuer::new(params, key))
 }
 
-fn authority_params() -> Outcome<CertificateParams> {
+fn authority_params() -> KeyResult<CertificateParams> {
     let mut params = CertificateParams::new(Vec::new())?;
-    // A name of its own: with the same subject as its issuer, OpenSSL takes a certificate for a
-    // self-signed one and refuses it.
+    // The authority has its own name. If a certificate had the same subject as its issuer, OpenSSL
+    // would treat it as self-signed and refuse it.
     let name = &mut params.distinguished_name;
     name.push(DnType::CommonName, AUTHORITY_NAME);
     params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
@@ -75,7 +75,7 @@
     Ok(params)
 }
 
-fn write_key(path: &Path, key: &KeyPair) -> Outcome<()> {
+fn write_key(path: &Path, key: &KeyPair) -> KeyResult<()> {
     let mut options = OpenOptions::new();
     options.write(true).create(true).truncate(true);
     let mut file = options.mode(OWNER_ONLY).open(path)?;
--- a/lovagedock-daemon/src/transport.rs
+++ b/lovagedock-daemon/src/transport.rs
@@ -1,4 +1,4 @@
-//! Connections that are TLS, or plain TCP where the settings ask for that.
+//! Connections over TLS, or over plain TCP if the settings allow it.
 
 use std::{io, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -15,29 +15,29 @@
 
 use crate::{
     ReloadingTls, ShutdownSignal, TlsError, TlsSettings,
-    traffic::{CountedStream, bytes_moved},
+    traffic::{CountedStream, bytes_transferred},
 };
 
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(10);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How a process talks on one of its ports.
+/// Transport of one of a process's ports.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum TransportSettings {
     /// TLS with these files.
     Tls(TlsSettings),
-    /// No encryption and no proof of who the peer is: `"plain_tcp": "demo"`.
+    /// No encryption and no authentication of the peer: `"plain_tcp": "demo"`.
     PlainTcp(PlainConsent),
 }
 
 impl TransportSettings {
-    /// The problem with a transport between our processes that does not prove who the peer is.
+    /// The error of a transport between lovagedock processes that does not authenticate the peer.
     ///
-    /// A listener without the peers' roots takes any client: whoever reaches a sidecar's port could
-    /// send work past the gateways' checks. A client without them cannot connect at all, which
-    /// would show only as endpoints that stay unconnected.
-    pub fn mutual_problem(&self, path: &str) -> Option<String> {
+    /// A listener without the peers' roots accepts any client: anyone who can reach a sidecar's
+    /// port could send work past the gateways' checks. A client without the peers' roots cannot
+    /// connect at all, which would be visible only as endpoints that stay unconnected.
+    pub fn mutual_tls_problem(&self, path: &str) -> Option<String> {
         match self {
             Self::Tls(settings) if settings.peer_roots_file.is_none() => Some(format!(
                 "{path}.tls.peer_roots_file: missing, expected the file with the roots of the peers"
@@ -47,7 +47,7 @@
     }
 }
 
-/// Says that plain TCP is meant; there is no default.
+/// Explicit consent to plain TCP; there is no default.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PlainConsent {
@@ -57,7 +57,7 @@
     TrustedNetwork,
 }
 
-/// A connection, whatever carries it.
+/// A connection of any transport.
 pub trait ByteStream: AsyncRead + AsyncWrite + Send + Unpin {}
 
 impl<T: AsyncRead + AsyncWrite + Send + Unpin> ByteStream for T {}
@@ -88,7 +88,8 @@
         Self { tls: None }
     }
 
-    /// Looks for changed files on the settings' interval until the shutdown; needs a runtime.
+    /// Checks for changed files at the interval of the settings until the shutdown; needs a Tokio
+    /// runtime.
     pub fn watch_files(&self, logger: &Logger, shutdown: &ShutdownSignal) {
         let Some(tls) = self.tls.clone() else {
             return;
@@ -119,42 +120,47 @@
     }
 
     /// Bytes that all transports of this process have sent and received so far.
-    pub fn bytes_moved() -> u64 {
-        bytes_moved()
+    pub fn bytes_transferred() -> u64 {
+        bytes_transferred()
     }
 
-    /// Completes the server's side of a connection that a listener accepted.
+    /// Completes the server side of a connection that a listener accepted.
     pub async fn accept(&self, stream: TcpStream) -> io::Result<BoxedStream> {
         stream.set_nodelay(true)?;
         let Some(tls) = &self.tls else {
-            return Ok(counted(stream));
+            return Ok(count_traffic(stream));
         };
         let acceptor = TlsAcceptor::from(tls.configs().server.clone());
-        let stream = in_time(HANDSHAKE_TIMEOUT, acceptor.accept(counted(stream))).await?;
+        let stream =
+            with_timeout(HANDSHAKE_TIMEOUT, acceptor.accept(count_traffic(stream))).await?;
         Ok(Box::new(stream))
     }
 
     /// Opens a connection.
     pub async fn connect(&self, address: SocketAddr) -> io::Result<BoxedStream> {
-        let stream = in_time(CONNECT_TIMEOUT, TcpStream::connect(address)).await?;
+        let stream = with_timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await?;
         stream.set_nodelay(true)?;
         let Some(tls) = &self.tls else {
-            return Ok(counted(stream));
+            return Ok(count_traffic(stream));
         };
         let Some(config) = tls.configs().client.clone() else {
             return Err(io::Error::new(
                 io::ErrorKind::InvalidInput,
-                "connecting needs peer_roots_file",
+                "opening a connection requires peer_roots_file",
             ));
         };
         let name = server_name(tls.settings(), address)?;
         let connector = TlsConnector::from(config);
-        let stream = in_time(HANDSHAKE_TIMEOUT, connector.connect(name, counted(stream))).await?;
+        let stream = with_timeout(
+            HANDSHAKE_TIMEOUT,
+            connector.connect(name, count_traffic(stream)),
+        )
+        .await?;
         Ok(Box::new(stream))
     }
 }
 
-fn counted(stream: TcpStream) -> BoxedStream {
+fn count_traffic(stream: TcpStream) -> BoxedStream {
     Box::new(CountedStream::new(stream))
 }
 
@@ -166,7 +172,10 @@
     }
 }
 
-async fn in_time<T>(limit: Duration, future: impl Future<Output = io::Result<T>>) -> io::Result<T> {
+async fn with_timeout<T>(
+    limit: Duration,
+    future: impl Future<Output = io::Result<T>>,
+) -> io::Result<T> {
     match time::timeout(limit, future).await {
         Ok(result) => result,
         Err(_) => Err(io::ErrorKind::TimedOut.into()),
--- a/lovagedock-daemon/tests/tls.rs
+++ b/lovagedock-daemon/tests/tls.rs
@@ -1,4 +1,4 @@
-//! TLS between our processes: who is refused, and what a reload changes.
+//! TLS between lovagedock processes: which peers are refused, and what a reload changes.
 
 use std::{
     fs,
@@ -14,7 +14,7 @@
     net::TcpListener,
 };
 
-/// First byte of what a TLS peer answers to something that is not TLS.
+/// First byte that a TLS peer sends in response to data that is not TLS.
 const TLS_ALERT_RECORD: u8 = 21;
 
 type Authority = CertifiedIssuer<'static, KeyPair>;
@@ -40,7 +40,7 @@
         path
     }
 
-    /// Settings of a process whose certificate `authority` signed and that trusts `trusted`.
+    /// Settings of a process with a certificate signed by `authority` that trusts `trusted`.
     fn settings(&self, name: &str, authority: &Authority, trusted: &Authority) -> TlsSettings {
         let (certificate, key) = issue(authority);
         TlsSettings {
@@ -77,7 +77,7 @@
     Transport::new(&TransportSettings::Tls(settings)).unwrap()
 }
 
-/// Listens and echoes one byte for each connection that gets through the handshake.
+/// Starts a server that echoes bytes on each connection that completes the handshake.
 async fn echo_server(transport: Transport) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -105,111 +105,125 @@
     stream.read_u8().await
 }
 
-/// Connects and exchanges a byte: with TLS 1.3 a refused client learns it from its first read.
+/// Connects and exchanges a byte. With TLS 1.3 a refused client sees the refusal at its first read.
 async fn exchange(client: &Transport, address: SocketAddr) -> std::io::Result<u8> {
     let mut stream = client.connect(address).await?;
     echo(&mut stream, 7).await
 }
 
-// A process with a certificate from somebody else's authority reaches a sidecar's port, or poses
-// as a sidecar. Mutual TLS has to refuse it in both roles, and a process without any TLS too.
+// A process with a certificate of another authority connects to a sidecar's port, or listens in
+// place of a sidecar. Mutual TLS has to refuse it in both roles, and also a process without TLS.
 #[tokio::test]
-async fn mutual_tls_refuses_a_stranger() {
+async fn mutual_tls_rejects_untrusted_certificates() {
     let folder = KeyFolder::new();
-    let (ours, theirs) = (authority(), authority());
-    let server = echo_server(transport(folder.settings("server", &ours, &ours))).await;
-    let impostor = echo_server(transport(folder.settings("impostor", &theirs, &ours))).await;
-    let member = transport(folder.settings("member", &ours, &ours));
-    let stranger = transport(folder.settings("stranger", &theirs, &ours));
-
-    assert_eq!(exchange(&member, server).await.unwrap(), 7);
-    assert!(exchange(&stranger, server).await.is_err());
-    assert!(exchange(&member, impostor).await.is_err());
-    let answer = exchange(&Transport::plain_for_demo(), server).await;
-    assert_eq!(answer.unwrap(), TLS_ALERT_RECORD);
+    let (trusted_authority, untrusted_authority) = (authority(), authority());
+    let server = echo_server(transport(folder.settings(
+        "server",
+        &trusted_authority,
+        &trusted_authority,
+    )))
+    .await;
+    let untrusted_server = echo_server(transport(folder.settings(
+        "untrusted_server",
+        &untrusted_authority,
+        &trusted_authority,
+    )))
+    .await;
+    let trusted_client =
+        transport(folder.settings("trusted_client", &trusted_authority, &trusted_authority));
+    let untrusted_client =
+        transport(folder.settings("untrusted_client", &untrusted_authority, &trusted_authority));
+
+    assert_eq!(exchange(&trusted_client, server).await.unwrap(), 7);
+    assert!(exchange(&untrusted_client, server).await.is_err());
+    assert!(exchange(&trusted_client, untrusted_server).await.is_err());
+    let response = exchange(&Transport::plain_for_demo(), server).await;
+    assert_eq!(response.unwrap(), TLS_ALERT_RECORD);
 }
 
-// The authority is replaced while a connection is open. The open one goes on; new ones are checked
-// by the new files, so that an old certificate is refused without a restart.
+// The authority is replaced while a connection is open. The open connection continues. New
+// connections are checked against the new files, so that an old certificate is refused without a
+// restart.
 #[tokio::test]
-async fn a_reload_changes_new_connections_and_leaves_open_ones() {
+async fn a_reload_affects_only_new_connections() {
     let folder = KeyFolder::new();
     let (old, new) = (authority(), authority());
     let server = transport(folder.settings("server", &old, &old));
     let address = echo_server(server.clone()).await;
-    let old_member = transport(folder.settings("old", &old, &old));
-    let new_member = transport(folder.settings("new", &new, &new));
-    let mut open = old_member.connect(address).await.unwrap();
+    let old_client = transport(folder.settings("old", &old, &old));
+    let new_client = transport(folder.settings("new", &new, &new));
+    let mut open = old_client.connect(address).await.unwrap();
     assert_eq!(echo(&mut open, 1).await.unwrap(), 1);
-    assert!(exchange(&new_member, address).await.is_err());
+    assert!(exchange(&new_client, address).await.is_err());
 
     assert!(!server.tls().unwrap().reload().unwrap());
     folder.settings("server", &new, &new);
     assert!(server.tls().unwrap().reload().unwrap());
 
-    assert_eq!(exchange(&new_member, address).await.unwrap(), 7);
-    assert!(exchange(&old_member, address).await.is_err());
+    assert_eq!(exchange(&new_client, address).await.unwrap(), 7);
+    assert!(exchange(&old_client, address).await.is_err());
     assert_eq!(echo(&mut open, 2).await.unwrap(), 2);
 }
 
-// Whoever renews a certificate has replaced one of its two files when we look. The mixture must
-// not be used, must not end the process, and the next look must find the finished pair.
+// A reload happens when only one of the two files of a renewed certificate has been replaced. The
+// mismatched pair must not be used and must not end the process. The next reload must find the
+// complete pair.
 #[tokio::test]
-async fn a_half_replaced_pair_leaves_the_old_one_in_use() {
+async fn a_half_replaced_key_pair_is_not_used() {
     let folder = KeyFolder::new();
     let root = authority();
     let settings = folder.settings("server", &root, &root);
     let server = transport(settings.clone());
     let address = echo_server(server.clone()).await;
-    let member = transport(folder.settings("member", &root, &root));
+    let trusted_client = transport(folder.settings("trusted_client", &root, &root));
 
     let (certificate, key) = issue(&root);
     fs::write(&settings.certificate_file, certificate).unwrap();
     let report = server.tls().unwrap().reload().unwrap_err();
     assert_eq!(*report.current_context(), TlsError::Mismatch);
-    assert_eq!(exchange(&member, address).await.unwrap(), 7);
+    assert_eq!(exchange(&trusted_client, address).await.unwrap(), 7);
 
     fs::write(&settings.key_file, key).unwrap();
     assert!(server.tls().unwrap().reload().unwrap());
-    assert_eq!(exchange(&member, address).await.unwrap(), 7);
+    assert_eq!(exchange(&trusted_client, address).await.unwrap(), 7);
 }
 
 struct FileCase {
     name: &'static str,
-    damage: fn(&TlsSettings),
+    corrupt: fn(&TlsSettings),
     expected: TlsError,
 }
 
 const FILE_CASES: &[FileCase] = &[
     FileCase {
         name: "no key file",
-        damage: |settings| fs::remove_file(&settings.key_file).unwrap(),
+        corrupt: |settings| fs::remove_file(&settings.key_file).unwrap(),
         expected: TlsError::Unreadable,
     },
     FileCase {
         name: "an empty certificate file",
-        damage: |settings| fs::write(&settings.certificate_file, "").unwrap(),
+        corrupt: |settings| fs::write(&settings.certificate_file, "").unwrap(),
         expected: TlsError::Malformed,
     },
     FileCase {
         name: "a certificate where the key should be",
-        damage: |settings| copy(&settings.certificate_file, &settings.key_file),
+        corrupt: |settings| copy(&settings.certificate_file, &settings.key_file),
         expected: TlsError::Malformed,
     },
     FileCase {
         name: "empty roots",
-        damage: |settings| fs::write(settings.peer_roots_file.as_ref().unwrap(), "").unwrap(),
+        corrupt: |settings| fs::write(settings.peer_roots_file.as_ref().unwrap(), "").unwrap(),
         expected: TlsError::Malformed,
     },
 ];
 
 #[test]
-fn bad_files_are_told_apart() {
+fn bad_files_give_distinct_errors() {
     let root = authority();
     for case in FILE_CASES {
         let folder = KeyFolder::new();
         let settings = folder.settings("server", &root, &root);
-        (case.damage)(&settings);
+        (case.corrupt)(&settings);
         let Err(report) = Transport::new(&TransportSettings::Tls(settings)) else {
             panic!("{}: accepted", case.name);
         };
--- a/lovagedock-sidecar/src/adapter/client.rs
+++ b/lovagedock-sidecar/src/adapter/client.rs
@@ -1,4 +1,5 @@
-//! HTTP to an endpoint, one connection per call, with every wait bounded.
+//! HTTP client for an endpoint, with one connection per call. Waits are limited by the idle
+//! timeout, except for responses that arrive only when all work is done.
 
 use std::{future::Future, time::Duration};
 
@@ -17,16 +18,16 @@
 
 use super::{error::EngineError, registry::AdapterOptions};
 
-const MAX_CONTROL_BYTES: usize = 64 << 20;
+const MAX_BODY_BYTES: usize = 64 << 20;
 const MAX_DETAIL_CHARS: usize = 300;
 
-/// An answer whose connection ends with it.
+/// A response; its connection is closed when it is dropped.
 pub(crate) struct EngineResponse {
-    pub(crate) response: Response<Incoming>,
+    pub(crate) inner: Response<Incoming>,
     pub(crate) connection: AbortOnDropHandle<()>,
 }
 
-/// Client of one endpoint.
+/// HTTP client for one endpoint.
 #[derive(Clone, Debug)]
 pub(crate) struct EngineClient {
     options: AdapterOptions,
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Sends a request and waits for the head of the answer without a bound of its own.
+    /// Sends a request and waits for the head of the response without a time limit of its own.
     pub(crate) async fn send(
         &self,
         mut request: Request<Full<Bytes>>,
@@ -56,29 +57,26 @@
                     detail: error.to_string(),
                 })?;
         let task = tokio::spawn(async move {
-            // A broken connection shows at the request that uses it.
+            // A broken connection is reported by the request that uses it.
             let _ = connection.await;
         });
         let connection = AbortOnDropHandle::new(task);
-        let response = sender
+        let inner = sender
             .send_request(request)
             .await
             .map_err(EngineError::lost)?;
-        Ok(EngineResponse {
-            response,
-            connection,
-        })
+        Ok(EngineResponse { inner, connection })
     }
 
-    /// Sends a request; a head that takes longer than the idle timeout counts as lost.
-    pub(crate) async fn send_bounded(
+    /// Sends a request. If the head takes longer than the idle timeout, the request counts as lost.
+    pub(crate) async fn send_within_idle_timeout(
         &self,
         request: Request<Full<Bytes>>,
     ) -> Result<EngineResponse, EngineError> {
-        self.bounded(self.send(request)).await?
+        self.within_idle_timeout(self.send(request)).await?
     }
 
-    /// One control call whose answer is JSON.
+    /// Makes a call with a JSON body and a JSON response; each wait is limited by the idle timeout.
     pub(crate) async fn call<B: Serialize, T: DeserializeOwned>(
         &self,
         method: Method,
@@ -89,41 +87,46 @@
         serde_json::from_slice(&bytes).map_err(EngineError::failed)
     }
 
-    /// One control call without a body whose answer is JSON.
+    /// Makes a GET call with a JSON response; each wait is limited by the idle timeout.
     pub(crate) async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, EngineError> {
         let bytes = self.call_bytes(Method::GET, path, Bytes::new()).await?;
         serde_json::from_slice(&bytes).map_err(EngineError::failed)
     }
 
-    /// One control call.
+    /// Makes a call and returns the body of the response; each wait is limited by the idle timeout.
     pub(crate) async fn call_bytes(
         &self,
         method: Method,
         path: &str,
         body: Bytes,
     ) -> Result<Bytes, EngineError> {
-        let answer = self.send_bounded(json_request(method, path, body)?).await?;
-        let answer = checked(answer, self).await?;
-        self.bounded(read_all(answer)).await?
+        let response = self
+            .send_within_idle_timeout(json_request(method, path, body)?)
+            .await?;
+        let response = check_status(response, self).await?;
+        self.within_idle_timeout(read_all(response)).await?
     }
 
-    /// Waits no longer than the idle timeout.
+    /// Waits for a future for at most the idle timeout.
     ///
-    /// A connection can go silent for good without any error; the wait would never end. Nothing
-    /// that an engine sends is further apart than this while it lives.
-    pub(crate) async fn bounded<F: Future>(&self, future: F) -> Result<F::Output, EngineError> {
+    /// A connection can stop delivering data without an error, and the wait would never end. A
+    /// working engine never pauses for longer than this timeout.
+    pub(crate) async fn within_idle_timeout<F: Future>(
+        &self,
+        future: F,
+    ) -> Result<F::Output, EngineError> {
         timeout(self.options.idle_timeout, future)
             .await
-            .map_err(|_| self.silent())
+            .map_err(|_| self.idle_timeout_error())
     }
 
     pub(crate) fn idle_timeout(&self) -> Duration {
         self.options.idle_timeout
     }
 
-    fn silent(&self) -> EngineError {
+    fn idle_timeout_error(&self) -> EngineError {
         let limit = self.idle_timeout();
-        EngineError::lost(format!("the endpoint was silent for {limit:?}"))
+        EngineError::lost(format!("the endpoint sent nothing for {limit:?}"))
     }
 
     async fn connect(&self) -> Result<TcpStream, EngineError> {
@@ -137,7 +140,7 @@
             }
             Err(_) => {
                 return Err(EngineError::Unreachable {
-                    detail: "the connection did not come about in time".to_owned(),
+                    detail: "the connection attempt timed out".to_owned(),
                 });
             }
         };
@@ -146,7 +149,7 @@
     }
 }
 
-/// A JSON request.
+/// Creates a request with a JSON body.
 pub(crate) fn json_request(
     method: Method,
     path: &str,
@@ -160,7 +163,7 @@
         .map_err(bad_request)
 }
 
-/// Serialises a body; an error means that nothing was sent.
+/// Serialises a body. An error means that nothing was sent.
 pub(crate) fn json_bytes<B: Serialize>(body: &B) -> Result<Bytes, EngineError> {
     serde_json::to_vec(body)
         .map(Bytes::from)
@@ -174,19 +177,19 @@
     }
 }
 
-/// Turns an error answer into an error.
+/// Converts a response with an error status into an error.
 ///
-/// Engines answer 4xx and 503 before they start anything; any other error status may come from
-/// work that started.
-pub(crate) async fn checked(
-    answer: EngineResponse,
+/// Engines return 4xx and 503 before they start any work. Any other error status may come from work
+/// that had started.
+pub(crate) async fn check_status(
+    response: EngineResponse,
     client: &EngineClient,
 ) -> Result<EngineResponse, EngineError> {
-    let status = answer.response.status();
+    let status = response.inner.status();
     if status.is_success() {
-        return Ok(answer);
+        return Ok(response);
     }
-    let body = client.bounded(read_all(answer)).await??;
+    let body = client.within_idle_timeout(read_all(response)).await??;
     let detail: String = String::from_utf8_lossy(&body)
         .chars()
         .take(MAX_DETAIL_CHARS)
@@ -200,10 +203,10 @@
     Err(EngineError::failed(detail))
 }
 
-/// Reads a whole body.
-pub(crate) async fn read_all(answer: EngineResponse) -> Result<Bytes, EngineError> {
-    let _connection = answer.connection;
-    let body = Limited::new(answer.response.into_body(), MAX_CONTROL_BYTES);
+/// Reads a whole body; fails if it exceeds the size limit.
+pub(crate) async fn read_all(response: EngineResponse) -> Result<Bytes, EngineError> {
+    let _connection = response.connection;
+    let body = Limited::new(response.inner.into_body(), MAX_BODY_BYTES);
     let collected = body.collect().await.map_err(EngineError::lost)?;
     Ok(collected.to_bytes())
 }
--- a/lovagedock-sidecar/src/adapter/dialect.rs
+++ b/lovagedock-sidecar/src/adapter/dialect.rs
@@ -1,4 +1,4 @@
-//! Where vendors differ: how an engine reports its load and its account.
+//! Vendor-specific part of the model adapter: how an engine reports its load and its allocations.
 
 use async_trait::async_trait;
 
@@ -8,10 +8,13 @@
     message::{EngineAllocation, EngineLoad},
 };
 
-/// One vendor's way of reporting.
+/// Reads the reports of one vendor's engines.
 #[async_trait]
 pub(crate) trait VendorDialect: Send + Sync + 'static {
-    async fn account(&self, client: &EngineClient) -> Result<Vec<EngineAllocation>, EngineError>;
+    async fn allocations(
+        &self,
+        client: &EngineClient,
+    ) -> Result<Vec<EngineAllocation>, EngineError>;
 
     async fn load(&self, client: &EngineClient) -> Result<EngineLoad, EngineError>;
 }
--- a/lovagedock-sidecar/src/engine_task.rs
+++ b/lovagedock-sidecar/src/engine_task.rs
@@ -1,4 +1,4 @@
-//! Reads one request's answer from the engine and tells the core.
+//! Runs one request on the engine and reports its progress to the core.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,24 +14,26 @@
     state::SidecarState,
 };
 
-/// Difference between the priorities of two lengths; more than the tiers make.
-const LENGTH_STEP: i32 = 3;
-/// Longest answer; as long as what a whole answer of a model engine may be.
-const ANSWER_LIMIT_BYTES: usize = 64 << 20;
-/// Time for a look at an engine whose connection broke; one on the same host that has ended refuses
-/// the connection within a millisecond.
-const LOOK_TIME: Duration = Duration::from_millis(200);
-/// HTTP status of an engine that has a request with the same id.
-const ALREADY_THERE: u16 = 409;
+/// Difference between the priorities of two adjacent length buckets. It exceeds the difference
+/// between any two tiers.
+const LENGTH_PRIORITY_STEP: i32 = 3;
+/// Maximum length of an answer; equals the limit for a whole (not streamed) answer of a model
+/// engine.
+const MAX_ANSWER_BYTES: usize = 64 << 20;
+/// Time limit for probing an engine after its connection broke. If the process of an engine on the
+/// same host has ended, the connection is refused within a millisecond.
+const EXIT_PROBE_TIMEOUT: Duration = Duration::from_millis(200);
+/// HTTP status of an engine that already has a request with the same id.
+const CONFLICT_STATUS: u16 = 409;
 
-/// Starts a request on the engine and follows it to its end.
+/// Starts a request on the engine and reads its answer to the end.
 pub(crate) async fn run(state: Arc<SidecarState>, key: AttemptKey, work: Arc<WorkMessage>) {
-    let result = match follow(&state, key, &work).await {
-        Ok(end) => finished(&state, key, end),
-        Err(EngineError::Lost { detail }) if has_ended(&state).await => {
+    let result = match stream_answer(&state, key, &work).await {
+        Ok(end) => finished_result(&state, key, end),
+        Err(EngineError::Lost { detail }) if has_exited(&state).await => {
             EngineResult::Ended { detail }
         }
-        Err(error) => failed(&error),
+        Err(error) => error_result(&error),
     };
     if let Some(record) = state.answers().get_mut(key.request) {
         record.engine_task = None;
@@ -39,50 +41,53 @@
     state.decide(EndpointEvent::EngineEnded { key, result });
 }
 
-/// Whether the engine's process has ended: its port refuses connections then. A connection that broke
-/// says nothing of it; told to gateways as an end of the engine, it would be held against the request.
-async fn has_ended(state: &Arc<SidecarState>) -> bool {
-    let looked = timeout(LOOK_TIME, state.adapter.load()).await;
-    matches!(looked, Ok(Err(EngineError::Unreachable { .. })))
+/// Whether the engine's process has ended, in which case its port refuses connections. A broken
+/// connection alone does not show this. If every broken connection were reported to the gateways as
+/// an end of the engine process, it would be counted against the request.
+async fn has_exited(state: &Arc<SidecarState>) -> bool {
+    let load_result = timeout(EXIT_PROBE_TIMEOUT, state.adapter.load()).await;
+    matches!(load_result, Ok(Err(EngineError::Unreachable { .. })))
 }
 
-/// Priority of a request on an engine: the shorter prompt first, and among equals the higher tier.
+/// Priority of a request on an engine: shorter prompts first; for equal length buckets, the higher
+/// tier first.
 ///
-/// Engines prefill in chunks, the highest priority first. Without the length in it, a prompt of a
-/// thousand tokens that comes behind one of a million waits for all of its chunks; with the tier
-/// before the length it still does when the long one is of a higher tier. Tiers are kept by the
-/// queue of the sidecar; on the engine a short prompt costs a long one of any tier little.
+/// Engines prefill in chunks, the highest priority first. If the priority did not include the
+/// length, a prompt of a thousand tokens that arrives after one of a million would wait for all
+/// chunks of the long prompt. If the tier came before the length, the short prompt would still wait
+/// whenever the long prompt has a higher tier. Tiers are respected by the queue of the sidecar. On
+/// the engine, a short prompt delays a long prompt of any tier only a little.
 pub(crate) fn engine_priority(tier: PriorityTier, prompt_tokens: TokenCount) -> i32 {
     let tier = match tier {
         PriorityTier::Batch => 0,
         PriorityTier::Standard => 1,
         PriorityTier::Interactive => 2,
     };
-    let longer = LengthBucket::ALL.len() - 1 - LengthBucket::of(prompt_tokens).index();
-    longer as i32 * LENGTH_STEP + tier
+    let length_rank = LengthBucket::ALL.len() - 1 - LengthBucket::of(prompt_tokens).index();
+    length_rank as i32 * LENGTH_PRIORITY_STEP + tier
 }
 
-async fn follow(
+async fn stream_answer(
     state: &Arc<SidecarState>,
     key: AttemptKey,
     work: &WorkMessage,
 ) -> Result<EngineEnd, EngineError> {
     let mut stream = state.adapter.start(engine_request(key, work)).await?;
     state.decide(EndpointEvent::EngineStarted(key));
-    let mut room = ANSWER_LIMIT_BYTES;
+    let mut remaining_bytes = MAX_ANSWER_BYTES;
     while let Some(event) = stream.next().await {
         match event? {
-            EngineEvent::Head(head) => take_head(state, key, head),
+            EngineEvent::Head(head) => record_head(state, key, head),
             EngineEvent::Bytes(bytes) => {
                 if let Some(record) = state.answers().get_mut(key.request) {
                     record.append(&bytes);
                 }
-                // An answer is kept whole until it was taken. A service that never ends its body,
-                // or a caller that reads slowly, would fill the host's memory with it.
-                room = room.saturating_sub(bytes.len());
-                if room == 0 {
+                // The whole answer is kept until it was sent. A service that never ends its body,
+                // or a caller that reads slowly, would otherwise fill the host's memory.
+                remaining_bytes = remaining_bytes.saturating_sub(bytes.len());
+                if remaining_bytes == 0 {
                     return Err(EngineError::failed(format!(
-                        "the answer is longer than {ANSWER_LIMIT_BYTES} bytes"
+                        "the answer is longer than {MAX_ANSWER_BYTES} bytes"
                     )));
                 }
                 let length = bytes.len() as u64;
@@ -92,7 +97,7 @@
         }
     }
     Err(EngineError::Lost {
-        detail: "the engine's answer was cut".to_owned(),
+        detail: "the engine's answer was truncated".to_owned(),
     })
 }
 
@@ -123,7 +128,7 @@
     }
 }
 
-fn take_head(state: &SidecarState, key: AttemptKey, head: EngineHead) {
+fn record_head(state: &SidecarState, key: AttemptKey, head: EngineHead) {
     let head = AnswerHead {
         status: head.status,
         headers: head
@@ -137,11 +142,11 @@
     };
     if let Some(record) = state.answers().get_mut(key.request) {
         record.head = Some(head);
-        record.wake();
+        record.notify_sinks();
     }
 }
 
-fn finished(state: &SidecarState, key: AttemptKey, end: EngineEnd) -> EngineResult {
+fn finished_result(state: &SidecarState, key: AttemptKey, end: EngineEnd) -> EngineResult {
     let mut answers = state.answers();
     let Some(record) = answers.get_mut(key.request) else {
         return EngineResult::Cancelled;
@@ -156,15 +161,17 @@
     })
 }
 
-fn failed(error: &EngineError) -> EngineResult {
+fn error_result(error: &EngineError) -> EngineResult {
     let detail = error.to_string();
     match error {
-        // An earlier run under this id is on the engine. Told as "not run", a call that must not
-        // be repeated would be sent to another engine while that run goes on.
-        EngineError::Refused { status, .. } if *status == ALREADY_THERE => {
+        // An earlier run under this id is on the engine. If it were reported as "not run", a call
+        // that must not be repeated would be sent to another engine while that run continues.
+        EngineError::Refused { status, .. } if *status == CONFLICT_STATUS => {
             EngineResult::Lost { detail }
         }
-        EngineError::Refused { .. } if error.is_callers_fault() => EngineResult::Invalid { detail },
+        EngineError::Refused { .. } if error.is_invalid_request() => {
+            EngineResult::Invalid { detail }
+        }
         EngineError::Refused { .. } | EngineError::Unreachable { .. } => {
             EngineResult::Refused { detail }
         }
--- a/lovagedock-standin/src/bin/lovagedock-demo.rs
+++ b/lovagedock-standin/src/bin/lovagedock-demo.rs
@@ -1,4 +1,4 @@
-//! A whole deployment in one process: the demonstration.
+//! Demo: a complete deployment in one process.
 
 use std::{
     fs,
@@ -14,19 +14,21 @@
 use lovagedock_daemon::{ExitStatus, LogFormat, LogLevel, LogSettings, load_settings};
 use lovagedock_standin::{
     demo::{DemoOptions, DemoOutcome, Deployment, FaultPlan, run_demo},
-    load::{CallEnding, LoadReport, RunProgress, ViolationNote, render_table},
+    load::{CallOutcome, LoadReport, RunProgress, ViolationDetail, render_table},
 };
 use slog::{Discard, Logger, o};
 
-/// Calls behind violations that are printed at most.
-const MAX_NOTES: usize = 20;
+/// Maximum number of calls behind violations that are printed.
+const MAX_DETAILS: usize = 20;
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Starts stand-ins of the platform and of a deployment's endpoints, the deployment's sidecars and
-/// gateways, applies its configuration, sends its mix of calls and prints what came of them.
+/// Runs a deployment in one process and reports latency, outcomes and violations.
 ///
-/// Exit codes: 0 no violation; 1 violations, or the run failed; 2 wrong arguments; 3 the fault file
-/// has errors.
+/// Starts stand-ins of the platform and of the endpoints, starts the sidecars and gateways, applies
+/// the configuration and sends the mix of calls.
+///
+/// Exit codes: 0 no violations; 1 violations, or the run failed; 2 invalid arguments; 3 errors in
+/// the fault file.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct DemoArgs {
@@ -36,19 +38,19 @@
     /// Deployment to run.
     #[arg(long, value_enum, default_value_t)]
     deployment: Deployment,
-    /// Placement policy instead of the deployment's own.
+    /// Placement policy; replaces the policy of the deployment.
     #[arg(long)]
     policy: Option<String>,
-    /// Timeline of faults, JSON with comments.
+    /// File with a timeline of faults, JSON with comments.
     #[arg(long, value_name = "FILE")]
     faults: Option<PathBuf>,
-    /// Seconds in which calls are sent; the answers to the last come after them.
+    /// Seconds for which calls are sent; the last responses arrive later.
     #[arg(long, default_value_t = 20)]
     seconds: u64,
-    /// Writes the report as JSON.
+    /// Write the report to this file as JSON.
     #[arg(long, value_name = "FILE")]
     report: Option<PathBuf>,
-    /// Prints the daemons' logs.
+    /// Print the logs of the daemons.
     #[arg(long)]
     logs: bool,
 }
@@ -74,7 +76,7 @@
         faults,
         log: logger(args.logs),
     };
-    let DemoOutcome { report, notes } = match run_demo(&options, watch).await {
+    let DemoOutcome { report, details } = match run_demo(&options, show_progress).await {
         Ok(outcome) => outcome,
         Err(report) => {
             eprintln!("{report:?}");
@@ -82,8 +84,8 @@
         }
     };
     println!("\n{}", render_table(&report));
-    for note in notes.iter().take(MAX_NOTES) {
-        println!("{}", note_line(note));
+    for detail in details.iter().take(MAX_DETAILS) {
+        println!("{}", detail_line(detail));
     }
     if let Err(error) = write_report(&args, &report) {
         eprintln!("{error}");
@@ -95,22 +97,24 @@
     }
 }
 
-fn note_line(note: &ViolationNote) -> String {
-    let request = note.request.map_or("unknown".to_owned(), format_request_id);
-    let endpoints = note.endpoints.join(", ");
-    let ending = match note.ending {
-        CallEnding::Problem { code, ran } => format!("code {code}, ran: {}", ran.as_str()),
-        CallEnding::Complete => "a clean end".to_owned(),
-        CallEnding::Broken => "a broken connection".to_owned(),
-        CallEnding::Unsent => "no connection".to_owned(),
-        CallEnding::Nothing => "no end".to_owned(),
+fn detail_line(detail: &ViolationDetail) -> String {
+    let request = detail
+        .request
+        .map_or("unknown".to_owned(), format_request_id);
+    let endpoints = detail.endpoints.join(", ");
+    let outcome = match detail.outcome {
+        CallOutcome::Problem { code, ran } => format!("code {code}, ran: {}", ran.as_str()),
+        CallOutcome::Complete => "a complete response".to_owned(),
+        CallOutcome::Broken => "a broken connection".to_owned(),
+        CallOutcome::Unsent => "no connection".to_owned(),
+        CallOutcome::NoOutcome => "no outcome".to_owned(),
     };
-    let counter = note.counter;
-    format!("{counter}: request {request} ended with {ending}; started on [{endpoints}]")
+    let counter = detail.counter;
+    format!("{counter}: request {request} ended with {outcome}; started on [{endpoints}]")
 }
 
-fn logger(wanted: bool) -> Logger {
-    if !wanted {
+fn logger(enabled: bool) -> Logger {
+    if !enabled {
         return Logger::root(Discard, o!());
     }
     let settings = LogSettings {
@@ -128,7 +132,7 @@
     fs::write(file, text)
 }
 
-fn watch(progress: Arc<RunProgress>) {
+fn show_progress(progress: Arc<RunProgress>) {
     if !io::stderr().is_terminal() {
         return;
     }
@@ -136,7 +140,7 @@
         let mut ticks = tokio::time::interval(PROGRESS_INTERVAL);
         loop {
             ticks.tick().await;
-            eprint!("\r{}  ", progress.line());
+            eprint!("\r{}  ", progress.status_line());
             let _ = io::stderr().flush();
         }
     });
--- a/lovagedock-standin/src/demo/run.rs
+++ b/lovagedock-standin/src/demo/run.rs
@@ -1,4 +1,4 @@
-//! One run of the demonstration.
+//! One run of the demo.
 
 use std::{
     fmt::{self, Display, Formatter},
@@ -13,60 +13,60 @@
 use tokio::time;
 
 use super::{
-    control::ControlSample, deployment::Deployment, faults::FaultPlan, inject::FaultInjector,
+    deployment::Deployment, faults::FaultPlan, injector::FaultInjector, overhead::ControlSample,
 };
 use crate::{
     fleet::{EndpointStandin, FleetPlan, LocalFleet},
     load::{
-        CallerClient, ClockOrigin, ControlFigures, ExecutionJournal, GatewayTarget, LoadReport,
-        LoadRunner, ReportTags, RunProgress, ViolationLimits, ViolationNote, count_violations,
-        long_from, note_violations, plan_calls,
+        CallerClient, ClockOrigin, ControlOverhead, ExecutionJournal, GatewayTarget, LoadReport,
+        LoadRunner, ReportMetadata, RunProgress, ViolationDetail, ViolationLimits,
+        count_violations, list_violations, long_start, plan_calls,
     },
 };
 
-/// Model time of the engines in one unit of real time, so that a million tokens fit into a run.
+/// Model time of the engines per unit of real time, chosen so that a million tokens fit into a run.
 pub const TIME_SCALE: f64 = 8.0;
-/// How long the idle fleet is watched for what control costs.
-const IDLE_TIME: Duration = Duration::from_secs(2);
-/// Time after the last answer in which engines may still free what was cancelled.
+/// Time for which the control-plane overhead of the idle fleet is measured.
+const IDLE_MEASUREMENT_TIME: Duration = Duration::from_secs(2);
+/// Time after the last response in which engines may still free the memory of cancelled requests.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
 /// Generation of a fleet's first configuration.
 const FIRST_GENERATION: u64 = 1;
 
-/// What a run is told.
+/// Options of a run.
 #[derive(Clone, Debug)]
 pub struct DemoOptions {
-    /// Which deployment.
+    /// Deployment to run.
     pub deployment: Deployment,
-    /// Placement policy; the deployment's own when absent.
+    /// Placement policy; `None` selects the policy of the deployment.
     pub policy: Option<String>,
     /// Seed of the plan.
     pub seed: u64,
-    /// Length of the plan.
+    /// Duration of the plan.
     pub duration: Duration,
-    /// What goes wrong.
+    /// Faults to inject.
     pub faults: FaultPlan,
-    /// Log of the daemons.
+    /// Logger of the daemons.
     pub log: Logger,
 }
 
-/// What a run found.
+/// Results of a run.
 #[derive(Clone, Debug)]
 pub struct DemoOutcome {
-    /// The figures.
+    /// Report of the run.
     pub report: LoadReport,
-    /// The calls behind the violations that count calls.
-    pub notes: Vec<ViolationNote>,
+    /// Calls behind the violation counters that count calls.
+    pub details: Vec<ViolationDetail>,
 }
 
-/// Why a run failed.
+/// Reason why a run failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DemoError {
     /// The deployment's files have errors.
     Deployment,
     /// The fleet could not start.
     Fleet,
-    /// A fault could not be brought about.
+    /// A fault could not be injected or ended.
     Fault,
     /// The callers could not start.
     Callers,
@@ -77,7 +77,7 @@
         f.write_str(match self {
             Self::Deployment => "the deployment has errors",
             Self::Fleet => "the fleet could not start",
-            Self::Fault => "a fault could not be brought about",
+            Self::Fault => "a fault could not be injected or ended",
             Self::Callers => "the callers could not start",
         })
     }
@@ -85,10 +85,11 @@
 
 impl std::error::Error for DemoError {}
 
-/// Starts the deployment, sends its mix and reports; `watch` gets the numbers that grow.
+/// Starts the deployment, sends its mix of calls and computes the report. `on_start` gets the
+/// progress counters.
 pub async fn run_demo(
     options: &DemoOptions,
-    watch: impl FnOnce(Arc<RunProgress>),
+    on_start: impl FnOnce(Arc<RunProgress>),
 ) -> Result<DemoOutcome, Report<DemoError>> {
     let config = options
         .deployment
@@ -98,10 +99,10 @@
         .deployment
         .mix()
         .change_context(DemoError::Deployment)?;
-    let config = with_limits_at(config, TIME_SCALE);
+    let config = with_scaled_limits(config, TIME_SCALE);
     let policy = config.placement.policy.clone();
     let plan = FleetPlan::new(config, options.log.clone()).with_time_scale(TIME_SCALE);
-    // Before the stand-ins, so that none of their times lies before the clock's zero.
+    // Created before the stand-ins, so that none of their times is before the zero of the clock.
     let clock = ProcessClock::new();
     let mut fleet = LocalFleet::start(plan)
         .await
@@ -116,7 +117,7 @@
     let client =
         CallerClient::new(gateway_targets(&fleet), clock).change_context(DemoError::Callers)?;
     let runner = LoadRunner::new(mix.clone(), client, clock);
-    watch(runner.progress());
+    on_start(runner.progress());
     let start = clock.now();
     let injector = FaultInjector::new(&mut fleet, FIRST_GENERATION, clock, options.log.clone());
     let (callers, faults) = tokio::join!(
@@ -126,29 +127,29 @@
     let fleet_journal = faults?;
     time::sleep(SETTLE_TIME).await;
 
-    let executions = collect(&fleet, &clock);
+    let executions = collect_journals(&fleet, &clock);
     fleet.stop().await;
     let limits = ViolationLimits::default();
     let violations = count_violations(&callers, &executions, &fleet_journal, &limits);
-    let tags = ReportTags {
+    let metadata = ReportMetadata {
         seed: options.seed,
         policy,
         mix: mix.name.clone(),
         duration: options.duration,
-        long_from: start + long_from(&mix, options.duration),
+        long_start: start + long_start(&mix, options.duration),
         time_scale: TIME_SCALE,
     };
     Ok(DemoOutcome {
-        report: LoadReport::new(&tags, &callers, violations, Some(control)),
-        notes: note_violations(&callers, &executions, &fleet_journal, &limits),
+        report: LoadReport::new(&metadata, &callers, violations, Some(control)),
+        details: list_violations(&callers, &executions, &fleet_journal, &limits),
     })
 }
 
-async fn measure_control(fleet: &LocalFleet, clock: &ProcessClock) -> ControlFigures {
-    let before = ControlSample::take(clock.now(), fleet.platform.counters());
-    time::sleep(IDLE_TIME).await;
-    let after = ControlSample::take(clock.now(), fleet.platform.counters());
-    before.figures_until(&after, fleet.endpoints.len() + fleet.gateways.len())
+async fn measure_control(fleet: &LocalFleet, clock: &ProcessClock) -> ControlOverhead {
+    let before = ControlSample::measure(clock.now(), fleet.platform.counters());
+    time::sleep(IDLE_MEASUREMENT_TIME).await;
+    let after = ControlSample::measure(clock.now(), fleet.platform.counters());
+    before.overhead_until(&after, fleet.endpoints.len() + fleet.gateways.len())
 }
 
 fn gateway_targets(fleet: &LocalFleet) -> Vec<GatewayTarget> {
@@ -162,25 +163,25 @@
         .collect()
 }
 
-fn collect(fleet: &LocalFleet, clock: &ProcessClock) -> ExecutionJournal {
+fn collect_journals(fleet: &LocalFleet, clock: &ProcessClock) -> ExecutionJournal {
     let mut executions = ExecutionJournal::default();
     for endpoint in &fleet.endpoints {
         match &endpoint.standin {
             EndpointStandin::Engine(engine) => {
-                let own = engine.handle.model_time().div_f64(TIME_SCALE);
-                executions.add_engine(&endpoint.id, engine, origin(clock, own, TIME_SCALE));
+                let local_time = engine.handle.model_time().div_f64(TIME_SCALE);
+                executions.add_engine(&endpoint.id, engine, origin(clock, local_time, TIME_SCALE));
             }
             EndpointStandin::Service(service) => {
-                let own = service.uptime();
-                executions.add_service(&endpoint.id, service, origin(clock, own, 1.0));
+                let local_time = service.uptime();
+                executions.add_service(&endpoint.id, service, origin(clock, local_time, 1.0));
             }
         }
     }
     executions
 }
 
-/// Limits by time at the speed of the model's clock: callers come as much faster.
-fn with_limits_at(mut config: FleetConfig, time_scale: f64) -> FleetConfig {
+/// Multiplies rate limits by the time scale, because calls arrive faster by this factor.
+fn with_scaled_limits(mut config: FleetConfig, time_scale: f64) -> FleetConfig {
     for organisation in &mut config.organisations {
         let limits = &mut organisation.limits;
         limits.requests_per_second = (f64::from(limits.requests_per_second) * time_scale) as u32;
--- a/lovagedock-standin/src/engine/driver.rs
+++ b/lovagedock-standin/src/engine/driver.rs
@@ -1,14 +1,16 @@
-//! Runs an engine's steps at the pace of scaled real time.
+//! Runs the engine's steps in real time, scaled by [`EngineOptions::time_scale`].
+//!
+//! [`EngineOptions::time_scale`]: super::options::EngineOptions::time_scale
 
 use std::{sync::Arc, time::Duration};
 
 use super::state::EngineState;
 
-const IDLE_TICK: Duration = Duration::from_millis(500);
+const IDLE_INTERVAL: Duration = Duration::from_millis(500);
 
-pub(crate) async fn drive(state: Arc<EngineState>) {
+pub(crate) async fn run_steps(state: Arc<EngineState>) {
     loop {
-        wait_while_stopped(&state).await;
+        wait_until_running(&state).await;
         let slowdown = state.fault.borrow().slowdown();
         let stepped = {
             let mut core = state.core.lock();
@@ -21,12 +23,12 @@
             continue;
         };
         tokio::time::sleep_until(state.real_instant(end)).await;
-        wait_while_stopped(&state).await;
-        state.core.lock().deliver(&outputs);
+        wait_until_running(&state).await;
+        state.core.lock().send_outputs(&outputs);
     }
 }
 
-async fn wait_while_stopped(state: &EngineState) {
+async fn wait_until_running(state: &EngineState) {
     if !state.fault.borrow().stops_steps() {
         return;
     }
@@ -37,7 +39,7 @@
 }
 
 async fn wait_for_work(state: &EngineState) {
-    let tick = state.real_duration(IDLE_TICK);
+    let tick = state.real_duration(IDLE_INTERVAL);
     let _ = tokio::time::timeout(tick, state.wake.notified()).await;
     let now = state.model_now();
     let mut core = state.core.lock();
--- a/lovagedock-standin/src/engine/load.rs
+++ b/lovagedock-standin/src/engine/load.rs
@@ -1,4 +1,4 @@
-//! Load reports that lag behind, in the styles of two vendors.
+//! Delayed load reports, in the formats of two vendors.
 
 use std::{collections::VecDeque, fmt::Write, time::Duration};
 
@@ -6,11 +6,11 @@
 
 use super::{batch::BatchEngine, memory::BLOCK_TOKENS};
 
-/// Load at one moment.
+/// Load of the engine at one point in time.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub(crate) struct LoadSample {
     #[serde(skip)]
-    taken: Duration,
+    sampled_at: Duration,
     running: usize,
     waiting: usize,
     total_tokens: u64,
@@ -25,11 +25,11 @@
     pub(crate) fn new(batch: &BatchEngine, role: &str, model: &str, adapters: &[String]) -> Self {
         let memory = batch.memory();
         Self {
-            taken: batch.now(),
+            sampled_at: batch.now(),
             running: batch.running(),
             waiting: batch.waiting(),
             total_tokens: memory.total() * BLOCK_TOKENS,
-            free_tokens: (memory.total() - memory.held()) * BLOCK_TOKENS,
+            free_tokens: (memory.total() - memory.allocated()) * BLOCK_TOKENS,
             cached_tokens: memory.cached() * BLOCK_TOKENS,
             role: role.to_owned(),
             model: model.to_owned(),
@@ -59,7 +59,7 @@
     }
 }
 
-/// Samples of the recent past.
+/// Recent load samples.
 #[derive(Debug, Default)]
 pub(crate) struct LoadHistory {
     samples: VecDeque<LoadSample>,
@@ -72,18 +72,18 @@
     pub(crate) fn is_due(&self, now: Duration) -> bool {
         self.samples
             .back()
-            .is_none_or(|last| now >= last.taken + Self::SAMPLE_INTERVAL)
+            .is_none_or(|last| now >= last.sampled_at + Self::SAMPLE_INTERVAL)
     }
 
     pub(crate) fn push(&mut self, sample: LoadSample, lag: Duration) {
-        let oldest = sample.taken.saturating_sub(lag);
+        let oldest = sample.sampled_at.saturating_sub(lag);
         self.samples.push_back(sample);
-        while self.samples.len() > 1 && self.samples[1].taken <= oldest {
+        while self.samples.len() > 1 && self.samples[1].sampled_at <= oldest {
             self.samples.pop_front();
         }
     }
 
-    /// The oldest sample within the lag; what the engine reports as its load.
+    /// The sample that the engine reports as its load: the oldest one within the lag.
     pub(crate) fn reported(&self) -> Option<&LoadSample> {
         self.samples.front()
     }
--- a/lovagedock-standin/src/engine/render.rs
+++ b/lovagedock-standin/src/engine/render.rs
@@ -1,4 +1,4 @@
-//! Answers as callers see them: server-sent events, or one JSON document.
+//! Renders answers as server-sent events or as one JSON document.
 
 use std::sync::Arc;
 
@@ -7,18 +7,19 @@
 use super::{
     answer::answer_text,
     protocol::{
-        AnswerChoice, AnswerMessage, AnswerUsage, CachedUsage, ChoiceText, CompletionAnswer,
+        CachedUsage, ChoiceText, CompletionChoice, CompletionMessage, CompletionResponse,
+        CompletionUsage,
     },
 };
 
-/// Last line of a streamed answer.
+/// Last event of a streamed response.
 pub(crate) const STREAM_END: &str = "data: [DONE]\n\n";
-/// A comment line that shows a waiting caller that the engine is alive.
+/// SSE comment that shows a waiting caller that the engine is alive.
 pub(crate) const KEEP_ALIVE: &str = ": keep-alive\n\n";
 
 const FINISHED: &str = "length";
 
-/// Everything about an answer that its text depends on.
+/// Parameters that determine the text of an answer.
 #[derive(Clone, Debug)]
 pub(crate) struct AnswerSource {
     pub(crate) request_id: Arc<str>,
@@ -30,7 +31,7 @@
 }
 
 impl AnswerSource {
-    /// One event with the answer tokens from `start` to `end`.
+    /// Renders one event with the answer tokens in `start..end`.
     pub(crate) fn event(&self, start: TokenCount, end: TokenCount, cached: TokenCount) -> String {
         let text = answer_text(self.digest, start, end);
         let choice = match self.chat {
@@ -45,8 +46,8 @@
         format!("data: {}\n\n", self.json(object, choice, finished, cached))
     }
 
-    /// The whole answer from token `start` on.
-    pub(crate) fn whole(&self, start: TokenCount, cached: TokenCount) -> String {
+    /// Renders the answer from token `start` on as one JSON document.
+    pub(crate) fn completion_json(&self, start: TokenCount, cached: TokenCount) -> String {
         let text = answer_text(self.digest, start, self.max_tokens);
         let choice = match self.chat {
             true => ChoiceText::Message(assistant(text)),
@@ -66,12 +67,12 @@
         finished: bool,
         cached: TokenCount,
     ) -> String {
-        let choice = AnswerChoice {
+        let choice = CompletionChoice {
             index: 0,
             text,
             finish_reason: finished.then_some(FINISHED),
         };
-        let answer = CompletionAnswer {
+        let answer = CompletionResponse {
             id: &self.request_id,
             object,
             created: 0,
@@ -82,8 +83,8 @@
         serde_json::to_string(&answer).unwrap_or_default()
     }
 
-    fn usage(&self, cached: TokenCount) -> AnswerUsage {
-        AnswerUsage {
+    fn usage(&self, cached: TokenCount) -> CompletionUsage {
+        CompletionUsage {
             prompt_tokens: self.prompt_tokens,
             completion_tokens: self.max_tokens,
             total_tokens: self.prompt_tokens + self.max_tokens,
@@ -94,8 +95,8 @@
     }
 }
 
-fn assistant(content: String) -> AnswerMessage {
-    AnswerMessage {
+fn assistant(content: String) -> CompletionMessage {
+    CompletionMessage {
         role: "assistant",
         content,
     }
--- a/lovagedock-standin/src/engine/state.rs
+++ b/lovagedock-standin/src/engine/state.rs
@@ -24,24 +24,24 @@
 const INITIAL_ROLE: &str = "any";
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a handler hears about its request.
+/// Progress of a request, as sent to its handler.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Progress {
-    /// Answer tokens up to `produced` exist.
+    /// `produced` answer tokens have been generated so far.
     Produced {
         produced: TokenCount,
         cached_tokens: TokenCount,
         finished: bool,
     },
-    /// The request is still there.
+    /// The request is still in progress.
     Alive,
-    /// The request ended without its answer.
+    /// The request ended without a complete answer.
     Failed(&'static str),
 }
 
 pub(crate) type ProgressReceiver = mpsc::UnboundedReceiver<Progress>;
 
-/// State that one lock guards; nothing awaits while it is held.
+/// State protected by one lock. No task awaits while it holds the lock.
 #[derive(Debug)]
 pub(crate) struct EngineCore {
     pub(crate) batch: BatchEngine,
@@ -50,22 +50,22 @@
     pub(crate) adapters: Vec<String>,
     pub(crate) fence: Epoch,
     pub(crate) feed: CacheFeed,
-    answers: HashMap<SequenceNumber, AnswerEntry>,
-    loads: LoadHistory,
+    active_requests: HashMap<SequenceNumber, ActiveRequest>,
+    load_history: LoadHistory,
     options: EngineOptions,
-    kept_alive: Duration,
+    last_keep_alive: Duration,
 }
 
 #[derive(Debug)]
-struct AnswerEntry {
+struct ActiveRequest {
     source: AnswerSource,
-    /// Absent until a caller attaches to an imported request.
+    /// `None` until a caller attaches to an imported request.
     sender: Option<mpsc::UnboundedSender<Progress>>,
 }
 
-impl AnswerEntry {
-    /// Whether a caller was there once and has gone.
-    fn tell(&self, progress: Progress) -> bool {
+impl ActiveRequest {
+    /// Sends progress to the caller. Returns whether a caller was attached and has disconnected.
+    fn send_progress(&self, progress: Progress) -> bool {
         self.sender
             .as_ref()
             .is_some_and(|sender| sender.send(progress).is_err())
@@ -81,17 +81,18 @@
             adapters: Vec::new(),
             fence: 0,
             feed: CacheFeed::default(),
-            answers: HashMap::new(),
-            loads: LoadHistory::default(),
+            active_requests: HashMap::new(),
+            load_history: LoadHistory::default(),
             options,
-            kept_alive: Duration::ZERO,
+            last_keep_alive: Duration::ZERO,
         };
-        // An engine reports from its start on, so the first sample is never one of later load.
+        // The engine reports its load from the start, so the first sample must show the idle
+        // engine.
         core.sample_load();
         core
     }
 
-    /// Takes a request in and gives the channel on which its progress is told.
+    /// Submits a request and returns the receiver of its progress.
     pub(crate) fn submit(
         &mut self,
         request: SequenceRequest,
@@ -99,43 +100,43 @@
     ) -> Result<ProgressReceiver, SubmitError> {
         let number = self.batch.submit(request)?;
         let (sender, receiver) = mpsc::unbounded_channel();
-        let entry = AnswerEntry {
+        let entry = ActiveRequest {
             source,
             sender: Some(sender),
         };
-        self.answers.insert(number, entry);
+        self.active_requests.insert(number, entry);
         Ok(receiver)
     }
 
-    /// Takes over a request from another engine; it waits for a caller to attach.
+    /// Imports a request from another engine. Decoding starts when a caller attaches.
     pub(crate) fn import(
         &mut self,
         request: SequenceRequest,
         source: AnswerSource,
     ) -> Result<(), SubmitError> {
         let number = self.batch.submit(request)?;
-        let entry = AnswerEntry {
+        let entry = ActiveRequest {
             source,
             sender: None,
         };
-        self.answers.insert(number, entry);
+        self.active_requests.insert(number, entry);
         Ok(())
     }
 
-    /// Stops a request and describes it for another engine.
+    /// Pauses a request and returns its state for another engine.
     pub(crate) fn export(&mut self, request_id: &str) -> Result<KvState, PauseError> {
         let (request, produced) = self.batch.pause(request_id)?;
         let number = self.batch.answer_number(request_id);
-        let entry = number.and_then(|number| self.answers.get(&number));
+        let entry = number.and_then(|number| self.active_requests.get(&number));
         let entry = entry.ok_or(PauseError::Missing)?;
         Ok(KvState::new(&entry.source, &request, produced))
     }
 
-    /// Attaches a new caller to a request that is there already; the former one hears no more.
+    /// Attaches a new caller to an existing request. The previous caller receives nothing more.
     pub(crate) fn attach(&mut self, request_id: &str) -> Option<(AnswerSource, ProgressReceiver)> {
         let produced = self.batch.produced(request_id)?;
         let number = self.batch.answer_number(request_id)?;
-        let entry = self.answers.get_mut(&number)?;
+        let entry = self.active_requests.get_mut(&number)?;
         let (sender, receiver) = mpsc::unbounded_channel();
         let _ = sender.send(Progress::Produced {
             produced,
@@ -143,42 +144,42 @@
             finished: false,
         });
         entry.sender = Some(sender);
-        self.batch.unpause(request_id);
+        self.batch.resume(request_id);
         Some((entry.source.clone(), receiver))
     }
 
-    /// Ends a request, telling its caller why.
-    pub(crate) fn end(&mut self, request_id: &str, reason: &'static str) -> bool {
-        self.answers.retain(|_, entry| {
+    /// Cancels a request and sends the reason to its caller.
+    pub(crate) fn fail_request(&mut self, request_id: &str, reason: &'static str) -> bool {
+        self.active_requests.retain(|_, entry| {
             let is_ended = &*entry.source.request_id == request_id;
             if is_ended {
-                entry.tell(Progress::Failed(reason));
+                entry.send_progress(Progress::Failed(reason));
             }
             !is_ended
         });
         self.batch.cancel(request_id)
     }
 
-    /// Tells callers what a step did for them.
-    pub(crate) fn deliver(&mut self, outputs: &[StepOutput]) {
+    /// Sends the results of a step to the callers.
+    pub(crate) fn send_outputs(&mut self, outputs: &[StepOutput]) {
         for output in outputs {
-            self.deliver_one(output);
+            self.send_output(output);
         }
         self.keep_alive();
         self.sample_load();
         self.publish_cache();
     }
 
-    /// Publishes what the cache did since the last call.
+    /// Publishes the changes of the prefix cache since the last call.
     pub(crate) fn publish_cache(&mut self) {
         let changes = self.batch.take_cache_changes();
         self.feed.push(&changes, self.batch.now(), &self.options);
     }
 
-    /// Another request's answer, as a caller gets it while answers are crossed.
-    pub(crate) fn other_source(&self, source: &AnswerSource) -> AnswerSource {
+    /// Source of another request's answer, for [`EngineFault::SwapsResponses`].
+    pub(crate) fn swapped_source(&self, source: &AnswerSource) -> AnswerSource {
         let other = self
-            .answers
+            .active_requests
             .values()
             .map(|entry| &entry.source)
             .find(|other| other.request_id != source.request_id);
@@ -197,11 +198,11 @@
     }
 
     pub(crate) fn sample_load(&mut self) {
-        if !self.loads.is_due(self.batch.now()) {
+        if !self.load_history.is_due(self.batch.now()) {
             return;
         }
         let sample = self.load_now();
-        self.loads.push(sample, self.options.load_lag);
+        self.load_history.push(sample, self.options.load_lag);
     }
 
     pub(crate) fn load_now(&self) -> LoadSample {
@@ -209,17 +210,17 @@
     }
 
     pub(crate) fn reported_load(&self) -> LoadSample {
-        self.loads
+        self.load_history
             .reported()
             .cloned()
             .unwrap_or_else(|| self.load_now())
     }
 
-    /// Keeps nothing but the journal and the clock.
-    pub(crate) fn die(&mut self) {
-        self.batch.lose_all();
-        self.answers.clear();
-        self.loads.clear();
+    /// Resets everything except the journal and the clock.
+    pub(crate) fn reset_after_crash(&mut self) {
+        self.batch.discard_all();
+        self.active_requests.clear();
+        self.load_history.clear();
         self.adapters.clear();
         self.role = INITIAL_ROLE.to_owned();
         self.model = self.options.model.clone();
@@ -230,19 +231,19 @@
 
     pub(crate) fn keep_alive(&mut self) {
         let now = self.batch.now();
-        if now < self.kept_alive + KEEP_ALIVE_INTERVAL {
+        if now < self.last_keep_alive + KEEP_ALIVE_INTERVAL {
             return;
         }
-        self.kept_alive = now;
-        for entry in self.answers.values() {
-            entry.tell(Progress::Alive);
+        self.last_keep_alive = now;
+        for entry in self.active_requests.values() {
+            entry.send_progress(Progress::Alive);
         }
     }
 
-    fn deliver_one(&mut self, output: &StepOutput) {
-        // By number, not by id: a request that was cancelled and sent again during the step has
-        // nothing of it.
-        let Some(entry) = self.answers.get(&output.number) else {
+    fn send_output(&mut self, output: &StepOutput) {
+        // Looked up by number, not by id: a request that was cancelled and submitted again during
+        // the step must not receive the output of its predecessor.
+        let Some(entry) = self.active_requests.get(&output.number) else {
             return;
         };
         let progress = Progress::Produced {
@@ -250,16 +251,16 @@
             cached_tokens: output.cached_tokens,
             finished: output.finished,
         };
-        let is_gone = entry.tell(progress);
+        let is_disconnected = entry.send_progress(progress);
         if output.finished {
-            self.answers.remove(&output.number);
-        } else if is_gone && self.options.cancels_on_disconnect {
-            self.end(&output.request_id, "the caller is gone");
+            self.active_requests.remove(&output.number);
+        } else if is_disconnected && self.options.cancels_on_disconnect {
+            self.fail_request(&output.request_id, "the caller disconnected");
         }
     }
 }
 
-/// What all tasks of a running engine share.
+/// State shared by all tasks of a running engine.
 #[derive(Debug)]
 pub(crate) struct EngineState {
     pub(crate) address: SocketAddr,
@@ -285,12 +286,12 @@
         }
     }
 
-    /// Model time that real time has reached.
+    /// Model time that corresponds to the current real time.
     pub(crate) fn model_now(&self) -> Duration {
         self.started.elapsed().mul_f64(self.options.time_scale)
     }
 
-    /// Real moment at which a model time is reached.
+    /// Real time at which a model time is reached.
     pub(crate) fn real_instant(&self, model: Duration) -> Instant {
         self.started + self.real_duration(model)
     }
@@ -300,33 +301,33 @@
     }
 
     pub(crate) fn set_fault(&self, fault: EngineFault) {
-        // The connections have to see the fault before their answers lose their senders.
+        // The connections must see the fault before the senders of their progress are dropped.
         self.fault.send_replace(fault);
-        if fault == EngineFault::Die {
-            self.core.lock().die();
+        if fault == EngineFault::Crash {
+            self.core.lock().reset_after_crash();
         }
         self.wake.notify_one();
     }
 
-    /// Waits for a span of model time.
+    /// Waits for a duration in model time.
     pub(crate) async fn sleep(&self, model: Duration) {
         tokio::time::sleep(self.real_duration(model)).await;
     }
 
-    /// Waits until the engine is dead.
-    pub(crate) async fn died(&self) {
+    /// Waits until the engine crashes.
+    pub(crate) async fn crashed(&self) {
         let mut fault = self.fault.subscribe();
-        let _ = fault.wait_for(|fault| *fault == EngineFault::Die).await;
+        let _ = fault.wait_for(|fault| *fault == EngineFault::Crash).await;
     }
 
-    /// Waits until the engine is not dead.
-    pub(crate) async fn revived(&self) {
+    /// Waits until the engine is up again after a crash.
+    pub(crate) async fn restarted(&self) {
         let mut fault = self.fault.subscribe();
-        let _ = fault.wait_for(|fault| *fault != EngineFault::Die).await;
+        let _ = fault.wait_for(|fault| *fault != EngineFault::Crash).await;
     }
 
-    /// Waits while the engine hangs, and as long as it answers late.
-    pub(crate) async fn pass_faults(&self) {
+    /// Waits while the engine hangs, then for the delay of [`EngineFault::Late`].
+    pub(crate) async fn apply_faults(&self) {
         let mut fault = self.fault.subscribe();
         let _ = fault.wait_for(|fault| !fault.stops_steps()).await;
         let delay = fault.borrow().delay();
--- a/lovagedock-standin/src/engine/transfer.rs
+++ b/lovagedock-standin/src/engine/transfer.rs
@@ -1,4 +1,4 @@
-//! KV state on its way to another engine.
+//! Transfer of KV state to another engine.
 
 use hyper::{Request, StatusCode, body::Incoming};
 use serde::{Deserialize, Serialize};
@@ -7,14 +7,14 @@
 
 use super::{
     batch::{PauseError, SequenceKind, SequenceRequest},
-    completion::refusal,
-    protocol::RequestName,
+    completion::submit_route_error,
+    protocol::RequestIdBody,
     render::AnswerSource,
-    routes::{RouteError, RouteResult, json_answer, read_json},
+    routes::{RouteError, RouteResult, json_response, read_json},
     state::EngineState,
 };
 
-/// A request as one engine hands it to another.
+/// State of a request, as exported by one engine and imported by another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct KvState {
     request_id: String,
@@ -22,16 +22,16 @@
     chat: bool,
     digest: u64,
     priority: i32,
-    /// Tokens of the whole prompt, for the usage report.
+    /// Tokens of the complete prompt, for the usage report.
     prompt_tokens: TokenCount,
-    /// Tokens of the prompt whose state is here.
+    /// Prompt tokens whose state is transferred.
     held_tokens: TokenCount,
     produced: TokenCount,
     max_tokens: TokenCount,
 }
 
 #[derive(Debug, Serialize)]
-struct ImportAnswer {
+struct ImportResponse {
     tokens: TokenCount,
 }
 
@@ -85,8 +85,8 @@
 }
 
 pub(crate) async fn export(state: &EngineState, request: Request<Incoming>) -> RouteResult {
-    let name: RequestName = read_json(request).await?;
-    let exported = state.core.lock().export(&name.request_id);
+    let body: RequestIdBody = read_json(request).await?;
+    let exported = state.core.lock().export(&body.request_id);
     let kv_state = exported.map_err(|error| match error {
         PauseError::Missing => RouteError::new(StatusCode::NOT_FOUND, "no such request"),
         PauseError::NotDecoding => {
@@ -94,7 +94,7 @@
         }
     })?;
     wait_for_transfer(state, &kv_state).await;
-    Ok(json_answer(&kv_state))
+    Ok(json_response(&kv_state))
 }
 
 pub(crate) async fn import(state: &EngineState, request: Request<Incoming>) -> RouteResult {
@@ -104,9 +104,9 @@
         .core
         .lock()
         .import(kv_state.request(), kv_state.source());
-    imported.map_err(refusal)?;
+    imported.map_err(submit_route_error)?;
     state.wake.notify_one();
-    Ok(json_answer(&ImportAnswer {
+    Ok(json_response(&ImportResponse {
         tokens: kv_state.tokens(),
     }))
 }
--- a/lovagedock-standin/src/engine/weights.rs
+++ b/lovagedock-standin/src/engine/weights.rs
@@ -1,38 +1,38 @@
-//! Counts the engines that load from the weight store at once.
+//! Counts concurrent loads from the weight store.
 
 use std::sync::{
     Arc,
     atomic::{AtomicUsize, Ordering},
 };
 
-/// Count that engines share; clones share one.
+/// Gauge of concurrent loads. Clones share one count.
 #[derive(Clone, Debug, Default)]
-pub struct WeightGauge {
+pub struct WeightLoadGauge {
     counts: Arc<WeightCounts>,
 }
 
 #[derive(Debug, Default)]
 struct WeightCounts {
     loading: AtomicUsize,
-    most: AtomicUsize,
+    max_loading: AtomicUsize,
 }
 
-impl WeightGauge {
-    /// Most loads at one moment so far.
-    pub fn most_at_once(&self) -> usize {
-        self.counts.most.load(Ordering::SeqCst)
+impl WeightLoadGauge {
+    /// Maximum number of concurrent loads so far.
+    pub fn max_concurrent_loads(&self) -> usize {
+        self.counts.max_loading.load(Ordering::SeqCst)
     }
 
-    pub(crate) fn begin(&self) -> WeightLoad {
+    pub(crate) fn start_load(&self) -> WeightLoad {
         let loading = self.counts.loading.fetch_add(1, Ordering::SeqCst) + 1;
-        self.counts.most.fetch_max(loading, Ordering::SeqCst);
+        self.counts.max_loading.fetch_max(loading, Ordering::SeqCst);
         WeightLoad {
             counts: Arc::clone(&self.counts),
         }
     }
 }
 
-/// A load; it ends when this is dropped.
+/// Load in progress. It ends when this guard is dropped.
 pub(crate) struct WeightLoad {
     counts: Arc<WeightCounts>,
 }
--- a/lovagedock-standin/src/load/collect.rs
+++ b/lovagedock-standin/src/load/collect.rs
@@ -1,33 +1,33 @@
-//! Brings the stand-ins' journals onto the clock of the run.
+//! Collects the journals of stand-ins and converts their times to the clock of the run.
 
 use std::{collections::HashMap, time::Duration};
 
 use lovagedock::{EndpointId, RequestId, Timestamp, parse_request_id};
 
-use super::journal::{ExecutionJournal, ExecutionRecord, HoldingRecord};
+use super::journal::{ExecutionJournal, ExecutionRecord, LeakRecord};
 use crate::{
     engine::{JournalEntry, JournalEvent, RunningEngine},
     service::{RunningService, ServiceEntry},
 };
 
-/// How a stand-in's own clock lies on the clock of the run.
+/// Relation between the clock of a stand-in and the clock of the run.
 #[derive(Clone, Copy, Debug)]
 pub struct ClockOrigin {
-    /// When the stand-in started.
+    /// Start of the stand-in, on the clock of the run.
     pub started_at: Timestamp,
-    /// Time of the stand-in that passes in one unit of the run's time.
+    /// Time that passes at the stand-in per unit of the run's time.
     pub time_scale: f64,
 }
 
 impl ClockOrigin {
-    /// The run's time at a time of the stand-in.
-    pub fn run_time(&self, own: Duration) -> Timestamp {
-        self.started_at + own.div_f64(self.time_scale)
+    /// Converts a time of the stand-in to the clock of the run.
+    pub fn to_run_time(&self, local_time: Duration) -> Timestamp {
+        self.started_at + local_time.div_f64(self.time_scale)
     }
 }
 
 impl ExecutionJournal {
-    /// Adds what an engine ran, and what it holds now for no request in flight.
+    /// Adds the requests that an engine ran, and the blocks that it leaked.
     pub fn add_engine(
         &mut self,
         endpoint: &EndpointId,
@@ -35,17 +35,18 @@
         origin: ClockOrigin,
     ) {
         self.add_engine_entries(endpoint, &engine.journal.entries(), origin);
-        // The run is over and has settled, so no caller waits for any of these.
-        let blocks = engine.handle.held_blocks();
+        // The run is over and the engines had time to free memory. No caller waits for a request,
+        // so blocks that are still allocated are leaked.
+        let blocks = engine.handle.allocated_blocks();
         if blocks > 0 {
-            self.holdings.push(HoldingRecord {
+            self.leaks.push(LeakRecord {
                 endpoint: endpoint.clone(),
                 blocks,
             });
         }
     }
 
-    /// Adds the lines of an engine's journal; a line with an id that is none of ours is left out.
+    /// Adds the entries of an engine's journal. Skips entries whose id is not a valid request id.
     pub fn add_engine_entries(
         &mut self,
         endpoint: &EndpointId,
@@ -57,7 +58,7 @@
             let Some(request) = parse_request_id(&entry.request_id) else {
                 continue;
             };
-            let at = origin.run_time(entry.model_time);
+            let at = origin.to_run_time(entry.model_time);
             match entry.event {
                 JournalEvent::Started | JournalEvent::Prefilled => {
                     open.insert(request, self.starts.len());
@@ -69,18 +70,19 @@
                         ended_at: None,
                     });
                 }
-                // The rest of work that began elsewhere; it is no second run of it.
+                // Continues work that started on another engine, so it does not count as a second
+                // start.
                 JournalEvent::Resumed => {}
                 JournalEvent::Ended | JournalEvent::Cancelled | JournalEvent::Lost => {
-                    if let Some(place) = open.remove(&request) {
-                        self.starts[place].ended_at = Some(at);
+                    if let Some(index) = open.remove(&request) {
+                        self.starts[index].ended_at = Some(at);
                     }
                 }
             }
         }
     }
 
-    /// Adds what a plain service ran.
+    /// Adds the calls that a plain service ran.
     pub fn add_service(
         &mut self,
         endpoint: &EndpointId,
@@ -104,7 +106,7 @@
         request: parse_request_id(&entry.run.request_id).unwrap_or_default(),
         key: entry.key.clone(),
         endpoint: endpoint.clone(),
-        started_at: origin.run_time(entry.started_at),
-        ended_at: entry.ended_at.map(|ended| origin.run_time(ended)),
+        started_at: origin.to_run_time(entry.started_at),
+        ended_at: entry.ended_at.map(|ended| origin.to_run_time(ended)),
     }
 }
--- a/lovagedock-standin/src/load/message.rs
+++ b/lovagedock-standin/src/load/message.rs
@@ -1,4 +1,4 @@
-//! What a planned call looks like on the wire, and what its answer has to be.
+//! HTTP message of a planned call, and the expected answer.
 
 use bytes::Bytes;
 use lovagedock::{LengthBucket, ServiceId};
@@ -20,7 +20,7 @@
 const CHAT_PATH: &str = "/v1/chat/completions";
 const COMPLETIONS_PATH: &str = "/v1/completions";
 
-/// A call that is ready to be sent.
+/// Call that is ready to be sent.
 #[derive(Clone, Debug)]
 pub(crate) struct CallMessage {
     pub(crate) service: ServiceId,
@@ -30,15 +30,15 @@
     pub(crate) path: String,
     pub(crate) body: Bytes,
     pub(crate) streamed: bool,
-    pub(crate) rule: AnswerRule,
+    pub(crate) expected_answer: ExpectedAnswer,
 }
 
-/// What the answer has to be.
+/// Answer that a call must get.
 #[derive(Clone, Debug)]
-pub(crate) enum AnswerRule {
-    /// The text of a model's answer.
+pub(crate) enum ExpectedAnswer {
+    /// Text of a model's answer.
     Text(String),
-    /// The plain service's account of the call.
+    /// Description of the call that the plain service returns.
     Run {
         method: String,
         path: String,
@@ -47,7 +47,7 @@
 }
 
 impl CallMessage {
-    /// Writes the call out.
+    /// Builds the message of a planned call.
     pub(crate) fn new(mix: &MixSpec, call: &PlannedCall) -> Self {
         match &call.body {
             CallBody::Model(call) => model_message(mix, call),
@@ -56,14 +56,12 @@
     }
 }
 
-impl AnswerRule {
-    /// Compares the content of an answer, or what there is of it.
+impl ExpectedAnswer {
+    /// Compares the received content, which may be incomplete, with the expected answer.
     pub(crate) fn check(&self, content: &[u8]) -> AnswerCheck {
         match self {
-            Self::Text(expected) if expected.as_bytes() == content => AnswerCheck::Whole,
-            Self::Text(expected) if expected.as_bytes().starts_with(content) => {
-                AnswerCheck::Beginning
-            }
+            Self::Text(expected) if expected.as_bytes() == content => AnswerCheck::Complete,
+            Self::Text(expected) if expected.as_bytes().starts_with(content) => AnswerCheck::Prefix,
             Self::Text(_) => AnswerCheck::Different,
             Self::Run {
                 method,
@@ -75,10 +73,10 @@
                         && run.path == *path
                         && run.body_digest == *body_digest =>
                 {
-                    AnswerCheck::Whole
+                    AnswerCheck::Complete
                 }
                 Ok(_) => AnswerCheck::Different,
-                Err(error) if error.is_eof() => AnswerCheck::Beginning,
+                Err(error) if error.is_eof() => AnswerCheck::Prefix,
                 Err(_) => AnswerCheck::Different,
             },
         }
@@ -136,7 +134,7 @@
         },
         body: serde_json::to_vec(&body).unwrap_or_default().into(),
         streamed: call.streamed,
-        rule: AnswerRule::Text(expected),
+        expected_answer: ExpectedAnswer::Text(expected),
     }
 }
 
@@ -158,7 +156,7 @@
         non_idempotent: plain.non_idempotent,
         method: plain.method.clone(),
         path: path.clone(),
-        rule: AnswerRule::Run {
+        expected_answer: ExpectedAnswer::Run {
             method: plain.method.clone(),
             path,
             body_digest: format!("{:016x}", xxh3_64(&body)),
@@ -168,15 +166,15 @@
     }
 }
 
-/// The parts of a model's answer that hold text, streamed or whole.
+/// Text fields of a model's response, streamed or complete.
 #[derive(Debug, Default, Deserialize)]
-pub(crate) struct ModelAnswer {
+pub(crate) struct ModelResponse {
     #[serde(default)]
-    pub(crate) choices: Vec<AnswerChoice>,
+    pub(crate) choices: Vec<ResponseChoice>,
 }
 
-impl ModelAnswer {
-    /// The text of the first choice.
+impl ModelResponse {
+    /// Text of the first choice.
     pub(crate) fn text(&self) -> &str {
         let Some(choice) = self.choices.first() else {
             return "";
@@ -189,19 +187,19 @@
     }
 }
 
-/// One choice of an answer.
+/// One choice of a response.
 #[derive(Debug, Deserialize)]
-pub(crate) struct AnswerChoice {
+pub(crate) struct ResponseChoice {
     #[serde(default)]
     text: Option<String>,
     #[serde(default)]
-    delta: Option<AnswerText>,
+    delta: Option<MessageText>,
     #[serde(default)]
-    message: Option<AnswerText>,
+    message: Option<MessageText>,
 }
 
 #[derive(Debug, Deserialize)]
-struct AnswerText {
+struct MessageText {
     #[serde(default)]
     content: Option<String>,
 }
--- a/lovagedock-standin/src/load/violations.rs
+++ b/lovagedock-standin/src/load/violations.rs
@@ -1,7 +1,7 @@
-//! Counts broken promises in the journals of one run.
+//! Counts violated guarantees in the journals of one run.
 //!
-//! The product's word about itself is taken only where it is the promise: what it told the caller.
-//! Whether that was true is read from the stand-ins' journals, joined by request id.
+//! Statements of the product about itself are used only where they are the guarantee: the response
+//! to the caller. The stand-ins' journals, joined by request id, show whether they were true.
 
 use std::{collections::HashMap, ops::AddAssign, time::Duration};
 
@@ -9,42 +9,42 @@
 use serde::Serialize;
 
 use super::journal::{
-    AnswerCheck, CallEnding, CallRecord, CallerJournal, ExecutionJournal, ExecutionRecord,
-    FleetJournal, LeaveRecord, LeavingParty, RuledOut,
+    AnswerCheck, CallOutcome, CallRecord, CallerJournal, DrainRecord, DrainTarget, ExcludedTarget,
+    ExecutionJournal, ExecutionRecord, FleetJournal,
 };
 
-/// Number of times that each promise was broken; all are always reported.
+/// Number of violations of each guarantee. All counters are always reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct ViolationCounts {
-    /// Sent, and neither finished nor failed by its deadline.
+    /// Calls that were sent and neither completed nor failed by their deadline.
     pub no_outcome_in_time: u64,
-    /// Clean end on an incomplete answer.
+    /// Responses that ended cleanly although the answer was incomplete.
     pub cut_answers: u64,
-    /// Bytes that are not those of the request's own answer.
+    /// Responses with bytes that do not belong to the answer to the request.
     pub wrong_answers: u64,
-    /// Refused as not run, yet a stand-in saw it start.
+    /// Calls that were refused as not run although a stand-in recorded a start.
     pub ran_after_not_run: u64,
-    /// Starts of non-idempotent work after its first.
+    /// Starts of non-idempotent work after the first one.
     pub ran_twice: u64,
-    /// Redeliveries with other bytes than the first delivery.
+    /// Redeliveries whose bytes differ from the first delivery.
     pub differing_redelivery: u64,
-    /// Starts on an endpoint that had been leaving for longer than the limit.
+    /// Starts on an endpoint that had been draining for longer than the limit.
     pub work_after_leaving: u64,
-    /// Requests in flight that an orderly departure cut off.
+    /// Requests in flight that were aborted by the drain of an endpoint or a gateway.
     pub cut_by_shutdown: u64,
-    /// Starts that a configuration had ruled out for longer than the limit.
+    /// Starts that a configuration had excluded for longer than the limit.
     pub stale_config: u64,
-    /// Blocks held with no request left.
+    /// Blocks that are still allocated without a request.
     pub leaked_blocks: u64,
 }
 
 impl ViolationCounts {
-    /// All violations together.
+    /// Total number of violations.
     pub fn total(&self) -> u64 {
         self.named().iter().map(|(_, count)| count).sum()
     }
 
-    /// Each counter with its name in reports.
+    /// All counters with their names in reports.
     pub fn named(&self) -> [(&'static str, u64); 10] {
         [
             ("no_outcome_in_time", self.no_outcome_in_time),
@@ -76,29 +76,29 @@
     }
 }
 
-/// Times within which a promise is not broken yet.
+/// Tolerances within which a guarantee does not count as violated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ViolationLimits {
-    /// How much later than its deadline an outcome may reach the caller; the way over the network
-    /// and the scheduling of a busy machine.
+    /// Maximum delay of an outcome after the deadline. It covers the network and the scheduling
+    /// delays of a busy machine.
     pub outcome_grace: Duration,
-    /// How long after it began to leave an endpoint may get new work.
-    pub leaving: Duration,
-    /// How long after its acceptance a configuration may not be in force.
-    pub configuration: Duration,
+    /// Time after the start of its drain in which an endpoint may still get new work.
+    pub drain_grace: Duration,
+    /// Time after its acceptance in which a configuration may not be in force yet.
+    pub config_grace: Duration,
 }
 
 impl Default for ViolationLimits {
     fn default() -> Self {
         Self {
             outcome_grace: Duration::from_secs(1),
-            leaving: Duration::from_secs(5),
-            configuration: Duration::from_secs(6),
+            drain_grace: Duration::from_secs(5),
+            config_grace: Duration::from_secs(6),
         }
     }
 }
 
-/// Counts every kind of violation in the journals of one run.
+/// Counts the violations of each guarantee in the journals of one run.
 pub fn count_violations(
     callers: &CallerJournal,
     executions: &ExecutionJournal,
@@ -108,66 +108,68 @@
     let joined = JoinedJournals::new(callers, executions);
     ViolationCounts {
         no_outcome_in_time: joined.count_calls(|call| outcome_is_late(call, limits)),
-        cut_answers: joined.count_calls(is_cut),
+        cut_answers: joined.count_calls(is_truncated),
         wrong_answers: joined.count_calls(|call| call.answer == AnswerCheck::Different),
-        ran_after_not_run: joined.count_calls(|call| joined.ran_though_refused(call)),
+        ran_after_not_run: joined.count_calls(|call| joined.ran_after_rejection(call)),
         ran_twice: joined.ran_twice(),
-        differing_redelivery: joined.differing_redeliveries(),
+        differing_redelivery: joined.count_differing_redeliveries(),
         work_after_leaving: joined.work_after_leaving(fleet, limits),
         cut_by_shutdown: joined.count_calls(|call| joined.is_cut_by_shutdown(call, fleet)),
         stale_config: joined.stale_config(fleet, limits),
-        leaked_blocks: executions.holdings.iter().map(|held| held.blocks).sum(),
+        leaked_blocks: executions.leaks.iter().map(|leak| leak.blocks).sum(),
     }
 }
 
-/// One call that a promise was broken to.
+/// Call that is counted as a violation.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ViolationNote {
+pub struct ViolationDetail {
     /// Name of the counter.
     pub counter: &'static str,
-    /// Request id, if the caller knows it.
+    /// Request id, if the caller received it.
     pub request: Option<RequestId>,
-    /// How the call ended for its caller.
-    pub ending: CallEnding,
-    /// Endpoints that started it, in the order of the journals.
+    /// Outcome of the call for its caller.
+    pub outcome: CallOutcome,
+    /// Endpoints that started the request, in the order of the journals.
     pub endpoints: Vec<EndpointId>,
 }
 
-/// Names the calls behind the counters that count calls, for whoever looks into them.
-pub fn note_violations(
+/// Lists the calls behind the counters that count calls, for diagnosis.
+pub fn list_violations(
     callers: &CallerJournal,
     executions: &ExecutionJournal,
     fleet: &FleetJournal,
     limits: &ViolationLimits,
-) -> Vec<ViolationNote> {
+) -> Vec<ViolationDetail> {
     let joined = JoinedJournals::new(callers, executions);
-    let mut notes = Vec::new();
+    let mut details = Vec::new();
     for call in joined.calls {
-        let broken = [
+        let is_violated = [
             ("no_outcome_in_time", outcome_is_late(call, limits)),
-            ("cut_answers", is_cut(call)),
+            ("cut_answers", is_truncated(call)),
             ("wrong_answers", call.answer == AnswerCheck::Different),
-            ("ran_after_not_run", joined.ran_though_refused(call)),
+            ("ran_after_not_run", joined.ran_after_rejection(call)),
             ("cut_by_shutdown", joined.is_cut_by_shutdown(call, fleet)),
         ];
-        let endpoints = joined.starts_of(call).iter();
+        let endpoints = joined.starts_for(call).iter();
         let endpoints: Vec<EndpointId> = endpoints.map(|start| start.endpoint.clone()).collect();
-        let counters = broken.into_iter().filter(|(_, broken)| *broken);
-        notes.extend(counters.map(|(counter, _)| ViolationNote {
+        let counters = is_violated
+            .into_iter()
+            .filter(|(_, is_violated)| *is_violated);
+        details.extend(counters.map(|(counter, _)| ViolationDetail {
             counter,
             request: call.request,
-            ending: call.ending,
+            outcome: call.outcome,
             endpoints: endpoints.clone(),
         }));
     }
-    notes
+    details
 }
 
 struct JoinedJournals<'a> {
     calls: &'a [CallRecord],
     starts: &'a [ExecutionRecord],
     by_request: HashMap<RequestId, Vec<&'a ExecutionRecord>>,
-    caller_of: HashMap<RequestId, &'a CallRecord>,
+    call_by_request: HashMap<RequestId, &'a CallRecord>,
 }
 
 impl<'a> JoinedJournals<'a> {
@@ -176,7 +178,7 @@
         for start in &executions.starts {
             by_request.entry(start.request).or_default().push(start);
         }
-        let caller_of = callers
+        let call_by_request = callers
             .calls
             .iter()
             .filter_map(|call| Some((call.request?, call)))
@@ -185,37 +187,42 @@
             calls: &callers.calls,
             starts: &executions.starts,
             by_request,
-            caller_of,
+            call_by_request,
         }
     }
 
-    fn count_calls(&self, broken: impl Fn(&CallRecord) -> bool) -> u64 {
-        self.calls.iter().filter(|call| broken(call)).count() as u64
+    fn count_calls(&self, is_violated: impl Fn(&CallRecord) -> bool) -> u64 {
+        self.calls.iter().filter(|call| is_violated(call)).count() as u64
     }
 
-    fn count_starts(&self, broken: impl Fn(&ExecutionRecord) -> bool) -> u64 {
-        self.starts.iter().filter(|start| broken(start)).count() as u64
+    fn count_starts(&self, is_violated: impl Fn(&ExecutionRecord) -> bool) -> u64 {
+        self.starts
+            .iter()
+            .filter(|start| is_violated(start))
+            .count() as u64
     }
 
-    fn starts_of(&self, call: &CallRecord) -> &[&'a ExecutionRecord] {
+    fn starts_for(&self, call: &CallRecord) -> &[&'a ExecutionRecord] {
         let starts = call.request.and_then(|id| self.by_request.get(&id));
         starts.map_or(&[], Vec::as_slice)
     }
 
-    fn ran_though_refused(&self, call: &CallRecord) -> bool {
+    fn ran_after_rejection(&self, call: &CallRecord) -> bool {
         let refused = matches!(
-            call.ending,
-            CallEnding::Problem {
+            call.outcome,
+            CallOutcome::Problem {
                 ran: RanState::No,
                 ..
             }
         );
-        refused && !self.starts_of(call).is_empty()
+        refused && !self.starts_for(call).is_empty()
     }
 
-    /// A redelivery has another request id than the first delivery, and a call whose connection
-    /// broke has none that its caller knows. So starts are grouped by the key where the stand-in
-    /// or the caller knows it, and by request id otherwise.
+    /// Counts the starts of non-idempotent work after the first one.
+    ///
+    /// A redelivery has another request id than the first delivery, and the caller does not know
+    /// the id of a call whose connection broke. Starts are therefore grouped by the idempotency key
+    /// if the stand-in or the caller knows it, and by request id otherwise.
     fn ran_twice(&self) -> u64 {
         let keyed: HashMap<&str, &CallRecord> = self
             .calls
@@ -223,14 +230,14 @@
             .filter(|call| call.non_idempotent)
             .filter_map(|call| Some((call.key.as_deref()?, call)))
             .collect();
-        let mut starts_of_work: HashMap<WorkName<'_>, u64> = HashMap::new();
+        let mut starts_of_work: HashMap<WorkKey<'_>, u64> = HashMap::new();
         for start in self.starts {
-            let call = self.caller_of.get(&start.request).copied();
+            let call = self.call_by_request.get(&start.request).copied();
             let called_key = call.and_then(|call| call.key.as_deref());
             let work = match start.key.as_deref().or(called_key) {
-                Some(key) if keyed.contains_key(key) => WorkName::Key(key),
+                Some(key) if keyed.contains_key(key) => WorkKey::Key(key),
                 _ if call.is_some_and(|call| call.non_idempotent) => {
-                    WorkName::Request(start.request)
+                    WorkKey::Request(start.request)
                 }
                 _ => continue,
             };
@@ -239,7 +246,7 @@
         starts_of_work.values().map(|starts| starts - 1).sum()
     }
 
-    fn differing_redeliveries(&self) -> u64 {
+    fn count_differing_redeliveries(&self) -> u64 {
         let mut first: HashMap<(&str, &str, &str), [u8; 32]> = HashMap::new();
         let mut differing = 0;
         for call in self.calls {
@@ -256,33 +263,33 @@
 
     fn work_after_leaving(&self, fleet: &FleetJournal, limits: &ViolationLimits) -> u64 {
         self.count_starts(|start| {
-            fleet.leaves.iter().any(|leave| {
-                let party = LeavingParty::Endpoint(start.endpoint.clone());
-                let until = leave.gone_at.unwrap_or(Timestamp::MAX);
-                leave.party == party
-                    && start.started_at > leave.began_at + limits.leaving
+            fleet.drains.iter().any(|drain| {
+                let target = DrainTarget::Endpoint(start.endpoint.clone());
+                let until = drain.ended_at.unwrap_or(Timestamp::MAX);
+                drain.target == target
+                    && start.started_at > drain.started_at + limits.drain_grace
                     && start.started_at <= until
             })
         })
     }
 
     fn is_cut_by_shutdown(&self, call: &CallRecord, fleet: &FleetJournal) -> bool {
-        let mut leaves = fleet.leaves.iter();
-        is_cut_off(call) && leaves.any(|leave| self.was_in_flight(call, leave))
+        let mut drains = fleet.drains.iter();
+        is_aborted(call) && drains.any(|drain| self.was_in_flight(call, drain))
     }
 
-    /// Whether the call was at the leaving party when the departure began.
-    fn was_in_flight(&self, call: &CallRecord, leave: &LeaveRecord) -> bool {
-        match &leave.party {
-            LeavingParty::Gateway(name) => {
+    /// Whether the call was in flight at the target when its drain started.
+    fn was_in_flight(&self, call: &CallRecord, drain: &DrainRecord) -> bool {
+        match &drain.target {
+            DrainTarget::Gateway(name) => {
                 *name == call.gateway
-                    && call.sent_at <= leave.began_at
-                    && call.ended_at > leave.began_at
+                    && call.sent_at <= drain.started_at
+                    && call.ended_at > drain.started_at
             }
-            LeavingParty::Endpoint(endpoint) => self.starts_of(call).iter().any(|start| {
+            DrainTarget::Endpoint(endpoint) => self.starts_for(call).iter().any(|start| {
                 start.endpoint == *endpoint
-                    && start.started_at <= leave.began_at
-                    && start.ended_at.is_none_or(|ended| ended > leave.began_at)
+                    && start.started_at <= drain.started_at
+                    && start.ended_at.is_none_or(|ended| ended > drain.started_at)
             }),
         }
     }
@@ -290,19 +297,19 @@
     fn stale_config(&self, fleet: &FleetJournal, limits: &ViolationLimits) -> u64 {
         self.count_starts(|start| {
             fleet.changes.iter().any(|change| {
-                let from = change.accepted_at + limits.configuration;
-                let until = change.lifted_at.unwrap_or(Timestamp::MAX);
+                let from = change.accepted_at + limits.config_grace;
+                let until = change.reverted_at.unwrap_or(Timestamp::MAX);
                 let in_force = start.started_at > from && start.started_at < until;
-                in_force && self.is_ruled_out(start, &change.ruled_out)
+                in_force && self.is_excluded(start, &change.excluded)
             })
         })
     }
 
-    fn is_ruled_out(&self, start: &ExecutionRecord, ruled_out: &RuledOut) -> bool {
-        match ruled_out {
-            RuledOut::Endpoint(endpoint) => start.endpoint == *endpoint,
-            RuledOut::Organisation(organisation) => self
-                .caller_of
+    fn is_excluded(&self, start: &ExecutionRecord, excluded: &ExcludedTarget) -> bool {
+        match excluded {
+            ExcludedTarget::Endpoint(endpoint) => start.endpoint == *endpoint,
+            ExcludedTarget::Organisation(organisation) => self
+                .call_by_request
                 .get(&start.request)
                 .is_some_and(|call| call.organisation == *organisation),
         }
@@ -310,30 +317,30 @@
 }
 
 #[derive(PartialEq, Eq, Hash)]
-enum WorkName<'a> {
+enum WorkKey<'a> {
     Key(&'a str),
     Request(RequestId),
 }
 
 fn outcome_is_late(call: &CallRecord, limits: &ViolationLimits) -> bool {
-    match call.ending {
-        CallEnding::Nothing => true,
-        CallEnding::Unsent => false,
+    match call.outcome {
+        CallOutcome::NoOutcome => true,
+        CallOutcome::Unsent => false,
         _ => call.ended_at > call.sent_at + call.deadline + limits.outcome_grace,
     }
 }
 
-fn is_cut(call: &CallRecord) -> bool {
-    call.ending == CallEnding::Complete && call.answer == AnswerCheck::Beginning
+fn is_truncated(call: &CallRecord) -> bool {
+    call.outcome == CallOutcome::Complete && call.answer == AnswerCheck::Prefix
 }
 
-/// Whether work that had begun was lost: neither delivered, nor refused as not run, nor out of its
-/// own time.
-fn is_cut_off(call: &CallRecord) -> bool {
-    let out_of_time = call.ended_at >= call.sent_at + call.deadline;
-    match call.ending {
-        CallEnding::Complete | CallEnding::Unsent => false,
-        CallEnding::Broken | CallEnding::Nothing => true,
-        CallEnding::Problem { ran, .. } => ran != RanState::No && !out_of_time,
+/// Whether work that had started was lost: it was neither delivered, nor refused as not run, nor
+/// ended by its own deadline.
+fn is_aborted(call: &CallRecord) -> bool {
+    let deadline_passed = call.ended_at >= call.sent_at + call.deadline;
+    match call.outcome {
+        CallOutcome::Complete | CallOutcome::Unsent => false,
+        CallOutcome::Broken | CallOutcome::NoOutcome => true,
+        CallOutcome::Problem { ran, .. } => ran != RanState::No && !deadline_passed,
     }
 }
--- a/lovagedock-standin/tests/adapter_faults.rs
+++ b/lovagedock-standin/tests/adapter_faults.rs
@@ -45,7 +45,7 @@
     let cases = [
         Case {
             name: "dies",
-            fault: EngineFault::Die,
+            fault: EngineFault::Crash,
             before: Verdict::Unreachable,
             after: Verdict::Lost,
         },
@@ -57,7 +57,7 @@
         },
         Case {
             name: "crosses answers",
-            fault: EngineFault::Crossed,
+            fault: EngineFault::SwapsResponses,
             before: Verdict::Failed,
             after: Verdict::Failed,
         },
@@ -89,7 +89,7 @@
 async fn a_whole_answer_fails_truthfully() {
     for vendor in &VENDORS {
         let crossed = bench(vendor).await;
-        crossed.engine.handle.set_fault(EngineFault::Crossed);
+        crossed.engine.handle.set_fault(EngineFault::SwapsResponses);
         let error = answer(&*crossed.adapter, request(PROMPT, 3, false)).await;
         assert_eq!(verdict(&error.unwrap_err()), Verdict::Failed);
 
@@ -100,7 +100,7 @@
 
         let broken = bench(vendor).await;
         let call = spawn_whole(&broken).await;
-        broken.engine.handle.set_fault(EngineFault::Die);
+        broken.engine.handle.set_fault(EngineFault::Crash);
         assert_eq!(verdict(&call.await.unwrap().unwrap_err()), Verdict::Lost);
     }
 }
@@ -110,7 +110,7 @@
     let adapter = bench.adapter.clone();
     let endless = request(PROMPT, 300_000, false);
     let call = tokio::spawn(async move { answer(&*adapter, endless).await });
-    until(async || bench.engine.handle.held_blocks() > 0).await;
+    until(async || bench.engine.handle.allocated_blocks() > 0).await;
     call
 }
 
@@ -122,19 +122,19 @@
         let bench = bench(vendor).await;
         let mut stream = bench.adapter.start(endless_request()).await.unwrap();
         first_bytes(&mut stream).await;
-        bench.engine.handle.set_fault(EngineFault::Die);
+        bench.engine.handle.set_fault(EngineFault::Crash);
         read_answer(stream).await.unwrap_err();
         until(async || {
             matches!(
-                bench.adapter.account().await,
+                bench.adapter.allocations().await,
                 Err(EngineError::Unreachable { .. })
             )
         })
         .await;
 
         bench.engine.handle.set_fault(EngineFault::None);
-        until(async || bench.adapter.account().await.is_ok()).await;
-        assert!(bench.adapter.account().await.unwrap().is_empty());
+        until(async || bench.adapter.allocations().await.is_ok()).await;
+        assert!(bench.adapter.allocations().await.unwrap().is_empty());
         let again = answer(&*bench.adapter, request(PROMPT, 3, true)).await;
         assert_eq!(
             streamed_text(&again.unwrap().body),
@@ -154,7 +154,7 @@
         let adapter = impatient(&bench, vendor.adapter);
         let (cancel, account, load, export, events) = futures::join!(
             adapter.cancel(ID),
-            adapter.account(),
+            adapter.allocations(),
             adapter.load(),
             adapter.export(ID),
             adapter.cache_events(0),
@@ -270,7 +270,7 @@
 
         let holder = span.hold_first_part().await;
         assert_eq!(holder.tokens, PART_TOKENS);
-        let held = span.holder.adapter.account().await.unwrap();
+        let held = span.holder.adapter.allocations().await.unwrap();
         assert_eq!(held[0].tokens, PART_TOKENS);
         let answer = answer(&*span.decoder.adapter, span.request(20, holder)).await;
         let answer = answer.unwrap();
@@ -281,7 +281,7 @@
         assert_eq!(answer.end.prompt_tokens, 2 * PART_TOKENS);
 
         span.holder.adapter.cancel(ID).await.unwrap();
-        assert_eq!(span.holder.engine.handle.held_blocks(), 0);
+        assert_eq!(span.holder.engine.handle.allocated_blocks(), 0);
     }
 }
 
@@ -311,7 +311,7 @@
         // The repeated one is the same holder and the same tokens.
         assert_eq!(holders.remove(3), holders[2]);
         for bench in [&span.holder, &span.decoder] {
-            let account = bench.adapter.account().await.unwrap();
+            let account = bench.adapter.allocations().await.unwrap();
             assert_eq!((account.len(), account[0].tokens), (1, PART_TOKENS));
         }
 
@@ -328,7 +328,7 @@
         for bench in [&span.holder, &span.decoder] {
             assert_eq!(bench.engine.journal.count(&id, JournalEvent::Prefilled), 3);
             bench.adapter.cancel(ID).await.unwrap();
-            assert_eq!(bench.engine.handle.held_blocks(), 0);
+            assert_eq!(bench.engine.handle.allocated_blocks(), 0);
         }
         let decoder = &span.decoder.engine.journal;
         assert_eq!(decoder.count(&id, JournalEvent::Started), 1);
@@ -347,12 +347,12 @@
             let mut stream = span.decoder.adapter.start(request).await.unwrap();
             first_bytes(&mut stream).await;
             match dies {
-                true => span.holder.engine.handle.set_fault(EngineFault::Die),
+                true => span.holder.engine.handle.set_fault(EngineFault::Crash),
                 false => span.holder.adapter.cancel(ID).await.unwrap(),
             }
             let error = read_answer(stream).await.unwrap_err();
             assert_eq!(verdict(&error), Verdict::Failed);
-            assert_eq!(span.decoder.engine.handle.held_blocks(), 0);
+            assert_eq!(span.decoder.engine.handle.allocated_blocks(), 0);
         }
     }
 }
--- a/lovagedock-standin/tests/engine_contract.rs
+++ b/lovagedock-standin/tests/engine_contract.rs
@@ -51,7 +51,7 @@
         assert!(answer.end.first_token_after > Duration::ZERO);
         let id = format_request_id(ID);
         assert_eq!(bench.engine.journal.count(&id, JournalEvent::Ended), 1);
-        assert!(bench.adapter.account().await.unwrap().is_empty());
+        assert!(bench.adapter.allocations().await.unwrap().is_empty());
     }
 }
 
@@ -201,11 +201,11 @@
             request_id: ID,
             tokens: 300_016,
         };
-        assert_eq!(bench.adapter.account().await.unwrap(), [holding]);
+        assert_eq!(bench.adapter.allocations().await.unwrap(), [holding]);
 
         bench.adapter.cancel(ID).await.unwrap();
-        assert!(bench.adapter.account().await.unwrap().is_empty());
-        assert_eq!(bench.engine.handle.held_blocks(), 0);
+        assert!(bench.adapter.allocations().await.unwrap().is_empty());
+        assert_eq!(bench.engine.handle.allocated_blocks(), 0);
         bench.adapter.cancel(ID).await.unwrap();
         let id = format_request_id(ID);
         assert_eq!(bench.engine.journal.count(&id, JournalEvent::Cancelled), 1);
@@ -282,8 +282,8 @@
         let id = format_request_id(ID);
         assert_eq!(target.engine.journal.count(&id, JournalEvent::Started), 0);
         assert_eq!(target.engine.journal.count(&id, JournalEvent::Resumed), 1);
-        assert_eq!(source.engine.handle.held_blocks(), 0);
-        assert_eq!(target.engine.handle.held_blocks(), 0);
+        assert_eq!(source.engine.handle.allocated_blocks(), 0);
+        assert_eq!(target.engine.handle.allocated_blocks(), 0);
     }
 }
 
--- a/lovagedock/src/placement/span.rs
+++ b/lovagedock/src/placement/span.rs
@@ -32,7 +32,8 @@
 /// little memory.
 ///
 /// Only memory that is free now is counted at first. If that is not enough, all memory for spans
-/// is counted, and the span backs off until the endpoints have free memory.
+/// is counted, and the reservations are retried with a backoff until the endpoints have free
+/// memory.
 pub(super) fn select_span(
     request: &PlacementRequest<'_>,
     pool: &PoolView<'_>,
@@ -88,8 +89,8 @@
     let mut parts = vec![0; selected.len()];
     let mut remaining = need;
     for (assigned, position) in smallest_first.into_iter().enumerate() {
-        let others = (selected.len() - assigned) as TokenCount;
-        parts[position] = remaining.div_ceil(others).min(selected[position].1);
+        let unassigned = (selected.len() - assigned) as TokenCount;
+        parts[position] = remaining.div_ceil(unassigned).min(selected[position].1);
         remaining -= parts[position];
     }
     let members = selected.iter().zip(parts);
--- a/lovagedock/tests/support/relay_simulation/mod.rs
+++ b/lovagedock/tests/support/relay_simulation/mod.rs
@@ -64,7 +64,7 @@
     pub(crate) now: Timestamp,
     pub(crate) tallies: Vec<ProcessTally>,
     pub(crate) violations: Vec<String>,
-    pub(crate) cut: BTreeSet<usize>,
+    pub(crate) cut_regions: BTreeSet<usize>,
     pub(crate) store_up: bool,
     pub(crate) plan: RelayPlan,
     rng: ChaCha8Rng,
@@ -96,7 +96,7 @@
             now: Duration::from_secs(10),
             tallies: vec![ProcessTally::default(); members.len()],
             violations: Vec::new(),
-            cut: BTreeSet::new(),
+            cut_regions: BTreeSet::new(),
             store_up: true,
             rng: ChaCha8Rng::seed_from_u64(setup.seed),
             count: 0,
@@ -189,9 +189,11 @@
                 }
             }
             Step::Push(from, incarnation, to, bundle, hops) => {
-                self.arrive(from, incarnation, to, bundle, hops)
+                self.receive_push(from, incarnation, to, bundle, hops)
+            }
+            Step::Pull(from, incarnation, to, above) => {
+                self.receive_pull(from, incarnation, to, above)
             }
-            Step::Pull(from, incarnation, to, above) => self.pulled(from, incarnation, to, above),
             Step::Root(position, incarnation) => {
                 let event = AdoptionEvent::RootRead(self.root_of(position));
                 self.push(self.now, Step::Event(position, incarnation, event, 0));
