--- a/lovagedock-standin/examples/config_apply.rs
+++ b/lovagedock-standin/examples/config_apply.rs
@@ -128,8 +128,8 @@
     let (mut changed_chunks, mut changed_bytes) = (0, 0);
     for _ in 0..EDITS {
         let mut config = fleet(25_000);
-        let at = rng.random_range(0..config.organisations.len());
-        config.organisations[at].services.push("one-more".into());
+        let index = rng.random_range(0..config.organisations.len());
+        config.organisations[index].services.push("one-more".into());
         let edited = split(&config_bytes(&config));
         let changed = edited.iter().filter(|chunk| !known.contains(chunk));
         for chunk in changed {
--- a/lovagedock-standin/examples/overhead/main.rs
+++ b/lovagedock-standin/examples/overhead/main.rs
@@ -60,7 +60,7 @@
     print_memory("memory while idle", meters);
     let latency = drive::compare_latency(via_gateway, direct, arguments.requests).await;
     print_latency(&latency);
-    let before: Vec<Duration> = meters.iter().map(ProcessMeter::processor_time).collect();
+    let before: Vec<Duration> = meters.iter().map(ProcessMeter::cpu_time).collect();
     let load = drive::load(
         via_gateway,
         arguments.in_flight,
@@ -75,7 +75,7 @@
         load.failed,
         arguments.in_flight
     );
-    print_processor_time(&load, meters, &before);
+    print_cpu_time(&load, meters, &before);
     print_memory("memory after the load", meters);
 }
 
@@ -100,9 +100,9 @@
     );
 }
 
-fn print_processor_time(load: &LoadResult, meters: &[ProcessMeter], before: &[Duration]) {
+fn print_cpu_time(load: &LoadResult, meters: &[ProcessMeter], before: &[Duration]) {
     for (meter, before) in meters.iter().zip(before) {
-        let spent = meter.processor_time().saturating_sub(*before);
+        let spent = meter.cpu_time().saturating_sub(*before);
         println!(
             "{:<10} {:>6.2} s of CPU time, {:>6.0} us per request, {:>6.0} requests per second and core",
             meter.name,
--- a/lovagedock-standin/examples/overhead/meter.rs
+++ b/lovagedock-standin/examples/overhead/meter.rs
@@ -18,7 +18,7 @@
 
 impl ProcessMeter {
     /// CPU time used so far.
-    pub(crate) fn processor_time(&self) -> Duration {
+    pub(crate) fn cpu_time(&self) -> Duration {
         let ticks = ticks_of(self.pid);
         Duration::from_millis(ticks * 1000 / TICKS_PER_SECOND)
     }
--- a/lovagedock-standin/src/demo/injector.rs
+++ b/lovagedock-standin/src/demo/injector.rs
@@ -24,7 +24,7 @@
     load::{ConfigChange, DrainRecord, DrainTarget, ExcludedTarget, FleetJournal},
 };
 
-const LATE_MS: u64 = 500;
+const LATE_RESPONSE_DELAY_MS: u64 = 500;
 
 /// Executes a timeline of faults.
 pub(crate) struct FaultInjector<'a> {
@@ -80,9 +80,12 @@
         match step {
             FaultStep::EngineCrashes(id) => self.set_engine_fault(id, EngineFault::Crash),
             FaultStep::EngineHangs(id) => self.set_engine_fault(id, EngineFault::Hang),
-            FaultStep::EngineLate(id) => {
-                self.set_engine_fault(id, EngineFault::Late { delay_ms: LATE_MS })
-            }
+            FaultStep::EngineLate(id) => self.set_engine_fault(
+                id,
+                EngineFault::Late {
+                    delay_ms: LATE_RESPONSE_DELAY_MS,
+                },
+            ),
             FaultStep::EngineSwapsResponses(id) => {
                 self.set_engine_fault(id, EngineFault::SwapsResponses)
             }
@@ -135,10 +138,11 @@
                 self.post_to_sidecar(id, "/undrain").await
             }
             FaultStep::EndpointRemoved(id) => {
-                self.readmit(&ExcludedTarget::Endpoint(id.clone())).await
+                self.revert_exclusion(&ExcludedTarget::Endpoint(id.clone()))
+                    .await
             }
             FaultStep::OrganisationRemoved(id) => {
-                self.readmit(&ExcludedTarget::Organisation(id.clone()))
+                self.revert_exclusion(&ExcludedTarget::Organisation(id.clone()))
                     .await
             }
             FaultStep::GatewayStops(_) => Ok(()),
@@ -219,7 +223,10 @@
         Ok(())
     }
 
-    async fn readmit(&mut self, excluded: &ExcludedTarget) -> Result<(), Report<DemoError>> {
+    async fn revert_exclusion(
+        &mut self,
+        excluded: &ExcludedTarget,
+    ) -> Result<(), Report<DemoError>> {
         // A gateway may use the new configuration before `apply` returns, so the time is taken
         // before.
         let now = self.clock.now();
--- a/lovagedock-standin/src/demo/run.rs
+++ b/lovagedock-standin/src/demo/run.rs
@@ -107,7 +107,7 @@
     let mut fleet = LocalFleet::start(plan)
         .await
         .change_context(DemoError::Fleet)?;
-    let control = measure_control(&fleet, &clock).await;
+    let control = measure_control_overhead(&fleet, &clock).await;
 
     let model_time = options.duration.mul_f64(TIME_SCALE);
     let calls = plan_calls(&mix, options.seed, model_time)
@@ -145,7 +145,7 @@
     })
 }
 
-async fn measure_control(fleet: &LocalFleet, clock: &ProcessClock) -> ControlOverhead {
+async fn measure_control_overhead(fleet: &LocalFleet, clock: &ProcessClock) -> ControlOverhead {
     let before = ControlSample::measure(clock.now(), fleet.platform.counters());
     time::sleep(IDLE_MEASUREMENT_TIME).await;
     let after = ControlSample::measure(clock.now(), fleet.platform.counters());
--- a/lovagedock-standin/src/engine/cache_feed.rs
+++ b/lovagedock-standin/src/engine/cache_feed.rs
@@ -24,11 +24,11 @@
 #[derive(Clone, Copy, Debug)]
 struct FeedEvent {
     visible_at: Duration,
-    field: EventField,
+    cache_event: CacheEvent,
 }
 
 #[derive(Clone, Copy, Debug, Serialize)]
-struct EventField {
+struct CacheEvent {
     seq: u64,
     hash: u64,
     stored: bool,
@@ -38,7 +38,7 @@
 struct EventsResponse {
     /// Sequence number of the newest visible event.
     last: u64,
-    events: Vec<EventField>,
+    events: Vec<CacheEvent>,
 }
 
 #[derive(Debug, Serialize)]
@@ -62,7 +62,7 @@
             let seq = self.sequence;
             self.events.push_back(FeedEvent {
                 visible_at: now + options.cache_event_delay,
-                field: EventField { seq, hash, stored },
+                cache_event: CacheEvent { seq, hash, stored },
             });
         }
         while self.events.len() > MAX_EVENTS {
@@ -70,18 +70,18 @@
         }
     }
 
-    fn after(&self, after: u64, now: Duration) -> EventsResponse {
-        let visible: Vec<EventField> = self
+    fn events_after(&self, after: u64, now: Duration) -> EventsResponse {
+        let visible: Vec<CacheEvent> = self
             .events
             .iter()
             .filter(|event| event.visible_at <= now)
-            .map(|event| event.field)
+            .map(|event| event.cache_event)
             .collect();
         EventsResponse {
-            last: visible.last().map_or(0, |field| field.seq),
+            last: visible.last().map_or(0, |cache_event| cache_event.seq),
             events: visible
                 .into_iter()
-                .filter(|field| field.seq > after)
+                .filter(|cache_event| cache_event.seq > after)
                 .collect(),
         }
     }
@@ -94,7 +94,9 @@
         return Err(RouteError::new(StatusCode::BAD_REQUEST, message));
     };
     let core = state.core.lock();
-    Ok(json_response(&core.feed.after(after, core.batch.now())))
+    Ok(json_response(
+        &core.feed.events_after(after, core.batch.now()),
+    ))
 }
 
 pub(crate) fn snapshot(state: &EngineState) -> EngineResponse {
--- a/lovagedock-standin/src/engine/completion.rs
+++ b/lovagedock-standin/src/engine/completion.rs
@@ -50,7 +50,7 @@
     let monitor = SegmentMonitor::new(source.request_id.clone(), holders);
     monitor.check().await?;
     let request = sequence_request(&body, &source, remote_tokens + local_tokens);
-    let writer = open_answer(&state, body.resume_offset, request, source)?;
+    let writer = submit_or_attach(&state, body.resume_offset, request, source)?;
     monitor.spawn(state.clone());
     state.wake.notify_one();
     if body.stream {
@@ -59,7 +59,7 @@
     full_response(writer).await
 }
 
-fn open_answer(
+fn submit_or_attach(
     state: &Arc<EngineState>,
     start: TokenCount,
     request: SequenceRequest,
@@ -167,7 +167,7 @@
                     self.is_done = true;
                     return Some(Err(io::ErrorKind::ConnectionReset.into()));
                 }
-                Some(Progress::Alive) => return Some(Ok(KEEP_ALIVE.to_owned())),
+                Some(Progress::KeepAlive) => return Some(Ok(KEEP_ALIVE.to_owned())),
                 Some(Progress::Failed(reason)) => {
                     self.is_done = true;
                     return Some(Ok(error_event(reason)));
@@ -244,7 +244,7 @@
     loop {
         match writer.receiver.recv().await {
             None => return Ok(aborted_response()),
-            Some(Progress::Alive) => {}
+            Some(Progress::KeepAlive) => {}
             Some(Progress::Failed(reason)) => {
                 return Err(RouteError::new(StatusCode::INTERNAL_SERVER_ERROR, reason));
             }
--- a/lovagedock-standin/src/engine/driver.rs
+++ b/lovagedock-standin/src/engine/driver.rs
@@ -44,7 +44,7 @@
     let now = state.model_now();
     let mut core = state.core.lock();
     core.batch.advance_to(now);
-    core.keep_alive();
+    core.send_keep_alives();
     core.sample_load();
     core.publish_cache();
 }
--- a/lovagedock-standin/src/engine/load.rs
+++ b/lovagedock-standin/src/engine/load.rs
@@ -76,9 +76,9 @@
     }
 
     pub(crate) fn push(&mut self, sample: LoadSample, lag: Duration) {
-        let oldest = sample.sampled_at.saturating_sub(lag);
+        let cutoff = sample.sampled_at.saturating_sub(lag);
         self.samples.push_back(sample);
-        while self.samples.len() > 1 && self.samples[1].sampled_at <= oldest {
+        while self.samples.len() > 1 && self.samples[1].sampled_at <= cutoff {
             self.samples.pop_front();
         }
     }
--- a/lovagedock-standin/src/engine/render.rs
+++ b/lovagedock-standin/src/engine/render.rs
@@ -17,7 +17,7 @@
 /// SSE comment that shows a waiting caller that the engine is alive.
 pub(crate) const KEEP_ALIVE: &str = ": keep-alive\n\n";
 
-const FINISHED: &str = "length";
+const FINISH_REASON: &str = "length";
 
 /// Parameters that determine the text of an answer.
 #[derive(Clone, Debug)]
@@ -70,9 +70,9 @@
         let choice = CompletionChoice {
             index: 0,
             text,
-            finish_reason: finished.then_some(FINISHED),
+            finish_reason: finished.then_some(FINISH_REASON),
         };
-        let answer = CompletionResponse {
+        let response = CompletionResponse {
             id: &self.request_id,
             object,
             created: 0,
@@ -80,7 +80,7 @@
             choices: [choice],
             usage: finished.then(|| self.usage(cached)),
         };
-        serde_json::to_string(&answer).unwrap_or_default()
+        serde_json::to_string(&response).unwrap_or_default()
     }
 
     fn usage(&self, cached: TokenCount) -> CompletionUsage {
--- a/lovagedock-standin/src/engine/routes.rs
+++ b/lovagedock-standin/src/engine/routes.rs
@@ -59,7 +59,7 @@
         (&Method::POST, "/v1/chat/completions") => completion::complete(state, request, true).await,
         (&Method::POST, "/v1/cancel") => cancel(&state, request).await,
         (&Method::POST, "/v1/segments") => segment::prefill(&state, request).await,
-        (&Method::GET, "/v1/segments") => segment::held(&state, &query),
+        (&Method::GET, "/v1/segments") => segment::held_token_count(&state, &query),
         (&Method::POST, "/kv/export") => transfer::export(&state, request).await,
         (&Method::POST, "/kv/import") => transfer::import(&state, request).await,
         (&Method::POST, "/orders") => order::execute(&state, request).await,
--- a/lovagedock-standin/src/engine/segment.rs
+++ b/lovagedock-standin/src/engine/segment.rs
@@ -59,7 +59,7 @@
     state.wake.notify_one();
     loop {
         match receiver.recv().await {
-            Some(Progress::Alive) => {}
+            Some(Progress::KeepAlive) => {}
             Some(Progress::Produced { .. }) => {
                 return Ok(held_response(state, body.tokens));
             }
@@ -95,7 +95,7 @@
 }
 
 /// Returns to another engine how many tokens of a request's prompt are held here.
-pub(crate) fn held(state: &EngineState, query: &str) -> RouteResult {
+pub(crate) fn held_token_count(state: &EngineState, query: &str) -> RouteResult {
     let id = query_value(query, "request_id").unwrap_or_default();
     match state.core.lock().batch.held_tokens(id) {
         0 => Err(RouteError::new(StatusCode::NOT_FOUND, "no such segment")),
--- a/lovagedock-standin/src/engine/state.rs
+++ b/lovagedock-standin/src/engine/state.rs
@@ -34,7 +34,7 @@
         finished: bool,
     },
     /// The request is still in progress.
-    Alive,
+    KeepAlive,
     /// The request ended without a complete answer.
     Failed(&'static str),
 }
@@ -165,7 +165,7 @@
         for output in outputs {
             self.send_output(output);
         }
-        self.keep_alive();
+        self.send_keep_alives();
         self.sample_load();
         self.publish_cache();
     }
@@ -229,14 +229,14 @@
         self.sample_load();
     }
 
-    pub(crate) fn keep_alive(&mut self) {
+    pub(crate) fn send_keep_alives(&mut self) {
         let now = self.batch.now();
         if now < self.last_keep_alive + KEEP_ALIVE_INTERVAL {
             return;
         }
         self.last_keep_alive = now;
         for entry in self.active_requests.values() {
-            entry.send_progress(Progress::Alive);
+            entry.send_progress(Progress::KeepAlive);
         }
     }
 
--- a/lovagedock-standin/src/experiment/markdown.rs
+++ b/lovagedock-standin/src/experiment/markdown.rs
@@ -30,14 +30,14 @@
     let buckets = LengthBucket::ALL.map(LengthBucket::as_str);
 
     writeln!(text, "\n## First token, p95 (ms of model time)\n")?;
-    write_lengths(text, &buckets, policies, |policy| &policy.p95, milliseconds)?;
+    write_length_table(text, &buckets, policies, |policy| &policy.p95, milliseconds)?;
     writeln!(
         text,
         "\n![p95 of the first token by prompt length]({}.svg)",
         record.name
     )?;
     writeln!(text, "\n## First token, p50 (ms of model time)\n")?;
-    write_lengths(text, &buckets, policies, |policy| &policy.p50, milliseconds)?;
+    write_length_table(text, &buckets, policies, |policy| &policy.p50, milliseconds)?;
 
     writeln!(text, "\n## Ratio of p95 to the best baseline\n")?;
     writeln!(
@@ -54,14 +54,14 @@
         )
     });
     let titles = titles.each_ref().map(String::as_str);
-    write_lengths(text, &titles, policies, |policy| &policy.ratio, ratio)?;
+    write_length_table(text, &titles, policies, |policy| &policy.ratio, ratio)?;
 
     writeln!(text, "\n## First tokens counted, all seeds\n")?;
     writeln!(
         text,
         "Only calls that got a first token are in the times; compare the counts before the times.\n"
     )?;
-    write_lengths(
+    write_length_table(
         text,
         &buckets,
         policies,
@@ -92,7 +92,7 @@
     )
 }
 
-fn write_lengths<T>(
+fn write_length_table<T>(
     text: &mut String,
     titles: &[&str],
     policies: &[PolicySummary],
@@ -143,13 +143,13 @@
 
 fn violations(counts: &ViolationCounts) -> String {
     let named = counts.named();
-    let broken = named.iter().filter(|(_, count)| *count > 0);
-    let broken: Vec<_> = broken
+    let violated = named.iter().filter(|(_, count)| *count > 0);
+    let violated: Vec<_> = violated
         .map(|(name, count)| format!("{name} {count}"))
         .collect();
-    match broken.len() {
+    match violated.len() {
         0 => "0".to_owned(),
-        _ => broken.join(", "),
+        _ => violated.join(", "),
     }
 }
 
--- a/lovagedock-standin/src/experiment/plot.rs
+++ b/lovagedock-standin/src/experiment/plot.rs
@@ -47,13 +47,13 @@
     let title = format!("{name}: p95 of the first token, median over seeds");
     let (lowest, highest) = value_range(summary);
     // One position is left free on each side of the buckets.
-    let places = -1..LengthBucket::ALL.len() as i32;
+    let x_range = -1..LengthBucket::ALL.len() as i32;
     let mut chart = ChartBuilder::on(&root)
         .caption(title, (FONT, TITLE_SIZE))
         .margin(MARGIN)
         .x_label_area_size(X_LABEL_SIZE)
         .y_label_area_size(Y_LABEL_SIZE)
-        .build_cartesian_2d(places, (lowest / HEADROOM..highest * HEADROOM).log_scale())?;
+        .build_cartesian_2d(x_range, (lowest / HEADROOM..highest * HEADROOM).log_scale())?;
     chart
         .configure_mesh()
         .x_labels(LengthBucket::ALL.len() + 2)
--- a/lovagedock-standin/src/experiment/spec.rs
+++ b/lovagedock-standin/src/experiment/spec.rs
@@ -47,10 +47,10 @@
                 ));
             }
         }
-        if !is_set(&self.policies) {
+        if !is_non_empty_and_distinct(&self.policies) {
             problems.push("policies: must have at least one value and no duplicates".to_owned());
         }
-        if !is_set(&self.seeds) {
+        if !is_non_empty_and_distinct(&self.seeds) {
             problems.push("seeds: must have at least one value and no duplicates".to_owned());
         }
         if self.seconds == 0 {
@@ -84,7 +84,7 @@
     }
 }
 
-fn is_set<T: Ord>(values: &[T]) -> bool {
+fn is_non_empty_and_distinct<T: Ord>(values: &[T]) -> bool {
     let distinct: BTreeSet<_> = values.iter().collect();
     !values.is_empty() && distinct.len() == values.len()
 }
--- a/lovagedock-standin/src/fleet.rs
+++ b/lovagedock-standin/src/fleet.rs
@@ -300,11 +300,11 @@
     plan: &FleetPlan,
     kind: &PoolKind,
     spec: &EndpointSpec,
-    number: usize,
+    index: usize,
 ) -> Result<RunningEndpoint, Report<FleetError>> {
     let (standin, adapter) = match kind {
         PoolKind::Engines { model } => {
-            let style = match number % 2 {
+            let style = match index % 2 {
                 0 => ReportStyle::JsonReport,
                 _ => ReportStyle::PrometheusReport,
             };
@@ -376,7 +376,7 @@
             transport: plain_transport(),
             silence_ms: 3_000,
         },
-        admin: admin(),
+        admin: admin_settings(),
         engine: EngineSettings {
             adapter: adapter.to_owned(),
             address: engine,
@@ -409,7 +409,7 @@
             reconnect_ms: 100,
         },
         seed_peers: Vec::new(),
-        admin: admin(),
+        admin: admin_settings(),
         platform: PlatformSettings { base: platform },
         log: LogSettings::default(),
         limits: plan.limits.clone(),
@@ -423,7 +423,7 @@
     TransportSettings::PlainTcp(PlainConsent::Demo)
 }
 
-fn admin() -> AdminSettings {
+fn admin_settings() -> AdminSettings {
     AdminSettings {
         address: LOOPBACK,
         operator_token: None,
--- a/lovagedock-standin/src/load/caller.rs
+++ b/lovagedock-standin/src/load/caller.rs
@@ -283,8 +283,8 @@
             self.content = bytes.to_vec();
             return CallOutcome::Complete;
         }
-        if let Ok(answer) = serde_json::from_slice::<ModelResponse>(&bytes) {
-            self.content = answer.text().as_bytes().to_vec();
+        if let Ok(parsed) = serde_json::from_slice::<ModelResponse>(&bytes) {
+            self.content = parsed.text().as_bytes().to_vec();
         }
         CallOutcome::Complete
     }
--- a/lovagedock-standin/src/load/collect.rs
+++ b/lovagedock-standin/src/load/collect.rs
@@ -53,7 +53,7 @@
         entries: &[JournalEntry],
         origin: ClockOrigin,
     ) {
-        let mut open: HashMap<RequestId, usize> = HashMap::new();
+        let mut open_starts: HashMap<RequestId, usize> = HashMap::new();
         for entry in entries {
             let Some(request) = parse_request_id(&entry.request_id) else {
                 continue;
@@ -61,7 +61,7 @@
             let at = origin.to_run_time(entry.model_time);
             match entry.event {
                 JournalEvent::Started | JournalEvent::Prefilled => {
-                    open.insert(request, self.starts.len());
+                    open_starts.insert(request, self.starts.len());
                     self.starts.push(ExecutionRecord {
                         request,
                         key: None,
@@ -74,7 +74,7 @@
                 // start.
                 JournalEvent::Resumed => {}
                 JournalEvent::Ended | JournalEvent::Cancelled | JournalEvent::Lost => {
-                    if let Some(index) = open.remove(&request) {
+                    if let Some(index) = open_starts.remove(&request) {
                         self.starts[index].ended_at = Some(at);
                     }
                 }
--- a/lovagedock-standin/src/load/fetch.rs
+++ b/lovagedock-standin/src/load/fetch.rs
@@ -46,13 +46,13 @@
     journal: &mut ExecutionJournal,
     target: &StandinTarget,
 ) -> io::Result<()> {
-    let entries: Vec<JournalEntry> = get(target.address, "/journal").await?;
+    let entries: Vec<JournalEntry> = fetch_json(target.address, "/journal").await?;
     let origin = ClockOrigin {
         started_at: Duration::ZERO,
         time_scale: 1.0,
     };
     journal.add_engine_entries(&target.endpoint, &entries, origin);
-    let allocations: EngineAllocations = get(target.address, "/v1/requests").await?;
+    let allocations: EngineAllocations = fetch_json(target.address, "/v1/requests").await?;
     let blocks = allocations.blocks();
     if blocks > 0 {
         journal.leaks.push(LeakRecord {
@@ -68,7 +68,7 @@
     journal: &mut ExecutionJournal,
     target: &StandinTarget,
 ) -> io::Result<()> {
-    let runs: Vec<ServiceRun> = get(target.address, "/journal").await?;
+    let runs: Vec<ServiceRun> = fetch_json(target.address, "/journal").await?;
     let starts = runs.iter().map(|run| ExecutionRecord {
         request: lovagedock::parse_request_id(&run.request_id).unwrap_or_default(),
         key: None,
@@ -110,7 +110,7 @@
     }
 }
 
-async fn get<T: DeserializeOwned>(address: SocketAddr, path: &str) -> io::Result<T> {
+async fn fetch_json<T: DeserializeOwned>(address: SocketAddr, path: &str) -> io::Result<T> {
     let client = Client::builder(TokioExecutor::new()).build_http::<Empty<Bytes>>();
     let uri = format!("http://{address}{path}")
         .parse()
--- a/lovagedock-standin/src/load/message.rs
+++ b/lovagedock-standin/src/load/message.rs
@@ -16,7 +16,7 @@
     service::ServiceRun,
 };
 
-const USER: &str = "user";
+const USER_ROLE: &str = "user";
 const CHAT_PATH: &str = "/v1/chat/completions";
 const COMPLETIONS_PATH: &str = "/v1/completions";
 
@@ -106,7 +106,7 @@
     let expected = match call.path {
         ModelPath::Chat => expected_answer(
             &chat_prompt(&[ChatMessage {
-                role: USER.to_owned(),
+                role: USER_ROLE.to_owned(),
                 content: text.clone(),
             }]),
             call.answer_tokens,
@@ -117,7 +117,7 @@
         model: keyed.map_or(&mix.model, |keyed| &keyed.model),
         prompt: (call.path == ModelPath::Completions).then_some(&text),
         messages: (call.path == ModelPath::Chat).then_some([MessageBody {
-            role: USER,
+            role: USER_ROLE,
             content: &text,
         }]),
         max_tokens: call.answer_tokens,
--- a/lovagedock-standin/src/load/quantiles.rs
+++ b/lovagedock-standin/src/load/quantiles.rs
@@ -6,7 +6,7 @@
 use lovagedock::LengthBucket;
 use serde::Serialize;
 
-const HIGHEST_MICROSECONDS: u64 = 3_600_000_000;
+const MAX_MICROSECONDS: u64 = 3_600_000_000;
 const SIGNIFICANT_DIGITS: u8 = 3;
 const MICROSECONDS_PER_MILLISECOND: f64 = 1000.0;
 
@@ -27,7 +27,7 @@
     /// Summarises samples with a precision of three significant digits.
     pub fn new(samples: impl IntoIterator<Item = Duration>) -> Self {
         let mut histogram =
-            Histogram::<u64>::new_with_bounds(1, HIGHEST_MICROSECONDS, SIGNIFICANT_DIGITS)
+            Histogram::<u64>::new_with_bounds(1, MAX_MICROSECONDS, SIGNIFICANT_DIGITS)
                 .expect("the bounds are valid");
         for sample in samples {
             let microseconds = u64::try_from(sample.as_micros()).unwrap_or(u64::MAX);
--- a/lovagedock-standin/src/load/schedule.rs
+++ b/lovagedock-standin/src/load/schedule.rs
@@ -201,7 +201,7 @@
                 deadline: Duration::from_millis(keyed.deadline_ms),
                 body,
             };
-            self.push_with_repeat(call, keyed.repeat_percent, keyed.repeat_after_ms);
+            self.push_with_redelivery(call, keyed.repeat_percent, keyed.repeat_after_ms);
         }
     }
 
@@ -222,20 +222,25 @@
                     subject,
                 },
             };
-            self.push_with_repeat(call, plain.repeat_percent, plain.repeat_after_ms);
+            self.push_with_redelivery(call, plain.repeat_percent, plain.repeat_after_ms);
         }
     }
 
     /// Adds a call and, by chance, a repeat of it. A repeat represents a caller that lost the
     /// response or did not wait for it.
-    fn push_with_repeat(&mut self, call: PlannedCall, repeat_percent: u8, after_ms: (u64, u64)) {
+    fn push_with_redelivery(
+        &mut self,
+        call: PlannedCall,
+        repeat_percent: u8,
+        after_ms: (u64, u64),
+    ) {
         if sample_percent(&mut self.random, repeat_percent) {
             let after = self
                 .random
                 .random_range(after_ms.0..=after_ms.1.max(after_ms.0));
-            let mut repeat = call.clone();
-            repeat.at = call.at + Duration::from_millis(after);
-            self.calls.push(repeat);
+            let mut redelivery = call.clone();
+            redelivery.at = call.at + Duration::from_millis(after);
+            self.calls.push(redelivery);
         }
         self.calls.push(call);
     }
--- a/lovagedock-standin/src/load/violations.rs
+++ b/lovagedock-standin/src/load/violations.rs
@@ -247,14 +247,14 @@
     }
 
     fn count_differing_redeliveries(&self) -> u64 {
-        let mut first: HashMap<(&str, &str, &str), [u8; 32]> = HashMap::new();
+        let mut first_digests: HashMap<(&str, &str, &str), [u8; 32]> = HashMap::new();
         let mut differing = 0;
         for call in self.calls {
             let (Some(key), Some(digest)) = (&call.key, call.answer_digest) else {
                 continue;
             };
-            let name = (&*call.organisation, &*call.service, key.as_str());
-            if *first.entry(name).or_insert(digest) != digest {
+            let call_key = (&*call.organisation, &*call.service, key.as_str());
+            if *first_digests.entry(call_key).or_insert(digest) != digest {
                 differing += 1;
             }
         }
--- a/lovagedock-standin/src/platform/routes.rs
+++ b/lovagedock-standin/src/platform/routes.rs
@@ -169,13 +169,13 @@
     if path == "/v1/faults" {
         return set_fault(platform, request).await;
     }
-    let Some((host, verb)) = path
+    let Some((host, state_name)) = path
         .strip_prefix(HOSTS)
         .and_then(|rest| rest.split_once('/'))
     else {
         return empty_response(StatusCode::NOT_FOUND);
     };
-    let state = match verb {
+    let state = match state_name {
         "live" => Some(HostState::Live),
         "leaving" => Some(HostState::Leaving),
         "gone" => None,
--- a/lovagedock-standin/src/platform/state.rs
+++ b/lovagedock-standin/src/platform/state.rs
@@ -185,8 +185,8 @@
             if !batch.keys.is_empty() || !is_known || Instant::now() >= deadline {
                 return Ok(batch);
             }
-            let wake = deadline.min(next_charge_at);
-            let _change_or_time = timeout_at(wake, changed.changed()).await;
+            let wake_at = deadline.min(next_charge_at);
+            let _changed_or_elapsed = timeout_at(wake_at, changed.changed()).await;
             if Instant::now() >= next_charge_at {
                 next_charge_at += WATCH_CHARGE_INTERVAL;
                 self.charge_watch()?;
@@ -222,9 +222,9 @@
         let FaultEffect::Delay(delay) = effect else {
             return None;
         };
-        let gauged = GaugeGuard::new(self, |counters| &mut counters.delayed_calls);
-        let _released_or_over = timeout(delay, self.release_signal.notified()).await;
-        Some(gauged)
+        let guard = GaugeGuard::new(self, |counters| &mut counters.delayed_calls);
+        let _released_or_elapsed = timeout(delay, self.release_signal.notified()).await;
+        Some(guard)
     }
 
     /// Continues all calls that are delayed now.
--- a/lovagedock-standin/src/service/routes.rs
+++ b/lovagedock-standin/src/service/routes.rs
@@ -45,7 +45,7 @@
                     Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
                 }
             }
-            () = state.crashed() => return,
+            () = state.killed() => return,
         }
     }
 }
@@ -60,7 +60,7 @@
     let connection =
         hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service);
     tokio::select! {
-        () = state.crashed() => {}
+        () = state.killed() => {}
         _ = connection => {}
     }
 }
--- a/lovagedock-standin/src/service/running.rs
+++ b/lovagedock-standin/src/service/running.rs
@@ -144,7 +144,7 @@
 }
 
 impl ServiceState {
-    pub(crate) async fn crashed(&self) {
+    pub(crate) async fn killed(&self) {
         let mut is_killed = self.is_killed.subscribe();
         let _ = is_killed.wait_for(|is_killed| *is_killed).await;
     }
