--- a/lovagedock-standin/examples/config_apply.rs
+++ b/lovagedock-standin/examples/config_apply.rs
@@ -36,7 +36,7 @@
     }
     println!();
     println!("edit of one of 25,000 organisations, mean of {EDITS}:");
-    println!("cut                  chunks  root_bytes  changed_chunks  changed_bytes");
+    println!("split                chunks  root_bytes  changed_chunks  changed_bytes");
     let bytes = config_bytes(&fleet(25_000));
     for average in [8 << 10, 16 << 10, 32 << 10, 64 << 10, 256 << 10] {
         let split = move |bytes: &Bytes| split_by_content(bytes, average);
@@ -83,7 +83,7 @@
     for _ in 0..ROUNDS {
         let running = PlatformStandin::start(PlatformOptions::default())
             .await
-            .expect("loopback");
+            .expect("the stand-in listens on loopback");
         let store = ConfigStore::new(Arc::new(HttpObjectStore::new(&running.url())));
         let mut cache = ChunkCache::new();
         for (generation, bytes) in [&bytes, &edited].into_iter().enumerate() {
@@ -98,7 +98,7 @@
                 .load_latest(&mut cache)
                 .await
                 .expect("load")
-                .expect("root");
+                .expect("the store has a configuration");
             costs[generation * 2 + 1].push(cost.end(&running));
             assert_eq!(loaded.bytes, *bytes);
         }
@@ -177,5 +177,5 @@
 }
 
 fn config_bytes(config: &FleetConfig) -> Bytes {
-    canonical_json(config).expect("serialisable")
+    canonical_json(config).expect("the configuration can be serialised")
 }
--- a/lovagedock-standin/examples/overhead/drive.rs
+++ b/lovagedock-standin/examples/overhead/drive.rs
@@ -20,7 +20,8 @@
 const ANSWER_TOKENS: u64 = 16;
 const WARM_UP_REQUESTS: usize = 50;
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Repeated [`PROMPT_REPEATS`] times, about 250 tokens: the engine's share of the latency is small.
+/// Text that is repeated [`PROMPT_REPEATS`] times. The prompt has about 250 tokens, so that the
+/// engine's share of the latency is small.
 const PROMPT: &str = "the log of the Sala, ";
 const PROMPT_REPEATS: usize = 48;
 
--- a/lovagedock-standin/src/bin/lovagedock-demo.rs
+++ b/lovagedock-standin/src/bin/lovagedock-demo.rs
@@ -18,7 +18,7 @@
 };
 use slog::{Discard, Logger, o};
 
-/// Maximum number of calls behind violations that are printed.
+/// Maximum number of violation details to print.
 const MAX_DETAILS: usize = 20;
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
--- a/lovagedock-standin/src/demo/injector.rs
+++ b/lovagedock-standin/src/demo/injector.rs
@@ -227,8 +227,8 @@
         &mut self,
         excluded: &ExcludedTarget,
     ) -> Result<(), Report<DemoError>> {
-        // A gateway may use the new configuration before `apply` returns, so the time is taken
-        // before.
+        // A gateway may use the new configuration before `apply` returns, so the clock is read
+        // before the call.
         let now = self.clock.now();
         let mut changes = self.journal.changes.iter_mut();
         if let Some(change) = changes.find(|it| it.excluded == *excluded) {
--- a/lovagedock-standin/src/demo/overhead.rs
+++ b/lovagedock-standin/src/demo/overhead.rs
@@ -38,7 +38,8 @@
     pub(crate) fn overhead_until(&self, later: &Self, daemons: usize) -> ControlOverhead {
         let seconds = (later.at - self.at).as_secs_f64();
         let daemon_count = daemons.max(1) as f64;
-        // Both ends of a connection are in this process, and each counts the bytes that it moves.
+        // Both ends of a connection are in this process, and each counts the bytes that it
+        // transfers.
         let bytes = (later.link_bytes - self.link_bytes) as f64;
         ControlOverhead {
             cpu_pct: (later.cpu_s - self.cpu_s) / seconds * 100.0 / daemon_count,
--- a/lovagedock-standin/src/demo/run.rs
+++ b/lovagedock-standin/src/demo/run.rs
@@ -55,7 +55,7 @@
 pub struct DemoOutcome {
     /// Report of the run.
     pub report: LoadReport,
-    /// Calls behind the violation counters that count calls.
+    /// Calls that are counted as violations.
     pub details: Vec<ViolationDetail>,
 }
 
--- a/lovagedock-standin/src/engine/load.rs
+++ b/lovagedock-standin/src/engine/load.rs
@@ -83,7 +83,8 @@
         }
     }
 
-    /// The sample that the engine reports as its load: the oldest one within the lag.
+    /// The sample that the engine reports as its load: the newest one that was at least as old as
+    /// the lag at the last [`push`](Self::push), or the oldest one if there is none.
     pub(crate) fn reported(&self) -> Option<&LoadSample> {
         self.samples.front()
     }
--- a/lovagedock-standin/src/engine/state.rs
+++ b/lovagedock-standin/src/engine/state.rs
@@ -33,7 +33,7 @@
         cached_tokens: TokenCount,
         finished: bool,
     },
-    /// The request is still in progress.
+    /// The request is still in progress. Sent at intervals of at least [`KEEP_ALIVE_INTERVAL`].
     KeepAlive,
     /// The request ended without a complete answer.
     Failed(&'static str),
@@ -242,7 +242,7 @@
 
     fn send_output(&mut self, output: &StepOutput) {
         // Looked up by number, not by id: a request that was cancelled and submitted again during
-        // the step must not receive the output of its predecessor.
+        // the step must not receive the output of the cancelled one.
         let Some(entry) = self.active_requests.get(&output.number) else {
             return;
         };
--- a/lovagedock-standin/src/experiment/markdown.rs
+++ b/lovagedock-standin/src/experiment/markdown.rs
@@ -59,7 +59,7 @@
     writeln!(text, "\n## First tokens counted, all seeds\n")?;
     writeln!(
         text,
-        "Only calls that got a first token are in the times; compare the counts before the times.\n"
+        "The times include only calls that received a first token; compare the counts before the times.\n"
     )?;
     write_length_table(
         text,
@@ -116,7 +116,7 @@
     )?;
     writeln!(
         text,
-        "The slowdown is the p95 of the 1k and 4k prompts with long prompts, divided by that without.\n"
+        "The slowdown is the p95 of the 1k and 4k prompts while long prompts are sent, divided by the p95 before.\n"
     )?;
     writeln!(
         text,
--- a/lovagedock-standin/src/experiment/summary.rs
+++ b/lovagedock-standin/src/experiment/summary.rs
@@ -54,7 +54,8 @@
     pub p95: LengthTable<Option<SeedSpread>>,
     /// `p95` divided by the `p95` of the best baseline with the same seed.
     pub ratio: LengthTable<Option<SeedSpread>>,
-    /// p95 of short prompts with long prompts, divided by the p95 without.
+    /// p95 of the time to first token of short prompts while long prompts are sent, divided by the
+    /// p95 before.
     pub short_slowdown: Option<SeedSpread>,
     /// Number of calls by outcome, over all seeds.
     pub outcomes: OutcomeCounts,
@@ -136,7 +137,7 @@
 }
 
 /// Returns the baseline with the lowest median p95 over seeds. A choice per seed would compare with
-/// the luckiest of several runs.
+/// the best of several runs, which may be the best only by chance.
 fn best_baseline(
     policies: &[String],
     reports: &[LoadReport],
--- a/lovagedock-standin/src/fleet.rs
+++ b/lovagedock-standin/src/fleet.rs
@@ -35,13 +35,13 @@
 /// Time limit for all gateways, and then for all sidecars, to stop.
 const STOP_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Error: a fleet could not start or apply its configuration.
+/// A fleet could not start or apply its configuration.
 #[derive(Debug)]
 pub struct FleetError;
 
 impl fmt::Display for FleetError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the fleet could not start")
+        f.write_str("the fleet could not start or apply its configuration")
     }
 }
 
@@ -216,8 +216,8 @@
 }
 
 impl LocalFleet {
-    /// Starts all parts, applies the configuration and waits until every gateway is connected to
-    /// every endpoint.
+    /// Starts the stand-ins and the daemons, applies the configuration and waits until every
+    /// gateway is connected to every endpoint.
     pub async fn start(plan: FleetPlan) -> Result<Self, Report<FleetError>> {
         let hosts = plan.config.pools.iter().flat_map(|pool| &pool.endpoints);
         let platform = PlatformStandin::start(PlatformOptions {
--- a/lovagedock-standin/src/load/caller.rs
+++ b/lovagedock-standin/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! Sends calls in the way of callers behind the platform's load balancer and records the outcomes.
+//! Sends calls as callers behind the platform's load balancer do, and records the outcomes.
 
 use std::{
     fmt::{self, Display, Formatter},
@@ -37,7 +37,8 @@
 const DEADLINE_HEADER: &str = "x-lovagedock-deadline-ms";
 const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 const STREAM_END: &str = "[DONE]";
-/// Time after the deadline in which a caller still waits, to tell a late outcome from none.
+/// Time after the deadline for which a caller still waits, to distinguish a late outcome from no
+/// outcome.
 const OUTCOME_WAIT: Duration = Duration::from_secs(5);
 
 /// Gateway that callers can send to.
@@ -307,7 +308,7 @@
     }
     request
         .body(Full::new(message.body.clone()))
-        .expect("the mix gives a valid method and path")
+        .expect("the mix has valid methods and paths")
 }
 
 fn request_id(headers: &HeaderMap) -> Option<u128> {
@@ -319,7 +320,8 @@
     let Ok(body) = response.into_body().collect().await else {
         return CallOutcome::Broken;
     };
-    // If an error does not say whether the request ran, the caller cannot know it.
+    // If the body does not state whether the request ran, the caller cannot know it, as with a
+    // broken connection.
     parse_problem(&body.to_bytes()).unwrap_or(CallOutcome::Broken)
 }
 
--- a/lovagedock-standin/src/load/journal.rs
+++ b/lovagedock-standin/src/load/journal.rs
@@ -74,7 +74,7 @@
     NoOutcome,
 }
 
-/// Result of the comparison of an answer with the one that the stand-in must give.
+/// Result of the comparison of an answer with the one that the stand-in is expected to return.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerCheck {
     /// The answer is complete and correct.
@@ -156,7 +156,7 @@
     pub accepted_at: Timestamp,
     /// Time at which a later configuration reverted the exclusion.
     pub reverted_at: Option<Timestamp>,
-    /// Target on which, or for which, no work may start any more.
+    /// Endpoint on which, or organisation for which, no more work may start.
     pub excluded: ExcludedTarget,
 }
 
--- a/lovagedock-standin/src/load/mix.rs
+++ b/lovagedock-standin/src/load/mix.rs
@@ -72,7 +72,7 @@
 pub struct BucketMix {
     /// Name of the bucket, such as `16k`.
     pub bucket: String,
-    /// Organisations that send these; empty means all.
+    /// Organisations that send these requests; empty means all.
     #[serde(default)]
     pub callers: Vec<OrganisationId>,
     /// Share of the model requests; shares are relative to their sum.
@@ -81,7 +81,7 @@
     pub prompt_tokens: TokenRange,
     /// Tokens of the answer.
     pub answer_tokens: TokenRange,
-    /// Requests with a streamed answer, in percent.
+    /// Requests with a streamed response, in percent.
     #[serde(default = "default_streamed_percent")]
     pub streamed_percent: u8,
     /// Prompts that begin with one of a few common texts, in percent.
@@ -144,7 +144,7 @@
     /// API path of the requests.
     #[serde(default)]
     pub path: ModelPath,
-    /// Organisations that send these; empty means all.
+    /// Organisations that send these requests; empty means all.
     #[serde(default)]
     pub callers: Vec<OrganisationId>,
     /// Requests per second, redeliveries not counted.
@@ -153,12 +153,12 @@
     pub prompt_tokens: TokenRange,
     /// Tokens of the answer.
     pub answer_tokens: TokenRange,
-    /// Requests with a streamed answer, in percent.
+    /// Requests with a streamed response, in percent.
     #[serde(default = "default_streamed_percent")]
     pub streamed_percent: u8,
     /// Requests that are sent again with the same key, in percent.
     pub repeat_percent: u8,
-    /// Delay of the repeated delivery after the first one, in milliseconds: `[from, to]`.
+    /// Delay of the redelivery after the first delivery, in milliseconds: `[from, to]`.
     pub repeat_after_ms: (u64, u64),
     /// Deadline of a request in milliseconds.
     pub deadline_ms: u64,
@@ -174,10 +174,10 @@
     pub method: String,
     /// Path; `{n}` is replaced by the number of the call.
     pub path: String,
-    /// Organisations that send these; empty means all.
+    /// Organisations that send these calls; empty means all.
     #[serde(default)]
     pub callers: Vec<OrganisationId>,
-    /// Calls per second, repeats not counted.
+    /// Calls per second, redeliveries not counted.
     pub per_second: f64,
     /// Size of the body in bytes.
     #[serde(default)]
@@ -188,7 +188,7 @@
     /// Calls that are sent again with the same key, in percent.
     #[serde(default)]
     pub repeat_percent: u8,
-    /// Delay of the repeated delivery after the first one, in milliseconds: `[from, to]`.
+    /// Delay of the redelivery after the first delivery, in milliseconds: `[from, to]`.
     #[serde(default)]
     pub repeat_after_ms: (u64, u64),
     /// Deadline of a call in milliseconds.
--- a/lovagedock-standin/src/load/schedule.rs
+++ b/lovagedock-standin/src/load/schedule.rs
@@ -29,7 +29,7 @@
     pub at: Timestamp,
     /// Index of the organisation in the mix.
     pub organisation: usize,
-    /// Idempotency key; a repeat has the key of the first delivery.
+    /// Idempotency key; a redelivery has the key of the first delivery.
     pub key: Option<String>,
     /// Deadline of the call.
     pub deadline: Duration,
@@ -46,7 +46,7 @@
     Plain {
         /// Index in [`MixSpec::plain`].
         plain: usize,
-        /// Number in the path and the body; a repeat has the number of the first delivery.
+        /// Number in the path and the body; a redelivery has the number of the first delivery.
         subject: u64,
     },
 }
@@ -226,8 +226,8 @@
         }
     }
 
-    /// Adds a call and, by chance, a repeat of it. A repeat represents a caller that lost the
-    /// response or did not wait for it.
+    /// Adds a call and, with the given probability, a redelivery of it. A redelivery simulates a
+    /// caller that lost the response or did not wait for it.
     fn push_with_redelivery(
         &mut self,
         call: PlannedCall,
@@ -245,7 +245,7 @@
         self.calls.push(call);
     }
 
-    /// Samples Poisson arrivals over the run; at least one if the rate is not zero.
+    /// Samples Poisson arrivals over the run. There is at least one if the rate is not zero.
     fn arrivals(&mut self, per_second: f64) -> Vec<Timestamp> {
         let Ok(gaps) = Exp::new(per_second) else {
             return Vec::new();
--- a/lovagedock-standin/src/load/violations.rs
+++ b/lovagedock-standin/src/load/violations.rs
@@ -1,7 +1,8 @@
 //! Counts violated guarantees in the journals of one run.
 //!
-//! Statements of the product about itself are used only where they are the guarantee: the response
-//! to the caller. The stand-ins' journals, joined by request id, show whether they were true.
+//! The response to the caller is the only output of the product that is used, because the response
+//! is what the product guarantees. The journals of the stand-ins, joined by request id, show
+//! whether the response was correct.
 
 use std::{collections::HashMap, ops::AddAssign, time::Duration};
 
@@ -84,7 +85,7 @@
     pub outcome_grace: Duration,
     /// Time after the start of its drain in which an endpoint may still get new work.
     pub drain_grace: Duration,
-    /// Time after its acceptance in which a configuration may not be in force yet.
+    /// Maximum time from the acceptance of a configuration until it is in force.
     pub config_grace: Duration,
 }
 
@@ -133,7 +134,8 @@
     pub endpoints: Vec<EndpointId>,
 }
 
-/// Lists the calls behind the counters that count calls, for diagnosis.
+/// Lists the calls that are counted as violations, for diagnosis. Counters of starts, redeliveries
+/// and blocks are not covered.
 pub fn list_violations(
     callers: &CallerJournal,
     executions: &ExecutionJournal,
--- a/lovagedock-standin/src/platform/hosts.rs
+++ b/lovagedock-standin/src/platform/hosts.rs
@@ -38,7 +38,7 @@
         });
     }
 
-    /// Returns the list as it was before the lag.
+    /// Returns the list as it was at `now` minus the lag.
     pub(crate) fn list(&self, now: Timestamp) -> HostList {
         let mut hosts: BTreeMap<&str, HostState> = self
             .initial
--- a/lovagedock-standin/tests/experiment.rs
+++ b/lovagedock-standin/tests/experiment.rs
@@ -255,7 +255,7 @@
 
         ## First tokens counted, all seeds
 
-        Only calls that got a first token are in the times; compare the counts before the times.
+        The times include only calls that received a first token; compare the counts before the times.
 
         | policy | 1k | 4k | 16k | 64k | 256k | 1m |
         |---|---|---|---|---|---|---|
@@ -265,7 +265,7 @@
 
         ## Short slowdown, outcomes and violations, all seeds
 
-        The slowdown is the p95 of the 1k and 4k prompts with long prompts, divided by that without.
+        The slowdown is the p95 of the 1k and 4k prompts while long prompts are sent, divided by the p95 before.
 
         | policy | short slowdown | complete | refused, not run | failed | unknown | timed out | violations |
         |---|---|---|---|---|---|---|---|
