--- a/lovagedock-standin/src/engine/load.rs
+++ b/lovagedock-standin/src/engine/load.rs
@@ -76,14 +76,15 @@
     }
 
     pub(crate) fn push(&mut self, sample: LoadSample, lag: Duration) {
-        let oldest = sample.sampled_at.saturating_sub(lag);
+        let cutoff = sample.sampled_at.saturating_sub(lag);
         self.samples.push_back(sample);
-        while self.samples.len() > 1 && self.samples[1].sampled_at <= oldest {
+        while self.samples.len() > 1 && self.samples[1].sampled_at <= cutoff {
             self.samples.pop_front();
         }
     }
 
-    /// The sample that the engine reports as its load: the oldest one within the lag.
+    /// The sample that the engine reports as its load: the newest one that was at least as old as
+    /// the lag at the last [`push`](Self::push), or the oldest one if there is none.
     pub(crate) fn reported(&self) -> Option<&LoadSample> {
         self.samples.front()
     }
--- a/lovagedock-standin/src/engine/state.rs
+++ b/lovagedock-standin/src/engine/state.rs
@@ -33,8 +33,8 @@
         cached_tokens: TokenCount,
         finished: bool,
     },
-    /// The request is still in progress.
-    Alive,
+    /// The request is still in progress. Sent at intervals of at least [`KEEP_ALIVE_INTERVAL`].
+    KeepAlive,
     /// The request ended without a complete answer.
     Failed(&'static str),
 }
@@ -165,7 +165,7 @@
         for output in outputs {
             self.send_output(output);
         }
-        self.keep_alive();
+        self.send_keep_alives();
         self.sample_load();
         self.publish_cache();
     }
@@ -229,20 +229,20 @@
         self.sample_load();
     }
 
-    pub(crate) fn keep_alive(&mut self) {
+    pub(crate) fn send_keep_alives(&mut self) {
         let now = self.batch.now();
         if now < self.last_keep_alive + KEEP_ALIVE_INTERVAL {
             return;
         }
         self.last_keep_alive = now;
         for entry in self.active_requests.values() {
-            entry.send_progress(Progress::Alive);
+            entry.send_progress(Progress::KeepAlive);
         }
     }
 
     fn send_output(&mut self, output: &StepOutput) {
         // Looked up by number, not by id: a request that was cancelled and submitted again during
-        // the step must not receive the output of its predecessor.
+        // the step must not receive the output of the cancelled one.
         let Some(entry) = self.active_requests.get(&output.number) else {
             return;
         };
