--- a/lovagedock-cli/src/config.rs
+++ b/lovagedock-cli/src/config.rs
@@ -74,7 +74,7 @@
     let expected = arguments.expect_generation;
     let request = ApplyRequest::new(bytes, expected, &arguments.author, nonce.clone())
         .with_submitted_at(&httpdate::fmt_http_date(SystemTime::now()))
-        .with_patience(Duration::from_millis(arguments.timeout_ms));
+        .with_timeout(Duration::from_millis(arguments.timeout_ms));
     Ok(match store.apply(&request).await {
         ApplyOutcome::Accepted { generation } => {
             // Old chunks that could not be deleted because the store did not respond are deleted
--- a/lovagedock-cli/tests/cli/apply.rs
+++ b/lovagedock-cli/tests/cli/apply.rs
@@ -149,7 +149,7 @@
         kind: CallKind::Write,
         key_prefix: ROOT,
         times: 1,
-        fault: MemoryFault::LoseAnswer,
+        fault: MemoryFault::LoseResponse,
     };
     check_steps(vec![
         faulty_step(
@@ -180,7 +180,7 @@
     let runner = new_runner(store.clone(), ScriptedClient::default());
     // The current root is read once before the write.
     store.script_fault(CallKind::Read, ROOT, 1, ALWAYS, MemoryFault::Down);
-    store.script_fault(CallKind::Write, ROOT, 0, 1, MemoryFault::LoseAnswer);
+    store.script_fault(CallKind::Write, ROOT, 0, 1, MemoryFault::LoseResponse);
     store.script_fault(CallKind::Write, ROOT, 0, ALWAYS, MemoryFault::Down);
     let line = apply(LOCAL, "asha", 0, "n1");
     let report = run(&runner, &line).await;
--- a/lovagedock-gateway/src/direct/feed.rs
+++ b/lovagedock-gateway/src/direct/feed.rs
@@ -180,9 +180,9 @@
                 self.state.apply_config(config, "store");
             }
             FeedChange::Endpoint(endpoint) => self.state.upsert_endpoint(endpoint),
-            FeedChange::EndpointGone(id) => self.state.remove_endpoint(&id),
+            FeedChange::EndpointRemoved(id) => self.state.remove_endpoint(&id),
             FeedChange::Gateway(gateway) => self.state.upsert_gateway(gateway),
-            FeedChange::GatewayGone(name) => self.state.remove_gateway(&name),
+            FeedChange::GatewayRemoved(name) => self.state.remove_gateway(&name),
             // `SuspectSync` reads them.
             FeedChange::Suspects(_) => {}
         }
--- a/lovagedock-gateway/src/direct/suspect_sync.rs
+++ b/lovagedock-gateway/src/direct/suspect_sync.rs
@@ -139,7 +139,7 @@
             written_at: unix_time(),
             reports: reports.clone(),
         };
-        match self.feed.keep_suspects(&sheet).await {
+        match self.feed.store_suspects(&sheet).await {
             Ok(era) => {
                 info!(self.state.log, "suspects kept in the store"; "requests" => reports.len(),
                     "era" => era, "again" => is_lost);
--- a/lovagedock-gateway/tests/direct_support/feed.rs
+++ b/lovagedock-gateway/tests/direct_support/feed.rs
@@ -155,7 +155,7 @@
         Ok(position.era)
     }
 
-    async fn keep_suspects(&self, sheet: &SuspectSheet) -> Result<StoreEra, FeedError> {
+    async fn store_suspects(&self, sheet: &SuspectSheet) -> Result<StoreEra, FeedError> {
         let position = self.read(FeedSubject::Suspects)?.position;
         self.change(|state| {
             state.sheets.retain(|kept| kept.gateway != sheet.gateway);
--- a/lovagedock-platform/src/bucket.rs
+++ b/lovagedock-platform/src/bucket.rs
@@ -25,8 +25,8 @@
     }
 
     /// Takes one token if there is one.
-    pub fn try_take(&mut self, now: Timestamp) -> bool {
-        self.fill(now);
+    pub fn try_consume(&mut self, now: Timestamp) -> bool {
+        self.refill(now);
         if self.tokens < 1.0 {
             return false;
         }
@@ -36,12 +36,12 @@
 
     /// Takes one token, going into debt if need be, and returns how long its caller has to wait;
     /// takes none and returns `None` when that would be longer than `longest`.
-    pub fn reserve(&mut self, now: Timestamp, longest: Duration) -> Option<Duration> {
-        self.fill(now);
+    pub fn reserve(&mut self, now: Timestamp, max_wait: Duration) -> Option<Duration> {
+        self.refill(now);
         let debt = (1.0 - self.tokens).max(0.0);
-        let filling = Duration::try_from_secs_f64(debt / self.rate).ok()?;
-        let wait = self.filled_at.saturating_sub(now) + filling;
-        if wait > longest {
+        let refill_time = Duration::try_from_secs_f64(debt / self.rate).ok()?;
+        let wait = self.filled_at.saturating_sub(now) + refill_time;
+        if wait > max_wait {
             return None;
         }
         self.tokens -= 1.0;
@@ -49,12 +49,12 @@
     }
 
     /// Empties the bucket, so that a burst has to be earned again, from `until` on.
-    pub fn drain(&mut self, until: Timestamp) {
-        self.fill(until);
+    pub fn empty_until(&mut self, until: Timestamp) {
+        self.refill(until);
         self.tokens = self.tokens.min(0.0);
     }
 
-    fn fill(&mut self, now: Timestamp) {
+    fn refill(&mut self, now: Timestamp) {
         let passed = now.saturating_sub(self.filled_at);
         self.filled_at = self.filled_at.max(now);
         self.tokens = (self.tokens + passed.as_secs_f64() * self.rate).min(self.burst);
--- a/lovagedock-platform/src/budget.rs
+++ b/lovagedock-platform/src/budget.rs
@@ -30,37 +30,37 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetLimits {
     /// For the configuration.
-    pub config: SpendRate,
+    pub config: CallRate,
     /// For claims and recorded answers.
-    pub claim: SpendRate,
+    pub claim: CallRate,
     /// For leases.
-    pub lease: SpendRate,
+    pub lease: CallRate,
     /// For status.
-    pub status: SpendRate,
+    pub status: CallRate,
     /// For the host list.
-    pub hosts: SpendRate,
+    pub hosts: CallRate,
     /// Longest time that a call waits for its turn before it is refused.
     pub max_wait: Duration,
     /// The first call after the start waits a random part of this.
     pub start_spread: Duration,
     /// After an outage the first calls wait a random part of this.
-    pub return_spread: Duration,
+    pub recovery_spread: Duration,
     /// First pause between two probes during an outage; each is twice the one before.
-    pub first_probe: Duration,
+    pub first_probe_interval: Duration,
     /// Longest pause between two probes.
-    pub last_probe: Duration,
+    pub max_probe_interval: Duration,
 }
 
 /// A steady rate and a burst.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct SpendRate {
+pub struct CallRate {
     /// Calls a second.
     pub per_second: f64,
     /// Calls at once after a quiet time.
     pub burst: f64,
 }
 
-impl SpendRate {
+impl CallRate {
     /// A rate and a burst.
     pub const fn new(per_second: f64, burst: f64) -> Self {
         Self { per_second, burst }
@@ -73,22 +73,22 @@
     /// all load the configuration at once they send 30 x (40 + 20) = 1,800 calls in a second.
     fn default() -> Self {
         Self {
-            config: SpendRate::new(20.0, 40.0),
-            claim: SpendRate::new(30.0, 60.0),
-            lease: SpendRate::new(2.0, 8.0),
-            status: SpendRate::new(2.0, 8.0),
-            hosts: SpendRate::new(1.0, 2.0),
+            config: CallRate::new(20.0, 40.0),
+            claim: CallRate::new(30.0, 60.0),
+            lease: CallRate::new(2.0, 8.0),
+            status: CallRate::new(2.0, 8.0),
+            hosts: CallRate::new(1.0, 2.0),
             max_wait: Duration::from_secs(2),
             start_spread: Duration::from_millis(300),
-            return_spread: Duration::from_secs(1),
-            first_probe: Duration::from_millis(250),
-            last_probe: Duration::from_secs(4),
+            recovery_spread: Duration::from_secs(1),
+            first_probe_interval: Duration::from_millis(250),
+            max_probe_interval: Duration::from_secs(4),
         }
     }
 }
 
 impl BudgetLimits {
-    fn rate(&self, purpose: CallPurpose) -> SpendRate {
+    fn rate(&self, purpose: CallPurpose) -> CallRate {
         match purpose {
             CallPurpose::Config => self.config,
             CallPurpose::Claim => self.claim,
@@ -124,7 +124,7 @@
 #[derive(Clone, Copy, Debug)]
 struct OutageProbe {
     next_at: Timestamp,
-    pause: Duration,
+    interval: Duration,
 }
 
 impl StoreBudget {
@@ -151,8 +151,8 @@
             if now < probe.next_at {
                 return BudgetDecision::Refuse(StoreError::Unavailable);
             }
-            probe.next_at = now + probe.pause.mul_f64(0.5 + jitter);
-            probe.pause = (probe.pause * 2).min(self.limits.last_probe);
+            probe.next_at = now + probe.interval.mul_f64(0.5 + jitter);
+            probe.interval = (probe.interval * 2).min(self.limits.max_probe_interval);
             return BudgetDecision::Proceed;
         }
         let max_wait = self.limits.max_wait;
@@ -178,7 +178,7 @@
             CallResult::Answered => self.record_answer(now, jitter),
             CallResult::RateLimited => {
                 self.record_answer(now, jitter);
-                self.buckets[purpose as usize].drain(now);
+                self.buckets[purpose as usize].empty_until(now);
             }
             CallResult::Failed => self.record_failure(now, jitter),
         }
@@ -196,9 +196,9 @@
         }
         // All processes see the store's return within one probe. Without the bursts they saved
         // up during the outage, and spread over a while, they stay under the store's rates.
-        self.resume_at = now + self.limits.return_spread.mul_f64(jitter);
+        self.resume_at = now + self.limits.recovery_spread.mul_f64(jitter);
         for bucket in &mut self.buckets {
-            bucket.drain(self.resume_at);
+            bucket.empty_until(self.resume_at);
         }
     }
 
@@ -207,10 +207,10 @@
         if self.failures < OUTAGE_FAILURES || self.probe.is_some() {
             return;
         }
-        let pause = self.limits.first_probe;
+        let interval = self.limits.first_probe_interval;
         self.probe = Some(OutageProbe {
-            next_at: now + pause.mul_f64(0.5 + jitter),
-            pause,
+            next_at: now + interval.mul_f64(0.5 + jitter),
+            interval,
         });
     }
 }
--- a/lovagedock-platform/src/client.rs
+++ b/lovagedock-platform/src/client.rs
@@ -17,11 +17,11 @@
 /// Idle time after which the kernel asks whether the other side is there, and between questions.
 /// A watch waits for seconds without a byte; a connection that went silent meanwhile would hide
 /// every change until its end. Three questions without an answer end it.
-const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-const PROBE_COUNT: u32 = 2;
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+const KEEPALIVE_RETRIES: u32 = 2;
 
 /// Time after which sent bytes that nobody acknowledged end a connection.
-const UNACKNOWLEDGED_TIME: Duration = Duration::from_millis(2500);
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2500);
 
 type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
@@ -54,7 +54,7 @@
 
 /// A whole answer of a store.
 #[derive(Clone, Debug)]
-pub struct StoreAnswer {
+pub struct StoreResponse {
     /// Status.
     pub status: StatusCode,
     /// Headers.
@@ -87,9 +87,14 @@
         request: Request<Full<Bytes>>,
         limit: usize,
         wait: Duration,
-    ) -> Result<StoreAnswer, CallFailure> {
+    ) -> Result<StoreResponse, CallFailure> {
         let client = self.client.lock().clone();
-        match timeout(self.timeouts.call + wait, exchange(&client, request, limit)).await {
+        match timeout(
+            self.timeouts.call + wait,
+            send_and_collect(&client, request, limit),
+        )
+        .await
+        {
             Ok(result) => result,
             Err(_) => {
                 // A connection that went silent looks alive, and others to the same host may be
@@ -106,10 +111,10 @@
     let mut connector = HttpConnector::new();
     connector.set_connect_timeout(Some(timeouts.connect));
     connector.set_nodelay(true);
-    connector.set_keepalive(Some(PROBE_INTERVAL));
-    connector.set_keepalive_interval(Some(PROBE_INTERVAL));
-    connector.set_keepalive_retries(Some(PROBE_COUNT));
-    connector.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIME));
+    connector.set_keepalive(Some(KEEPALIVE_INTERVAL));
+    connector.set_keepalive_interval(Some(KEEPALIVE_INTERVAL));
+    connector.set_keepalive_retries(Some(KEEPALIVE_RETRIES));
+    connector.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
     Client::builder(TokioExecutor::new())
         .pool_timer(TokioTimer::new())
         .pool_idle_timeout(timeouts.idle)
@@ -117,11 +122,11 @@
         .build(connector)
 }
 
-async fn exchange(
+async fn send_and_collect(
     client: &HttpClient,
     request: Request<Full<Bytes>>,
     limit: usize,
-) -> Result<StoreAnswer, CallFailure> {
+) -> Result<StoreResponse, CallFailure> {
     let response = client.request(request).await.map_err(|error| {
         if error.is_connect() {
             CallFailure::NotSent
@@ -135,7 +140,7 @@
         .await
         .map_err(|_| CallFailure::MayHaveReached)?
         .to_bytes();
-    Ok(StoreAnswer {
+    Ok(StoreResponse {
         status: head.status,
         headers: head.headers,
         body,
--- a/lovagedock-platform/src/config/apply.rs
+++ b/lovagedock-platform/src/config/apply.rs
@@ -9,16 +9,16 @@
 
 use super::{
     ROOT_KEY,
-    chunk_name::{chunk_key, name_bytes},
+    chunk_name::{chunk_key, name_of_bytes},
     chunks::{ConfigChunk, split_chunks},
     load::{ConfigStore, LoadError, PARALLEL_CALLS, VersionedRoot},
-    root::{AcceptedRecord, ApplyNonce, ConfigRoot, Settlement, settle},
+    root::{AcceptedRecord, ApplyNonce, ApplyStatus, ConfigRoot, apply_status},
 };
 use crate::store::{CallPurpose, MAX_VALUE_BYTES, PutCondition, StoreError};
 
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
-const LONGEST_PAUSE: Duration = Duration::from_secs(1);
-const DEFAULT_PATIENCE: Duration = Duration::from_secs(10);
+const FIRST_RETRY_DELAY: Duration = Duration::from_millis(50);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// What an operator asks for.
 #[derive(Clone, Debug)]
@@ -34,7 +34,7 @@
     /// The time as text for people.
     pub submitted_at: String,
     /// How long the store may be tried before the outcome is given.
-    pub patience: Duration,
+    pub timeout: Duration,
     /// Whether chunks of the present configuration are trusted to be in the store as they were.
     pub reuse_chunks: bool,
 }
@@ -97,7 +97,7 @@
             author: author.to_owned(),
             nonce,
             submitted_at: String::new(),
-            patience: DEFAULT_PATIENCE,
+            timeout: DEFAULT_TIMEOUT,
             reuse_chunks: true,
         }
     }
@@ -109,8 +109,8 @@
     }
 
     /// Bounds the time for which the store is tried.
-    pub fn with_patience(mut self, patience: Duration) -> Self {
-        self.patience = patience;
+    pub fn with_timeout(mut self, timeout: Duration) -> Self {
+        self.timeout = timeout;
         self
     }
 
@@ -129,7 +129,7 @@
             },
             accepted_at: self.submitted_at.clone(),
             length: self.config.len() as u64,
-            digest: name_bytes(&self.config),
+            digest: name_of_bytes(&self.config),
             chunks: chunks.iter().map(|chunk| chunk.hash.clone()).collect(),
             history: Vec::new(),
             retired: Vec::new(),
@@ -139,15 +139,15 @@
 
     /// The outcome if `root` decides it; `None` while the generation is open.
     fn outcome(&self, root: Option<&ConfigRoot>, may_have_written: bool) -> Option<ApplyOutcome> {
-        match settle(root, &self.nonce, self.expected) {
-            Settlement::Accepted(generation) => Some(ApplyOutcome::Accepted { generation }),
-            Settlement::Lost(winner) => Some(ApplyOutcome::Conflict {
+        match apply_status(root, &self.nonce, self.expected) {
+            ApplyStatus::Accepted(generation) => Some(ApplyOutcome::Accepted { generation }),
+            ApplyStatus::Superseded(winner) => Some(ApplyOutcome::Conflict {
                 winner: winner.generation,
                 author: winner.author,
             }),
-            Settlement::Open => None,
-            Settlement::Forgotten if may_have_written => Some(ApplyOutcome::Unknown),
-            Settlement::Forgotten => Some(refused(NotAcceptedReason::WrongGeneration)),
+            ApplyStatus::Open => None,
+            ApplyStatus::NotRecorded if may_have_written => Some(ApplyOutcome::Unknown),
+            ApplyStatus::NotRecorded => Some(not_accepted(NotAcceptedReason::WrongGeneration)),
         }
     }
 }
@@ -156,10 +156,10 @@
     /// Applies a configuration whole. The same request may be applied again at any time: it is
     /// accepted at most once.
     pub async fn apply(&self, request: &ApplyRequest) -> ApplyOutcome {
-        let mut patience = RetryPatience::new(request.patience);
-        let base = match self.read_base(&mut patience).await {
+        let mut retry_timer = RetryTimer::new(request.timeout);
+        let base = match self.read_base(&mut retry_timer).await {
             Ok(base) => base,
-            Err(error) => return not_loaded(error),
+            Err(error) => return load_failure(error),
         };
         let base_root = base.as_ref().map(|versioned| &versioned.root);
         if let Some(outcome) = request.outcome(base_root, false) {
@@ -169,28 +169,28 @@
         let root = request.next_root(&chunks, base_root);
         let value = match serde_json::to_vec(&root) {
             Ok(value) if value.len() <= MAX_VALUE_BYTES => Bytes::from(value),
-            _ => return refused(NotAcceptedReason::TooLarge),
+            _ => return not_accepted(NotAcceptedReason::TooLarge),
         };
         let reusable = base_root.filter(|_| request.reuse_chunks);
-        if let Err(error) = self.write_chunks(&chunks, reusable, &patience).await {
-            return refused(NotAcceptedReason::Unavailable(error));
+        if let Err(error) = self.write_chunks(&chunks, reusable, &retry_timer).await {
+            return not_accepted(NotAcceptedReason::Unavailable(error));
         }
         let condition = match &base {
             Some(versioned) => PutCondition::Version(versioned.version),
             None => PutCondition::Absent,
         };
-        self.write_root(request, value, condition, &mut patience)
+        self.write_root(request, value, condition, &mut retry_timer)
             .await
     }
 
     async fn read_base(
         &self,
-        patience: &mut RetryPatience,
+        retry_timer: &mut RetryTimer,
     ) -> Result<Option<VersionedRoot>, LoadError> {
         loop {
             match self.read_root().await {
-                Err(LoadError::Store(error)) if is_passing(&error) => {
-                    if !patience.pause().await {
+                Err(LoadError::Store(error)) if is_transient(&error) => {
+                    if !retry_timer.wait().await {
                         return Err(LoadError::Store(error));
                     }
                 }
@@ -205,14 +205,14 @@
         &self,
         chunks: &[ConfigChunk],
         reusable: Option<&ConfigRoot>,
-        patience: &RetryPatience,
+        retry_timer: &RetryTimer,
     ) -> Result<(), StoreError> {
         let is_there =
             |chunk: &&ConfigChunk| reusable.is_some_and(|root| root.chunks.contains(&chunk.hash));
         let writes: Vec<_> = chunks
             .iter()
             .filter(|chunk| !is_there(chunk))
-            .map(|chunk| self.write_chunk(chunk, patience.clone()))
+            .map(|chunk| self.write_chunk(chunk, retry_timer.clone()))
             .collect();
         stream::iter(writes)
             .buffer_unordered(PARALLEL_CALLS)
@@ -225,7 +225,7 @@
     async fn write_chunk(
         &self,
         chunk: &ConfigChunk,
-        mut patience: RetryPatience,
+        mut retry_timer: RetryTimer,
     ) -> Result<(), StoreError> {
         let key = chunk_key(&chunk.hash);
         loop {
@@ -235,8 +235,8 @@
                 .put(&key, bytes, PutCondition::Any, CallPurpose::Config);
             match put.await {
                 Ok(_) => return Ok(()),
-                Err(error) if is_passing(&error) => {
-                    if !patience.pause().await {
+                Err(error) if is_transient(&error) => {
+                    if !retry_timer.wait().await {
                         return Err(error);
                     }
                 }
@@ -256,7 +256,7 @@
         request: &ApplyRequest,
         value: Bytes,
         condition: PutCondition,
-        patience: &mut RetryPatience,
+        retry_timer: &mut RetryTimer,
     ) -> ApplyOutcome {
         let mut may_have_written = false;
         loop {
@@ -274,19 +274,19 @@
             may_have_written |= error.may_have_written();
             let is_conflict = matches!(error, StoreError::Conflict { .. });
             if is_conflict || error.may_have_written() {
-                let settled = self.read_back(request, may_have_written, is_conflict).await;
-                if let Some(outcome) = settled {
+                let outcome = self.read_back(request, may_have_written, is_conflict).await;
+                if let Some(outcome) = outcome {
                     return outcome;
                 }
             }
-            if is_lasting(&error) && !may_have_written {
-                return refused(NotAcceptedReason::Unavailable(error));
+            if is_permanent(&error) && !may_have_written {
+                return not_accepted(NotAcceptedReason::Unavailable(error));
             }
-            if !patience.pause().await {
+            if !retry_timer.wait().await {
                 return match may_have_written {
                     true => ApplyOutcome::Unknown,
-                    false if is_conflict => refused(NotAcceptedReason::WrongGeneration),
-                    false => refused(NotAcceptedReason::Unavailable(error)),
+                    false if is_conflict => not_accepted(NotAcceptedReason::WrongGeneration),
+                    false => not_accepted(NotAcceptedReason::Unavailable(error)),
                 };
             }
         }
@@ -308,57 +308,57 @@
         // condition can never hold again, so waiting would not help.
         is_conflict.then(|| match may_have_written {
             true => ApplyOutcome::Unknown,
-            false => refused(NotAcceptedReason::WrongGeneration),
+            false => not_accepted(NotAcceptedReason::WrongGeneration),
         })
     }
 }
 
 /// Pauses that grow, until a deadline.
 #[derive(Clone)]
-struct RetryPatience {
+struct RetryTimer {
     deadline: Instant,
-    next_pause: Duration,
+    next_delay: Duration,
 }
 
-impl RetryPatience {
-    fn new(patience: Duration) -> Self {
+impl RetryTimer {
+    fn new(timeout: Duration) -> Self {
         Self {
-            deadline: Instant::now() + patience,
-            next_pause: FIRST_PAUSE,
+            deadline: Instant::now() + timeout,
+            next_delay: FIRST_RETRY_DELAY,
         }
     }
 
     /// Pauses before a retry; false when the deadline leaves no time for one.
-    async fn pause(&mut self) -> bool {
+    async fn wait(&mut self) -> bool {
         // Operators are few, and the budget spreads the calls of the many: no jitter here.
-        let pause = self.next_pause;
-        if Instant::now() + pause >= self.deadline {
+        let delay = self.next_delay;
+        if Instant::now() + delay >= self.deadline {
             return false;
         }
-        sleep(pause).await;
-        self.next_pause = (pause * 2).min(LONGEST_PAUSE);
+        sleep(delay).await;
+        self.next_delay = (delay * 2).min(MAX_RETRY_DELAY);
         true
     }
 }
 
-fn is_passing(error: &StoreError) -> bool {
+fn is_transient(error: &StoreError) -> bool {
     matches!(
         error,
         StoreError::Unavailable | StoreError::RateLimited | StoreError::OutcomeUnknown
     )
 }
 
-fn is_lasting(error: &StoreError) -> bool {
+fn is_permanent(error: &StoreError) -> bool {
     matches!(error, StoreError::TooLarge | StoreError::Malformed)
 }
 
-fn refused(reason: NotAcceptedReason) -> ApplyOutcome {
+fn not_accepted(reason: NotAcceptedReason) -> ApplyOutcome {
     ApplyOutcome::NotAccepted { reason }
 }
 
-fn not_loaded(error: LoadError) -> ApplyOutcome {
+fn load_failure(error: LoadError) -> ApplyOutcome {
     match error {
-        LoadError::Store(error) => refused(NotAcceptedReason::Unavailable(error)),
-        _ => refused(NotAcceptedReason::CorruptRoot),
+        LoadError::Store(error) => not_accepted(NotAcceptedReason::Unavailable(error)),
+        _ => not_accepted(NotAcceptedReason::CorruptRoot),
     }
 }
--- a/lovagedock-platform/src/config/chunk_name.rs
+++ b/lovagedock-platform/src/config/chunk_name.rs
@@ -20,7 +20,7 @@
     Some(*hash.as_bytes())
 }
 
-pub(crate) fn name_bytes(bytes: &[u8]) -> ChunkName {
+pub(crate) fn name_of_bytes(bytes: &[u8]) -> ChunkName {
     chunk_name(&chunk_hash(bytes))
 }
 
--- a/lovagedock-platform/src/config/chunks.rs
+++ b/lovagedock-platform/src/config/chunks.rs
@@ -7,7 +7,7 @@
 use lovagedock::FleetConfig;
 
 use super::{
-    chunk_name::{ChunkName, name_bytes},
+    chunk_name::{ChunkName, name_of_bytes},
     root::ConfigRoot,
 };
 
@@ -43,7 +43,7 @@
 
     /// Keeps a chunk if its bytes have its hash, and says whether they have.
     pub fn insert(&mut self, hash: &ChunkName, bytes: Bytes) -> bool {
-        let matches = name_bytes(&bytes) == *hash;
+        let matches = name_of_bytes(&bytes) == *hash;
         if matches {
             self.chunks.insert(hash.clone(), bytes);
         }
@@ -84,7 +84,7 @@
     .map(|cut| {
         let bytes = config.slice(cut.offset..cut.offset + cut.length);
         ConfigChunk {
-            hash: name_bytes(&bytes),
+            hash: name_of_bytes(&bytes),
             bytes,
         }
     })
--- a/lovagedock-platform/src/config/load.rs
+++ b/lovagedock-platform/src/config/load.rs
@@ -8,7 +8,7 @@
 
 use super::{
     CHUNK_PREFIX, ROOT_KEY,
-    chunk_name::{ChunkName, chunk_key, name_bytes},
+    chunk_name::{ChunkName, chunk_key, name_of_bytes},
     chunks::ChunkCache,
     root::ConfigRoot,
 };
@@ -147,7 +147,7 @@
         let entries = self.store.list(CHUNK_PREFIX, CallPurpose::Config).await?;
         let unused = entries.iter().filter(|entry| {
             let hash = entry.key.strip_prefix(CHUNK_PREFIX).unwrap_or_default();
-            entry.version < versioned.version && !versioned.root.keeps(hash)
+            entry.version < versioned.version && !versioned.root.retains(hash)
         });
         let mut deleted = 0;
         for entry in unused.take(limit) {
@@ -212,7 +212,7 @@
         bytes.extend_from_slice(&chunk.ok_or_else(|| LoadError::MissingChunk(hash.clone()))?);
     }
     let bytes = bytes.freeze();
-    if name_bytes(&bytes) != root.digest {
+    if name_of_bytes(&bytes) != root.digest {
         return Err(LoadError::CorruptConfig);
     }
     let config = serde_json::from_slice(&bytes).map_err(|_| LoadError::CorruptConfig)?;
--- a/lovagedock-platform/src/config/mod.rs
+++ b/lovagedock-platform/src/config/mod.rs
@@ -10,7 +10,7 @@
 pub use chunk_name::{ChunkName, chunk_name};
 pub use chunks::{ChunkCache, ConfigChunk, canonical_json, split_chunks};
 pub use load::{ConfigStore, LoadError, LoadedConfig, VersionedRoot};
-pub use root::{AcceptedRecord, ApplyNonce, ConfigRoot, RetiredChunk, Settlement};
+pub use root::{AcceptedRecord, ApplyNonce, ApplyStatus, ConfigRoot, RetiredChunk};
 
 /// Key of the root object.
 pub const ROOT_KEY: &str = "config/root";
--- a/lovagedock-platform/src/config/root.rs
+++ b/lovagedock-platform/src/config/root.rs
@@ -58,15 +58,15 @@
 
 /// What a root tells of an apply.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Settlement {
+pub enum ApplyStatus {
     /// It was accepted as this generation.
     Accepted(Generation),
     /// Another apply has the generation that this one was to make.
-    Lost(AcceptedRecord),
+    Superseded(AcceptedRecord),
     /// Nobody has made that generation yet.
     Open,
     /// The root no longer names who made that generation.
-    Forgotten,
+    NotRecorded,
 }
 
 impl ConfigRoot {
@@ -85,7 +85,7 @@
     }
 
     /// Whether collecting chunks must leave this one alone.
-    pub fn keeps(&self, hash: &str) -> bool {
+    pub fn retains(&self, hash: &str) -> bool {
         let retired = || self.retired.iter().any(|chunk| &*chunk.hash == hash);
         self.chunks.iter().any(|chunk| &**chunk == hash) || retired()
     }
@@ -126,29 +126,29 @@
 
 /// Tells from the root that is in the store what became of the apply with `nonce`, which was to
 /// follow generation `expected`.
-pub(crate) fn settle(
+pub(crate) fn apply_status(
     root: Option<&ConfigRoot>,
     nonce: &ApplyNonce,
     expected: Generation,
-) -> Settlement {
+) -> ApplyStatus {
     let Some(root) = root else {
         return match expected {
-            0 => Settlement::Open,
-            _ => Settlement::Forgotten,
+            0 => ApplyStatus::Open,
+            _ => ApplyStatus::NotRecorded,
         };
     };
     let mut records = std::iter::once(&root.accepted).chain(&root.history);
     if let Some(own) = records.clone().find(|record| record.nonce == *nonce) {
-        return Settlement::Accepted(own.generation);
+        return ApplyStatus::Accepted(own.generation);
     }
     if root.generation() <= expected {
         return match root.generation() == expected {
-            true => Settlement::Open,
-            false => Settlement::Forgotten,
+            true => ApplyStatus::Open,
+            false => ApplyStatus::NotRecorded,
         };
     }
     match records.find(|record| record.generation == expected + 1) {
-        Some(winner) => Settlement::Lost(winner.clone()),
-        None => Settlement::Forgotten,
+        Some(winner) => ApplyStatus::Superseded(winner.clone()),
+        None => ApplyStatus::NotRecorded,
     }
 }
--- a/lovagedock-platform/src/feed.rs
+++ b/lovagedock-platform/src/feed.rs
@@ -30,7 +30,7 @@
 
     /// Keeps what a gateway has seen of requests that end processes; replaces its former sheet.
     /// Returns the era that has it, as [`announce`](Self::announce) does.
-    async fn keep_suspects(&self, sheet: &SuspectSheet) -> Result<StoreEra, FeedError>;
+    async fn store_suspects(&self, sheet: &SuspectSheet) -> Result<StoreEra, FeedError>;
 }
 
 /// What a feed is about.
@@ -84,11 +84,11 @@
     /// An endpoint came or changed.
     Endpoint(DirectEndpoint),
     /// An endpoint's entry is gone.
-    EndpointGone(EndpointId),
+    EndpointRemoved(EndpointId),
     /// A gateway came or moved.
     Gateway(GatewayEntry),
     /// A gateway's entry is gone.
-    GatewayGone(GatewayId),
+    GatewayRemoved(GatewayId),
     /// A gateway's sheet.
     Suspects(SuspectSheet),
 }
--- a/lovagedock-platform/src/http.rs
+++ b/lovagedock-platform/src/http.rs
@@ -9,7 +9,7 @@
 use serde::de::DeserializeOwned;
 
 use crate::{
-    client::{CallFailure, StoreAnswer, StoreClient, StoreTimeouts},
+    client::{CallFailure, StoreClient, StoreResponse, StoreTimeouts},
     hosts::{HostDirectory, HostList},
     store::{
         CallPurpose, ChangeBatch, MAX_VALUE_BYTES, ObjectEntry, ObjectStore, ObjectVersion,
@@ -41,14 +41,14 @@
 
     async fn read(&self, target: &str, limit: usize, wait: Duration) -> ReadResult {
         let request = self.request(Method::GET, target, Bytes::new())?;
-        let answer = match self.client.call(request, limit, wait).await {
-            Ok(answer) => answer,
+        let response = match self.client.call(request, limit, wait).await {
+            Ok(response) => response,
             Err(CallFailure::NotSent | CallFailure::MayHaveReached) => {
                 return Err(StoreError::Unavailable);
             }
         };
-        match answer.status {
-            StatusCode::OK => Ok(Some(answer)),
+        match response.status {
+            StatusCode::OK => Ok(Some(response)),
             StatusCode::NOT_FOUND => Ok(None),
             StatusCode::TOO_MANY_REQUESTS => Err(StoreError::RateLimited),
             status if status.is_server_error() => Err(StoreError::Unavailable),
@@ -61,9 +61,9 @@
         target: &str,
         wait: Duration,
     ) -> Result<T, StoreError> {
-        let answer = self.read(target, MAX_LIST_BYTES, wait).await?;
-        let answer = answer.ok_or(StoreError::Malformed)?;
-        serde_json::from_slice(&answer.body).map_err(|_| StoreError::Malformed)
+        let response = self.read(target, MAX_LIST_BYTES, wait).await?;
+        let response = response.ok_or(StoreError::Malformed)?;
+        serde_json::from_slice(&response.body).map_err(|_| StoreError::Malformed)
     }
 
     async fn write(
@@ -72,25 +72,25 @@
         key: &str,
         value: Bytes,
         condition: PutCondition,
-    ) -> Result<StoreAnswer, StoreError> {
+    ) -> Result<StoreResponse, StoreError> {
         if !is_valid_key(key) {
             return Err(StoreError::Malformed);
         }
         let mut request = self.request(method, &format!("/v1/objects/{key}"), value)?;
         add_condition(&mut request, condition);
-        let answer = match self
+        let response = match self
             .client
             .call(request, MAX_VALUE_BYTES, Duration::ZERO)
             .await
         {
-            Ok(answer) => answer,
+            Ok(response) => response,
             Err(CallFailure::NotSent) => return Err(StoreError::Unavailable),
             Err(CallFailure::MayHaveReached) => return Err(StoreError::OutcomeUnknown),
         };
-        match answer.status {
-            status if status.is_success() => Ok(answer),
+        match response.status {
+            status if status.is_success() => Ok(response),
             StatusCode::PRECONDITION_FAILED => Err(StoreError::Conflict {
-                current: read_version(&answer),
+                current: read_version(&response),
             }),
             StatusCode::TOO_MANY_REQUESTS => Err(StoreError::RateLimited),
             StatusCode::PAYLOAD_TOO_LARGE => Err(StoreError::TooLarge),
@@ -115,7 +115,7 @@
     }
 }
 
-type ReadResult = Result<Option<StoreAnswer>, StoreError>;
+type ReadResult = Result<Option<StoreResponse>, StoreError>;
 
 #[async_trait]
 impl ObjectStore for HttpObjectStore {
@@ -128,13 +128,13 @@
             return Err(StoreError::Malformed);
         }
         let target = format!("/v1/objects/{key}");
-        let Some(answer) = self.read(&target, MAX_VALUE_BYTES, Duration::ZERO).await? else {
+        let Some(response) = self.read(&target, MAX_VALUE_BYTES, Duration::ZERO).await? else {
             return Ok(None);
         };
         Ok(Some(StoredObject {
             key: key.to_owned(),
-            version: read_version(&answer).ok_or(StoreError::Malformed)?,
-            value: answer.body,
+            version: read_version(&response).ok_or(StoreError::Malformed)?,
+            value: response.body,
         }))
     }
 
@@ -148,9 +148,9 @@
         if value.len() > MAX_VALUE_BYTES {
             return Err(StoreError::TooLarge);
         }
-        let answer = self.write(Method::PUT, key, value, condition).await?;
+        let response = self.write(Method::PUT, key, value, condition).await?;
         // The write took effect, but which version it made is not known.
-        read_version(&answer).ok_or(StoreError::OutcomeUnknown)
+        read_version(&response).ok_or(StoreError::OutcomeUnknown)
     }
 
     async fn delete(
@@ -210,7 +210,7 @@
     }
 }
 
-fn read_version(answer: &StoreAnswer) -> Option<ObjectVersion> {
-    let text = answer.headers.get(header::ETAG)?.to_str().ok()?;
+fn read_version(response: &StoreResponse) -> Option<ObjectVersion> {
+    let text = response.headers.get(header::ETAG)?.to_str().ok()?;
     text.trim_matches('"').parse().ok()
 }
--- a/lovagedock-platform/src/lib.rs
+++ b/lovagedock-platform/src/lib.rs
@@ -39,13 +39,13 @@
 mod table;
 
 pub use bucket::TokenBucket;
-pub use budget::{BudgetDecision, BudgetLimits, CallResult, SpendRate, StoreBudget};
+pub use budget::{BudgetDecision, BudgetLimits, CallRate, CallResult, StoreBudget};
 pub use budgeted::BudgetedStore;
-pub use client::{CallFailure, StoreAnswer, StoreClient, StoreTimeouts};
+pub use client::{CallFailure, StoreClient, StoreResponse, StoreTimeouts};
 pub use config::{
-    AcceptedRecord, ApplyNonce, ApplyOutcome, ApplyRequest, CHUNK_PREFIX, ChunkCache, ChunkName,
-    ConfigChunk, ConfigRoot, ConfigStore, LoadError, LoadedConfig, NotAcceptedReason, ROOT_KEY,
-    RetiredChunk, Settlement, VersionedRoot, canonical_json, chunk_name, split_chunks,
+    AcceptedRecord, ApplyNonce, ApplyOutcome, ApplyRequest, ApplyStatus, CHUNK_PREFIX, ChunkCache,
+    ChunkName, ConfigChunk, ConfigRoot, ConfigStore, LoadError, LoadedConfig, NotAcceptedReason,
+    ROOT_KEY, RetiredChunk, VersionedRoot, canonical_json, chunk_name, split_chunks,
 };
 pub use feed::{
     FeedChange, FeedError, FeedSnapshot, FeedStep, FeedSubject, FleetFeed, GatewayEntry,
--- a/lovagedock-platform/src/memory.rs
+++ b/lovagedock-platform/src/memory.rs
@@ -27,11 +27,11 @@
     /// The call does not reach the store.
     Down,
     /// The call takes effect and its answer is lost.
-    LoseAnswer,
+    LoseResponse,
     /// The call is lost on its way, and the caller cannot tell.
-    LoseCall,
-    /// The answer is lost, and the call takes effect when [`MemoryStore::release_late`] is called.
-    LateEffect,
+    LoseRequest,
+    /// The answer is lost, and the call takes effect when [`MemoryStore::apply_delayed`] is called.
+    DelayWrite,
     /// The call is refused because of a rate.
     RateLimited,
 }
@@ -60,7 +60,7 @@
 struct MemoryState {
     table: ObjectTable,
     script: VecDeque<ScriptedFault>,
-    late: Vec<WriteCall>,
+    delayed: Vec<WriteCall>,
     counts: CallCounts,
 }
 
@@ -111,11 +111,11 @@
         self.shared.lock().script.clear();
     }
 
-    /// Carries out the writes that [`MemoryFault::LateEffect`] held back, as far as their
+    /// Carries out the writes that [`MemoryFault::DelayWrite`] held back, as far as their
     /// conditions still hold; returns how many took effect.
-    pub fn release_late(&self) -> usize {
+    pub fn apply_delayed(&self) -> usize {
         let mut state = self.shared.lock();
-        let calls = std::mem::take(&mut state.late);
+        let calls = std::mem::take(&mut state.delayed);
         let applied = calls
             .into_iter()
             .filter(|call| state.table.apply(call).is_ok())
@@ -145,18 +145,18 @@
         let mut state = self.shared.lock();
         state.counts.writes += 1;
         state.counts.bytes_written += call.value.as_ref().map_or(0, Bytes::len) as u64;
-        let fault = state.take_fault(CallKind::Write, &call.key);
+        let fault = state.next_fault(CallKind::Write, &call.key);
         let result = match fault {
             None => state.table.apply(&call),
             Some(MemoryFault::Down) => Err(StoreError::Unavailable),
             Some(MemoryFault::RateLimited) => Err(StoreError::RateLimited),
-            Some(MemoryFault::LoseCall) => Err(StoreError::OutcomeUnknown),
-            Some(MemoryFault::LoseAnswer) => {
-                let _answer = state.table.apply(&call);
+            Some(MemoryFault::LoseRequest) => Err(StoreError::OutcomeUnknown),
+            Some(MemoryFault::LoseResponse) => {
+                let _response = state.table.apply(&call);
                 Err(StoreError::OutcomeUnknown)
             }
-            Some(MemoryFault::LateEffect) => {
-                state.late.push(call);
+            Some(MemoryFault::DelayWrite) => {
+                state.delayed.push(call);
                 Err(StoreError::OutcomeUnknown)
             }
         };
@@ -167,7 +167,7 @@
     fn read<T>(&self, key: &str, read: impl FnOnce(&ObjectTable) -> T) -> Result<T, StoreError> {
         let mut state = self.shared.lock();
         state.counts.reads += 1;
-        match state.take_fault(CallKind::Read, key) {
+        match state.next_fault(CallKind::Read, key) {
             None => Ok(read(&state.table)),
             Some(MemoryFault::RateLimited) => Err(StoreError::RateLimited),
             Some(_) => Err(StoreError::Unavailable),
@@ -257,7 +257,7 @@
 }
 
 impl MemoryState {
-    fn take_fault(&mut self, kind: CallKind, key: &str) -> Option<MemoryFault> {
+    fn next_fault(&mut self, kind: CallKind, key: &str) -> Option<MemoryFault> {
         let at = self
             .script
             .iter()
--- a/lovagedock-platform/tests/config_property.rs
+++ b/lovagedock-platform/tests/config_property.rs
@@ -38,9 +38,9 @@
     let key = prop_oneof![4 => Just(ROOT_KEY), 1 => Just(CHUNK_PREFIX)];
     let fault = prop_oneof![
         Just(MemoryFault::Down),
-        Just(MemoryFault::LoseAnswer),
-        Just(MemoryFault::LoseCall),
-        Just(MemoryFault::LateEffect),
+        Just(MemoryFault::LoseResponse),
+        Just(MemoryFault::LoseRequest),
+        Just(MemoryFault::DelayWrite),
         Just(MemoryFault::RateLimited),
     ];
     (kind, key, 0..4u32, 1..12u32, fault).prop_map(|(kind, key, skip, times, fault)| PlannedFault {
@@ -86,7 +86,7 @@
     /// Nonce of each generation, as the store showed it while nothing failed.
     seen: HashMap<u64, String>,
     newest: u64,
-    told: Vec<(String, ApplyOutcome)>,
+    reported: Vec<(String, ApplyOutcome)>,
 }
 
 impl Schedule {
@@ -97,11 +97,11 @@
             memory,
             seen: HashMap::new(),
             newest: 0,
-            told: Vec::new(),
+            reported: Vec::new(),
         }
     }
 
-    async fn play(&mut self, at: usize, round: &PlannedRound) {
+    async fn run_round(&mut self, at: usize, round: &PlannedRound) {
         for plan in &round.faults {
             self.memory
                 .script_fault(plan.kind, plan.key, plan.skip, plan.times, plan.fault);
@@ -110,12 +110,12 @@
             let nonce = format!("{at}-{operator}");
             let expected = self.newest.saturating_sub(round.behind[operator]);
             ApplyRequest::new(config(&nonce), expected, "operator", nonce)
-                .with_patience(Duration::from_secs(2))
+                .with_timeout(Duration::from_secs(2))
         };
         let (one, two) = (request(0), request(1));
         let (first, second) = tokio::join!(self.config.apply(&one), self.config.apply(&two));
-        self.told.push((one.nonce, first));
-        self.told.push((two.nonce, second));
+        self.reported.push((one.nonce, first));
+        self.reported.push((two.nonce, second));
         self.memory.clear_faults();
         if round.collect {
             self.config
@@ -124,13 +124,13 @@
                 .expect("collect");
         }
         if round.release {
-            self.memory.release_late();
+            self.memory.apply_delayed();
         }
-        self.look().await;
+        self.verify_state().await;
     }
 
     /// The store has a whole configuration, no generation went back, and none changed hands.
-    async fn look(&mut self) {
+    async fn verify_state(&mut self) {
         let loaded = self.config.load_latest(&mut ChunkCache::new()).await;
         let Some(loaded) = loaded.expect("whole") else {
             assert_eq!(self.newest, 0);
@@ -154,15 +154,17 @@
     }
 
     async fn check(&mut self) {
-        self.memory.release_late();
-        self.look().await;
-        for (nonce, outcome) in &self.told {
+        self.memory.apply_delayed();
+        self.verify_state().await;
+        for (nonce, outcome) in &self.reported {
             let mut made = self.seen.iter().filter(|(_, by)| *by == nonce);
             let generation = made.next().map(|(generation, _)| *generation);
             assert_eq!(made.next(), None, "{nonce} was accepted twice");
             match outcome {
-                ApplyOutcome::Accepted { generation: told } => {
-                    assert_eq!(generation, Some(*told), "{nonce}");
+                ApplyOutcome::Accepted {
+                    generation: reported,
+                } => {
+                    assert_eq!(generation, Some(*reported), "{nonce}");
                 }
                 ApplyOutcome::Conflict { winner, .. } => {
                     assert_eq!(generation, None, "{nonce}");
@@ -195,11 +197,11 @@
     /// told stays true: accepted means in the history once, refused means never in it, and the
     /// newest configuration can always be read whole.
     #[test]
-    fn no_outcome_is_a_guess(rounds in vec(planned_round(), 1..12)) {
+    fn reported_outcomes_match_the_store(rounds in vec(planned_round(), 1..12)) {
         paused_runtime().block_on(async {
             let mut schedule = Schedule::new();
             for (at, round) in rounds.iter().enumerate() {
-                schedule.play(at, round).await;
+                schedule.run_round(at, round).await;
             }
             schedule.check().await;
         });
--- a/lovagedock-platform/tests/config_store.rs
+++ b/lovagedock-platform/tests/config_store.rs
@@ -37,12 +37,12 @@
     ApplyRequest::new(bytes_of(&fleet(organisations)), expected, author, nonce)
 }
 
-struct Rig {
+struct Fixture {
     memory: Arc<MemoryStore>,
     config: ConfigStore,
 }
 
-impl Rig {
+impl Fixture {
     fn new() -> Self {
         let memory = Arc::new(MemoryStore::new());
         let config = ConfigStore::new(memory.clone());
@@ -51,9 +51,9 @@
 
     /// A store in which generation 1 has one organisation.
     async fn with_first() -> Self {
-        let rig = Self::new();
-        rig.accept(1, 0, "first").await;
-        rig
+        let fixture = Self::new();
+        fixture.accept(1, 0, "first").await;
+        fixture
     }
 
     async fn accept(&self, organisations: usize, expected: u64, author: &str) {
@@ -84,7 +84,7 @@
     ApplyOutcome::Accepted { generation }
 }
 
-fn refused(reason: NotAcceptedReason) -> ApplyOutcome {
+fn not_accepted(reason: NotAcceptedReason) -> ApplyOutcome {
     ApplyOutcome::NotAccepted { reason }
 }
 
@@ -96,7 +96,7 @@
     skip: u32,
     times: u32,
     fault: MemoryFault,
-    want: ApplyOutcome,
+    expected: ApplyOutcome,
     /// Generation and organisations in the store once the faults are over.
     after: (u64, usize),
 }
@@ -105,7 +105,7 @@
 /// operator is told has to be what the store holds afterwards, with "unknown" only where the
 /// store could not be asked before the operator's patience ended.
 fn fault_cases() -> Vec<FaultCase> {
-    let down = || refused(NotAcceptedReason::Unavailable(StoreError::Unavailable));
+    let down = || not_accepted(NotAcceptedReason::Unavailable(StoreError::Unavailable));
     let base = |name| FaultCase {
         name,
         kind: CallKind::Write,
@@ -113,20 +113,20 @@
         skip: 0,
         times: 1,
         fault: MemoryFault::Down,
-        want: accepted(2),
+        expected: accepted(2),
         after: (2, 2),
     };
     vec![
         FaultCase {
-            fault: MemoryFault::LoseAnswer,
+            fault: MemoryFault::LoseResponse,
             ..base("confirmation lost, took effect")
         },
         FaultCase {
-            fault: MemoryFault::LoseCall,
+            fault: MemoryFault::LoseRequest,
             ..base("confirmation lost, did not take effect: sent again")
         },
         FaultCase {
-            fault: MemoryFault::LateEffect,
+            fault: MemoryFault::DelayWrite,
             ..base("confirmation lost, takes effect later: sent again, once in effect")
         },
         FaultCase {
@@ -142,40 +142,40 @@
         FaultCase {
             kind: CallKind::Read,
             times: ALWAYS,
-            want: down(),
+            expected: down(),
             after: (1, 1),
             ..base("outage before, longer than the patience")
         },
         FaultCase {
             key: CHUNK_PREFIX,
             times: ALWAYS,
-            want: down(),
+            expected: down(),
             after: (1, 1),
             ..base("outage while the chunks are written")
         },
         FaultCase {
             key: CHUNK_PREFIX,
             times: 2,
-            fault: MemoryFault::LoseAnswer,
+            fault: MemoryFault::LoseResponse,
             ..base("confirmation of a chunk lost")
         },
         FaultCase {
             times: ALWAYS,
-            want: down(),
+            expected: down(),
             after: (1, 1),
             ..base("outage before the root is written")
         },
         FaultCase {
             times: ALWAYS,
             fault: MemoryFault::RateLimited,
-            want: refused(NotAcceptedReason::Unavailable(StoreError::RateLimited)),
+            expected: not_accepted(NotAcceptedReason::Unavailable(StoreError::RateLimited)),
             after: (1, 1),
             ..base("rate used up for good")
         },
         FaultCase {
             times: ALWAYS,
-            fault: MemoryFault::LoseCall,
-            want: ApplyOutcome::Unknown,
+            fault: MemoryFault::LoseRequest,
+            expected: ApplyOutcome::Unknown,
             after: (1, 1),
             ..base("each call lost, though the store can be read: may still take effect")
         },
@@ -189,16 +189,17 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn apply_tells_the_truth_under_each_fault() {
+async fn apply_outcome_matches_the_store_under_each_fault() {
     for case in fault_cases() {
-        let rig = Rig::with_first().await;
-        rig.memory
+        let fixture = Fixture::with_first().await;
+        fixture
+            .memory
             .script_fault(case.kind, case.key, case.skip, case.times, case.fault);
-        let outcome = rig.config.apply(&request(2, 1, "operator")).await;
-        assert_eq!(outcome, case.want, "{}", case.name);
-        rig.memory.clear_faults();
-        rig.memory.release_late();
-        assert_eq!(rig.load().await, Ok(case.after), "{}", case.name);
+        let outcome = fixture.config.apply(&request(2, 1, "operator")).await;
+        assert_eq!(outcome, case.expected, "{}", case.name);
+        fixture.memory.clear_faults();
+        fixture.memory.apply_delayed();
+        assert_eq!(fixture.load().await, Ok(case.after), "{}", case.name);
     }
 }
 
@@ -206,21 +207,24 @@
 /// back. The operator is told "unknown"; applying the same request again when the store is back
 /// finds the first acceptance and does not make a second generation.
 #[tokio::test(start_paused = true)]
-async fn unknown_apply_is_settled_by_applying_it_again() {
-    let rig = Rig::with_first().await;
+async fn reapplying_resolves_an_unknown_outcome() {
+    let fixture = Fixture::with_first().await;
     let request = request(2, 1, "operator");
-    rig.memory
-        .script_fault(CallKind::Write, ROOT_KEY, 0, 1, MemoryFault::LoseAnswer);
-    rig.memory
+    fixture
+        .memory
+        .script_fault(CallKind::Write, ROOT_KEY, 0, 1, MemoryFault::LoseResponse);
+    fixture
+        .memory
         .script_fault(CallKind::Write, ROOT_KEY, 0, ALWAYS, MemoryFault::Down);
-    rig.memory
+    fixture
+        .memory
         .script_fault(CallKind::Read, ROOT_KEY, 1, ALWAYS, MemoryFault::Down);
-    assert_eq!(rig.config.apply(&request).await, ApplyOutcome::Unknown);
-    rig.memory.clear_faults();
-    assert_eq!(rig.config.apply(&request).await, accepted(2));
-    rig.accept(3, 2, "another").await;
-    assert_eq!(rig.config.apply(&request).await, accepted(2));
-    assert_eq!(rig.load().await, Ok((3, 3)));
+    assert_eq!(fixture.config.apply(&request).await, ApplyOutcome::Unknown);
+    fixture.memory.clear_faults();
+    assert_eq!(fixture.config.apply(&request).await, accepted(2));
+    fixture.accept(3, 2, "another").await;
+    assert_eq!(fixture.config.apply(&request).await, accepted(2));
+    assert_eq!(fixture.load().await, Ok((3, 3)));
 }
 
 /// The first operator's write hangs in the network, so it is unknown to her. A second operator's
@@ -228,34 +232,34 @@
 /// file stays, and the first operator learns who won.
 #[tokio::test(start_paused = true)]
 async fn late_write_does_not_undo_an_accepted_file() {
-    let rig = Rig::with_first().await;
-    let slow = request(2, 1, "slow").with_patience(Duration::from_secs(1));
-    rig.memory.script_fault(
+    let fixture = Fixture::with_first().await;
+    let slow = request(2, 1, "slow").with_timeout(Duration::from_secs(1));
+    fixture.memory.script_fault(
         CallKind::Write,
         ROOT_KEY,
         0,
         ALWAYS,
-        MemoryFault::LateEffect,
+        MemoryFault::DelayWrite,
     );
-    assert_eq!(rig.config.apply(&slow).await, ApplyOutcome::Unknown);
-    rig.memory.clear_faults();
-    rig.accept(3, 1, "fast").await;
-    assert_eq!(rig.memory.release_late(), 0);
-    assert_eq!(rig.load().await, Ok((2, 3)));
+    assert_eq!(fixture.config.apply(&slow).await, ApplyOutcome::Unknown);
+    fixture.memory.clear_faults();
+    fixture.accept(3, 1, "fast").await;
+    assert_eq!(fixture.memory.apply_delayed(), 0);
+    assert_eq!(fixture.load().await, Ok((2, 3)));
     let conflict = ApplyOutcome::Conflict {
         winner: 2,
         author: "fast".to_owned(),
     };
-    assert_eq!(rig.config.apply(&slow).await, conflict);
+    assert_eq!(fixture.config.apply(&slow).await, conflict);
 }
 
 /// Two operators read generation 1 and apply at once. One is accepted; the other is told who won
 /// and with which generation, also when further files were accepted meanwhile.
 #[tokio::test(start_paused = true)]
 async fn one_of_two_racing_operators_wins() {
-    let rig = Rig::with_first().await;
+    let fixture = Fixture::with_first().await;
     let (ann, bob) = (request(2, 1, "ann"), request(3, 1, "bob"));
-    let (first, second) = tokio::join!(rig.config.apply(&ann), rig.config.apply(&bob));
+    let (first, second) = tokio::join!(fixture.config.apply(&ann), fixture.config.apply(&bob));
     let (winner, loser) = match first {
         ApplyOutcome::Accepted { .. } => ("ann", second),
         _ => ("bob", first),
@@ -265,37 +269,39 @@
         author: winner.to_owned(),
     };
     assert_eq!(loser, conflict);
-    rig.accept(4, 2, "carla").await;
+    fixture.accept(4, 2, "carla").await;
     let late = request(5, 1, "dan");
-    assert_eq!(rig.config.apply(&late).await, conflict);
+    assert_eq!(fixture.config.apply(&late).await, conflict);
     let ahead = request(5, 9, "eve");
-    let wrong = refused(NotAcceptedReason::WrongGeneration);
-    assert_eq!(rig.config.apply(&ahead).await, wrong);
+    let wrong = not_accepted(NotAcceptedReason::WrongGeneration);
+    assert_eq!(fixture.config.apply(&ahead).await, wrong);
 }
 
 /// The loser's write is refused and the store goes down before the winner can be read: it is
 /// certain that the file was not accepted, only not who won.
 #[tokio::test(start_paused = true)]
 async fn conflict_without_read_back_is_not_accepted() {
-    let rig = Rig::with_first().await;
+    let fixture = Fixture::with_first().await;
     let slow = request(2, 1, "slow");
-    rig.memory
+    fixture
+        .memory
         .script_fault(CallKind::Write, ROOT_KEY, 0, 1, MemoryFault::RateLimited);
-    rig.memory
+    fixture
+        .memory
         .script_fault(CallKind::Read, ROOT_KEY, 2, ALWAYS, MemoryFault::Down);
     let fast = request(3, 1, "fast");
-    let (slow, fast) = tokio::join!(rig.config.apply(&slow), rig.config.apply(&fast));
+    let (slow, fast) = tokio::join!(fixture.config.apply(&slow), fixture.config.apply(&fast));
     assert_eq!(fast, accepted(2));
-    assert_eq!(slow, refused(NotAcceptedReason::WrongGeneration));
+    assert_eq!(slow, not_accepted(NotAcceptedReason::WrongGeneration));
 }
 
 #[tokio::test]
-async fn damaged_objects_are_never_taken_for_a_configuration() {
-    let rig = Rig::with_first().await;
-    let key = rig.chunk_keys().await.remove(0);
+async fn damaged_objects_are_never_loaded() {
+    let fixture = Fixture::with_first().await;
+    let key = fixture.chunk_keys().await.remove(0);
     let hash = key.strip_prefix(CHUNK_PREFIX).expect("prefix").into();
     let put = |key: &'static str, value| {
-        rig.memory.put(
+        fixture.memory.put(
             key,
             Bytes::from(value),
             PutCondition::Any,
@@ -305,56 +311,62 @@
     let key: &'static str = key.leak();
     put(key, "damaged").await.expect("put");
     assert_eq!(
-        rig.load().await,
+        fixture.load().await,
         Err(LoadError::CorruptChunk(Arc::clone(&hash)))
     );
-    rig.memory
+    fixture
+        .memory
         .delete(key, PutCondition::Any, CallPurpose::Config)
         .await
         .expect("delete");
-    assert_eq!(rig.load().await, Err(LoadError::MissingChunk(hash)));
+    assert_eq!(fixture.load().await, Err(LoadError::MissingChunk(hash)));
     let repair = request(1, 1, "repair").with_all_chunks();
-    assert_eq!(rig.config.apply(&repair).await, accepted(2));
-    assert_eq!(rig.load().await, Ok((2, 1)));
+    assert_eq!(fixture.config.apply(&repair).await, accepted(2));
+    assert_eq!(fixture.load().await, Ok((2, 1)));
     put(ROOT_KEY, "{").await.expect("put");
-    assert_eq!(rig.load().await, Err(LoadError::CorruptRoot));
-    let refused = refused(NotAcceptedReason::CorruptRoot);
-    assert_eq!(rig.config.apply(&request(2, 2, "operator")).await, refused);
+    assert_eq!(fixture.load().await, Err(LoadError::CorruptRoot));
+    let corrupt_root = not_accepted(NotAcceptedReason::CorruptRoot);
+    assert_eq!(
+        fixture.config.apply(&request(2, 2, "operator")).await,
+        corrupt_root
+    );
 }
 
 /// Chunks of replaced configurations go after some generations, and never one that the newest
 /// configuration, a reader of a recent one, or an apply under way needs.
 #[tokio::test(start_paused = true)]
-async fn collecting_spares_what_may_be_needed() {
-    let rig = Rig::with_first().await;
+async fn collection_keeps_chunks_that_may_be_needed() {
+    let fixture = Fixture::with_first().await;
     for generation in 1..=9 {
-        assert_eq!(rig.config.collect_chunks(100).await, Ok(0));
-        rig.accept(1 + generation, generation as u64, "operator")
+        assert_eq!(fixture.config.collect_chunks(100).await, Ok(0));
+        fixture
+            .accept(1 + generation, generation as u64, "operator")
             .await;
     }
-    assert_eq!(rig.config.collect_chunks(100).await, Ok(1));
-    let recent = rig.chunk_keys().await;
+    assert_eq!(fixture.config.collect_chunks(100).await, Ok(1));
+    let recent = fixture.chunk_keys().await;
     assert_eq!(recent.len(), 9);
     // An apply that has written its chunks and is then stopped short of its root.
-    rig.memory
-        .script_fault(CallKind::Write, ROOT_KEY, 0, 1, MemoryFault::LateEffect);
-    let stopped = request(1, 10, "stopped").with_patience(Duration::ZERO);
-    assert_eq!(rig.config.apply(&stopped).await, ApplyOutcome::Unknown);
-    assert_eq!(rig.config.collect_chunks(100).await, Ok(0));
-    assert_eq!(rig.memory.release_late(), 1);
-    assert_eq!(rig.load().await, Ok((11, 1)));
-    assert_eq!(rig.config.collect_chunks(100).await, Ok(1));
-    assert_eq!(rig.load().await, Ok((11, 1)));
+    fixture
+        .memory
+        .script_fault(CallKind::Write, ROOT_KEY, 0, 1, MemoryFault::DelayWrite);
+    let stopped = request(1, 10, "stopped").with_timeout(Duration::ZERO);
+    assert_eq!(fixture.config.apply(&stopped).await, ApplyOutcome::Unknown);
+    assert_eq!(fixture.config.collect_chunks(100).await, Ok(0));
+    assert_eq!(fixture.memory.apply_delayed(), 1);
+    assert_eq!(fixture.load().await, Ok((11, 1)));
+    assert_eq!(fixture.config.collect_chunks(100).await, Ok(1));
+    assert_eq!(fixture.load().await, Ok((11, 1)));
 }
 
 /// 25,000 organisations are many megabytes: every value stays far under the store's limit, an
 /// edit of one organisation writes few chunks, and a process that has the old ones reads few.
 #[tokio::test(start_paused = true)]
 async fn large_configuration_changes_in_few_chunks() {
-    let rig = Rig::new();
-    rig.accept(25_000, 0, "first").await;
+    let fixture = Fixture::new();
+    fixture.accept(25_000, 0, "first").await;
     let mut cache = ChunkCache::new();
-    let loaded = rig
+    let loaded = fixture
         .config
         .load_latest(&mut cache)
         .await
@@ -362,7 +374,7 @@
         .expect("root");
     assert_eq!(loaded.config, fleet(25_000));
     assert!(loaded.bytes.len() > 4 * MAX_VALUE_BYTES);
-    let entries = rig
+    let entries = fixture
         .memory
         .list("config/", CallPurpose::Config)
         .await
@@ -372,20 +384,20 @@
     let mut edited = fleet(25_000);
     edited.organisations[12_345].weight = 77;
     edited.organisations.remove(20_000);
-    let before = rig.memory.counts();
+    let before = fixture.memory.counts();
     let edit = ApplyRequest::new(bytes_of(&edited), 1, "editor", "edit".to_owned());
-    assert_eq!(rig.config.apply(&edit).await, accepted(2));
-    let written = rig.memory.counts().writes - before.writes;
+    assert_eq!(fixture.config.apply(&edit).await, accepted(2));
+    let written = fixture.memory.counts().writes - before.writes;
     assert!(written <= 8, "an edit wrote {written} objects");
-    let reads = rig.memory.counts().reads;
-    let reloaded = rig
+    let reads = fixture.memory.counts().reads;
+    let reloaded = fixture
         .config
         .load_latest(&mut cache)
         .await
         .expect("load")
         .expect("root");
     assert_eq!(reloaded.config, edited);
-    let reads = rig.memory.counts().reads - reads;
+    let reads = fixture.memory.counts().reads - reads;
     assert!(reads <= 8, "a reload read {reads} objects");
     assert_eq!(cache.len(), reloaded.root.chunks.len());
 }
--- a/lovagedock-platform/tests/http_answers.rs
+++ b/lovagedock-platform/tests/http_responses.rs
@@ -11,96 +11,96 @@
     sync::Barrier,
 };
 
-const DONE: &str = "HTTP/1.1 200 OK\r\netag: \"7\"\r\ncontent-length: 0\r\n\r\n";
+const OK_RESPONSE: &str = "HTTP/1.1 200 OK\r\netag: \"7\"\r\ncontent-length: 0\r\n\r\n";
 
-struct AnswerCase {
-    answer: &'static str,
+struct ResponseCase {
+    response: &'static str,
     write: Result<u64, StoreError>,
     read: Result<Option<u64>, StoreError>,
 }
 
 /// A proxy answers 502, 503 and 504 also when the store was cut off after it had the write, and
 /// an answer that breaks off says nothing: for a write each is "unknown", for a read "unavailable".
-const CASES: &[AnswerCase] = &[
-    AnswerCase {
-        answer: DONE,
+const CASES: &[ResponseCase] = &[
+    ResponseCase {
+        response: OK_RESPONSE,
         write: Ok(7),
         read: Ok(Some(7)),
     },
-    AnswerCase {
-        answer: "HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n",
+    ResponseCase {
+        response: "HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n",
         write: Err(StoreError::OutcomeUnknown),
         read: Err(StoreError::Malformed),
     },
-    AnswerCase {
-        answer: "HTTP/1.1 503 Busy\r\ncontent-length: 0\r\n\r\n",
+    ResponseCase {
+        response: "HTTP/1.1 503 Busy\r\ncontent-length: 0\r\n\r\n",
         write: Err(StoreError::OutcomeUnknown),
         read: Err(StoreError::Unavailable),
     },
-    AnswerCase {
-        answer: "HTTP/1.1 504 Late\r\ncontent-length: 0\r\n\r\n",
+    ResponseCase {
+        response: "HTTP/1.1 504 Late\r\ncontent-length: 0\r\n\r\n",
         write: Err(StoreError::OutcomeUnknown),
         read: Err(StoreError::Unavailable),
     },
-    AnswerCase {
-        answer: "HTTP/1.1 200 OK\r\netag: \"7\"\r\ncontent-length: 9\r\n\r\ncut",
+    ResponseCase {
+        response: "HTTP/1.1 200 OK\r\netag: \"7\"\r\ncontent-length: 9\r\n\r\ncut",
         write: Err(StoreError::OutcomeUnknown),
         read: Err(StoreError::Unavailable),
     },
-    AnswerCase {
-        answer: "",
+    ResponseCase {
+        response: "",
         write: Err(StoreError::OutcomeUnknown),
         read: Err(StoreError::Unavailable),
     },
-    AnswerCase {
-        answer: "HTTP/1.1 429 Rate\r\ncontent-length: 0\r\n\r\n",
+    ResponseCase {
+        response: "HTTP/1.1 429 Rate\r\ncontent-length: 0\r\n\r\n",
         write: Err(StoreError::RateLimited),
         read: Err(StoreError::RateLimited),
     },
-    AnswerCase {
-        answer: "HTTP/1.1 412 No\r\ncontent-length: 0\r\n\r\n",
+    ResponseCase {
+        response: "HTTP/1.1 412 No\r\ncontent-length: 0\r\n\r\n",
         write: Err(StoreError::Conflict { current: None }),
         read: Err(StoreError::Malformed),
     },
-    AnswerCase {
-        answer: "HTTP/1.1 400 Bad\r\ncontent-length: 0\r\n\r\n",
+    ResponseCase {
+        response: "HTTP/1.1 400 Bad\r\ncontent-length: 0\r\n\r\n",
         write: Err(StoreError::Malformed),
         read: Err(StoreError::Malformed),
     },
 ];
 
-async fn answer_each(listener: TcpListener, answer: &'static str) {
+async fn respond_to_each(listener: TcpListener, response: &'static str) {
     while let Ok((mut stream, _)) = listener.accept().await {
         let mut request = [0; 4096];
         let _length = stream.read(&mut request).await;
-        let _best_effort = stream.write_all(answer.as_bytes()).await;
+        let _best_effort = stream.write_all(response.as_bytes()).await;
     }
 }
 
 #[tokio::test]
-async fn ambiguous_answers_are_never_taken_for_not_written() {
+async fn ambiguous_responses_are_never_reported_as_not_written() {
     for case in CASES {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback");
         let address = listener.local_addr().expect("address");
-        let server = tokio::spawn(answer_each(listener, case.answer));
+        let server = tokio::spawn(respond_to_each(listener, case.response));
         let store = HttpObjectStore::new(&format!("http://{address}"));
         let put = store.put("a", "".into(), PutCondition::Any, CallPurpose::Claim);
-        assert_eq!(put.await, case.write, "{}", case.answer);
+        assert_eq!(put.await, case.write, "{}", case.response);
         let read = store.get("a", CallPurpose::Claim).await;
         let version = read.map(|object| object.map(|object| object.version));
-        assert_eq!(version, case.read, "{}", case.answer);
+        assert_eq!(version, case.read, "{}", case.response);
         server.abort();
     }
 }
 
 /// Answers one request and then keeps the connection open without a word.
-async fn answer_once(mut stream: TcpStream, both: Option<Arc<Barrier>>) {
+async fn respond_once(mut stream: TcpStream, both: Option<Arc<Barrier>>) {
     let mut request = [0; 4096];
     let _length = stream.read(&mut request).await;
     if let Some(both) = both {
         both.wait().await;
     }
-    let _best_effort = stream.write_all(DONE.as_bytes()).await;
+    let _best_effort = stream.write_all(OK_RESPONSE.as_bytes()).await;
     while stream
         .read(&mut request)
         .await
@@ -108,13 +108,13 @@
     {}
 }
 
-async fn go_silent(listener: TcpListener) {
+async fn serve_then_go_silent(listener: TcpListener) {
     let both = Arc::new(Barrier::new(2));
     let mut accepted = 0;
     while let Ok((stream, _)) = listener.accept().await {
         accepted += 1;
         let wait_for_both = (accepted <= 2).then(|| Arc::clone(&both));
-        tokio::spawn(answer_once(stream, wait_for_both));
+        tokio::spawn(respond_once(stream, wait_for_both));
     }
 }
 
@@ -125,7 +125,7 @@
 async fn silent_connections_cost_one_timeout() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback");
     let address = listener.local_addr().expect("address");
-    let server = tokio::spawn(go_silent(listener));
+    let server = tokio::spawn(serve_then_go_silent(listener));
     let timeouts = StoreTimeouts {
         call: Duration::from_secs(1),
         ..StoreTimeouts::default()
--- a/lovagedock-platform/tests/store_budget.rs
+++ b/lovagedock-platform/tests/store_budget.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_purpose_that_spends_too_much_does_not_starve_another() {
+fn an_overloaded_purpose_does_not_starve_another() {
     let mut budget = StoreBudget::new(limits(), Duration::ZERO, 0.5);
     let mut decisions = (0..200).map(|_| budget.admit(CallPurpose::Config, at(0), 0.5));
     assert!(
@@ -47,7 +47,7 @@
 /// During an outage each process sends one probe at a time, ever more slowly, and its other calls
 /// fail at once as without effect; the first answer ends that.
 #[test]
-fn outage_is_probed_and_its_end_is_spread() {
+fn outage_is_probed_and_recovery_is_spread() {
     let mut budget = StoreBudget::new(limits(), Duration::ZERO, 0.5);
     let admit = |budget: &mut StoreBudget, now| budget.admit(CallPurpose::Claim, now, 0.5);
     for _ in 0..3 {
@@ -70,11 +70,11 @@
     );
 }
 
-struct Demand {
+struct DemandCase {
     name: &'static str,
     outage: bool,
     /// Most calls that the store may see in any second.
-    most: usize,
+    max_per_second: usize,
 }
 
 /// Thirty processes want to load a large configuration at one moment: they all start, or the
@@ -82,17 +82,17 @@
 /// at once. At the start it sees the bursts and the steady rates; at its return only the rates,
 /// since bursts saved up in the outage are forfeit.
 #[test]
-fn fleet_stays_under_the_rate_when_all_come_at_once() {
+fn fleet_stays_within_the_store_rate_under_simultaneous_load() {
     let cases = [
-        Demand {
+        DemandCase {
             name: "start",
             outage: false,
-            most: 1_900,
+            max_per_second: 1_900,
         },
-        Demand {
+        DemandCase {
             name: "return",
             outage: true,
-            most: 700,
+            max_per_second: 700,
         },
     ];
     for case in cases {
@@ -127,7 +127,7 @@
         }
         assert_eq!(sent_at.len(), PROCESSES * CALLS);
         let busiest = busiest_second(&mut sent_at);
-        assert!(busiest <= case.most, "{}: {busiest}", case.name);
+        assert!(busiest <= case.max_per_second, "{}: {busiest}", case.name);
     }
 }
 
--- a/lovagedock-sidecar/src/session.rs
+++ b/lovagedock-sidecar/src/session.rs
@@ -148,7 +148,7 @@
             Some(CoreReply::Verdict(verdict)) => verdict,
             // The core returns a verdict for every revoke. If there were none, it would be unknown
             // whether the attempt ran.
-            _ => RevokeVerdict::OtherLife,
+            _ => RevokeVerdict::OtherIncarnation,
         }
     }
 
--- a/lovagedock-standin/src/platform/state.rs
+++ b/lovagedock-standin/src/platform/state.rs
@@ -117,7 +117,7 @@
         if effect == FaultEffect::Disconnect {
             return Ok(effect);
         }
-        if !state.bucket(class).try_take(now) {
+        if !state.bucket(class).try_consume(now) {
             state.counters.rate_limited += 1;
             return Err(StoreError::RateLimited);
         }
@@ -235,7 +235,7 @@
     fn charge_watch(&self) -> Result<(), StoreError> {
         let now = self.now();
         let mut state = self.inner.lock();
-        if state.reads.try_take(now) {
+        if state.reads.try_consume(now) {
             return Ok(());
         }
         state.counters.rate_limited += 1;
--- a/lovagedock-standin/tests/config_over_http.rs
+++ b/lovagedock-standin/tests/config_over_http.rs
@@ -51,7 +51,7 @@
 async fn lost_confirmations_are_settled() {
     let (running, store) = start().await;
     running.set_fault(FaultCommand::new(FaultKind::LoseConfirmations));
-    let impatient = request(0, "ann").with_patience(Duration::from_millis(200));
+    let impatient = request(0, "ann").with_timeout(Duration::from_millis(200));
     let unavailable = NotAcceptedReason::Unavailable(StoreError::OutcomeUnknown);
     let refused = ApplyOutcome::NotAccepted {
         reason: unavailable,
--- a/lovagedock-standin/tests/promises_platform.rs
+++ b/lovagedock-standin/tests/promises_platform.rs
@@ -158,7 +158,7 @@
     let lost = FaultCommand::new(FaultKind::LoseConfirmations);
     fleet.platform.set_fault(lost);
     let request = ApplyRequest::new(text, 1, "first", "nonce-1".to_owned())
-        .with_patience(Duration::from_secs(2));
+        .with_timeout(Duration::from_secs(2));
     let outcome = config_store(&fleet).apply(&request).await;
     fleet.platform.set_fault(FaultCommand::new(FaultKind::None));
     let expected = match outcome {
--- a/lovagedock-standin/tests/store_contract.rs
+++ b/lovagedock-standin/tests/store_contract.rs
@@ -224,10 +224,10 @@
     }
 
     /// Lets the writes that were held back reach the store, and waits until they have.
-    async fn release_late(&self) {
+    async fn apply_delayed(&self) {
         match self {
             Self::Memory(store) => {
-                store.release_late();
+                store.apply_delayed();
             }
             Self::Http(running, _) => {
                 running.release_delayed();
@@ -248,8 +248,8 @@
             script(CallKind::Read, MemoryFault::Down);
             script(CallKind::Write, MemoryFault::Down);
         }
-        Fault::Slow => script(CallKind::Write, MemoryFault::LateEffect),
-        Fault::LoseConfirmations => script(CallKind::Write, MemoryFault::LoseAnswer),
+        Fault::Slow => script(CallKind::Write, MemoryFault::DelayWrite),
+        Fault::LoseConfirmations => script(CallKind::Write, MemoryFault::LoseResponse),
     }
 }
 
@@ -298,7 +298,7 @@
                 let result = store.get(KEY, CallPurpose::Status).await;
                 assert_eq!(result, Err(StoreError::Unavailable), "{place}");
             }
-            ReleaseLate => self.rig.release_late().await,
+            ReleaseLate => self.rig.apply_delayed().await,
             AwaitChange => {
                 let after = self.versions.last().copied().unwrap_or_default();
                 await_change(store, after, place).await;
--- a/lovagedock-wire/src/codec.rs
+++ b/lovagedock-wire/src/codec.rs
@@ -25,17 +25,17 @@
 const TIER_STANDARD: u8 = 1;
 const TIER_INTERACTIVE: u8 = 2;
 const STAGE_BY_DEMAND: u8 = 0;
-const STAGE_LESSER: u8 = 1;
+const STAGE_MINIMUM: u8 = 1;
 const STAGE_SILENT: u8 = 2;
 const STAGE_EQUAL: u8 = 3;
 
 pub(crate) type Decoded<T> = Result<T, WireError>;
 
-pub(crate) fn millis(duration: Duration) -> u64 {
+pub(crate) fn duration_to_millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-fn micros(duration: Duration) -> u64 {
+fn duration_to_micros(duration: Duration) -> u64 {
     u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
 
@@ -146,12 +146,12 @@
     builder.set_service(&*work.service);
     builder.set_organisation(&*work.organisation);
     builder.set_tier(tier_number(work.tier));
-    builder.set_remaining_ms(millis(work.remaining));
+    builder.set_remaining_ms(duration_to_millis(work.remaining));
     builder.set_prompt_tokens(work.prompt_tokens);
     builder.set_answer_tokens(work.answer_tokens);
     builder.set_weight(work.weight);
     builder.set_non_idempotent(work.non_idempotent);
-    builder.set_predicted_ms(millis(work.predicted));
+    builder.set_predicted_ms(duration_to_millis(work.predicted));
     builder.set_method(work.method.as_str());
     builder.set_path(work.path.as_str());
     builder.set_body(&work.body);
@@ -234,7 +234,7 @@
         builder.set_digest(digest);
     }
     builder.set_ran(ran_number(end.ran));
-    builder.set_retry_after_ms(millis(end.retry_after));
+    builder.set_retry_after_ms(duration_to_millis(end.retry_after));
     builder.set_detail(end.detail.as_str());
     builder.set_prompt_tokens(end.prompt_tokens);
     builder.set_cached_tokens(end.cached_tokens);
@@ -268,7 +268,7 @@
         RevokeVerdict::Revoked => schema::RevokeVerdict::Revoked,
         RevokeVerdict::Running => schema::RevokeVerdict::Running,
         RevokeVerdict::Ended => schema::RevokeVerdict::Ended,
-        RevokeVerdict::OtherLife => schema::RevokeVerdict::OtherLife,
+        RevokeVerdict::OtherIncarnation => schema::RevokeVerdict::OtherLife,
     }
 }
 
@@ -277,7 +277,7 @@
         schema::RevokeVerdict::Revoked => RevokeVerdict::Revoked,
         schema::RevokeVerdict::Running => RevokeVerdict::Running,
         schema::RevokeVerdict::Ended => RevokeVerdict::Ended,
-        schema::RevokeVerdict::OtherLife => RevokeVerdict::OtherLife,
+        schema::RevokeVerdict::OtherLife => RevokeVerdict::OtherIncarnation,
     }
 }
 
@@ -296,8 +296,8 @@
     builder.set_running(load.running);
     builder.set_running_long(load.running_long);
     builder.set_prefill_tokens_left(load.prefill_tokens_left);
-    builder.set_backlog_all_us(micros(load.backlog.all));
-    builder.set_backlog_short_us(micros(load.backlog.short));
+    builder.set_backlog_all_us(duration_to_micros(load.backlog.all));
+    builder.set_backlog_short_us(duration_to_micros(load.backlog.short));
     builder.set_prefill_ns_per_token(load.cost.prefill_ns_per_token);
     builder.set_prefill_ns_per_token_squared(load.cost.prefill_ns_per_token_squared);
     builder.set_decode_ns(load.cost.decode_ns);
@@ -406,7 +406,7 @@
 fn stage_number(stage: ShareStage) -> u8 {
     match stage {
         ShareStage::ByDemand => STAGE_BY_DEMAND,
-        ShareStage::Minimum => STAGE_LESSER,
+        ShareStage::Minimum => STAGE_MINIMUM,
         ShareStage::Silent => STAGE_SILENT,
         ShareStage::Equal => STAGE_EQUAL,
     }
@@ -415,7 +415,7 @@
 fn read_stage(number: u8) -> Decoded<ShareStage> {
     match number {
         STAGE_BY_DEMAND => Ok(ShareStage::ByDemand),
-        STAGE_LESSER => Ok(ShareStage::Minimum),
+        STAGE_MINIMUM => Ok(ShareStage::Minimum),
         STAGE_SILENT => Ok(ShareStage::Silent),
         STAGE_EQUAL => Ok(ShareStage::Equal),
         other => Err(WireError::Malformed(format!("unknown share stage {other}"))),
--- a/lovagedock-wire/src/endpoint_client.rs
+++ b/lovagedock-wire/src/endpoint_client.rs
@@ -35,22 +35,22 @@
 /// Dropping it closes the connection.
 pub struct EndpointClient {
     session: endpoint_session::Client,
-    driver: JoinHandle<()>,
+    rpc_task: JoinHandle<()>,
 }
 
 impl EndpointClient {
     /// Starts a session on a connection; must be called on a `LocalSet`.
     pub fn new(stream: Box<dyn WireStream>) -> Self {
         let (system, session): (SessionSystem, endpoint_session::Client) = client_system(stream);
-        let driver = tokio::task::spawn_local(async move {
+        let rpc_task = tokio::task::spawn_local(async move {
             let _ended: Result<(), capnp::Error> = system.await;
         });
-        Self { session, driver }
+        Self { session, rpc_task }
     }
 
     /// Closes the connection: calls under way end with an error, and no more frames come.
     pub fn close(&self) {
-        self.driver.abort();
+        self.rpc_task.abort();
     }
 
     /// Introduces this process and learns who the other end is.
@@ -61,7 +61,7 @@
     ) -> Result<PeerIdentity, WireError> {
         let mut request = self.session.hello_request();
         codec::write_hello(identity, request.get().init_hello());
-        let response = within(limit, request.send().promise).await?;
+        let response = with_timeout(limit, request.send().promise).await?;
         codec::read_welcome(response.get()?.get_welcome()?)
     }
 
@@ -77,7 +77,7 @@
         let mut request = self.session.submit_request();
         codec::write_work(work, request.get().init_order());
         request.get().set_sink(new_sink(receiver));
-        let response = within(limit, request.send().promise).await?;
+        let response = with_timeout(limit, request.send().promise).await?;
         let reply = response.get()?;
         if reply.get_accepted() {
             return Ok(SubmitReply::Accepted);
@@ -97,7 +97,7 @@
         codec::write_key(key, request.get().init_key());
         request.get().set_offset(offset);
         request.get().set_sink(new_sink(receiver));
-        let response = within(limit, request.send().promise).await?;
+        let response = with_timeout(limit, request.send().promise).await?;
         Ok(response.get()?.get_found())
     }
 
@@ -109,7 +109,7 @@
     ) -> Result<RevokeVerdict, WireError> {
         let mut request = self.session.revoke_request();
         codec::write_key(key, request.get().init_key());
-        let response = within(limit, request.send().promise).await?;
+        let response = with_timeout(limit, request.send().promise).await?;
         let verdict = response.get()?.get_verdict();
         match verdict {
             Ok(verdict) => Ok(codec::read_verdict(verdict)),
@@ -121,7 +121,7 @@
     pub async fn cancel(&self, key: AttemptKey, limit: Duration) -> Result<(), WireError> {
         let mut request = self.session.cancel_request();
         codec::write_key(key, request.get().init_key());
-        within(limit, request.send().promise).await?;
+        with_timeout(limit, request.send().promise).await?;
         Ok(())
     }
 
@@ -135,7 +135,7 @@
         let mut request = self.session.heartbeat_request();
         request.get().set_sequence(sequence);
         request.get().set_generation(generation);
-        let response = within(limit, request.send().promise).await?;
+        let response = with_timeout(limit, request.send().promise).await?;
         codec::read_load(response.get()?.get_report()?)
     }
 
@@ -148,7 +148,7 @@
         let mut request = self.session.configure_request();
         request.get().set_generation(message.generation);
         request.get().set_config(&message.config);
-        let response = within(limit, request.send().promise).await?;
+        let response = with_timeout(limit, request.send().promise).await?;
         Ok(response.get()?.get_generation())
     }
 
@@ -157,14 +157,16 @@
         &self,
         key: AttemptKey,
         tokens: TokenCount,
-        hold: Duration,
+        retention: Duration,
         limit: Duration,
     ) -> Result<ReserveReply, WireError> {
         let mut request = self.session.reserve_request();
         codec::write_key(key, request.get().init_key());
         request.get().set_tokens(tokens);
-        request.get().set_hold_ms(codec::millis(hold));
-        let response = within(limit, request.send().promise).await?;
+        request
+            .get()
+            .set_hold_ms(codec::duration_to_millis(retention));
+        let response = with_timeout(limit, request.send().promise).await?;
         let reply = response.get()?;
         Ok(ReserveReply {
             granted: reply.get_granted(),
@@ -176,7 +178,7 @@
     pub async fn release(&self, key: AttemptKey, limit: Duration) -> Result<(), WireError> {
         let mut request = self.session.release_request();
         codec::write_key(key, request.get().init_key());
-        within(limit, request.send().promise).await?;
+        with_timeout(limit, request.send().promise).await?;
         Ok(())
     }
 
@@ -191,7 +193,7 @@
         codec::write_work(work, request.get().init_order());
         request.get().set_start(range.start);
         request.get().set_tokens(range.tokens);
-        let response = within(limit, request.send().promise).await?;
+        let response = with_timeout(limit, request.send().promise).await?;
         let reply = response.get()?;
         Ok(SegmentReply {
             end: codec::read_end(reply.get_end()?)?,
@@ -203,7 +205,7 @@
     pub async fn drain(&self, leaving: bool, limit: Duration) -> Result<u32, WireError> {
         let mut request = self.session.drain_request();
         request.get().set_leaving(leaving);
-        let response = within(limit, request.send().promise).await?;
+        let response = with_timeout(limit, request.send().promise).await?;
         Ok(response.get()?.get_in_flight())
     }
 
@@ -218,14 +220,14 @@
     ) -> Result<OrderReply, WireError> {
         let mut request = self.session.order_request();
         order_codec::write_order(message, request.get().init_order());
-        let response = within(limit, request.send().promise).await?;
+        let response = with_timeout(limit, request.send().promise).await?;
         order_codec::read_reply(response.get()?.get_reply()?)
     }
 }
 
 impl Drop for EndpointClient {
     fn drop(&mut self) {
-        self.driver.abort();
+        self.rpc_task.abort();
     }
 }
 
@@ -233,7 +235,7 @@
 ///
 /// A connection that something between the ends has forgotten swallows calls without an error;
 /// the symptom is a call that never returns. The limit turns it into a [`WireError::TimedOut`].
-pub(crate) async fn within<T>(
+pub(crate) async fn with_timeout<T>(
     limit: Duration,
     call: impl Future<Output = Result<T, capnp::Error>>,
 ) -> Result<T, WireError> {
@@ -258,7 +260,7 @@
         params: answer_sink::HeadParams,
         _results: answer_sink::HeadResults,
     ) -> Result<(), capnp::Error> {
-        let head = codec::read_head(params.get()?.get_head()?).map_err(failed)?;
+        let head = codec::read_head(params.get()?.get_head()?).map_err(to_capnp_error)?;
         self.receiver.head(head).await;
         Ok(())
     }
@@ -277,12 +279,12 @@
         params: answer_sink::DoneParams,
         _results: answer_sink::DoneResults,
     ) -> Result<(), capnp::Error> {
-        let end = codec::read_end(params.get()?.get_end()?).map_err(failed)?;
+        let end = codec::read_end(params.get()?.get_end()?).map_err(to_capnp_error)?;
         self.receiver.done(end).await;
         Ok(())
     }
 }
 
-pub(crate) fn failed(error: WireError) -> capnp::Error {
+pub(crate) fn to_capnp_error(error: WireError) -> capnp::Error {
     capnp::Error::failed(error.to_string())
 }
--- a/lovagedock-wire/src/endpoint_server.rs
+++ b/lovagedock-wire/src/endpoint_server.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     codec,
-    endpoint_client::failed,
+    endpoint_client::to_capnp_error,
     lovagedock_capnp::{answer_sink, endpoint_session},
     messages::{
         AnswerHead, ConfigMessage, LoadMessage, OrderMessage, OrderReply, PeerIdentity,
@@ -42,7 +42,7 @@
         &self,
         key: AttemptKey,
         tokens: TokenCount,
-        hold: std::time::Duration,
+        retention: std::time::Duration,
     ) -> ReserveReply;
     /// Gives a reservation back.
     fn release(&self, key: AttemptKey);
@@ -112,7 +112,7 @@
         params: endpoint_session::HelloParams,
         mut results: endpoint_session::HelloResults,
     ) -> Result<(), capnp::Error> {
-        let identity = codec::read_hello(params.get()?.get_hello()?).map_err(failed)?;
+        let identity = codec::read_hello(params.get()?.get_hello()?).map_err(to_capnp_error)?;
         let own = self.handler.hello(identity);
         codec::write_welcome(&own, results.get().init_welcome());
         Ok(())
@@ -123,7 +123,7 @@
         params: endpoint_session::SubmitParams,
         mut results: endpoint_session::SubmitResults,
     ) -> Result<(), capnp::Error> {
-        let work = codec::read_work(params.get()?.get_order()?).map_err(failed)?;
+        let work = codec::read_work(params.get()?.get_order()?).map_err(to_capnp_error)?;
         let sink = params.get()?.get_sink()?;
         drop(params);
         match self.handler.submit(work, AnswerSender { sink }).await {
@@ -205,8 +205,8 @@
     ) -> Result<(), capnp::Error> {
         let call = params.get()?;
         let key = codec::read_key(call.get_key()?);
-        let hold = std::time::Duration::from_millis(call.get_hold_ms());
-        let reply = self.handler.reserve(key, call.get_tokens(), hold);
+        let retention = std::time::Duration::from_millis(call.get_hold_ms());
+        let reply = self.handler.reserve(key, call.get_tokens(), retention);
         results.get().set_granted(reply.granted);
         results.get().set_free_tokens(reply.free_tokens);
         Ok(())
@@ -228,7 +228,7 @@
         mut results: endpoint_session::SegmentResults,
     ) -> Result<(), capnp::Error> {
         let call = params.get()?;
-        let work = codec::read_work(call.get_order()?).map_err(failed)?;
+        let work = codec::read_work(call.get_order()?).map_err(to_capnp_error)?;
         let range = SegmentRange {
             start: call.get_start(),
             tokens: call.get_tokens(),
@@ -255,7 +255,8 @@
         params: endpoint_session::OrderParams,
         mut results: endpoint_session::OrderResults,
     ) -> Result<(), capnp::Error> {
-        let message = order_codec::read_order(params.get()?.get_order()?).map_err(failed)?;
+        let message =
+            order_codec::read_order(params.get()?.get_order()?).map_err(to_capnp_error)?;
         drop(params);
         let reply = self.handler.order(message).await;
         order_codec::write_reply(&reply, results.get().init_reply());
--- a/lovagedock-wire/src/order_codec.rs
+++ b/lovagedock-wire/src/order_codec.rs
@@ -8,7 +8,7 @@
     messages::{OrderMessage, OrderReply, WireError},
 };
 
-const KIND_LOOK: u8 = 0;
+const KIND_QUERY: u8 = 0;
 const KIND_MODEL: u8 = 1;
 const KIND_ADAPTER: u8 = 2;
 
@@ -32,7 +32,7 @@
     builder.set_sequence(message.sequence);
     builder.set_generation(message.generation);
     builder.set_kind(match &message.order {
-        None => KIND_LOOK,
+        None => KIND_QUERY,
         Some(LoadOrder::Model(_)) => KIND_MODEL,
         Some(LoadOrder::Adapter(_)) => KIND_ADAPTER,
     });
@@ -43,7 +43,7 @@
 
 pub(crate) fn read_order(reader: schema::leased_order::Reader<'_>) -> Decoded<OrderMessage> {
     let order = match reader.get_kind() {
-        KIND_LOOK => None,
+        KIND_QUERY => None,
         KIND_MODEL => Some(LoadOrder::Model(read_artifact(reader.get_artifact()?)?)),
         KIND_ADAPTER => Some(LoadOrder::Adapter(read_artifact(reader.get_artifact()?)?)),
         other => return Err(WireError::Malformed(format!("unknown order kind {other}"))),
--- a/lovagedock-wire/src/peer.rs
+++ b/lovagedock-wire/src/peer.rs
@@ -7,11 +7,11 @@
 
 use crate::{
     codec,
-    endpoint_client::{failed, within},
+    endpoint_client::{to_capnp_error, with_timeout},
     lovagedock_capnp::peer_session,
     messages::{PeerIdentity, WireError},
     stream::{SessionSystem, WireStream, client_system, server_system},
-    suspect_codec::{news_length, read_news, write_news},
+    suspect_codec::{read_updates, update_count, write_updates},
 };
 
 /// What a gateway does with the calls of another gateway.
@@ -27,23 +27,23 @@
     /// Takes what organisations use at the other gateway; confirms it unless it is of no use.
     fn usage(&self, report: UsageReport) -> Option<UsageAck>;
     /// Takes what the other gateway has found out of requests that end engines.
-    fn suspects(&self, news: Vec<SuspectUpdate>);
+    fn suspects(&self, updates: Vec<SuspectUpdate>);
 }
 
 /// A session from one gateway to another; dropping it closes the connection.
 pub struct PeerClient {
     session: peer_session::Client,
-    driver: JoinHandle<()>,
+    rpc_task: JoinHandle<()>,
 }
 
 impl PeerClient {
     /// Starts a session on a connection; must be called on a `LocalSet`.
     pub fn new(stream: Box<dyn WireStream>) -> Self {
         let (system, session): (SessionSystem, peer_session::Client) = client_system(stream);
-        let driver = tokio::task::spawn_local(async move {
+        let rpc_task = tokio::task::spawn_local(async move {
             let _ended: Result<(), capnp::Error> = system.await;
         });
-        Self { session, driver }
+        Self { session, rpc_task }
     }
 
     /// Introduces this process and learns who the other end is.
@@ -54,7 +54,7 @@
     ) -> Result<PeerIdentity, WireError> {
         let mut request = self.session.hello_request();
         codec::write_hello(identity, request.get().init_hello());
-        let response = within(limit, request.send().promise).await?;
+        let response = with_timeout(limit, request.send().promise).await?;
         codec::read_welcome(response.get()?.get_welcome()?)
     }
 
@@ -66,7 +66,7 @@
     ) -> Result<Generation, WireError> {
         let mut request = self.session.push_request();
         request.get().set_bundle(&bundle.encode());
-        let response = within(limit, request.send().promise).await?;
+        let response = with_timeout(limit, request.send().promise).await?;
         Ok(response.get()?.get_generation())
     }
 
@@ -74,7 +74,7 @@
     pub async fn offer(&self, generation: Generation, limit: Duration) -> Result<(), WireError> {
         let mut request = self.session.offer_request();
         request.get().set_generation(generation);
-        within(limit, request.send().promise).await?;
+        with_timeout(limit, request.send().promise).await?;
         Ok(())
     }
 
@@ -82,7 +82,7 @@
     pub async fn pull(&self, above: Generation, limit: Duration) -> Result<PullAnswer, WireError> {
         let mut request = self.session.pull_request();
         request.get().set_above(above);
-        let response = within(limit, request.send().promise).await?;
+        let response = with_timeout(limit, request.send().promise).await?;
         codec::read_pull_answer(response.get()?)
     }
 
@@ -94,24 +94,28 @@
     ) -> Result<UsageAck, WireError> {
         let mut request = self.session.usage_request();
         codec::write_usage(report, request.get().init_report());
-        let response = within(limit, request.send().promise).await?;
+        let response = with_timeout(limit, request.send().promise).await?;
         codec::read_ack(response.get()?.get_ack()?)
     }
 }
 
 impl PeerClient {
     /// Tells the peer what was found out here of requests that end engines.
-    pub async fn suspects(&self, news: &[SuspectUpdate], limit: Duration) -> Result<(), WireError> {
+    pub async fn suspects(
+        &self,
+        updates: &[SuspectUpdate],
+        limit: Duration,
+    ) -> Result<(), WireError> {
         let mut request = self.session.suspects_request();
-        write_news(news, request.get().init_news(news_length(news)));
-        within(limit, request.send().promise).await?;
+        write_updates(updates, request.get().init_news(update_count(updates)));
+        with_timeout(limit, request.send().promise).await?;
         Ok(())
     }
 }
 
 impl Drop for PeerClient {
     fn drop(&mut self) {
-        self.driver.abort();
+        self.rpc_task.abort();
     }
 }
 
@@ -135,7 +139,7 @@
         params: peer_session::HelloParams,
         mut results: peer_session::HelloResults,
     ) -> Result<(), capnp::Error> {
-        let identity = codec::read_hello(params.get()?.get_hello()?).map_err(failed)?;
+        let identity = codec::read_hello(params.get()?.get_hello()?).map_err(to_capnp_error)?;
         let own = self.handler.hello(identity);
         codec::write_welcome(&own, results.get().init_welcome());
         Ok(())
@@ -146,7 +150,7 @@
         params: peer_session::PushParams,
         mut results: peer_session::PushResults,
     ) -> Result<(), capnp::Error> {
-        let bundle = codec::read_bundle(params.get()?.get_bundle()?).map_err(failed)?;
+        let bundle = codec::read_bundle(params.get()?.get_bundle()?).map_err(to_capnp_error)?;
         results.get().set_generation(self.handler.push(bundle));
         Ok(())
     }
@@ -175,7 +179,7 @@
         params: peer_session::UsageParams,
         mut results: peer_session::UsageResults,
     ) -> Result<(), capnp::Error> {
-        let report = codec::read_usage(params.get()?.get_report()?).map_err(failed)?;
+        let report = codec::read_usage(params.get()?.get_report()?).map_err(to_capnp_error)?;
         match self.handler.usage(report) {
             Some(ack) => {
                 codec::write_ack(ack, results.get().init_ack());
@@ -190,8 +194,8 @@
         params: peer_session::SuspectsParams,
         _results: peer_session::SuspectsResults,
     ) -> Result<(), capnp::Error> {
-        let news = read_news(params.get()?.get_news()?).map_err(failed)?;
-        self.handler.suspects(news);
+        let updates = read_updates(params.get()?.get_news()?).map_err(to_capnp_error)?;
+        self.handler.suspects(updates);
         Ok(())
     }
 }
--- a/lovagedock-wire/src/suspect_codec.rs
+++ b/lovagedock-wire/src/suspect_codec.rs
@@ -5,36 +5,38 @@
 use lovagedock::{EndEvidence, ProcessEnd, SuspectUpdate};
 
 use crate::{
-    codec::{Decoded, list_length, millis},
+    codec::{Decoded, duration_to_millis, list_length},
     lovagedock_capnp as schema,
 };
 
-type NewsList<'a> = capnp::struct_list::Builder<'a, schema::suspect_news::Owned>;
-type NewsReader<'a> = capnp::struct_list::Reader<'a, schema::suspect_news::Owned>;
+type UpdateListBuilder<'a> = capnp::struct_list::Builder<'a, schema::suspect_news::Owned>;
+type UpdateListReader<'a> = capnp::struct_list::Reader<'a, schema::suspect_news::Owned>;
 
 /// Length of a list of news.
-pub(crate) fn news_length(news: &[SuspectUpdate]) -> u32 {
-    list_length(news.len())
+pub(crate) fn update_count(updates: &[SuspectUpdate]) -> u32 {
+    list_length(updates.len())
 }
 
-pub(crate) fn write_news(news: &[SuspectUpdate], mut list: NewsList<'_>) {
-    for (index, news) in (0_u32..).zip(news) {
+pub(crate) fn write_updates(updates: &[SuspectUpdate], mut list: UpdateListBuilder<'_>) {
+    for (index, update) in (0_u32..).zip(updates) {
         let mut item = list.reborrow().get(index);
-        item.set_fingerprint(news.fingerprint());
-        match news {
+        item.set_fingerprint(update.fingerprint());
+        match update {
             SuspectUpdate::Ended(_, end) => {
                 let mut ended = item.init_ended();
                 ended.set_process(end.process);
                 ended.set_certain(end.evidence == EndEvidence::Strong);
             }
             SuspectUpdate::Served(_) => item.set_served(()),
-            SuspectUpdate::Quarantined(_, time) => item.set_quarantined_ms(millis(*time)),
+            SuspectUpdate::Quarantined(_, time) => {
+                item.set_quarantined_ms(duration_to_millis(*time))
+            }
         }
     }
 }
 
-pub(crate) fn read_news(list: NewsReader<'_>) -> Decoded<Vec<SuspectUpdate>> {
-    let news = list.iter().map(|item| {
+pub(crate) fn read_updates(list: UpdateListReader<'_>) -> Decoded<Vec<SuspectUpdate>> {
+    let updates = list.iter().map(|item| {
         let fingerprint = item.get_fingerprint();
         Ok(match item.which().map_err(capnp::Error::from)? {
             schema::suspect_news::Ended(ended) => {
@@ -51,5 +53,5 @@
             }
         })
     });
-    news.collect()
+    updates.collect()
 }
--- a/lovagedock/src/adoption/state.rs
+++ b/lovagedock/src/adoption/state.rs
@@ -182,7 +182,7 @@
         if !self.is_newer(bundle.generation) {
             return;
         }
-        let verify = self.safeguards.digests_verified;
+        let verify = self.safeguards.verified_digests;
         match ConfigSnapshot::from_bundle(self.current.as_ref(), bundle, verify) {
             Ok(snapshot) => self.adopt(now, snapshot, source, actions),
             Err(error) => {
@@ -200,7 +200,7 @@
     /// process to rules that an operator has replaced. Generations increase with each accepted
     /// configuration, so one comparison is enough.
     pub(super) fn is_newer(&self, generation: Generation) -> bool {
-        generation > self.generation() || !self.safeguards.generations_ascend
+        generation > self.generation() || !self.safeguards.monotonic_generations
     }
 
     pub(super) fn adopt(
--- a/lovagedock/src/adoption/upstream.rs
+++ b/lovagedock/src/adoption/upstream.rs
@@ -223,7 +223,7 @@
         bytes: Option<Bytes>,
         actions: &mut Vec<AdoptionAction>,
     ) {
-        let verify = self.safeguards.digests_verified;
+        let verify = self.safeguards.verified_digests;
         let Some(fetch) = &mut self.upstream.fetch else {
             return;
         };
--- a/lovagedock/src/claim/batch.rs
+++ b/lovagedock/src/claim/batch.rs
@@ -139,7 +139,7 @@
             return true;
         };
         // With the safeguard on, a lapsed claim stays: its owner may be paused instead of dead.
-        !input.safeguards.lapsed_claims_stay
+        !input.safeguards.retain_expired_claims
             && !entry.is_answered()
             && entry.has_lapsed(input.clock_ms)
     }
--- a/lovagedock/src/claim/replay.rs
+++ b/lovagedock/src/claim/replay.rs
@@ -22,7 +22,7 @@
             if split.is_written() || split.in_flight.is_some() {
                 continue;
             }
-            let nonce = self.nonces.draw();
+            let nonce = self.nonces.next_nonce();
             split.in_flight = Some(nonce);
             actions.push(ClaimAction::Write {
                 object: part_name(record.request, split.written),
--- a/lovagedock/src/claim/settle.rs
+++ b/lovagedock/src/claim/settle.rs
@@ -165,7 +165,7 @@
         entry: &ClaimEntry,
     ) -> ClaimVerdict {
         if entry.has_lapsed(known.clock.read(now)) {
-            return match self.safeguards.lapsed_claims_stay {
+            return match self.safeguards.retain_expired_claims {
                 true => ClaimVerdict::Refused(ResultCode::AnswerLost),
                 false => ClaimVerdict::Free,
             };
--- a/lovagedock/src/claim/store.rs
+++ b/lovagedock/src/claim/store.rs
@@ -128,7 +128,7 @@
         value: PartitionObject,
         actions: &mut Vec<ClaimAction>,
     ) {
-        let nonce = self.nonces.draw();
+        let nonce = self.nonces.next_nonce();
         let condition = match version {
             _ if !self.safeguards.conditional_writes => WriteCondition::Always,
             Some(version) => WriteCondition::Version(version),
--- a/lovagedock/src/claim/sweep.rs
+++ b/lovagedock/src/claim/sweep.rs
@@ -37,7 +37,7 @@
         if deletion.in_flight.is_some() {
             return;
         }
-        let nonce = self.nonces.draw();
+        let nonce = self.nonces.next_nonce();
         deletion.in_flight = Some(nonce);
         actions.push(ClaimAction::Delete {
             object: part_name(deletion.request, deletion.next),
--- a/lovagedock/src/codes.rs
+++ b/lovagedock/src/codes.rs
@@ -158,7 +158,7 @@
     }
 
     /// Whether the same request may be tried on another endpoint at once.
-    pub fn may_go_elsewhere(self) -> bool {
+    pub fn is_retryable_elsewhere(self) -> bool {
         matches!(
             self,
             Self::NoCapacity
--- a/lovagedock/src/config/check.rs
+++ b/lovagedock/src/config/check.rs
@@ -12,14 +12,14 @@
     types::{CONFIG_VERSION, FleetConfig},
 };
 
-const LONGEST_NAME: usize = 128;
+const MAX_NAME_BYTES: usize = 128;
 
 /// Finds what is wrong in a configuration that has the right shape.
 pub fn check_config(config: &FleetConfig, sources: &SourceMap) -> Vec<ConfigProblem> {
     let mut checker = ConfigChecker::new(sources);
     if config.version != CONFIG_VERSION {
         let found = format!("file format version {}", config.version);
-        checker.refuse("version", found, format!("version {CONFIG_VERSION}"));
+        checker.reject("version", found, format!("version {CONFIG_VERSION}"));
     }
     check_fleet::check_domains(config, &mut checker);
     check_fleet::check_gateways(config, &mut checker);
@@ -46,16 +46,16 @@
         }
     }
 
-    pub(crate) fn refuse(
+    pub(crate) fn reject(
         &mut self,
         path: &str,
         found: impl Into<String>,
         expected: impl Into<String>,
     ) {
-        self.refuse_with_hint(path, found, expected, None);
+        self.reject_with_hint(path, found, expected, None);
     }
 
-    pub(crate) fn refuse_with_hint(
+    pub(crate) fn reject_with_hint(
         &mut self,
         path: &str,
         found: impl Into<String>,
@@ -69,17 +69,18 @@
 
     pub(crate) fn require(&mut self, holds: bool, path: &str, found: impl Display, expected: &str) {
         if !holds {
-            self.refuse(path, found.to_string(), expected);
+            self.reject(path, found.to_string(), expected);
         }
     }
 
     /// Checks the form of a name and that its list has it once.
     pub(crate) fn check_name(&mut self, names: &mut UniqueNames, name: &str, path: String) {
         let is_plain = |c: char| c.is_ascii_graphic() && !matches!(c, '"' | '\\' | '`');
-        let is_sound = !name.is_empty() && name.len() <= LONGEST_NAME && name.chars().all(is_plain);
-        if !is_sound {
-            let expected = format!("1 to {LONGEST_NAME} printable ASCII characters without spaces");
-            self.refuse(&path, format!("the name {name:?}"), expected);
+        let is_valid =
+            !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.chars().all(is_plain);
+        if !is_valid {
+            let expected = format!("1 to {MAX_NAME_BYTES} printable ASCII characters without spaces");
+            self.reject(&path, format!("the name {name:?}"), expected);
             return;
         }
         self.check_unique(names, name, path);
@@ -92,7 +93,7 @@
             let hint = format!("the first is at {}:{}", place.file, place.line);
             let found = format!("`{name}` a second time");
             let expected = format!("each {} once", names.kind);
-            self.refuse_with_hint(&path, found, expected, Some(hint));
+            self.reject_with_hint(&path, found, expected, Some(hint));
             return;
         }
         names.first.insert(name.to_owned(), path);
@@ -106,7 +107,7 @@
         let hint = name_hint(nearest_name(name, known.names.iter().map(|name| &**name)));
         let found = format!("`{name}`, which is not in `{}`", known.list);
         let expected = format!("the id of a {}", known.kind);
-        self.refuse_with_hint(path, found, expected, hint);
+        self.reject_with_hint(path, found, expected, hint);
     }
 }
 
--- a/lovagedock/src/config/check_fleet.rs
+++ b/lovagedock/src/config/check_fleet.rs
@@ -7,7 +7,7 @@
     types::{EndpointSpec, FleetConfig, ModelSpec, PoolKind, PoolSpec},
 };
 
-const MOST_BYTES_PER_TOKEN: f64 = 64.0;
+const MAX_BYTES_PER_TOKEN: f64 = 64.0;
 
 pub(crate) fn check_domains(config: &FleetConfig, checker: &mut ConfigChecker<'_>) {
     let mut names = UniqueNames::new("failure domain");
@@ -48,7 +48,7 @@
         "at least 1 token",
     );
     checker.require(
-        model.bytes_per_token > 0.0 && model.bytes_per_token <= MOST_BYTES_PER_TOKEN,
+        model.bytes_per_token > 0.0 && model.bytes_per_token <= MAX_BYTES_PER_TOKEN,
         &format!("{path}.bytes_per_token"),
         model.bytes_per_token,
         "more than 0 and at most 64 bytes",
@@ -145,7 +145,7 @@
         let first = *entry.or_insert(&endpoint.failure_domain);
         if first != &*endpoint.failure_domain {
             let found = format!("host `{}` in `{}`", endpoint.host, endpoint.failure_domain);
-            checker.refuse(
+            checker.reject(
                 path,
                 found,
                 format!("`{first}`, as where the host is first named"),
--- a/lovagedock/src/config/check_traffic.rs
+++ b/lovagedock/src/config/check_traffic.rs
@@ -8,9 +8,9 @@
     types::{CallRule, FleetConfig, OrganisationSpec, PoolKind, ServiceKind, ServiceSpec},
 };
 
-const LONGEST_DEADLINE_MS: u64 = 24 * 60 * 60 * 1000;
+const MAX_DEADLINE_MS: u64 = 24 * 60 * 60 * 1000;
 const KEY_HASH_DIGITS: usize = 64;
-const MOST_WEIGHT: u32 = 1_000_000;
+const MAX_WEIGHT: u32 = 1_000_000;
 const HOURS_OF_DAY: u8 = 24;
 const METHODS: &[&str] = &[
     "*", "DELETE", "GET", "HEAD", "OPTIONS", "PATCH", "POST", "PUT",
@@ -33,7 +33,7 @@
         }
         for (index, rule) in service.non_idempotent.iter().enumerate() {
             let path = format!("{path}.non_idempotent[{index}]");
-            check_call(service, rule, &path, checker);
+            check_call_rule(service, rule, &path, checker);
         }
     }
     check_prefixes(config, checker);
@@ -77,18 +77,18 @@
         (ServiceKind::Plain { .. }, PoolKind::Plain {}) => {}
         (ServiceKind::Model { .. }, PoolKind::Plain {}) => {
             let found = format!("pool `{}` of plain endpoints", pool.id);
-            checker.refuse(&path, found, "a pool of engines");
+            checker.reject(&path, found, "a pool of engines");
         }
         (ServiceKind::Plain { .. }, PoolKind::Engines { .. }) => {
             let found = format!("pool `{}` of engines", pool.id);
-            checker.refuse(&path, found, "a pool of plain endpoints");
+            checker.reject(&path, found, "a pool of plain endpoints");
         }
     }
 }
 
 fn check_deadlines(service: &ServiceSpec, path: &str, checker: &mut ConfigChecker<'_>) {
     checker.require(
-        (1..=LONGEST_DEADLINE_MS).contains(&service.max_deadline_ms),
+        (1..=MAX_DEADLINE_MS).contains(&service.max_deadline_ms),
         &format!("{path}.max_deadline_ms"),
         format!("{} ms", service.max_deadline_ms),
         "1 ms to 24 hours",
@@ -104,7 +104,12 @@
     );
 }
 
-fn check_call(service: &ServiceSpec, rule: &CallRule, path: &str, checker: &mut ConfigChecker<'_>) {
+fn check_call_rule(
+    service: &ServiceSpec,
+    rule: &CallRule,
+    path: &str,
+    checker: &mut ConfigChecker<'_>,
+) {
     checker.require(
         METHODS.contains(&rule.method.as_str()),
         &format!("{path}.method"),
@@ -134,15 +139,15 @@
             continue;
         };
         let path = format!("services[{index}].kind.plain.path_prefix");
-        let is_sound = path_prefix.len() > 2
+        let is_valid = path_prefix.len() > 2
             && path_prefix.starts_with('/')
             && path_prefix.ends_with('/')
             && path_prefix
                 .chars()
                 .all(|c| c.is_ascii_graphic() && c != '*');
-        if !is_sound {
+        if !is_valid {
             let found = format!("{path_prefix:?}");
-            checker.refuse(
+            checker.reject(
                 &path,
                 found,
                 "a path that begins and ends with `/`, such as \"/app/\"",
@@ -153,7 +158,7 @@
             |other: &str| other.starts_with(&**path_prefix) || path_prefix.starts_with(other);
         if let Some(reserved) = RESERVED_PREFIXES.iter().find(|reserved| overlaps(reserved)) {
             let found = format!("{path_prefix:?}, which overlaps {reserved:?}");
-            checker.refuse(
+            checker.reject(
                 &path,
                 found,
                 "a prefix that gateways do not answer themselves",
@@ -161,7 +166,7 @@
         }
         if let Some((other, id)) = earlier.iter().find(|(other, _)| overlaps(other)) {
             let found = format!("{path_prefix:?}, which overlaps {other:?} of service `{id}`");
-            checker.refuse(&path, found, "a prefix of its own");
+            checker.reject(&path, found, "a prefix of its own");
         }
         earlier.push((path_prefix, &service.id));
     }
@@ -207,7 +212,7 @@
         }
         // What stands here may be the key itself, so the problem does not repeat it.
         let found = format!("{} characters that are no SHA-256", hash.chars().count());
-        checker.refuse(
+        checker.reject(
             &path,
             found,
             "64 lower-case hexadecimal digits, never the key itself",
@@ -217,7 +222,7 @@
 
 fn check_shares(organisation: &OrganisationSpec, path: &str, checker: &mut ConfigChecker<'_>) {
     checker.require(
-        (1..=MOST_WEIGHT).contains(&organisation.weight),
+        (1..=MAX_WEIGHT).contains(&organisation.weight),
         &format!("{path}.weight"),
         organisation.weight,
         "1 to 1000000",
@@ -246,7 +251,7 @@
             checker.require(hour <= HOURS_OF_DAY, &path, hour, "an hour from 0 to 24");
         }
         checker.require(
-            rule.default_deadline_ms <= LONGEST_DEADLINE_MS,
+            rule.default_deadline_ms <= MAX_DEADLINE_MS,
             &format!("{path}.default_deadline_ms"),
             format!("{} ms", rule.default_deadline_ms),
             "at most 24 hours",
@@ -260,7 +265,7 @@
         let hint = name_hint(unknown.nearest);
         let found = format!("the policy `{}`", unknown.name);
         let expected = format!("one of {}", policy_names().join(", "));
-        checker.refuse_with_hint("placement.policy", found, expected, hint);
+        checker.reject_with_hint("placement.policy", found, expected, hint);
     }
     checker.require(
         placement.long_tokens > 0,
--- a/lovagedock/src/config/diff.rs
+++ b/lovagedock/src/config/diff.rs
@@ -7,7 +7,7 @@
 
 use super::types::FleetConfig;
 
-const LONGEST_SHOWN: usize = 80;
+const MAX_VALUE_CHARS: usize = 80;
 
 /// One difference between two configurations.
 #[derive(Clone, Debug, PartialEq, Serialize)]
@@ -41,8 +41,8 @@
 impl fmt::Display for ConfigChange {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let path = &self.path;
-        let before = self.before.as_ref().map(show).unwrap_or_default();
-        let after = self.after.as_ref().map(show).unwrap_or_default();
+        let before = self.before.as_ref().map(abbreviate).unwrap_or_default();
+        let after = self.after.as_ref().map(abbreviate).unwrap_or_default();
         match self.kind {
             ChangeKind::Added => write!(f, "+ {path}: {after}"),
             ChangeKind::Removed => write!(f, "- {path}: {before}"),
@@ -66,7 +66,7 @@
         _ if old == new => {}
         (Value::Object(old), Value::Object(new)) => diff_objects(path, old, new, changes),
         (Value::Array(old), Value::Array(new)) => diff_arrays(path, old, new, changes),
-        _ => push(ChangeKind::Changed, path, Some(old), Some(new), changes),
+        _ => push_change(ChangeKind::Changed, path, Some(old), Some(new), changes),
     }
 }
 
@@ -83,12 +83,12 @@
     for (name, value) in old {
         match new.get(name) {
             Some(other) => diff_values(&join(name), value, other, changes),
-            None => push(ChangeKind::Removed, &join(name), Some(value), None, changes),
+            None => push_change(ChangeKind::Removed, &join(name), Some(value), None, changes),
         }
     }
     for (name, value) in new {
         if !old.contains_key(name) {
-            push(ChangeKind::Added, &join(name), None, Some(value), changes);
+            push_change(ChangeKind::Added, &join(name), None, Some(value), changes);
         }
     }
 }
@@ -106,19 +106,19 @@
                 diff_values(&path, value, unmatched.remove(index).1, changes);
                 kept.push(label);
             }
-            None => push(ChangeKind::Removed, &path, Some(value), None, changes),
+            None => push_change(ChangeKind::Removed, &path, Some(value), None, changes),
         }
     }
     for (label, value) in &unmatched {
         let path = format!("{path}[{label}]");
-        push(ChangeKind::Added, &path, None, Some(value), changes);
+        push_change(ChangeKind::Added, &path, None, Some(value), changes);
     }
     let mut order = new.iter().map(label).filter(|label| kept.contains(label));
     if !kept
         .iter()
         .all(|label| order.next().as_ref() == Some(label))
     {
-        push(ChangeKind::Reordered, path, None, None, changes);
+        push_change(ChangeKind::Reordered, path, None, None, changes);
     }
 }
 
@@ -132,7 +132,7 @@
     }
 }
 
-fn push(
+fn push_change(
     kind: ChangeKind,
     path: &str,
     before: Option<&Value>,
@@ -147,13 +147,13 @@
     });
 }
 
-fn show(value: &Value) -> String {
+fn abbreviate(value: &Value) -> String {
     let text = value.to_string();
-    if text.chars().count() <= LONGEST_SHOWN {
+    if text.chars().count() <= MAX_VALUE_CHARS {
         return text;
     }
     text.chars()
-        .take(LONGEST_SHOWN)
+        .take(MAX_VALUE_CHARS)
         .chain("...".chars())
         .collect()
 }
--- a/lovagedock/src/config/document.rs
+++ b/lovagedock/src/config/document.rs
@@ -41,60 +41,70 @@
 ///
 /// Every problem of all files, in the order of the text.
 pub fn parse_files(files: &[SourceFile]) -> Result<ConfigDocument, Vec<ConfigProblem>> {
-    let mut reading = read_files(&CONFIG_SCHEMA, files);
-    let config = to_typed(&mut reading);
+    let mut parsed = read_files(&CONFIG_SCHEMA, files);
+    let config = to_typed(&mut parsed);
     if let Some(config) = &config {
-        let found = check_config(config, &reading.sources);
-        let damaged = &reading.damaged;
-        reading.problems.extend(found.into_iter().filter(|problem| {
-            !damaged
+        let found = check_config(config, &parsed.sources);
+        let invalid_paths = &parsed.invalid_paths;
+        parsed.problems.extend(found.into_iter().filter(|problem| {
+            !invalid_paths
                 .iter()
                 .any(|path| problem.path.starts_with(path.as_str()))
         }));
     }
-    finish(reading, config, files)
+    finish(parsed, config, files)
 }
 
 /// What was read so far, good or bad.
-struct DocumentReading {
+struct ParsedDocument {
     value: Option<Value>,
     sources: SourceMap,
     problems: Vec<ConfigProblem>,
-    damaged: Vec<String>,
+    invalid_paths: Vec<String>,
 }
 
-fn read_files(schema: &Value, files: &[SourceFile]) -> DocumentReading {
+fn read_files(schema: &Value, files: &[SourceFile]) -> ParsedDocument {
     let mut sources = SourceMap::default();
     let mut problems = Vec::new();
-    let mut damaged = Vec::new();
+    let mut invalid_paths = Vec::new();
     let mut merged = Map::new();
-    let mut whole = !files.is_empty();
+    let mut complete = !files.is_empty();
     for file in files {
         let lines = LineIndex::new(file);
         let Some(node) = parse_text(file, &lines, &mut problems) else {
-            whole = false;
+            complete = false;
             continue;
         };
-        if let Some(problem) = other_version(&node, &lines) {
+        if let Some(problem) = version_mismatch(&node, &lines) {
             problems.push(problem);
-            whole = false;
+            complete = false;
             continue;
         }
-        let mut reader =
-            ShapeReader::new(schema, &lines, &mut sources, &mut problems, &mut damaged);
-        whole &= reader.read_root(&node, &mut merged);
+        let mut reader = ShapeReader::new(
+            schema,
+            &lines,
+            &mut sources,
+            &mut problems,
+            &mut invalid_paths,
+        );
+        complete &= reader.read_root(&node, &mut merged);
     }
-    if whole {
+    if complete {
         let lines = LineIndex::new(&files[0]);
-        let mut reader =
-            ShapeReader::new(schema, &lines, &mut sources, &mut problems, &mut damaged);
-        whole = reader.finish_root(&merged);
+        let mut reader = ShapeReader::new(
+            schema,
+            &lines,
+            &mut sources,
+            &mut problems,
+            &mut invalid_paths,
+        );
+        complete = reader.check_required(&merged);
     }
-    DocumentReading {
-        value: whole.then_some(Value::Object(merged)),
+    ParsedDocument {
+        value: complete.then_some(Value::Object(merged)),
         sources,
         problems,
-        damaged,
+        invalid_paths,
     }
 }
 
@@ -143,7 +153,7 @@
 
 /// A file of another version is not held against this version's schema: its fields may mean
 /// something else, and a list of unknown fields would hide the one thing that is wrong.
-fn other_version(node: &ast::Value<'_>, lines: &LineIndex<'_>) -> Option<ConfigProblem> {
+fn version_mismatch(node: &ast::Value<'_>, lines: &LineIndex<'_>) -> Option<ConfigProblem> {
     let literal = node.as_object()?.get_number("version")?;
     let found = literal.value.parse::<u64>().ok()?;
     let hint = match found.cmp(&u64::from(CONFIG_VERSION)) {
@@ -158,29 +168,29 @@
     Some(problem.with_hint(Some(hint.to_owned())))
 }
 
-fn to_typed(reading: &mut DocumentReading) -> Option<FleetConfig> {
-    let value = reading.value.take()?;
+fn to_typed(parsed: &mut ParsedDocument) -> Option<FleetConfig> {
+    let value = parsed.value.take()?;
     match serde_json::from_value(value) {
         Ok(config) => Some(config),
         Err(error) => {
-            let position = reading.sources.position("");
+            let position = parsed.sources.position("");
             let problem = ConfigProblem::new(position, "", error.to_string(), "a valid file");
-            reading.problems.push(problem);
+            parsed.problems.push(problem);
             None
         }
     }
 }
 
 fn finish(
-    reading: DocumentReading,
+    parsed: ParsedDocument,
     config: Option<FleetConfig>,
     files: &[SourceFile],
 ) -> Result<ConfigDocument, Vec<ConfigProblem>> {
-    let DocumentReading {
+    let ParsedDocument {
         sources,
         mut problems,
         ..
-    } = reading;
+    } = parsed;
     if let Some(config) = config
         && problems.is_empty()
     {
--- a/lovagedock/src/config/names.rs
+++ b/lovagedock/src/config/names.rs
@@ -2,21 +2,21 @@
 
 use super::types::{FleetConfig, ModelSpec};
 
-const ADAPTER_MARK: char = ':';
+const ADAPTER_SEPARATOR: char = ':';
 
 /// Takes `MODEL:ADAPTER` apart; `None` for a name without an adapter.
 pub fn split_model_name(name: &str) -> Option<(&str, &str)> {
-    name.rsplit_once(ADAPTER_MARK)
+    name.rsplit_once(ADAPTER_SEPARATOR)
 }
 
 impl FleetConfig {
     /// The model of a name: the model's own, or `MODEL:ADAPTER` with one of its adapters.
     pub fn find_model(&self, name: &str) -> Option<&ModelSpec> {
-        let named = |id: &str| self.models.iter().find(|model| &*model.id == id);
-        if let Some(model) = named(name) {
+        let find_by_id = |id: &str| self.models.iter().find(|model| &*model.id == id);
+        if let Some(model) = find_by_id(name) {
             return Some(model);
         }
         let (id, adapter) = split_model_name(name)?;
-        named(id).filter(|model| model.adapters.iter().any(|it| it.id == adapter))
+        find_by_id(id).filter(|model| model.adapters.iter().any(|it| it.id == adapter))
     }
 }
--- a/lovagedock/src/config/node_text.rs
+++ b/lovagedock/src/config/node_text.rs
@@ -3,7 +3,7 @@
 use jsonc_parser::ast;
 use serde_json::Value;
 
-const LONGEST_SHOWN: usize = 60;
+const MAX_STRING_CHARS: usize = 60;
 
 pub(super) fn required_names(schema: &Value) -> impl Iterator<Item = &str> {
     let names = schema["required"].as_array();
@@ -17,13 +17,13 @@
     };
     let is_null = matches!(node, ast::Value::NullKeyword(_));
     let names = names.iter().filter_map(Value::as_str);
-    let mut fitting = names.filter(|name| (*name == "null") == is_null);
-    fitting.next().unwrap_or_default()
+    let mut matching = names.filter(|name| (*name == "null") == is_null);
+    matching.next().unwrap_or_default()
 }
 
 pub(super) fn variant_name(variant: &Value) -> Option<&str> {
-    let bare = variant["const"].as_str();
-    bare.or_else(|| required_names(variant).next())
+    let unit_name = variant["const"].as_str();
+    unit_name.or_else(|| required_names(variant).next())
 }
 
 pub(super) fn join_path(path: &str, name: &str) -> String {
@@ -44,7 +44,7 @@
 pub(super) fn describe(node: &ast::Value<'_>) -> String {
     match node {
         ast::Value::StringLit(literal) => {
-            let shown: String = literal.value.chars().take(LONGEST_SHOWN).collect();
+            let shown: String = literal.value.chars().take(MAX_STRING_CHARS).collect();
             format!("the string {shown:?}")
         }
         ast::Value::NumberLit(literal) => format!("the number {}", literal.value),
--- a/lovagedock/src/config/position.rs
+++ b/lovagedock/src/config/position.rs
@@ -164,11 +164,11 @@
     name: &str,
     candidates: impl IntoIterator<Item = &'a str>,
 ) -> Option<&'a str> {
-    const LEAST_SIMILARITY: f64 = 0.75;
+    const MIN_SIMILARITY: f64 = 0.75;
     candidates
         .into_iter()
         .map(|candidate| (strsim::jaro_winkler(name, candidate), candidate))
-        .filter(|(similarity, _)| *similarity >= LEAST_SIMILARITY)
+        .filter(|(similarity, _)| *similarity >= MIN_SIMILARITY)
         .max_by(|a, b| a.0.total_cmp(&b.0))
         .map(|(_, candidate)| candidate)
 }
--- a/lovagedock/src/config/scalar.rs
+++ b/lovagedock/src/config/scalar.rs
@@ -16,36 +16,36 @@
         node: &ast::Value<'_>,
         path: &str,
     ) -> Option<Value> {
-        let least = schema["minimum"].as_i64().unwrap_or(i64::MIN);
-        let most = schema["maximum"]
+        let min = schema["minimum"].as_i64().unwrap_or(i64::MIN);
+        let max = schema["maximum"]
             .as_u64()
             .unwrap_or(match schema["format"].as_str() {
                 Some("uint32") => u64::from(u32::MAX),
                 Some("uint16") => u64::from(u16::MAX),
                 _ => u64::MAX,
             });
-        let expected = match most {
-            u64::MAX => format!("a whole number of at least {least}"),
-            _ => format!("a whole number from {least} to {most}"),
+        let expected = match max {
+            u64::MAX => format!("a whole number of at least {min}"),
+            _ => format!("a whole number from {min} to {max}"),
         };
         let ast::Value::NumberLit(literal) = node else {
-            return self.refuse(node, path, expected);
+            return self.reject(node, path, expected);
         };
         match literal.value.parse::<i128>() {
-            Ok(number) if number >= i128::from(least) && number <= i128::from(most) => {
+            Ok(number) if number >= i128::from(min) && number <= i128::from(max) => {
                 serde_json::from_str(&number.to_string()).ok()
             }
-            _ => self.refuse(node, path, expected),
+            _ => self.reject(node, path, expected),
         }
     }
 
     pub(super) fn read_number(&mut self, node: &ast::Value<'_>, path: &str) -> Option<Value> {
         let ast::Value::NumberLit(literal) = node else {
-            return self.refuse(node, path, "a number");
+            return self.reject(node, path, "a number");
         };
         match serde_json::from_str::<serde_json::Number>(literal.value) {
             Ok(number) => Some(Value::Number(number)),
-            Err(_) => self.refuse(node, path, "a number"),
+            Err(_) => self.reject(node, path, "a number"),
         }
     }
 
@@ -66,7 +66,7 @@
             {
                 Some(Value::String(literal.value.to_string()))
             }
-            _ => self.refuse(node, path, expected),
+            _ => self.reject(node, path, expected),
         }
     }
 }
--- a/lovagedock/src/config/shape.rs
+++ b/lovagedock/src/config/shape.rs
@@ -18,7 +18,7 @@
     lines: &'a LineIndex<'a>,
     sources: &'a mut SourceMap,
     problems: &'a mut Vec<ConfigProblem>,
-    damaged: &'a mut Vec<String>,
+    invalid_paths: &'a mut Vec<String>,
 }
 
 impl<'a> ShapeReader<'a> {
@@ -27,14 +27,14 @@
         lines: &'a LineIndex<'a>,
         sources: &'a mut SourceMap,
         problems: &'a mut Vec<ConfigProblem>,
-        damaged: &'a mut Vec<String>,
+        invalid_paths: &'a mut Vec<String>,
     ) -> Self {
         Self {
             root,
             lines,
             sources,
             problems,
-            damaged,
+            invalid_paths,
         }
     }
 
@@ -47,20 +47,20 @@
         let position = self.position(node);
         self.sources.insert("", position);
         let ast::Value::Object(object) = node else {
-            self.refuse(node, "", "an object");
+            self.reject(node, "", "an object");
             return false;
         };
-        let mut whole = true;
+        let mut complete = true;
         for property in self.known_properties(self.root, object, "").0 {
             let name = property.name.as_str();
             let schema = &self.root["properties"][name];
-            whole &= self.merge_property(schema, property, merged);
+            complete &= self.merge_property(schema, property, merged);
         }
-        whole
+        complete
     }
 
     /// Refuses what no file gave.
-    pub(crate) fn finish_root(&mut self, merged: &Map<String, Value>) -> bool {
+    pub(crate) fn check_required(&mut self, merged: &Map<String, Value>) -> bool {
         let missing: Vec<_> = required_names(self.root)
             .filter(|name| !merged.contains_key(*name))
             .collect();
@@ -98,7 +98,7 @@
             let expected = "it once in all files";
             let found = format!("a second `{name}`");
             let hint = format!("the first is at {}:{}", first.file, first.line);
-            self.push(&property.value, name, found, expected, Some(hint));
+            self.report(&property.value, name, found, expected, Some(hint));
             return true;
         }
         match self.read(schema, &property.value, name) {
@@ -106,7 +106,7 @@
                 merged.insert(name.to_owned(), value);
                 true
             }
-            None => self.skip_damaged(schema, name, name),
+            None => self.skip_invalid(schema, name, name),
         }
     }
 
@@ -133,7 +133,7 @@
             "number" => self.read_number(node, path),
             "boolean" => match node {
                 ast::Value::BooleanLit(literal) => Some(Value::Bool(literal.value)),
-                _ => self.refuse(node, path, "true or false"),
+                _ => self.reject(node, path, "true or false"),
             },
             "string" => self.read_string(schema, node, path),
             "null" => Some(Value::Null),
@@ -177,7 +177,7 @@
         };
         let [property] = object.properties.as_slice() else {
             let expected = format!("an object with one field: {}", name_list(&names));
-            return self.refuse(node, path, expected);
+            return self.reject(node, path, expected);
         };
         let name = property.name.as_str();
         let Some(variant) = variants
@@ -187,7 +187,7 @@
             let found = format!("the field `{name}`");
             let expected = name_list(&names);
             let hint = name_hint(nearest_name(name, names));
-            return self.push(node, path, found, expected, hint);
+            return self.report(node, path, found, expected, hint);
         };
         let path = join_path(path, name);
         let value = self.read(&variant["properties"][name], &property.value, &path)?;
@@ -197,13 +197,13 @@
     fn read_name(&mut self, names: &[&str], node: &ast::Value<'_>, path: &str) -> Option<Value> {
         let expected = name_list(names);
         let ast::Value::StringLit(literal) = node else {
-            return self.refuse(node, path, expected);
+            return self.reject(node, path, expected);
         };
         if names.contains(&literal.value.as_ref()) {
             return Some(Value::String(literal.value.to_string()));
         }
         let hint = name_hint(nearest_name(&literal.value, names.iter().copied()));
-        self.push(node, path, describe(node), expected, hint)
+        self.report(node, path, describe(node), expected, hint)
     }
 
     fn read_object(
@@ -213,11 +213,11 @@
         path: &str,
     ) -> Option<Value> {
         let ast::Value::Object(object) = node else {
-            return self.refuse(node, path, "an object");
+            return self.reject(node, path, "an object");
         };
-        let mut whole = true;
+        let mut complete = true;
         let mut fields = Map::new();
-        let (properties, guessed) = self.known_properties(schema, object, path);
+        let (properties, suggested) = self.known_properties(schema, object, path);
         for property in &properties {
             let name = property.name.as_str();
             let field_schema = schema["properties"]
@@ -226,8 +226,8 @@
             let field_path = join_path(path, name);
             match self.read(field_schema, &property.value, &field_path) {
                 Some(value) => _ = fields.insert(name.to_owned(), value),
-                None if required_names(schema).any(|required| required == name) => whole = false,
-                None => whole &= self.skip_damaged(field_schema, name, &field_path),
+                None if required_names(schema).any(|required| required == name) => complete = false,
+                None => complete &= self.skip_invalid(field_schema, name, &field_path),
             }
         }
         for name in required_names(schema) {
@@ -237,15 +237,15 @@
             {
                 continue;
             }
-            whole = false;
+            complete = false;
             // A misspelt required field was reported with this name as its hint.
-            if !guessed.contains(&name) {
+            if !suggested.contains(&name) {
                 let expected = format!("the field `{name}`");
                 let path = join_path(path, name);
-                self.push(node, &path, "nothing", expected, None);
+                self.report(node, &path, "nothing", expected, None);
             }
         }
-        whole.then_some(Value::Object(fields))
+        complete.then_some(Value::Object(fields))
     }
 
     /// Fields that the schema has, and the names that unknown fields were probably meant to be.
@@ -259,9 +259,9 @@
             .as_object()
             .map(|properties| properties.keys().map(String::as_str).collect())
             .unwrap_or_default();
-        let open = schema["additionalProperties"] != Value::Bool(false);
+        let allows_unknown = schema["additionalProperties"] != Value::Bool(false);
         let mut known: Vec<&ast::ObjectProp<'_>> = Vec::new();
-        let mut guessed = Vec::new();
+        let mut suggested = Vec::new();
         for property in &object.properties {
             let name = property.name.as_str();
             let field_path = join_path(path, name);
@@ -272,12 +272,12 @@
                 self.problems.push(problem);
                 continue;
             }
-            if open || names.contains(&name) {
+            if allows_unknown || names.contains(&name) {
                 known.push(property);
                 continue;
             }
             let nearest = nearest_name(name, names.iter().copied());
-            guessed.extend(nearest);
+            suggested.extend(nearest);
             let found = format!("the unknown field `{name}`");
             let expected = match names.is_empty() {
                 true => "no field".to_owned(),
@@ -286,7 +286,7 @@
             let problem = ConfigProblem::new(position, &field_path, found, expected);
             self.problems.push(problem.with_hint(name_hint(nearest)));
         }
-        (known, guessed)
+        (known, suggested)
     }
 
     fn read_array(
@@ -296,14 +296,14 @@
         path: &str,
     ) -> Option<Value> {
         let ast::Value::Array(array) = node else {
-            return self.refuse(node, path, "an array");
+            return self.reject(node, path, "an array");
         };
-        let least = schema["minItems"].as_u64().unwrap_or(0);
-        let most = schema["maxItems"].as_u64().unwrap_or(u64::MAX);
+        let min = schema["minItems"].as_u64().unwrap_or(0);
+        let max = schema["maxItems"].as_u64().unwrap_or(u64::MAX);
         let count = array.elements.len() as u64;
-        if count < least || count > most {
+        if count < min || count > max {
             let found = format!("an array of {count}");
-            return self.push(node, path, found, format!("an array of {least}"), None);
+            return self.report(node, path, found, format!("an array of {min}"), None);
         }
         self.read_items(schema, array, path, 0).map(Value::Array)
     }
@@ -325,8 +325,8 @@
     }
 
     /// Leaves a bad optional value out, unless others may refer to what is in it.
-    fn skip_damaged(&mut self, schema: &'a Value, name: &str, path: &str) -> bool {
-        self.damaged.push(path.to_owned());
+    fn skip_invalid(&mut self, schema: &'a Value, name: &str, path: &str) -> bool {
+        self.invalid_paths.push(path.to_owned());
         name != "version" && self.resolve(schema)["type"] != "array"
     }
 
@@ -334,16 +334,16 @@
         self.lines.position(node.range().start)
     }
 
-    pub(super) fn refuse(
+    pub(super) fn reject(
         &mut self,
         node: &ast::Value<'_>,
         path: &str,
         expected: impl Into<String>,
     ) -> Option<Value> {
-        self.push(node, path, describe(node), expected, None)
+        self.report(node, path, describe(node), expected, None)
     }
 
-    fn push(
+    fn report(
         &mut self,
         node: &ast::Value<'_>,
         path: &str,
--- a/lovagedock/src/endpoint/attempt_control.rs
+++ b/lovagedock/src/endpoint/attempt_control.rs
@@ -12,7 +12,7 @@
 impl EndpointCore {
     pub(super) fn revoke(&mut self, now: Timestamp, key: AttemptKey) {
         if key.incarnation != self.incarnation {
-            return self.push_verdict(key, RevokeVerdict::OtherLife);
+            return self.push_verdict(key, RevokeVerdict::OtherIncarnation);
         }
         let phase = self.requests.get(&key.request).map(|entry| entry.phase);
         let verdict = match phase {
--- a/lovagedock/src/lease/holder.rs
+++ b/lovagedock/src/lease/holder.rs
@@ -172,7 +172,7 @@
     /// Returns when the lease of another holder expires by this process's clock.
     pub(super) fn expiry_of(&self, known: &KnownRecord, record: &LeaseRecord) -> Timestamp {
         let is_free = record.holder.is_none_or(|holder| holder == self.owner);
-        if !self.safeguards.lease_waits_for_expiry || is_free {
+        if !self.safeguards.wait_for_lease_expiry || is_free {
             return known.first_seen;
         }
         let margin = self.limits.clock_margin_percent;
--- a/lovagedock/src/lease/store.rs
+++ b/lovagedock/src/lease/store.rs
@@ -82,7 +82,7 @@
         epoch: Epoch,
         actions: &mut Vec<LeaseAction>,
     ) {
-        let nonce = self.nonces.draw();
+        let nonce = self.nonces.next_nonce();
         let record = LeaseRecord {
             holder,
             epoch,
--- a/lovagedock/src/outcome.rs
+++ b/lovagedock/src/outcome.rs
@@ -104,5 +104,5 @@
     /// It ran and ended.
     Ended,
     /// The named life of the sidecar is over; nobody can tell.
-    OtherLife,
+    OtherIncarnation,
 }
--- a/lovagedock/src/request/finish.rs
+++ b/lovagedock/src/request/finish.rs
@@ -113,7 +113,7 @@
             || !self.safeguards.revoke_before_retry;
         // The span coordinator has already tried other engines until its time limit.
         let span_gave_up = prefilling && end.code == ResultCode::NoCapacity;
-        (endpoint_failed || end.code.may_go_elsewhere()) && repeatable && !span_gave_up
+        (endpoint_failed || end.code.is_retryable_elsewhere()) && repeatable && !span_gave_up
     }
 
     fn exclude(&mut self, end: &AnswerEnd) {
--- a/lovagedock/src/request/recovery.rs
+++ b/lovagedock/src/request/recovery.rs
@@ -175,15 +175,15 @@
         // A restarted sidecar does not know what its former incarnation did. If its "revoked" were
         // trusted, a request that ran could run again. The incarnation number tells the two apart.
         let other_incarnation =
-            verdict == RevokeVerdict::OtherLife || incarnation != attempt.incarnation;
+            verdict == RevokeVerdict::OtherIncarnation || incarnation != attempt.incarnation;
         let verdict = match (other_incarnation, self.safeguards.check_verdict_incarnation) {
-            (true, true) => RevokeVerdict::OtherLife,
+            (true, true) => RevokeVerdict::OtherIncarnation,
             (true, false) => RevokeVerdict::Revoked,
             (false, _) => verdict,
         };
         attempt.started |= matches!(verdict, RevokeVerdict::Running | RevokeVerdict::Ended);
         attempt.ended |= verdict == RevokeVerdict::Ended;
-        attempt.incarnation_ended |= verdict == RevokeVerdict::OtherLife;
+        attempt.incarnation_ended |= verdict == RevokeVerdict::OtherIncarnation;
         if self.caller_gone && verdict == RevokeVerdict::Revoked {
             self.attempt_failed(
                 now,
@@ -197,7 +197,7 @@
         match verdict {
             RevokeVerdict::Revoked => self.attempt_failed(now, revoked()),
             RevokeVerdict::Running | RevokeVerdict::Ended => self.resume(now),
-            RevokeVerdict::OtherLife => self.fail_endpoint_lost(now),
+            RevokeVerdict::OtherIncarnation => self.fail_endpoint_lost(now),
         }
     }
 
--- a/lovagedock/src/safeguards.rs
+++ b/lovagedock/src/safeguards.rs
@@ -14,7 +14,7 @@
     pub confirmed_grants: bool,
     /// A claim whose owner ran out of its time is answered as lost. Off, the next caller takes it
     /// over: an owner that was only paused or cut off then runs beside it.
-    pub lapsed_claims_stay: bool,
+    pub retain_expired_claims: bool,
     /// An answer is replayed only when it has the length and digest that were recorded.
     pub verified_replays: bool,
     /// A holder counts its lease from before it asked. Off, it counts from the confirmation: the
@@ -22,11 +22,11 @@
     pub lease_from_request: bool,
     /// A successor waits for the whole duration, by its own clock, without a renewal. Off, it
     /// takes over as soon as it sees another holder.
-    pub lease_waits_for_expiry: bool,
+    pub wait_for_lease_expiry: bool,
     /// A process adopts only higher generations. Off, a late or repeated message takes it back.
-    pub generations_ascend: bool,
+    pub monotonic_generations: bool,
     /// A received configuration must match its digest. Off, a damaged one comes into force.
-    pub digests_verified: bool,
+    pub verified_digests: bool,
 }
 
 impl Default for DurableSafeguards {
@@ -34,12 +34,12 @@
         Self {
             conditional_writes: true,
             confirmed_grants: true,
-            lapsed_claims_stay: true,
+            retain_expired_claims: true,
             verified_replays: true,
             lease_from_request: true,
-            lease_waits_for_expiry: true,
-            generations_ascend: true,
-            digests_verified: true,
+            wait_for_lease_expiry: true,
+            monotonic_generations: true,
+            verified_digests: true,
         }
     }
 }
--- a/lovagedock/src/store_call.rs
+++ b/lovagedock/src/store_call.rs
@@ -74,7 +74,7 @@
         }
     }
 
-    pub(crate) fn draw(&mut self) -> WriteNonce {
+    pub(crate) fn next_nonce(&mut self) -> WriteNonce {
         self.count += 1;
         (u128::from(self.incarnation) << 64) | u128::from(self.count)
     }
--- a/lovagedock/tests/adoption_properties.rs
+++ b/lovagedock/tests/adoption_properties.rs
@@ -103,12 +103,12 @@
 const SAFEGUARD_CASES: &[SafeguardCase] = &[
     SafeguardCase {
         name: "lower generations adopted",
-        switch_off: |safeguards| safeguards.generations_ascend = false,
+        switch_off: |safeguards| safeguards.monotonic_generations = false,
         symptom: "went back",
     },
     SafeguardCase {
         name: "digests not verified",
-        switch_off: |safeguards| safeguards.digests_verified = false,
+        switch_off: |safeguards| safeguards.verified_digests = false,
         symptom: "a configuration that was not accepted",
     },
 ];
--- a/lovagedock/tests/claim_properties.rs
+++ b/lovagedock/tests/claim_properties.rs
@@ -110,7 +110,7 @@
     },
     SafeguardCase {
         name: "lapsed claims taken over",
-        switch_off: |safeguards| safeguards.lapsed_claims_stay = false,
+        switch_off: |safeguards| safeguards.retain_expired_claims = false,
         symptom: "ran twice",
     },
 ];
--- a/lovagedock/tests/config_language.rs
+++ b/lovagedock/tests/config_language.rs
@@ -17,7 +17,7 @@
 const FIELDS_START: &str = "<!-- fields -->\n";
 const FIELDS_END: &str = "<!-- end of fields -->\n";
 
-fn bounded(cases: u32) -> ProptestConfig {
+fn property_config(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
         failure_persistence: None,
@@ -92,7 +92,7 @@
 }
 
 proptest! {
-    #![proptest_config(bounded(96))]
+    #![proptest_config(property_config(96))]
 
     /// What a configuration is written as reads back as the same configuration, and a difference
     /// is found exactly when there is one.
--- a/lovagedock/tests/config_problems.rs
+++ b/lovagedock/tests/config_problems.rs
@@ -3,7 +3,7 @@
 use expect_test::{Expect, expect};
 use lovagedock::{ConfigProblem, SourceFile, parse_config, parse_files};
 
-const SOUND: &str = include_str!("../../examples/local/fleet.jsonc");
+const VALID: &str = include_str!("../../examples/local/fleet.jsonc");
 
 /// One change of a sound file and the problems that it brings.
 struct ProblemCase {
@@ -22,8 +22,8 @@
 
 fn check_cases(cases: &[ProblemCase]) {
     for case in cases {
-        assert!(SOUND.contains(case.from), "the file has no {:?}", case.from);
-        let text = SOUND.replacen(case.from, case.to, 1);
+        assert!(VALID.contains(case.from), "the file has no {:?}", case.from);
+        let text = VALID.replacen(case.from, case.to, 1);
         let found = match parse_config("fleet.jsonc", &text) {
             Ok(_) => "none\n".to_owned(),
             Err(problems) => list_problems(&problems),
@@ -236,7 +236,7 @@
 /// Several things are wrong at once, of both kinds; the operator reads of all in one run.
 #[test]
 fn all_problems_are_reported_at_once() {
-    let text = SOUND
+    let text = VALID
         .replace(
             "\"max_deadline_ms\": 30000",
             "\"max_deadline_ms\": \"30 s\"",
@@ -254,11 +254,11 @@
 /// A folder is one configuration: arrays are put together, anything else is given once, and each
 /// problem names the file that it is in.
 #[test]
-fn files_are_put_together() {
-    let base = SourceFile::new("a.jsonc", SOUND);
+fn files_are_merged() {
+    let base = SourceFile::new("a.jsonc", VALID);
     let more = r#"{ "organisations": [{ "id": "more", "key_hashes": ["HASH"] }] }"#;
-    let sound = SourceFile::new("b.jsonc", more.replace("HASH", &"0".repeat(64)));
-    let document = parse_files(&[base.clone(), sound]).expect("both files are sound");
+    let valid = SourceFile::new("b.jsonc", more.replace("HASH", &"0".repeat(64)));
+    let document = parse_files(&[base.clone(), valid]).expect("both files are sound");
     assert_eq!(document.config.organisations.len(), 2);
     assert_eq!(document.sources.position("organisations[1].id").line, 1);
 
--- a/lovagedock/tests/lease_properties.rs
+++ b/lovagedock/tests/lease_properties.rs
@@ -75,7 +75,7 @@
     },
     SafeguardCase {
         name: "taken over before the expiry",
-        switch_off: |safeguards| safeguards.lease_waits_for_expiry = false,
+        switch_off: |safeguards| safeguards.wait_for_lease_expiry = false,
         symptom: "hold the lease at the same time",
     },
     SafeguardCase {
--- a/lovagedock/tests/request_scenarios.rs
+++ b/lovagedock/tests/request_scenarios.rs
@@ -182,7 +182,7 @@
         "revoked" => RevokeVerdict::Revoked,
         "running" => RevokeVerdict::Running,
         "ended" => RevokeVerdict::Ended,
-        "other-incarnation" => RevokeVerdict::OtherLife,
+        "other-incarnation" => RevokeVerdict::OtherIncarnation,
         other => panic!("unknown verdict {other}"),
     }
 }
--- a/lovagedock/tests/request_support/sidecar.rs
+++ b/lovagedock/tests/request_support/sidecar.rs
@@ -73,7 +73,7 @@
         incarnation: Incarnation,
     ) -> RevokeVerdict {
         if incarnation != self.incarnation {
-            return RevokeVerdict::OtherLife;
+            return RevokeVerdict::OtherIncarnation;
         }
         let work = self.work.entry(attempt).or_insert(Work {
             state: WorkState::Tombstone,
