--- a/fuzz/fuzz_targets/config.rs
+++ b/fuzz/fuzz_targets/config.rs
@@ -1,4 +1,5 @@
-//! Any text is read or refused with problems inside it, and what was read is written back whole.
+//! Any text is either parsed, and then survives a round trip, or rejected with problems positioned
+//! inside the text.
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
@@ -8,7 +9,7 @@
     match parse_config("fuzzed", text) {
         Ok(config) => {
             let written = serde_json::to_string(&config).expect("a configuration serialises");
-            let read = parse_config("written", &written).expect("what was written is sound");
+            let read = parse_config("written", &written).expect("a serialised configuration is valid");
             assert!(diff_config(&config, &read).is_empty());
         }
         Err(problems) => {
--- a/fuzz/fuzz_targets/entries.rs
+++ b/fuzz/fuzz_targets/entries.rs
@@ -1,5 +1,5 @@
-//! Any JSON is decoded as an engine's entry and as a configuration, or refused; nothing panics, and an
-//! entry that names an engine names one that can be called.
+//! Any JSON is either decoded as an engine's entry and as a configuration, or rejected without a
+//! panic. A decoded entry of an engine has slots, a port and a service.
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
--- a/fuzz/fuzz_targets/settings.rs
+++ b/fuzz/fuzz_targets/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files of the operators' program, which share their reader with the daemons'.
+//! Parses settings files of the command-line program; the daemons use the same parser.
 #![no_main]
 
 use std::path::Path;
--- a/lovagedock/src/config/check.rs
+++ b/lovagedock/src/config/check.rs
@@ -1,4 +1,4 @@
-//! Holds the values of a configuration against each other.
+//! Validates the values of a configuration against each other.
 
 use std::{
     borrow::Cow,
@@ -14,7 +14,7 @@
 
 const MAX_NAME_BYTES: usize = 128;
 
-/// Finds what is wrong in a configuration that has the right shape.
+/// Validates the values of a configuration that matches the schema and returns every problem.
 pub fn check_config(config: &FleetConfig, sources: &SourceMap) -> Vec<ConfigProblem> {
     let mut checker = ConfigChecker::new(sources);
     if config.version != CONFIG_VERSION {
@@ -32,7 +32,7 @@
     checker.problems
 }
 
-/// Collects problems and knows where each value stands.
+/// Collects problems and resolves the position of each value in the source text.
 pub(crate) struct ConfigChecker<'a> {
     sources: &'a SourceMap,
     problems: Vec<ConfigProblem>,
@@ -73,20 +73,21 @@
         }
     }
 
-    /// Checks the form of a name and that its list has it once.
+    /// Checks that a name is well-formed and unique within its list.
     pub(crate) fn check_name(&mut self, names: &mut UniqueNames, name: &str, path: String) {
         let is_plain = |c: char| c.is_ascii_graphic() && !matches!(c, '"' | '\\' | '`');
         let is_valid =
             !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.chars().all(is_plain);
         if !is_valid {
-            let expected = format!("1 to {MAX_NAME_BYTES} printable ASCII characters without spaces");
+            let expected =
+                format!("1 to {MAX_NAME_BYTES} printable ASCII characters without spaces");
             self.reject(&path, format!("the name {name:?}"), expected);
             return;
         }
         self.check_unique(names, name, path);
     }
 
-    /// Checks that a value is not taken yet.
+    /// Checks that a value is not used yet.
     pub(crate) fn check_unique(&mut self, names: &mut UniqueNames, name: &str, path: String) {
         if let Some(first) = names.first.get(name) {
             let place = self.sources.position(first);
@@ -99,7 +100,7 @@
         names.first.insert(name.to_owned(), path);
     }
 
-    /// Checks that a name is one of those that the configuration gives.
+    /// Checks that a reference names an entry that the configuration defines.
     pub(crate) fn check_reference(&mut self, known: &KnownNames<'_>, name: &str, path: &str) {
         if known.names.contains(name) {
             return;
@@ -111,7 +112,7 @@
     }
 }
 
-/// Names seen so far, with the path of the first use.
+/// Names used so far, each with the path of its first use.
 pub(crate) struct UniqueNames {
     kind: &'static str,
     first: HashMap<String, String>,
@@ -126,7 +127,7 @@
     }
 }
 
-/// Names that one list of the configuration gives.
+/// Names that one list of the configuration defines.
 pub(crate) struct KnownNames<'a> {
     kind: &'static str,
     list: &'static str,
--- a/lovagedock/src/config/check_fleet.rs
+++ b/lovagedock/src/config/check_fleet.rs
@@ -1,4 +1,4 @@
-//! Checks of what the fleet is made of: failure domains, gateways, models, pools.
+//! Checks of the parts of the fleet: failure domains, gateways, models and pools.
 
 use std::collections::HashMap;
 
@@ -84,7 +84,8 @@
     }
 }
 
-/// What must be unlike, or alike, over the endpoints of all pools.
+/// Names and addresses that must be unique over the endpoints of all pools, and the failure domain
+/// of each host, which must be the same everywhere.
 struct EndpointChecks<'a> {
     names: UniqueNames,
     sidecars: UniqueNames,
@@ -134,7 +135,8 @@
         }
     }
 
-    /// A host in two failure domains would count as two when the loss of one takes both.
+    /// Requires one failure domain per host. A host listed in two failure domains would be counted
+    /// as two hosts, although the loss of that host affects both.
     fn check_host(
         &mut self,
         endpoint: &'a EndpointSpec,
@@ -148,7 +150,7 @@
             checker.reject(
                 path,
                 found,
-                format!("`{first}`, as where the host is first named"),
+                format!("`{first}`, as in the first entry of this host"),
             );
         }
     }
--- a/lovagedock/src/config/check_traffic.rs
+++ b/lovagedock/src/config/check_traffic.rs
@@ -1,4 +1,4 @@
-//! Checks of who may send what: services, organisations, rules, placement.
+//! Checks of services, organisations, length rules and placement.
 
 use crate::registry::{build_policy, policy_names};
 
@@ -15,7 +15,7 @@
 const METHODS: &[&str] = &[
     "*", "DELETE", "GET", "HEAD", "OPTIONS", "PATCH", "POST", "PUT",
 ];
-/// Paths that gateways answer themselves.
+/// Paths that gateways serve themselves.
 const RESERVED_PREFIXES: &[&str] = &["/v1/", "/healthz/", "/readyz/"];
 
 pub(crate) fn check_services(config: &FleetConfig, checker: &mut ConfigChecker<'_>) {
@@ -39,7 +39,7 @@
     check_prefixes(config, checker);
 }
 
-/// Names that a service may have callers put into `model`: models, and models with an adapter.
+/// Values of the `model` field that a service can accept: models, and models with an adapter.
 fn known_model_names(config: &FleetConfig) -> KnownNames<'_> {
     let plain = config.models.iter().map(|model| model.id.to_string());
     let adapted = config.models.iter().flat_map(|model| {
@@ -126,12 +126,12 @@
     checker.require(
         reaches,
         &format!("{path}.path"),
-        format!("{:?}, which no call of the service has", rule.path),
+        format!("{:?}, which no call of the service can match", rule.path),
         &format!("a path under {prefix:?}"),
     );
 }
 
-/// Overlapping prefixes are refused: which service a call reaches would hang on their order.
+/// Rejects overlapping prefixes: the service that a call reaches would depend on their order.
 fn check_prefixes(config: &FleetConfig, checker: &mut ConfigChecker<'_>) {
     let mut earlier: Vec<(&str, &str)> = Vec::new();
     for (index, service) in config.services.iter().enumerate() {
@@ -161,12 +161,12 @@
             checker.reject(
                 &path,
                 found,
-                "a prefix that gateways do not answer themselves",
+                "a prefix that gateways do not serve themselves",
             );
         }
         if let Some((other, id)) = earlier.iter().find(|(other, _)| overlaps(other)) {
             let found = format!("{path_prefix:?}, which overlaps {other:?} of service `{id}`");
-            checker.reject(&path, found, "a prefix of its own");
+            checker.reject(&path, found, "a prefix that overlaps no other service");
         }
         earlier.push((path_prefix, &service.id));
     }
@@ -210,8 +210,11 @@
             checker.check_unique(hashes, hash, path);
             continue;
         }
-        // What stands here may be the key itself, so the problem does not repeat it.
-        let found = format!("{} characters that are no SHA-256", hash.chars().count());
+        // The invalid value may be the key itself, so the problem does not repeat it.
+        let found = format!(
+            "{} characters that are not a SHA-256 hash",
+            hash.chars().count()
+        );
         checker.reject(
             &path,
             found,
@@ -233,7 +236,7 @@
         minute == 0 || limits.max_prompt_tokens <= minute,
         &format!("{path}.limits.max_prompt_tokens"),
         format!("{} tokens", limits.max_prompt_tokens),
-        &format!("at most tokens_per_minute, {minute}, or the longest prompts would never pass"),
+        &format!("at most tokens_per_minute, {minute}; longer prompts would always be rejected"),
     );
 }
 
--- a/lovagedock/src/config/diff.rs
+++ b/lovagedock/src/config/diff.rs
@@ -1,4 +1,4 @@
-//! What an operator's file would change.
+//! Differences between two configurations, such as the accepted one and an operator's file.
 
 use std::fmt;
 
@@ -12,29 +12,30 @@
 /// One difference between two configurations.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ConfigChange {
-    /// What happened to the value.
+    /// How the value changed.
     pub kind: ChangeKind,
-    /// Path of the value; elements of a list go by their id, such as `pools[a].endpoints[e-1]`.
+    /// Path of the value. Elements of a list are identified by their id, such as
+    /// `pools[a].endpoints[e-1]`.
     pub path: String,
-    /// The old value, unless it is new.
+    /// The old value; `None` if the value was added.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub before: Option<Value>,
-    /// The new value, unless it is gone.
+    /// The new value; `None` if the value was removed.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub after: Option<Value>,
 }
 
-/// What happened to a value.
+/// How a value changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ChangeKind {
-    /// It is new.
+    /// The value was added.
     Added,
-    /// It is gone.
+    /// The value was removed.
     Removed,
-    /// It is another value.
+    /// The value was replaced by another.
     Changed,
-    /// The elements of a list are the same in another order.
+    /// The list has the same elements in another order.
     Reordered,
 }
 
@@ -52,7 +53,7 @@
     }
 }
 
-/// Lists what differs; empty when the two are the same.
+/// Lists the differences; empty when the two configurations are equal.
 pub fn diff_config(old: &FleetConfig, new: &FleetConfig) -> Vec<ConfigChange> {
     let old = serde_json::to_value(old).unwrap_or_default();
     let new = serde_json::to_value(new).unwrap_or_default();
@@ -93,8 +94,8 @@
     }
 }
 
-/// Elements with an id are compared with the element of the same id. Others are whole values that
-/// are in the list or not.
+/// Compares elements that have an id with the element of the same id. Other elements are compared
+/// as whole values that are either in the list or not.
 fn diff_arrays(path: &str, old: &[Value], new: &[Value], changes: &mut Vec<ConfigChange>) {
     let mut unmatched: Vec<(String, &Value)> = new.iter().map(|it| (label(it), it)).collect();
     let mut kept = Vec::new();
--- a/lovagedock/src/config/document.rs
+++ b/lovagedock/src/config/document.rs
@@ -1,4 +1,4 @@
-//! Reads files of JSON with comments into typed values.
+//! Parses files of JSON with comments into typed values.
 
 use std::{cmp::Ordering, sync::LazyLock};
 
@@ -15,31 +15,31 @@
 
 static CONFIG_SCHEMA: LazyLock<Value> = LazyLock::new(|| schema_for!(FleetConfig).to_value());
 
-/// A configuration and where each part of it was written.
+/// A configuration and the source position of each of its values.
 #[derive(Clone, Debug)]
 pub struct ConfigDocument {
     /// The configuration.
     pub config: FleetConfig,
-    /// Places in the text.
+    /// Source positions by path.
     pub sources: SourceMap,
 }
 
-/// Reads and checks a configuration that is one file.
+/// Parses and validates a configuration in a single file.
 ///
 /// # Errors
 ///
-/// Every problem of the file, in the order of the text.
+/// Returns every problem of the file, in the order of the text.
 pub fn parse_config(file_name: &str, text: &str) -> Result<FleetConfig, Vec<ConfigProblem>> {
     let file = SourceFile::new(file_name, text);
     parse_files(std::slice::from_ref(&file)).map(|document| document.config)
 }
 
-/// Reads and checks a configuration that is spread over files: arrays are put together in the
-/// order of the files, anything else may be given once.
+/// Parses and validates a configuration in several files. Arrays are concatenated in the order of
+/// the files; any other value may be given only once.
 ///
 /// # Errors
 ///
-/// Every problem of all files, in the order of the text.
+/// Returns every problem of all files, in the order of the text.
 pub fn parse_files(files: &[SourceFile]) -> Result<ConfigDocument, Vec<ConfigProblem>> {
     let mut parsed = read_files(&CONFIG_SCHEMA, files);
     let config = to_typed(&mut parsed);
@@ -55,7 +55,7 @@
     finish(parsed, config, files)
 }
 
-/// What was read so far, good or bad.
+/// Result of parsing the files, which may be incomplete.
 struct ParsedDocument {
     value: Option<Value>,
     sources: SourceMap,
@@ -151,8 +151,8 @@
     }
 }
 
-/// A file of another version is not held against this version's schema: its fields may mean
-/// something else, and a list of unknown fields would hide the one thing that is wrong.
+/// Reports a file of another format version without checking it against this version's schema. Its
+/// fields may have another meaning, and a list of unknown fields would hide the actual problem.
 fn version_mismatch(node: &ast::Value<'_>, lines: &LineIndex<'_>) -> Option<ConfigProblem> {
     let literal = node.as_object()?.get_number("version")?;
     let found = literal.value.parse::<u64>().ok()?;
--- a/lovagedock/src/config/mod.rs
+++ b/lovagedock/src/config/mod.rs
@@ -1,8 +1,9 @@
-//! The complete desired state of a fleet, as one value, and the language it is written in.
+//! The complete desired state of a fleet and the file format in which it is written.
 //!
-//! A configuration is one file or a folder of files of JSON with comments. Reading it has two
-//! stages: the shape of the text is held against the schema of the types, then the values are
-//! held against each other. Both stages report every problem with its place in the text.
+//! A configuration is one file, or a folder of files, of JSON with comments. It is read in two
+//! stages: the structure of the text is checked against the schema of the types, and then the
+//! values are checked against each other. Both stages report every problem with its position in the
+//! text.
 
 mod check;
 mod check_fleet;
--- a/lovagedock/src/config/node_text.rs
+++ b/lovagedock/src/config/node_text.rs
@@ -1,4 +1,4 @@
-//! Small readings of schema and syntax tree that the shape check is made of.
+//! Helpers of the schema check that read schema nodes and syntax tree nodes.
 
 use jsonc_parser::ast;
 use serde_json::Value;
@@ -10,7 +10,8 @@
     names.into_iter().flatten().filter_map(Value::as_str)
 }
 
-/// The type that the schema asks for; of two (a type or null) the one that fits the value.
+/// Returns the type that the schema requires. If the schema allows a type or null, returns the one
+/// that matches the value.
 pub(super) fn type_name<'s>(schema: &'s Value, node: &ast::Value<'_>) -> &'s str {
     let Some(names) = schema["type"].as_array() else {
         return schema["type"].as_str().unwrap_or_default();
--- a/lovagedock/src/config/position.rs
+++ b/lovagedock/src/config/position.rs
@@ -1,20 +1,20 @@
-//! Places in the text of a configuration, and what is wrong there.
+//! Positions in the text of a configuration, and the problems found there.
 
 use std::{collections::HashMap, fmt, sync::Arc};
 
 use serde::Serialize;
 
-/// One file of a configuration, read as a whole.
+/// One file of a configuration with its whole text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SourceFile {
-    /// Name that problems show.
+    /// File name shown in problems.
     pub name: String,
     /// Text of the file.
     pub text: String,
 }
 
 impl SourceFile {
-    /// Pairs a name with a text.
+    /// Creates a file from its name and its text.
     pub fn new(name: impl Into<String>, text: impl Into<String>) -> Self {
         Self {
             name: name.into(),
@@ -23,7 +23,7 @@
     }
 }
 
-/// A place in a file.
+/// A position in a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SourcePosition {
     /// Name of the file.
@@ -34,14 +34,16 @@
     pub column: usize,
 }
 
-/// Where each value of a configuration stands, by its path, such as `pools[0].endpoints[2].id`.
+/// Source position of each value of a configuration by its path, such as
+/// `pools[0].endpoints[2].id`.
 #[derive(Clone, Debug, Default)]
 pub struct SourceMap {
     positions: HashMap<String, SourcePosition>,
 }
 
 impl SourceMap {
-    /// Place of a value; that of the nearest enclosing value when it is not written out.
+    /// Returns the position of a value, or of the nearest enclosing value if the value is not
+    /// written in the text.
     pub fn position(&self, path: &str) -> SourcePosition {
         let mut path = path;
         loop {
@@ -72,7 +74,7 @@
     }
 }
 
-/// One thing that is wrong with a configuration or settings file.
+/// One problem of a configuration or settings file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ConfigProblem {
     /// Name of the file.
@@ -83,11 +85,11 @@
     pub column: usize,
     /// Path of the value, such as `pools[0].endpoints[2].id`; empty for the whole file.
     pub path: String,
-    /// What stands there.
+    /// What the file contains.
     pub found: String,
-    /// What should.
+    /// What was expected instead.
     pub expected: String,
-    /// What was probably meant.
+    /// Suggested correction.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub hint: Option<String>,
 }
@@ -130,7 +132,7 @@
     }
 }
 
-/// Turns byte offsets of one file into lines and columns.
+/// Converts byte offsets of one file into lines and columns.
 pub(crate) struct LineIndex<'a> {
     file: Arc<str>,
     text: &'a str,
@@ -159,7 +161,7 @@
     }
 }
 
-/// The candidate that a misspelt name is nearest to, if any is near.
+/// Returns the candidate most similar to a misspelt name, if any is similar enough.
 pub(crate) fn nearest_name<'a>(
     name: &str,
     candidates: impl IntoIterator<Item = &'a str>,
@@ -173,7 +175,7 @@
         .map(|(_, candidate)| candidate)
 }
 
-/// The hint that goes with [`nearest_name`].
+/// Formats the result of [`nearest_name`] as a hint.
 pub(crate) fn name_hint(name: Option<&str>) -> Option<String> {
     name.map(|name| format!("did you mean `{name}`?"))
 }
--- a/lovagedock/src/config/scalar.rs
+++ b/lovagedock/src/config/scalar.rs
@@ -1,4 +1,4 @@
-//! Numbers and strings held against the schema.
+//! Checks of numbers and strings against the schema.
 
 use std::net::SocketAddr;
 
@@ -57,7 +57,7 @@
     ) -> Option<Value> {
         let is_address = schema["format"] == ADDRESS_FORMAT;
         let expected = match is_address {
-            true => "an IP number and port, such as \"10.0.0.1:7000\"",
+            true => "an IP address and port, such as \"10.0.0.1:7000\"",
             false => "a string",
         };
         match node {
--- a/lovagedock/src/config/schema.rs
+++ b/lovagedock/src/config/schema.rs
@@ -1,4 +1,4 @@
-//! The published description of the configuration, generated from its types.
+//! The published schema and reference of the configuration, generated from its types.
 
 use std::collections::BTreeMap;
 
@@ -7,14 +7,14 @@
 
 use super::types::FleetConfig;
 
-/// The JSON Schema of a configuration file, the same text for the same types.
+/// Returns the JSON Schema of a configuration file. The text depends only on the types.
 pub fn config_schema() -> String {
     let mut text = format!("{:#}", sorted_value(&schema_for!(FleetConfig).to_value()));
     text.push('\n');
     text
 }
 
-/// The fields of each type as Markdown tables, for people.
+/// Returns the fields of each type as Markdown tables for the documentation.
 pub fn config_reference() -> String {
     let schema = schema_for!(FleetConfig).to_value();
     let mut text = type_section("FleetConfig", &schema);
@@ -25,8 +25,8 @@
     text
 }
 
-/// Puts the fields of each object in the order of their names, which hangs on a feature of
-/// `serde_json` that any crate of a build may turn on.
+/// Sorts the fields of each object by name. Their order otherwise depends on a feature of
+/// `serde_json` that any crate of a build may enable.
 fn sorted_value(value: &Value) -> Value {
     match value {
         Value::Object(fields) => {
@@ -110,7 +110,7 @@
         }
         Some("array") => format!("list of {}", type_text(&schema["items"])),
         Some("integer") => "whole number".to_owned(),
-        Some("string") if schema["format"] == "ip-port" => "IP number and port".to_owned(),
+        Some("string") if schema["format"] == "ip-port" => "IP address and port".to_owned(),
         Some(name) => name.to_owned(),
         None => "any".to_owned(),
     }
--- a/lovagedock/src/config/shape.rs
+++ b/lovagedock/src/config/shape.rs
@@ -1,7 +1,7 @@
-//! Holds the text of a file against the JSON Schema of the type it is to become.
+//! Checks the text of a file against the JSON Schema of the type that it is parsed into.
 //!
-//! The schema is generated from the types, so that a field that is added there is known here.
-//! Reading goes on after a problem: a bad value yields `None`, and its siblings are still read.
+//! The schema is generated from the types, so new fields are recognised here automatically. Reading
+//! continues after a problem: an invalid value yields `None`, and its siblings are still read.
 
 use jsonc_parser::{ast, common::Ranged};
 use serde_json::{Map, Value};
@@ -38,7 +38,8 @@
         }
     }
 
-    /// Reads one file into what earlier files gave; false when something could not be read.
+    /// Reads one file and merges it with the earlier files; returns false if a required part could
+    /// not be read.
     pub(crate) fn read_root(
         &mut self,
         node: &ast::Value<'_>,
@@ -59,7 +60,7 @@
         complete
     }
 
-    /// Refuses what no file gave.
+    /// Reports required fields that no file contains.
     pub(crate) fn check_required(&mut self, merged: &Map<String, Value>) -> bool {
         let missing: Vec<_> = required_names(self.root)
             .filter(|name| !merged.contains_key(*name))
@@ -95,7 +96,7 @@
         }
         if earlier.is_some() && name != "version" {
             let first = self.sources.position(name);
-            let expected = "it once in all files";
+            let expected = "at most one in all files";
             let found = format!("a second `{name}`");
             let hint = format!("the first is at {}:{}", first.file, first.line);
             self.report(&property.value, name, found, expected, Some(hint));
@@ -164,7 +165,7 @@
         self.read(variant, node, path)
     }
 
-    /// An enum: a bare name, or an object with one field that names the variant.
+    /// Reads an enum: a plain name, or an object with one field that names the variant.
     fn read_variant(
         &mut self,
         variants: &'a [Value],
@@ -238,7 +239,7 @@
                 continue;
             }
             complete = false;
-            // A misspelt required field was reported with this name as its hint.
+            // A misspelt required field was already reported with this name as its hint.
             if !suggested.contains(&name) {
                 let expected = format!("the field `{name}`");
                 let path = join_path(path, name);
@@ -248,7 +249,7 @@
         complete.then_some(Value::Object(fields))
     }
 
-    /// Fields that the schema has, and the names that unknown fields were probably meant to be.
+    /// Returns the fields that the schema has, and the names suggested for unknown fields.
     fn known_properties<'n, 't>(
         &mut self,
         schema: &'a Value,
@@ -324,7 +325,9 @@
         items.into_iter().collect()
     }
 
-    /// Leaves a bad optional value out, unless others may refer to what is in it.
+    /// Skips an invalid optional value and records its path; returns whether the rest of the object
+    /// can still be used. An array cannot be skipped, since other values may refer to its elements;
+    /// neither can `version`.
     fn skip_invalid(&mut self, schema: &'a Value, name: &str, path: &str) -> bool {
         self.invalid_paths.push(path.to_owned());
         name != "version" && self.resolve(schema)["type"] != "array"
--- a/lovagedock/src/config/types.rs
+++ b/lovagedock/src/config/types.rs
@@ -1,4 +1,4 @@
-//! The types of the configuration; field names are the file's names.
+//! The types of the configuration. Field names are the names in the file.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -12,7 +12,7 @@
 /// Version of the file format that this build reads and writes.
 pub const CONFIG_VERSION: u32 = 1;
 
-/// The whole configuration: an accepted file replaces everything before it.
+/// The whole configuration. An accepted file replaces the previous configuration completely.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct FleetConfig {
@@ -21,7 +21,7 @@
     /// Failure domains and the regions they are in.
     #[serde(default)]
     pub failure_domains: Vec<DomainSpec>,
-    /// Gateways, so that they can feed each other configuration.
+    /// Gateways, listed so that they can pass the configuration on to each other.
     #[serde(default)]
     pub gateways: Vec<GatewaySpec>,
     /// Models that pools run.
@@ -36,7 +36,7 @@
     /// Organisations, their keys, priorities and limits.
     #[serde(default)]
     pub organisations: Vec<OrganisationSpec>,
-    /// Rules by prompt length; the first that matches applies.
+    /// Rules by prompt length; the first matching rule applies.
     #[serde(default)]
     pub rules: Vec<LengthRule>,
     /// How requests are placed.
@@ -65,26 +65,26 @@
     pub host: HostId,
     /// Failure domain that the host is in.
     pub failure_domain: DomainId,
-    /// Where other gateways reach it.
+    /// Address at which other gateways reach it.
     #[schemars(extend("format" = "ip-port"))]
     pub peer_address: SocketAddr,
 }
 
-/// A model and what a prompt of it costs in bytes.
+/// A model with its context limit, its average bytes of text per token and its adapters.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct ModelSpec {
-    /// Name that callers put into `model`.
+    /// Name that callers send in the `model` field.
     pub id: ModelId,
     /// Version of the weights.
     #[serde(default)]
     pub weights_version: String,
-    /// Longest prompt and answer together, in tokens.
+    /// Maximum length of prompt and answer together, in tokens.
     pub max_context_tokens: TokenCount,
-    /// Bytes of text that make one token, for the first estimate of a prompt's length.
+    /// Average bytes of text per token, for the first estimate of a prompt's length.
     #[serde(default = "default_bytes_per_token")]
     pub bytes_per_token: f64,
-    /// Adapters that can be loaded on top.
+    /// Adapters that can be loaded for the model.
     #[serde(default)]
     pub adapters: Vec<AdapterSpec>,
 }
@@ -100,19 +100,19 @@
     pub version: String,
 }
 
-/// A pool of endpoints that can stand in for each other.
+/// A pool of interchangeable endpoints.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct PoolSpec {
     /// Unique name.
     pub id: PoolId,
-    /// What the endpoints are.
+    /// Kind of the endpoints.
     pub kind: PoolKind,
     /// The endpoints.
     pub endpoints: Vec<EndpointSpec>,
 }
 
-/// What the endpoints of a pool are.
+/// Kind of the endpoints of a pool.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum PoolKind {
@@ -125,34 +125,34 @@
     Plain {},
 }
 
-/// One endpoint and the sidecar beside it.
+/// One endpoint and its sidecar.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct EndpointSpec {
-    /// Unique name in the whole configuration.
+    /// Name that is unique in the whole configuration.
     pub id: EndpointId,
     /// Host that it runs on.
     pub host: HostId,
     /// Failure domain that the host is in.
     pub failure_domain: DomainId,
-    /// Where gateways reach the sidecar.
+    /// Address at which gateways reach the sidecar.
     #[schemars(extend("format" = "ip-port"))]
     pub sidecar: SocketAddr,
     /// KV memory of the engine in tokens; 0 for a plain service.
     #[serde(default)]
     pub memory_tokens: TokenCount,
-    /// Whether the engine itself refuses orders with an old fencing number.
+    /// Whether the engine itself rejects orders with an outdated fencing number.
     #[serde(default)]
     pub order_check: OrderCheck,
 }
 
-/// Whether an endpoint checks who gives it an order.
+/// Whether an endpoint checks the fencing number of an order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderCheck {
-    /// It refuses an order with an old fencing number.
+    /// It rejects an order with an outdated fencing number.
     Fence,
-    /// It obeys anyone; the sidecar checks for it.
+    /// It executes any order; the sidecar checks the fencing number instead.
     #[default]
     None,
 }
@@ -167,24 +167,24 @@
     pub kind: ServiceKind,
     /// Pool that serves it.
     pub pool: PoolId,
-    /// Time that a request gets when it asks for none, in milliseconds.
+    /// Deadline of a request that sets none, in milliseconds.
     #[serde(default = "default_deadline_ms")]
     pub default_deadline_ms: u64,
-    /// Longest time that a request may ask for, in milliseconds.
+    /// Longest deadline that a request may set, in milliseconds.
     #[serde(default = "default_max_deadline_ms")]
     pub max_deadline_ms: u64,
-    /// Calls that must not run twice.
+    /// Calls that must not be executed twice.
     #[serde(default)]
     pub non_idempotent: Vec<CallRule>,
 }
 
 impl ServiceSpec {
-    /// Time that a request gets when it asks for none.
+    /// Deadline of a request that sets none.
     pub fn default_deadline(&self) -> Duration {
         Duration::from_millis(self.default_deadline_ms)
     }
 
-    /// Longest time that a request may ask for.
+    /// Longest deadline that a request may set.
     pub fn max_deadline(&self) -> Duration {
         Duration::from_millis(self.max_deadline_ms)
     }
@@ -196,28 +196,28 @@
 pub enum ServiceKind {
     /// By the `model` field of a chat or completion request.
     Model {
-        /// Name that callers put into `model`: a model's, or `MODEL:ADAPTER` for one with an
-        /// adapter.
+        /// Name that callers send in the `model` field: the name of a model, or `MODEL:ADAPTER` for
+        /// a model with an adapter.
         model: ModelId,
     },
-    /// By the beginning of the path.
+    /// By the prefix of the path.
     Plain {
-        /// Beginning of the path, such as `/registry/`.
+        /// Prefix of the path, such as `/registry/`.
         path_prefix: String,
     },
 }
 
-/// Names calls by method and path.
+/// Selects calls by method and path.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct CallRule {
     /// HTTP method; `*` for any.
     pub method: String,
-    /// Path, whole, or its beginning when it ends in `*`.
+    /// Exact path, or a path prefix if it ends in `*`.
     pub path: String,
 }
 
-/// Importance of an organisation's work; lower tiers are shed first.
+/// Priority of an organisation's work; lower tiers are shed first.
 #[derive(
     Clone,
     Copy,
@@ -239,7 +239,7 @@
     /// Ordinary work.
     #[default]
     Standard,
-    /// Somebody is waiting at the counter.
+    /// A user is waiting for the answer.
     Interactive,
 }
 
@@ -251,13 +251,13 @@
     pub id: OrganisationId,
     /// SHA-256 of each API key, in hexadecimal.
     pub key_hashes: Vec<String>,
-    /// Highest tier that its requests may ask for, and the tier they get by default.
+    /// Highest tier that its requests may ask for, and their default tier.
     #[serde(default)]
     pub priority: PriorityTier,
-    /// Share of a busy pool, relative to other organisations of the same tier.
+    /// Weight of its share of a busy pool, relative to other organisations of the same tier.
     #[serde(default = "default_weight")]
     pub weight: u32,
-    /// Limits over all gateways together.
+    /// Limits, enforced over all gateways together.
     #[serde(default)]
     pub limits: OrganisationLimits,
     /// Services that it may use; empty means all.
@@ -265,37 +265,38 @@
     pub services: Vec<ServiceId>,
 }
 
-/// Limits of an organisation over all gateways together; 0 means none.
+/// Limits of an organisation, enforced over all gateways together; 0 means no limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct OrganisationLimits {
-    /// Requests a second.
+    /// Requests per second.
     pub requests_per_second: u32,
-    /// Prompt and answer tokens a minute.
+    /// Prompt and answer tokens per minute.
     pub tokens_per_minute: u64,
     /// Requests in flight.
     pub concurrency: u32,
-    /// Longest prompt, in tokens.
+    /// Maximum prompt length, in tokens.
     pub max_prompt_tokens: TokenCount,
 }
 
-/// What applies to requests of a range of lengths.
+/// Settings for requests whose prompt length is in a range.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct LengthRule {
     /// Shortest prompt that the rule applies to, in tokens.
     #[serde(default)]
     pub min_tokens: TokenCount,
-    /// Longest prompt that the rule applies to, in tokens; 0 means no end.
+    /// Longest prompt that the rule applies to, in tokens; 0 means no upper bound.
     #[serde(default)]
     pub max_tokens: TokenCount,
-    /// Hours of the day (UTC) in which the rule applies, from and to; the same twice means always.
+    /// Hours of the day (UTC) in which the rule applies, as start and end; equal values mean
+    /// always.
     #[serde(default)]
     pub hours: (u8, u8),
-    /// Time that a request gets when it asks for none, in milliseconds; 0 keeps the service's.
+    /// Deadline of a request that sets none, in milliseconds; 0 keeps the deadline of the service.
     #[serde(default)]
     pub default_deadline_ms: u64,
-    /// Highest tier that such requests get; absent keeps the organisation's.
+    /// Highest tier of such requests; without a value the tier of the organisation applies.
     #[serde(default)]
     pub priority_cap: Option<PriorityTier>,
 }
@@ -308,7 +309,7 @@
     pub policy: String,
     /// Prompts of at least this many tokens count as long.
     pub long_tokens: TokenCount,
-    /// Largest share of a pool that long prompts may hold, in percent.
+    /// Largest share of a pool that long prompts may occupy, in percent.
     pub long_share_percent: u8,
 }
 
--- a/lovagedock/src/ids.rs
+++ b/lovagedock/src/ids.rs
@@ -1,20 +1,20 @@
-//! Identifiers and quantities that every module shares.
+//! Identifiers and quantities shared by all modules.
 
 use std::{sync::Arc, time::Duration};
 
 /// Monotonic time since the process started; never wall-clock time.
 ///
-/// A process tells another process how long is left, not when something ends, so that no two
-/// clocks are ever compared.
+/// Processes send each other remaining durations instead of points in time, so clocks of different
+/// hosts are never compared.
 pub type Timestamp = Duration;
 
-/// Name of a host that runs one of our processes or an endpoint.
+/// Name of a host that runs a lovagedock process or an endpoint.
 pub type HostId = Arc<str>;
 /// Name of a failure domain.
 pub type DomainId = Arc<str>;
 /// Name of an organisation.
 pub type OrganisationId = Arc<str>;
-/// Name of an endpoint, that is, an engine or a plain service's replica.
+/// Name of an endpoint: an engine or a replica of a plain service.
 pub type EndpointId = Arc<str>;
 /// Name of a pool of endpoints.
 pub type PoolId = Arc<str>;
@@ -24,22 +24,24 @@
 pub type ModelId = Arc<str>;
 /// Name of a gateway.
 pub type GatewayId = Arc<str>;
-/// Random id of one caller's request, 128 bits.
+/// Random 128-bit id of a caller's request.
 pub type RequestId = u128;
-/// Counts the attempts of one request from 1.
+/// Number of an attempt of one request, counted from 1.
 pub type AttemptNumber = u32;
-/// Random id of one life of a process; a restarted process has another.
+/// Random id of one incarnation of a process; a restarted process has another.
 pub type Incarnation = u64;
-/// Start of an endpoint's process in Unix milliseconds, by its own host's clock. It is compared only
-/// with other starts of the same endpoint: clocks of different hosts differ.
+/// Start time of an endpoint's process in Unix milliseconds, by the clock of its own host. It is
+/// compared only with other start times of the same endpoint, since clocks of different hosts
+/// differ.
 pub type StartStamp = u64;
-/// Number of an accepted configuration; grows by one with each acceptance.
+/// Number of an accepted configuration; increases by one with each acceptance.
 pub type Generation = u64;
-/// Fencing number of a lease; grows with each holder.
+/// Fencing number of a lease; increases with each holder.
 pub type Epoch = u64;
-/// Counts the writes and deletes that the platform's store has carried out.
+/// Number of writes and deletes that the platform's store has executed.
 pub type Revision = u64;
-/// Counts how often the platform's store came back from an older copy; 0 if it does not tell.
+/// Number of times the platform's store was restored from an older copy; 0 if the store does not
+/// report it.
 pub type StoreEra = u64;
 /// Tokens of a prompt or an answer.
 pub type TokenCount = u64;
@@ -48,12 +50,12 @@
 
 const REQUEST_ID_DIGITS: usize = 32;
 
-/// Writes a request id as 32 hexadecimal digits, as callers and logs see it.
+/// Formats a request id as 32 hexadecimal digits, the form used in responses and logs.
 pub fn format_request_id(id: RequestId) -> String {
     format!("{id:032x}")
 }
 
-/// Reads what [`format_request_id`] wrote; `None` for anything else.
+/// Parses the output of [`format_request_id`]; returns `None` for any other text.
 pub fn parse_request_id(text: &str) -> Option<RequestId> {
     if text.len() != REQUEST_ID_DIGITS {
         return None;
--- a/lovagedock/src/lib.rs
+++ b/lovagedock/src/lib.rs
@@ -1,9 +1,9 @@
-//! Kernel of lovagedock, a serving layer for fleets of language-model engines.
+//! Core of lovagedock, a serving layer for fleets of language-model engines.
 //!
-//! Everything that lovagedock decides is here, and nothing that it does: each decision is a
-//! state machine that takes the time and an event and returns actions. There are no sockets, no
-//! clock reads and no ambient randomness, so each failure can be tested without waiting for it.
-//! The daemons in the crates beside this one turn actions into traffic and traffic into events.
+//! This crate makes all decisions of lovagedock and performs no I/O. Each decision is a state
+//! machine that takes the time and an event and returns actions. It uses no sockets, reads no clock
+//! and draws no ambient randomness, so every failure can be tested without waiting for it to occur.
+//! The daemons in the other crates execute the actions and turn network traffic into events.
 //!
 //! # Example
 //!
--- a/lovagedock/src/outcome.rs
+++ b/lovagedock/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What gateways and sidecars tell each other about one attempt of a request.
+//! Messages between gateways and sidecars about one attempt of a request.
 
 use std::time::Duration;
 
@@ -7,35 +7,35 @@
     ids::{AttemptNumber, Incarnation, RequestId, TokenCount},
 };
 
-/// Names one attempt of one request at one life of a sidecar.
+/// Identifies one attempt of one request at one incarnation of a sidecar.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptKey {
-    /// The caller's request.
+    /// Id of the caller's request.
     pub request: RequestId,
-    /// Which attempt of it.
+    /// Number of the attempt.
     pub attempt: AttemptNumber,
-    /// Life of the sidecar that the attempt was made to.
+    /// Incarnation of the sidecar that the attempt was sent to.
     pub incarnation: Incarnation,
 }
 
-/// How an attempt ended; the last frame of an answer.
+/// Result of an attempt; the last frame of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AnswerEnd {
-    /// What became of the attempt.
+    /// Result code of the attempt.
     pub code: ResultCode,
-    /// Whether the work started; more exact than [`ResultCode::ran`] where that is `Unknown`.
+    /// Whether the work started. More precise than [`ResultCode::ran`] where that is `Unknown`.
     pub ran: RanState,
     /// Bytes of the whole answer.
     pub length: u64,
-    /// BLAKE3 of the whole answer; `None` unless complete.
+    /// BLAKE3 digest of the whole answer; `None` unless it is complete.
     pub digest: Option<[u8; 32]>,
-    /// How long to wait before another try; zero when there is no advice.
+    /// Time to wait before a retry; zero if the sidecar gives no advice.
     pub retry_after: Duration,
-    /// One line for people.
+    /// One-line detail for users.
     pub detail: String,
-    /// Tokens of the prompt as the engine counted them.
+    /// Prompt tokens as counted by the engine.
     pub prompt_tokens: TokenCount,
-    /// Tokens of the prompt that the engine had in its cache.
+    /// Prompt tokens that the engine had in its cache.
     pub cached_tokens: TokenCount,
     /// Tokens of the answer.
     pub answer_tokens: TokenCount,
@@ -44,7 +44,7 @@
 }
 
 impl AnswerEnd {
-    /// An end with this code, what the code says about having run, and nothing delivered.
+    /// Creates a result with this code, the code's own [`ResultCode::ran`] and no delivered bytes.
     pub fn new(code: ResultCode) -> Self {
         Self {
             code,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// A clean end of an answer of this many bytes.
+    /// Creates the result of a complete answer of `length` bytes.
     pub fn complete(length: u64, digest: [u8; 32]) -> Self {
         Self {
             length,
@@ -69,19 +69,19 @@
         }
     }
 
-    /// Sets how long to wait before another try.
+    /// Sets the time to wait before a retry.
     pub fn with_retry_after(mut self, retry_after: Duration) -> Self {
         self.retry_after = retry_after;
         self
     }
 
-    /// Sets the line for people.
+    /// Sets the one-line detail.
     pub fn with_detail(mut self, detail: impl Into<String>) -> Self {
         self.detail = detail.into();
         self
     }
 
-    /// Says that the engine's process ended while it had the request.
+    /// Records that the engine's process ended while it had the request.
     pub fn with_engine_ended(mut self) -> Self {
         self.engine_ended = true;
         self
@@ -94,15 +94,17 @@
     }
 }
 
-/// A sidecar's answer to a revoke.
+/// Response of a sidecar to a revoke.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RevokeVerdict {
-    /// It did not run and never will: a tombstone stands in its place.
+    /// The request did not run and never will: the sidecar keeps a tombstone that rejects a late
+    /// submit.
     Revoked,
-    /// It is running.
+    /// The request is running.
     Running,
-    /// It ran and ended.
+    /// The request ran and ended.
     Ended,
-    /// The named life of the sidecar is over; nobody can tell.
+    /// The named incarnation of the sidecar no longer exists, and no other process knows the
+    /// outcome.
     OtherIncarnation,
 }
--- a/lovagedock/src/prelude.rs
+++ b/lovagedock/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The types that nearly every module names.
+//! Types that are used in nearly every module.
 
 pub use crate::{
     codes::{RanState, ResultCode},
--- a/lovagedock/src/registry.rs
+++ b/lovagedock/src/registry.rs
@@ -1,29 +1,29 @@
-//! Placement policies register themselves here.
+//! Registry of placement policies.
 
 use std::{error::Error, fmt};
 
 use crate::{config::PlacementSpec, placement::PlacementPolicy};
 
-/// A placement policy that the configuration can name.
+/// A placement policy that the configuration can select by name.
 ///
-/// A plug-in is submitted with `inventory::submit!` and needs no entry anywhere else.
+/// A plug-in is registered with `inventory::submit!` and needs no other entry.
 pub struct PolicyPlugin {
     /// Name in the configuration.
     pub name: &'static str,
-    /// One line for operators.
+    /// One-line description for operators.
     pub summary: &'static str,
-    /// Makes an instance; a gateway keeps one for each pool.
+    /// Creates an instance; a gateway keeps one for each pool.
     pub build: fn(&PlacementSpec) -> Box<dyn PlacementPolicy>,
 }
 
 inventory::collect!(PolicyPlugin);
 
-/// The configuration names a policy that is not registered.
+/// Error for a configuration that names an unregistered policy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnknownPolicy {
-    /// The name that was asked for.
+    /// The requested name.
     pub name: String,
-    /// The registered name that is most like it.
+    /// The most similar registered name.
     pub nearest: Option<&'static str>,
 }
 
@@ -39,11 +39,11 @@
 
 impl Error for UnknownPolicy {}
 
-/// Makes the policy that `spec` names.
+/// Creates the policy that `spec` names.
 ///
 /// # Errors
 ///
-/// [`UnknownPolicy`] when no plug-in has that name.
+/// Returns [`UnknownPolicy`] if no plug-in has that name.
 pub fn build_policy(spec: &PlacementSpec) -> Result<Box<dyn PlacementPolicy>, UnknownPolicy> {
     let plugin = inventory::iter::<PolicyPlugin>
         .into_iter()
@@ -64,7 +64,7 @@
     names
 }
 
-/// All registered policies, in no order.
+/// All registered policies, in no particular order.
 pub fn policies() -> impl Iterator<Item = &'static PolicyPlugin> {
     inventory::iter::<PolicyPlugin>.into_iter()
 }
--- a/lovagedock/src/store_call.rs
+++ b/lovagedock/src/store_call.rs
@@ -1,65 +1,66 @@
-//! The words in which decisions speak of the platform's object store.
+//! Calls to the platform's object store as the state machines request them.
 //!
-//! A decision asks for reads and conditional writes of named objects; a daemon carries them out
-//! and tells how each ended. Every call ends: a daemon that hears nothing within its own timeout
-//! reports [`WriteOutcome::Unknown`] or [`ReadOutcome::Unavailable`].
+//! A state machine requests reads and conditional writes of named objects. A daemon executes them
+//! and reports the outcome of each. Every call has an outcome: a daemon that gets no response
+//! within its own timeout reports [`WriteOutcome::Unknown`] or [`ReadOutcome::Unavailable`].
 
 use std::sync::Arc;
 
 use bytes::Bytes;
 
-/// Name of an object, with `/` between its parts.
+/// Name of an object; its parts are separated by `/`.
 pub type ObjectName = Arc<str>;
-/// Version that the store gives to each write of an object; never used twice for one name.
+/// Version that the store assigns to each write of an object; never reused for the same name.
 pub type ObjectVersion = u64;
-/// Tells one write from every other, over all processes.
+/// Identifies one write among the writes of all processes.
 pub type WriteNonce = u128;
 
-/// What must hold for a write to take effect.
+/// Condition under which a write takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum WriteCondition {
-    /// There is no such object.
+    /// The object does not exist.
     Absent,
     /// The object has this version.
     Version(ObjectVersion),
-    /// None: the last writer wins.
+    /// No condition: the last writer wins.
     Always,
 }
 
-/// How a write or a deletion ended.
+/// Outcome of a write or a deletion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum WriteOutcome {
-    /// It took effect and gave the object this version.
+    /// The write took effect and the object now has this version.
     Applied(ObjectVersion),
     /// The condition did not hold; nothing changed.
     Conflict,
-    /// The confirmation was lost: it took effect, or will, or never does.
+    /// The confirmation was lost: the write may have taken effect, may still take effect, or may
+    /// never do so.
     Unknown,
-    /// The store is down; nothing changed and nothing will.
+    /// The store is unavailable; nothing changed and the write will not take effect later.
     Unavailable,
-    /// The store refused the call over its rate; nothing changed.
+    /// The store rejected the call because of its rate limit; nothing changed.
     RateLimited,
 }
 
-/// How a read ended.
+/// Outcome of a read.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ReadOutcome {
-    /// The object as it is.
+    /// The object was found.
     Found {
         /// Its version.
         version: ObjectVersion,
         /// Its value.
         bytes: Bytes,
     },
-    /// There is no such object.
+    /// The object does not exist.
     Absent,
-    /// The store is down or did not answer.
+    /// The store is unavailable or did not respond.
     Unavailable,
-    /// The store refused the call over its rate.
+    /// The store rejected the call because of its rate limit.
     RateLimited,
 }
 
-/// Makes nonces that no other life of a process makes.
+/// Generates nonces that no other incarnation of a process generates.
 #[derive(Clone, Debug)]
 pub(crate) struct NonceSource {
     incarnation: u64,
--- a/lovagedock/tests/config_language.rs
+++ b/lovagedock/tests/config_language.rs
@@ -1,4 +1,4 @@
-//! The configuration as a language: its schema, its round trip, differences, and bad text.
+//! Tests of the configuration format: schema, round trip, differences and invalid text.
 
 use expect_test::{expect, expect_file};
 use lovagedock::{
@@ -39,7 +39,7 @@
     expect_file!["../../docs/schema/config.schema.json"].assert_eq(&config_schema());
 }
 
-/// The page is written by hand but for its list of fields, which is generated.
+/// The page is written by hand, except for its generated list of fields.
 #[test]
 fn configuration_page_lists_the_current_fields() {
     let page = include_str!("../../docs/CONFIGURATION.md");
@@ -94,8 +94,8 @@
 proptest! {
     #![proptest_config(property_config(96))]
 
-    /// What a configuration is written as reads back as the same configuration, and a difference
-    /// is found exactly when there is one.
+    /// A serialised configuration parses to an equal configuration, and a difference is reported
+    /// exactly when the configurations differ.
     #[test]
     fn written_configurations_read_back(
         index in 0..EXAMPLES.len(),
@@ -121,7 +121,8 @@
         prop_assert_eq!(diff_config(&old, &config).is_empty(), old == config);
     }
 
-    /// Text that was damaged anywhere is read or refused, with each problem inside the file.
+    /// Text that is corrupted at any position is either parsed or rejected, with every problem
+    /// positioned inside the file.
     #[test]
     fn damaged_text_never_panics(
         index in 0..EXAMPLES.len(),
@@ -144,7 +145,7 @@
     }
 }
 
-/// A reordered list is one line, however long the list is.
+/// A reordered list is reported as one change, however long the list is.
 #[test]
 fn reordering_is_one_change() {
     let old = example(1);
--- a/lovagedock/tests/config_problems.rs
+++ b/lovagedock/tests/config_problems.rs
@@ -1,13 +1,13 @@
-//! What operators read when a configuration is wrong.
+//! Problem messages that operators see for an invalid configuration.
 
 use expect_test::{Expect, expect};
 use lovagedock::{ConfigProblem, SourceFile, parse_config, parse_files};
 
 const VALID: &str = include_str!("../../examples/local/fleet.jsonc");
 
-/// One change of a sound file and the problems that it brings.
+/// One change of a valid file and the problems that it causes.
 struct ProblemCase {
-    /// Text of the sound file that is replaced.
+    /// Text of the valid file that is replaced.
     from: &'static str,
     to: &'static str,
     problems: Expect,
@@ -88,7 +88,7 @@
             from: "\"127.0.0.1:7201\"",
             to: "\"localhost:7201\"",
             problems: expect![[r#"
-                fleet.jsonc:25:87: pools[0].endpoints[0].sidecar: found the string "localhost:7201", expected an IP number and port, such as "10.0.0.1:7000"
+                fleet.jsonc:25:87: pools[0].endpoints[0].sidecar: found the string "localhost:7201", expected an IP address and port, such as "10.0.0.1:7000"
             "#]],
         },
         ProblemCase {
@@ -152,7 +152,7 @@
             from: "\"host\": \"host-b\"",
             to: "\"host\": \"host-a\"",
             problems: expect![[r#"
-                fleet.jsonc:26:65: pools[0].endpoints[1].failure_domain: found host `host-a` in `local-b`, expected `local-a`, as where the host is first named
+                fleet.jsonc:26:65: pools[0].endpoints[1].failure_domain: found host `host-a` in `local-b`, expected `local-a`, as in the first entry of this host
             "#]],
         },
         ProblemCase {
@@ -173,15 +173,15 @@
             from: "\"/app/\"",
             to: "\"/v1/app/\"",
             problems: expect![[r#"
-                fleet.jsonc:46:43: services[1].kind.plain.path_prefix: found "/v1/app/", which overlaps "/v1/", expected a prefix that gateways do not answer themselves
-                fleet.jsonc:52:37: services[1].non_idempotent[0].path: found "/app/receipts", which no call of the service has, expected a path under "/v1/app/"
+                fleet.jsonc:46:43: services[1].kind.plain.path_prefix: found "/v1/app/", which overlaps "/v1/", expected a prefix that gateways do not serve themselves
+                fleet.jsonc:52:37: services[1].non_idempotent[0].path: found "/app/receipts", which no call of the service can match, expected a path under "/v1/app/"
             "#]],
         },
         ProblemCase {
             from: "\"/app/receipts\"",
             to: "\"/apps/receipts\"",
             problems: expect![[r#"
-                fleet.jsonc:52:37: services[1].non_idempotent[0].path: found "/apps/receipts", which no call of the service has, expected a path under "/app/"
+                fleet.jsonc:52:37: services[1].non_idempotent[0].path: found "/apps/receipts", which no call of the service can match, expected a path under "/app/"
             "#]],
         },
         ProblemCase {
@@ -202,7 +202,7 @@
             from: "\"key_hashes\": [\"",
             to: "\"key_hashes\": [\"local-key",
             problems: expect![[r#"
-                fleet.jsonc:61:22: organisations[0].key_hashes[0]: found 73 characters that are no SHA-256, expected 64 lower-case hexadecimal digits, never the key itself
+                fleet.jsonc:61:22: organisations[0].key_hashes[0]: found 73 characters that are not a SHA-256 hash, expected 64 lower-case hexadecimal digits, never the key itself
             "#]],
         },
         ProblemCase {
@@ -233,7 +233,7 @@
     ]);
 }
 
-/// Several things are wrong at once, of both kinds; the operator reads of all in one run.
+/// All structure and value problems of a file are reported in one run.
 #[test]
 fn all_problems_are_reported_at_once() {
     let text = VALID
@@ -251,14 +251,14 @@
     "#]].assert_eq(&list_problems(&problems));
 }
 
-/// A folder is one configuration: arrays are put together, anything else is given once, and each
-/// problem names the file that it is in.
+/// The files of a folder form one configuration: arrays are concatenated, any other value is given
+/// once, and each problem names its file.
 #[test]
 fn files_are_merged() {
     let base = SourceFile::new("a.jsonc", VALID);
     let more = r#"{ "organisations": [{ "id": "more", "key_hashes": ["HASH"] }] }"#;
     let valid = SourceFile::new("b.jsonc", more.replace("HASH", &"0".repeat(64)));
-    let document = parse_files(&[base.clone(), valid]).expect("both files are sound");
+    let document = parse_files(&[base.clone(), valid]).expect("both files are valid");
     assert_eq!(document.config.organisations.len(), 2);
     assert_eq!(document.sources.position("organisations[1].id").line, 1);
 
@@ -270,10 +270,10 @@
     expect![[r#"
         b.jsonc:1:47: organisations[1].id: found `local` a second time, expected each organisation once; the first is at a.jsonc:59
         b.jsonc:1:66: organisations[1].weight: found 0, expected 1 to 1000000
-        b.jsonc:1:84: organisations[1].key_hashes[0]: found 4 characters that are no SHA-256, expected 64 lower-case hexadecimal digits, never the key itself
-        c.jsonc:1:16: placement: found a second `placement`, expected it once in all files; the first is at b.jsonc:1
+        b.jsonc:1:84: organisations[1].key_hashes[0]: found 4 characters that are not a SHA-256 hash, expected 64 lower-case hexadecimal digits, never the key itself
+        c.jsonc:1:16: placement: found a second `placement`, expected at most one in all files; the first is at b.jsonc:1
         c.jsonc:1:47: organisations[2].id: found `local` a second time, expected each organisation once; the first is at a.jsonc:59
         c.jsonc:1:66: organisations[2].weight: found 0, expected 1 to 1000000
-        c.jsonc:1:84: organisations[2].key_hashes[0]: found 4 characters that are no SHA-256, expected 64 lower-case hexadecimal digits, never the key itself
+        c.jsonc:1:84: organisations[2].key_hashes[0]: found 4 characters that are not a SHA-256 hash, expected 64 lower-case hexadecimal digits, never the key itself
     "#]].assert_eq(&list_problems(&problems));
 }
--- a/lovagedock/tests/registry.rs
+++ b/lovagedock/tests/registry.rs
@@ -1,4 +1,4 @@
-//! Policies register themselves and are found by name.
+//! Placement policies are registered and found by name.
 
 use lovagedock::{PlacementSpec, UnknownPolicy, build_policy, policy_names};
 
--- a/lovagedock/tests/support/mod.rs
+++ b/lovagedock/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Fakes that the tests of claims, leases and adoption share.
+//! Fakes shared by the tests of claims, leases and adoption.
 #![allow(dead_code)]
 
 pub(crate) mod claim_simulation;
--- a/lovagedock/tests/support/store.rs
+++ b/lovagedock/tests/support/store.rs
@@ -1,4 +1,4 @@
-//! An object store in memory, with the faults of the real one.
+//! An in-memory object store with conditional writes.
 
 use std::collections::BTreeMap;
 
