--- a/lovagedock-wire/src/codec.rs
+++ b/lovagedock-wire/src/codec.rs
@@ -1,4 +1,4 @@
-//! Typed messages to generated types and back.
+//! Conversion between typed messages and generated types.
 
 use std::time::Duration;
 
@@ -88,7 +88,7 @@
     builder.set_generation(identity.generation);
 }
 
-/// Reads a welcome and refuses a peer of another protocol version.
+/// Reads a welcome and rejects a peer of another protocol version.
 pub(crate) fn read_welcome(reader: schema::peer_welcome::Reader<'_>) -> Decoded<PeerIdentity> {
     let version = reader.get_version();
     if version != crate::PROTOCOL_VERSION {
@@ -217,8 +217,8 @@
     }
 }
 
-/// Anything that is not plainly "no" or "yes" counts as unknown: a peer that is newer than this
-/// process must not turn a doubt into a promise.
+/// Values other than "no" and "yes" count as unknown: an undefined value from a newer peer must not
+/// be read as a definite statement.
 fn read_ran(number: u8) -> RanState {
     match number {
         RAN_NO => RanState::No,
--- a/lovagedock-wire/src/endpoint_client.rs
+++ b/lovagedock-wire/src/endpoint_client.rs
@@ -1,4 +1,4 @@
-//! A gateway's end of a session to a sidecar.
+//! Gateway side of a session with a sidecar.
 
 use std::{future::Future, rc::Rc, time::Duration};
 
@@ -17,16 +17,16 @@
     stream::{SessionSystem, WireStream, client_system},
 };
 
-/// Takes an answer as it arrives; called in order.
+/// Receives an answer as it arrives; its methods are called in order.
 pub trait AnswerReceiver: 'static {
-    /// Status and headers.
+    /// Receives status and headers.
     fn head(&self, head: AnswerHead) -> impl Future<Output = ()> + 'static;
-    /// Bytes at an offset of the answer.
+    /// Receives bytes at an offset of the answer.
     ///
-    /// The sidecar sends more only after the future ends, so that a slow caller holds its own
-    /// answer back and nothing else.
+    /// The sidecar sends more only after the future completes, so a slow caller delays only its own
+    /// answer.
     fn chunk(&self, offset: u64, bytes: Bytes) -> impl Future<Output = ()> + 'static;
-    /// How the request ended.
+    /// Receives the result of the request.
     fn done(&self, end: AnswerEnd) -> impl Future<Output = ()> + 'static;
 }
 
@@ -48,12 +48,12 @@
         Self { session, rpc_task }
     }
 
-    /// Closes the connection: calls under way end with an error, and no more frames come.
+    /// Closes the connection: pending calls end with an error and no more frames arrive.
     pub fn close(&self) {
         self.rpc_task.abort();
     }
 
-    /// Introduces this process and learns who the other end is.
+    /// Introduces this process and returns the identity of the other side.
     pub async fn hello(
         &self,
         identity: &PeerIdentity,
@@ -65,9 +65,9 @@
         codec::read_welcome(response.get()?.get_welcome()?)
     }
 
-    /// Hands over a request; the answer goes to `receiver`.
+    /// Submits a request; the answer goes to `receiver`.
     ///
-    /// An error leaves open whether the sidecar has the request: only a revoke tells.
+    /// After an error it is not known whether the sidecar has the request; only a revoke can tell.
     pub async fn submit<R: AnswerReceiver>(
         &self,
         work: &WorkMessage,
@@ -85,7 +85,8 @@
         Ok(SubmitReply::Refused(codec::read_end(reply.get_refusal()?)?))
     }
 
-    /// Asks for the rest of an answer from an offset; false if the sidecar does not have it.
+    /// Requests the rest of an answer from an offset; returns false if the sidecar does not have
+    /// it.
     pub async fn resume<R: AnswerReceiver>(
         &self,
         key: AttemptKey,
@@ -101,7 +102,7 @@
         Ok(response.get()?.get_found())
     }
 
-    /// Asks that a request never runs, and learns whether it has.
+    /// Revokes a request, so that it never runs, and returns whether it has run already.
     pub async fn revoke(
         &self,
         key: AttemptKey,
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Ends a request that nobody waits for.
+    /// Cancels a request whose answer is no longer needed.
     pub async fn cancel(&self, key: AttemptKey, limit: Duration) -> Result<(), WireError> {
         let mut request = self.session.cancel_request();
         codec::write_key(key, request.get().init_key());
@@ -125,7 +126,7 @@
         Ok(())
     }
 
-    /// Proves that both ends live and fetches the endpoint's load.
+    /// Checks that the sidecar responds and returns the endpoint's load.
     pub async fn heartbeat(
         &self,
         sequence: u64,
@@ -139,7 +140,7 @@
         codec::read_load(response.get()?.get_report()?)
     }
 
-    /// Hands over a configuration; returns the generation in force at the sidecar.
+    /// Sends a configuration; returns the generation in force at the sidecar.
     pub async fn configure(
         &self,
         message: &ConfigMessage,
@@ -152,7 +153,7 @@
         Ok(response.get()?.get_generation())
     }
 
-    /// Holds memory for one part of a span.
+    /// Reserves memory for one part of a span.
     pub async fn reserve(
         &self,
         key: AttemptKey,
@@ -174,7 +175,7 @@
         })
     }
 
-    /// Gives a reservation back, with whatever was prefilled into it.
+    /// Releases a reservation and discards whatever was prefilled into it.
     pub async fn release(&self, key: AttemptKey, limit: Duration) -> Result<(), WireError> {
         let mut request = self.session.release_request();
         codec::write_key(key, request.get().init_key());
@@ -201,7 +202,7 @@
         })
     }
 
-    /// Starts or ends the endpoint's leaving; returns the requests still in flight.
+    /// Marks the endpoint as leaving, or undoes that; returns the requests still in flight.
     pub async fn drain(&self, leaving: bool, limit: Duration) -> Result<u32, WireError> {
         let mut request = self.session.drain_request();
         request.get().set_leaving(leaving);
@@ -209,10 +210,10 @@
         Ok(response.get()?.get_in_flight())
     }
 
-    /// Gives an order to the engine, or looks at what it has loaded; waits until the engine is
-    /// done with it.
+    /// Sends an order to the engine, or queries what it has loaded; waits until the engine has
+    /// completed it.
     ///
-    /// An error leaves open whether the order takes effect.
+    /// After an error it is not known whether the order takes effect.
     pub async fn order(
         &self,
         message: &OrderMessage,
@@ -231,10 +232,10 @@
     }
 }
 
-/// Bounds a call by time.
+/// Runs a call with a timeout.
 ///
-/// A connection that something between the ends has forgotten swallows calls without an error;
-/// the symptom is a call that never returns. The limit turns it into a [`WireError::TimedOut`].
+/// A connection that a device between the two sides has dropped loses calls without an error, so a
+/// call may never return. The limit turns this into a [`WireError::TimedOut`].
 pub(crate) async fn with_timeout<T>(
     limit: Duration,
     call: impl Future<Output = Result<T, capnp::Error>>,
--- a/lovagedock-wire/src/endpoint_server.rs
+++ b/lovagedock-wire/src/endpoint_server.rs
@@ -1,4 +1,4 @@
-//! A sidecar's end of a session.
+//! Sidecar side of a session.
 
 use std::{future::Future, rc::Rc};
 
@@ -17,34 +17,34 @@
     stream::{WireStream, server_system},
 };
 
-/// What a sidecar does with the calls of a session.
+/// Handles the calls of a session at a sidecar.
 pub trait EndpointHandler: 'static {
-    /// Answers an introduction.
+    /// Returns the sidecar's identity in response to an introduction.
     fn hello(&self, identity: PeerIdentity) -> PeerIdentity;
-    /// Takes or refuses a request; the answer goes to `sender`.
+    /// Accepts or refuses a request; the answer goes to `sender`.
     fn submit(
         &self,
         work: WorkMessage,
         sender: AnswerSender,
     ) -> impl Future<Output = SubmitReply> + 'static;
-    /// Sends the rest of an answer from an offset; false if it is not there.
+    /// Sends the rest of an answer from an offset; returns false if the answer is not available.
     fn resume(&self, key: AttemptKey, offset: u64, sender: AnswerSender) -> bool;
-    /// Takes a request back if it has not run.
+    /// Revokes a request if it has not run.
     fn revoke(&self, key: AttemptKey) -> RevokeVerdict;
-    /// Ends a request that nobody waits for.
+    /// Cancels a request whose answer is no longer needed.
     fn cancel(&self, key: AttemptKey);
     /// Reports the load.
     fn heartbeat(&self, sequence: u64, generation: Generation) -> LoadMessage;
-    /// Takes a configuration; returns the generation in force.
+    /// Receives a configuration; returns the generation in force.
     fn configure(&self, message: ConfigMessage) -> Generation;
-    /// Holds memory for one part of a span.
+    /// Reserves memory for one part of a span.
     fn reserve(
         &self,
         key: AttemptKey,
         tokens: TokenCount,
         retention: std::time::Duration,
     ) -> ReserveReply;
-    /// Gives a reservation back.
+    /// Releases a reservation.
     fn release(&self, key: AttemptKey);
     /// Prefills one part of a span.
     fn segment(
@@ -52,9 +52,9 @@
         work: WorkMessage,
         range: SegmentRange,
     ) -> impl Future<Output = SegmentReply> + 'static;
-    /// Starts or ends leaving; returns the requests in flight.
+    /// Marks the endpoint as leaving, or undoes that; returns the requests in flight.
     fn drain(&self, leaving: bool) -> u32;
-    /// Gives an order of a lease holder to the engine, or tells what it has loaded.
+    /// Passes an order of a lease holder to the engine, or reports what the engine has loaded.
     fn order(&self, message: OrderMessage) -> impl Future<Output = OrderReply> + 'static;
 }
 
@@ -69,7 +69,7 @@
     Ok(())
 }
 
-/// Sends an answer to the gateway that asked for it.
+/// Sends an answer to the gateway that requested it.
 #[derive(Clone)]
 pub struct AnswerSender {
     sink: answer_sink::Client,
@@ -84,7 +84,7 @@
         Ok(())
     }
 
-    /// Sends bytes; returns as soon as flow control allows more.
+    /// Sends bytes; returns when flow control allows more.
     pub async fn chunk(&self, offset: u64, bytes: &Bytes) -> Result<(), WireError> {
         let mut request = self.sink.chunk_request();
         request.get().set_offset(offset);
@@ -93,7 +93,7 @@
         Ok(())
     }
 
-    /// Sends how the request ended; returns when the gateway has it.
+    /// Sends the result of the request; returns when the gateway has received it.
     pub async fn done(&self, end: &AnswerEnd) -> Result<(), WireError> {
         let mut request = self.sink.done_request();
         codec::write_end(end, request.get().init_end());
--- a/lovagedock-wire/src/lib.rs
+++ b/lovagedock-wire/src/lib.rs
@@ -1,14 +1,12 @@
-//! Protocol between lovagedock's own processes.
+//! Protocol between lovagedock processes.
 //!
-//! `schema/lovagedock.capnp` is the protocol; `lovagedock_capnp` is generated from it and
-//! committed, so that a build needs no generator. Everything else here turns generated types into
-//! the typed messages of [`messages`](WorkMessage) and back, so that no other crate names a
-//! generated type.
+//! `schema/lovagedock.capnp` defines the protocol. `lovagedock_capnp` is generated from it and
+//! committed, so builds need no generator. The other modules convert between generated types and
+//! the [typed messages](WorkMessage), so that no other crate uses a generated type.
 //!
-//! A process that offers something implements [`EndpointHandler`] or [`PeerHandler`] and calls
-//! [`serve_endpoint`] or [`serve_peer`] for each connection. A process that asks connects an
-//! [`EndpointClient`] or a [`PeerClient`]. Sessions are not `Send`: they live on one worker's
-//! `LocalSet`.
+//! A server implements [`EndpointHandler`] or [`PeerHandler`] and calls [`serve_endpoint`] or
+//! [`serve_peer`] for each connection. A client connects an [`EndpointClient`] or a [`PeerClient`].
+//! Sessions are not `Send`: each stays on the `LocalSet` of one worker.
 
 mod codec;
 mod endpoint_client;
@@ -37,5 +35,5 @@
 pub use peer::{PeerClient, PeerHandler, serve_peer};
 pub use stream::WireStream;
 
-/// Version of the protocol; a peer of another version is refused in the welcome.
+/// Version of the protocol; a welcome of another version is rejected.
 pub const PROTOCOL_VERSION: u32 = 1;
--- a/lovagedock-wire/src/messages.rs
+++ b/lovagedock-wire/src/messages.rs
@@ -1,4 +1,4 @@
-//! Typed messages, as the other crates see them.
+//! Typed messages used by the other crates.
 
 use std::{fmt, time::Duration};
 
@@ -7,16 +7,16 @@
     AnswerEnd, AttemptKey, CostParameters, EndpointBacklog, LoadOrder, LoadedReport, prelude::*,
 };
 
-/// Who speaks at one end of a session.
+/// Identity of one side of a session.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerIdentity {
-    /// Protocol version that it speaks.
+    /// Protocol version of the process.
     pub version: u32,
     /// Name of the gateway or endpoint.
     pub name: String,
-    /// Its life; another number means that it has restarted.
+    /// Its incarnation; another number means that it has restarted.
     pub incarnation: Incarnation,
-    /// Configuration that it has in force; 0 for none.
+    /// Generation of the configuration in force; 0 for none.
     pub generation: Generation,
 }
 
@@ -25,60 +25,60 @@
 pub struct HeaderField {
     /// Name in lower case.
     pub name: String,
-    /// Value, not always text.
+    /// Value, which may not be valid text.
     pub value: Bytes,
 }
 
-/// One request on its way to a sidecar.
+/// One request as sent to a sidecar.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkMessage {
-    /// Names the attempt and the life of the sidecar that may run it.
+    /// Identifies the attempt and the incarnation of the sidecar that may run it.
     pub key: AttemptKey,
     /// Service that the caller addressed.
     pub service: ServiceId,
-    /// Organisation that pays for it.
+    /// Organisation that the request is accounted to.
     pub organisation: OrganisationId,
-    /// Tier after the organisation's and the length rules' caps.
+    /// Priority tier after the caps of the organisation and of the length rules.
     pub tier: PriorityTier,
     /// Weight of the organisation.
     pub weight: u32,
-    /// Time left for the whole request.
+    /// Time left until the deadline of the request.
     pub remaining: Duration,
     /// Estimated prompt length.
     pub prompt_tokens: TokenCount,
     /// Upper bound of the answer's length.
     pub answer_tokens: TokenCount,
-    /// Whether it must not run twice.
+    /// Whether the request must not run twice.
     pub non_idempotent: bool,
-    /// First-token time that the gateway predicted.
+    /// Time to the first token as predicted by the gateway.
     pub predicted: Duration,
-    /// Engines that hold parts of the prompt, in its order; empty unless a span.
+    /// Engines that hold parts of the prompt, in prompt order; empty unless the request is a span.
     pub span: Vec<SpanHolder>,
     /// HTTP method.
     pub method: String,
     /// HTTP path with query.
     pub path: String,
-    /// HTTP headers to pass on.
+    /// HTTP headers to forward.
     pub headers: Vec<HeaderField>,
     /// HTTP body.
     pub body: Bytes,
 }
 
-/// One engine's part of a prompt that is larger than any engine.
+/// One engine's part of a prompt that exceeds the memory of any single engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SpanHolder {
-    /// What the engine called itself when it prefilled the part.
+    /// Locator that the engine returned when it prefilled the part.
     pub locator: String,
     /// Tokens of the part.
     pub tokens: TokenCount,
 }
 
-/// What a sidecar says when it has prefilled one part of a span.
+/// Response of a sidecar after prefilling one part of a span.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SegmentReply {
-    /// How the prefill ended.
+    /// Result of the prefill.
     pub end: AnswerEnd,
-    /// What the engine calls itself; empty unless complete.
+    /// Locator of the engine; empty unless the prefill is complete.
     pub locator: String,
 }
 
@@ -87,25 +87,25 @@
 pub struct AnswerHead {
     /// HTTP status.
     pub status: u16,
-    /// HTTP headers to pass on.
+    /// HTTP headers to forward.
     pub headers: Vec<HeaderField>,
 }
 
-/// What a sidecar says to a submit.
+/// Response of a sidecar to a submit.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SubmitReply {
-    /// Queued or running; the answer goes to the sink.
+    /// The request is queued or running; its answer goes to the sink.
     Accepted,
-    /// Not taken; it did not run.
+    /// The request was refused and did not run.
     Refused(AnswerEnd),
 }
 
-/// What a sidecar says to a reservation.
+/// Response of a sidecar to a reservation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReserveReply {
-    /// Whether the memory is held.
+    /// Whether the memory was reserved.
     pub granted: bool,
-    /// Memory that is left, in tokens.
+    /// Remaining free memory, in tokens.
     pub free_tokens: TokenCount,
 }
 
@@ -118,96 +118,98 @@
     pub tokens: TokenCount,
 }
 
-/// What a sidecar tells of itself and its engine with each heartbeat.
+/// State of a sidecar and its engine, sent with each heartbeat.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LoadMessage {
-    /// Grows with each report of one life.
+    /// Sequence number; increases with each report of one incarnation.
     pub sequence: u64,
-    /// Whether the endpoint takes no new work.
+    /// Whether the endpoint is leaving and accepts no new work.
     pub leaving: bool,
-    /// Whether the engine does not answer.
+    /// Whether the engine does not respond.
     pub engine_down: bool,
-    /// KV memory of the engine.
+    /// KV memory of the engine, in tokens.
     pub memory_tokens: TokenCount,
-    /// KV memory without a lease.
+    /// KV memory that is not leased, in tokens.
     pub free_tokens: TokenCount,
-    /// Requests that wait.
+    /// Queued requests.
     pub queued: u32,
-    /// Prompt tokens that wait.
+    /// Prompt tokens of the queued requests.
     pub queued_tokens: TokenCount,
-    /// Requests on the engine.
+    /// Requests running on the engine.
     pub running: u32,
-    /// Long ones among them.
+    /// Long requests among the running ones.
     pub running_long: u32,
     /// Prompt tokens on the engine that are not prefilled yet.
     pub prefill_tokens_left: TokenCount,
-    /// Predicted time until a prompt that comes now would begin to be prefilled.
+    /// Predicted time until the prefill of a newly arriving prompt would start.
     pub backlog: EndpointBacklog,
-    /// Learned cost of work.
+    /// Cost parameters estimated from completed work.
     pub cost: CostParameters,
-    /// Configuration in force at the sidecar.
+    /// Generation of the configuration in force at the sidecar.
     pub generation: Generation,
-    /// Hashes of prompt prefixes that the engine lately held.
+    /// Hashes of prompt prefixes that the engine recently held in its cache.
     pub cached_prefixes: Vec<u64>,
 }
 
-/// A whole configuration on its way between processes.
+/// A complete configuration sent between processes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigMessage {
-    /// Its number.
+    /// Generation of the configuration.
     pub generation: Generation,
     /// The configuration as JSON.
     pub config: Bytes,
 }
 
-/// An order to an engine, with the lease that gives the right to it.
+/// An order to an engine, with the lease that authorises it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OrderMessage {
-    /// Pool that the lease is of.
+    /// Pool that the lease belongs to.
     pub pool: PoolId,
     /// Fencing number of the lease.
     pub epoch: Epoch,
-    /// Counts the orders of one holder.
+    /// Sequence number of the order, counted per lease holder.
     pub sequence: u64,
-    /// Configuration that the order follows from.
+    /// Generation of the configuration that the order implements.
     pub generation: Generation,
-    /// What to load; `None` to announce the fencing number and see what is loaded.
+    /// What to load; `None` announces the fencing number and queries what is loaded.
     pub order: Option<LoadOrder>,
 }
 
-/// What a sidecar says to an order.
+/// Response of a sidecar to an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OrderReply {
-    /// What became of it.
+    /// Result code of the order.
     pub code: ResultCode,
-    /// One line for people.
+    /// One-line detail for users.
     pub detail: String,
-    /// What the engine has loaded now.
+    /// What the engine currently has loaded.
     pub report: LoadedReport,
 }
 
-/// Why a call over a session brought no answer.
+/// Error of a call that got no response over a session.
 ///
-/// The call may have taken effect at the other end: only a verdict of the other end tells.
+/// The call may still have taken effect at the other side; only a verdict of the other side tells.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WireError {
-    /// The connection is gone or could not be opened.
+    /// The connection was lost or could not be opened.
     Disconnected(String),
-    /// The other end sent something that is not in the protocol.
+    /// The other side sent a message that violates the protocol.
     Malformed(String),
-    /// The other end speaks another version.
+    /// The other side uses another protocol version.
     OtherVersion(u32),
-    /// No answer within the time given.
+    /// No response within the time limit.
     TimedOut,
 }
 
 impl fmt::Display for WireError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Disconnected(detail) => write!(formatter, "session is gone: {detail}"),
+            Self::Disconnected(detail) => write!(formatter, "session disconnected: {detail}"),
             Self::Malformed(detail) => write!(formatter, "malformed message: {detail}"),
-            Self::OtherVersion(version) => write!(formatter, "peer speaks version {version}"),
-            Self::TimedOut => write!(formatter, "no answer in time"),
+            Self::OtherVersion(version) => {
+                write!(formatter, "peer uses protocol version {version}")
+            }
+            Self::TimedOut => write!(formatter, "no response within the time limit"),
         }
     }
 }
--- a/lovagedock-wire/src/order_codec.rs
+++ b/lovagedock-wire/src/order_codec.rs
@@ -1,4 +1,4 @@
-//! Orders to generated types and back.
+//! Conversion between orders and generated types.
 
 use lovagedock::{Artifact, ArtifactSet, LoadOrder, LoadedReport, prelude::*};
 
--- a/lovagedock-wire/src/peer.rs
+++ b/lovagedock-wire/src/peer.rs
@@ -1,4 +1,4 @@
-//! Both ends of a session between gateways.
+//! Both sides of a session between gateways.
 
 use std::{rc::Rc, time::Duration};
 
@@ -14,19 +14,22 @@
     suspect_codec::{read_updates, update_count, write_updates},
 };
 
-/// What a gateway does with the calls of another gateway.
+/// Handles the calls of another gateway.
 pub trait PeerHandler: 'static {
-    /// Answers an introduction.
+    /// Returns this gateway's identity in response to an introduction.
     fn hello(&self, identity: PeerIdentity) -> PeerIdentity;
-    /// Takes a configuration, whole or as a change; returns the generation that is here now.
+    /// Receives a complete configuration or a change to one; returns the generation that this
+    /// gateway has afterwards.
     fn push(&self, bundle: ConfigBundle) -> Generation;
-    /// Takes note of what the other gateway has.
+    /// Receives the generation that the other gateway has.
     fn offer(&self, generation: Generation);
-    /// Tells what is here, with what a gateway at this generation lacks.
+    /// Returns the generation of this gateway, with the chunks that a gateway at generation `above`
+    /// lacks.
     fn pull(&self, above: Generation) -> PullAnswer;
-    /// Takes what organisations use at the other gateway; confirms it unless it is of no use.
+    /// Receives the usage of organisations at the other gateway; returns a confirmation, or `None`
+    /// if the report is outdated.
     fn usage(&self, report: UsageReport) -> Option<UsageAck>;
-    /// Takes what the other gateway has found out of requests that end engines.
+    /// Receives updates from the other gateway about requests under which engines ended.
     fn suspects(&self, updates: Vec<SuspectUpdate>);
 }
 
@@ -46,7 +49,7 @@
         Self { session, rpc_task }
     }
 
-    /// Introduces this process and learns who the other end is.
+    /// Introduces this process and returns the identity of the other side.
     pub async fn hello(
         &self,
         identity: &PeerIdentity,
@@ -58,7 +61,8 @@
         codec::read_welcome(response.get()?.get_welcome()?)
     }
 
-    /// Hands over what the peer lacks; returns the generation that it has now.
+    /// Sends the part of the configuration that the peer lacks; returns the generation that it has
+    /// afterwards.
     pub async fn push(
         &self,
         bundle: &ConfigBundle,
@@ -70,7 +74,7 @@
         Ok(response.get()?.get_generation())
     }
 
-    /// Tells the peer what is here.
+    /// Sends the generation of this gateway to the peer.
     pub async fn offer(&self, generation: Generation, limit: Duration) -> Result<(), WireError> {
         let mut request = self.session.offer_request();
         request.get().set_generation(generation);
@@ -78,7 +82,7 @@
         Ok(())
     }
 
-    /// Asks the peer for what it has above a generation.
+    /// Requests what the peer has above a generation.
     pub async fn pull(&self, above: Generation, limit: Duration) -> Result<PullAnswer, WireError> {
         let mut request = self.session.pull_request();
         request.get().set_above(above);
@@ -86,7 +90,7 @@
         codec::read_pull_answer(response.get()?)
     }
 
-    /// Tells the peer what organisations use here, and returns its confirmation.
+    /// Sends the usage of organisations at this gateway and returns the peer's confirmation.
     pub async fn usage(
         &self,
         report: &UsageReport,
@@ -100,7 +104,7 @@
 }
 
 impl PeerClient {
-    /// Tells the peer what was found out here of requests that end engines.
+    /// Sends updates about requests under which engines ended.
     pub async fn suspects(
         &self,
         updates: &[SuspectUpdate],
--- a/lovagedock-wire/src/stream.rs
+++ b/lovagedock-wire/src/stream.rs
@@ -1,4 +1,4 @@
-//! The byte stream below a session, and the RPC system on top of it.
+//! Byte stream of a session and the RPC system on top of it.
 
 use capnp::{capability::FromClientHook, message::ReaderOptions};
 use capnp_rpc::{RpcSystem, rpc_twoparty_capnp::Side, twoparty::VatNetwork};
@@ -9,17 +9,18 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio_util::compat::TokioAsyncReadCompatExt;
 
-/// Any connection that a session can run on: plain TCP, TLS, or a pipe in a test.
+/// A connection that a session can use: plain TCP, TLS, or a pipe in tests.
 pub trait WireStream: AsyncRead + AsyncWrite + Unpin + 'static {}
 
 impl<T: AsyncRead + AsyncWrite + Unpin + 'static> WireStream for T {}
 
-/// Largest message in words of 8 bytes: 64 MiB holds a prompt of a million tokens several times.
+/// Largest message in words of 8 bytes. 64 MiB is several times the size of a prompt of a million
+/// tokens.
 const MESSAGE_WORDS: usize = 8 * 1024 * 1024;
 
 pub(crate) type SessionSystem = RpcSystem<Side>;
 
-/// Starts the client's side; the caller spawns the system on its `LocalSet`.
+/// Creates the client side; the caller spawns the system on its `LocalSet`.
 pub(crate) fn client_system<C: FromClientHook>(stream: Box<dyn WireStream>) -> (SessionSystem, C) {
     let network = two_party(stream, Side::Client);
     let mut system = RpcSystem::new(network, None);
@@ -27,7 +28,7 @@
     (system, client)
 }
 
-/// Starts the server's side with the capability that the client gets first.
+/// Creates the server side with the capability that the client receives first.
 pub(crate) fn server_system(
     stream: Box<dyn WireStream>,
     bootstrap: capnp::capability::Client,
--- a/lovagedock-wire/src/suspect_codec.rs
+++ b/lovagedock-wire/src/suspect_codec.rs
@@ -1,4 +1,4 @@
-//! News of requests that end engines, as they are sent.
+//! Encoding of updates about requests under which engines ended.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 type UpdateListBuilder<'a> = capnp::struct_list::Builder<'a, schema::suspect_news::Owned>;
 type UpdateListReader<'a> = capnp::struct_list::Reader<'a, schema::suspect_news::Owned>;
 
-/// Length of a list of news.
+/// Returns the number of updates as a list length.
 pub(crate) fn update_count(updates: &[SuspectUpdate]) -> u32 {
     list_length(updates.len())
 }
--- a/lovagedock-wire/tests/generated_code.rs
+++ b/lovagedock-wire/tests/generated_code.rs
@@ -1,13 +1,14 @@
-//! The committed code goes with the schema that it was generated from.
+//! Checks that the committed code was generated from the committed schema.
 
 use expect_test::expect_file;
 
 const SCHEMA: &[u8] = include_bytes!("../schema/lovagedock.capnp");
 const CODE: &[u8] = include_bytes!("../src/lovagedock_capnp.rs");
 
-/// Somebody changes the schema and forgets to generate, or edits the generated code: processes
-/// built from it would then disagree with the published schema without any error in the build.
-/// docs/OPERATING.md, "Changing the protocol", tells how to generate and to record the digests.
+/// Guards against a schema change without regenerating the code, and against edits of the generated
+/// code. Processes built from it would use another protocol than the published schema, without any
+/// build error. docs/OPERATING.md, "Changing the protocol", explains how to regenerate the code and
+/// record the digests.
 #[test]
 fn generated_code_is_of_this_schema() {
     let schema = blake3::hash(SCHEMA).to_hex();
