--- a/lovagedock-cli/tests/cli/apply.rs
+++ b/lovagedock-cli/tests/cli/apply.rs
@@ -273,7 +273,7 @@
         // record of.
         step(&apply(LOCAL, "asha", 7, "n1"), expect![[r#"
             exit 4
-            still unknown: the expected generation is not the store's; see `get`, or apply again with --nonce (4003)
+            still unknown: the expected generation is not the current one in the store; see `get`, or apply again with --nonce (4003)
         "#]]),
         step(
             "get",
--- a/lovagedock-platform/src/bucket.rs
+++ b/lovagedock-platform/src/bucket.rs
@@ -1,10 +1,10 @@
-//! A token bucket with injected time.
+//! A token bucket that receives the time from its caller.
 
 use std::time::Duration;
 
 use lovagedock::Timestamp;
 
-/// Admits calls at a steady rate with a bounded burst.
+/// Limits calls to a steady rate with a bounded burst.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     rate: f64,
@@ -14,7 +14,7 @@
 }
 
 impl TokenBucket {
-    /// A full bucket that gains `rate` tokens a second up to `burst`.
+    /// Creates a full bucket that gains `rate` tokens per second, up to `burst`.
     pub fn new(rate: f64, burst: f64, now: Timestamp) -> Self {
         Self {
             rate,
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Takes one token if there is one.
+    /// Consumes one token if one is available.
     pub fn try_consume(&mut self, now: Timestamp) -> bool {
         self.refill(now);
         if self.tokens < 1.0 {
@@ -34,8 +34,8 @@
         true
     }
 
-    /// Takes one token, going into debt if need be, and returns how long its caller has to wait;
-    /// takes none and returns `None` when that would be longer than `longest`.
+    /// Consumes one token, going into debt if necessary, and returns how long the caller has to
+    /// wait. Consumes none and returns `None` if the wait would exceed `max_wait`.
     pub fn reserve(&mut self, now: Timestamp, max_wait: Duration) -> Option<Duration> {
         self.refill(now);
         let debt = (1.0 - self.tokens).max(0.0);
@@ -48,7 +48,8 @@
         Some(wait)
     }
 
-    /// Empties the bucket, so that a burst has to be earned again, from `until` on.
+    /// Empties the bucket until the given time, so that a burst accumulates again only from then
+    /// on.
     pub fn empty_until(&mut self, until: Timestamp) {
         self.refill(until);
         self.tokens = self.tokens.min(0.0);
--- a/lovagedock-platform/src/budget.rs
+++ b/lovagedock-platform/src/budget.rs
@@ -1,4 +1,4 @@
-//! How much of the store's rates one process may use, and when.
+//! Rate budget of one process for its calls to the store.
 
 use std::time::Duration;
 
@@ -9,14 +9,15 @@
     store::{CallPurpose, StoreError},
 };
 
-/// Calls that fail one after the other before the store counts as out of reach.
+/// Consecutive failed calls after which the store counts as unreachable.
 const OUTAGE_FAILURES: u32 = 3;
 
-/// Budget of one process for its calls to the store.
+/// Rate budget of one process for its calls to the store.
 ///
-/// The store's rates are for the whole fleet, and no process knows what the others do. Each keeps
-/// to a share of its own by purpose, and three moments at which all would call together are
-/// spread by chance: their start, the probes during an outage, and the store's return.
+/// The store's rate limits apply to the whole fleet, and no process knows the usage of the others.
+/// Each process therefore keeps to its own share, divided by purpose. Three moments at which all
+/// processes would call at once are spread randomly: their start, the probes during an outage, and
+/// the store's recovery.
 #[derive(Debug)]
 pub struct StoreBudget {
     limits: BudgetLimits,
@@ -26,51 +27,52 @@
     resume_at: Timestamp,
 }
 
-/// What a process may spend.
+/// Limits of a process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetLimits {
-    /// For the configuration.
+    /// Rate for the configuration.
     pub config: CallRate,
-    /// For claims and recorded answers.
+    /// Rate for claims and recorded answers.
     pub claim: CallRate,
-    /// For leases.
+    /// Rate for leases.
     pub lease: CallRate,
-    /// For status.
+    /// Rate for status.
     pub status: CallRate,
-    /// For the host list.
+    /// Rate for the host list.
     pub hosts: CallRate,
-    /// Longest time that a call waits for its turn before it is refused.
+    /// Longest time that a call waits before it is refused.
     pub max_wait: Duration,
-    /// The first call after the start waits a random part of this.
+    /// The first call after the start is delayed by a random part of this.
     pub start_spread: Duration,
-    /// After an outage the first calls wait a random part of this.
+    /// The first calls after an outage are delayed by a random part of this.
     pub recovery_spread: Duration,
-    /// First pause between two probes during an outage; each is twice the one before.
+    /// First interval between two probes during an outage; each further interval is twice the
+    /// previous one.
     pub first_probe_interval: Duration,
-    /// Longest pause between two probes.
+    /// Longest interval between two probes.
     pub max_probe_interval: Duration,
 }
 
 /// A steady rate and a burst.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallRate {
-    /// Calls a second.
+    /// Calls per second.
     pub per_second: f64,
-    /// Calls at once after a quiet time.
+    /// Calls that may be sent at once after an idle period.
     pub burst: f64,
 }
 
 impl CallRate {
-    /// A rate and a burst.
+    /// Creates a rate with a burst.
     pub const fn new(per_second: f64, burst: f64) -> Self {
         Self { per_second, burst }
     }
 }
 
 impl Default for BudgetLimits {
-    /// Meant for about 30 processes, whose steady rates add up to 30 x 55 = 1,650 calls a second.
-    /// Only the few gateways write claims, so that three of them write 90 times a second. When
-    /// all load the configuration at once they send 30 x (40 + 20) = 1,800 calls in a second.
+    /// Sized for about 30 processes, whose steady rates add up to 30 x 55 = 1,650 calls per second.
+    /// Only the few gateways write claims, so three of them write 90 times per second. If all load
+    /// the configuration at once, they send 30 x (40 + 20) = 1,800 calls in one second.
     fn default() -> Self {
         Self {
             config: CallRate::new(20.0, 40.0),
@@ -99,25 +101,25 @@
     }
 }
 
-/// What to do with a call.
+/// Decision about a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BudgetDecision {
     /// Send it now.
     Proceed,
-    /// Send it after this time.
+    /// Send it after this delay.
     Wait(Duration),
-    /// Do not send it; it fails with this error, which says that it had no effect.
+    /// Do not send it. The call fails with this error, which states that it had no effect.
     Refuse(StoreError),
 }
 
-/// How a call that was sent ended.
+/// Outcome of a call that was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallResult {
-    /// The store answered, be it with a conflict.
+    /// The store responded, possibly with a conflict.
     Answered,
-    /// The store refused because of a rate.
+    /// The store rejected the call because of its rate limit.
     RateLimited,
-    /// No answer came.
+    /// No response arrived.
     Failed,
 }
 
@@ -128,7 +130,8 @@
 }
 
 impl StoreBudget {
-    /// A budget of a process that starts at `now`; `jitter` is a random number from 0 to 1.
+    /// Creates the budget of a process that starts at `now`; `jitter` is a random number from 0 to
+    /// 1.
     pub fn new(limits: BudgetLimits, now: Timestamp, jitter: f64) -> Self {
         let bucket = |purpose: CallPurpose| {
             let rate = limits.rate(purpose);
@@ -146,8 +149,9 @@
     /// Decides on a call; `jitter` is a random number from 0 to 1.
     pub fn admit(&mut self, purpose: CallPurpose, now: Timestamp, jitter: f64) -> BudgetDecision {
         if let Some(probe) = &mut self.probe {
-            // Callers that retry would all hit the store in the moment of its return. One call
-            // at a time finds out, and refusing the others is truthful: they had no effect.
+            // Retrying callers would all reach the store at the moment of its recovery. Only one
+            // call at a time probes it. Refusing the others as without effect is correct, since
+            // they were not sent.
             if now < probe.next_at {
                 return BudgetDecision::Refuse(StoreError::Unavailable);
             }
@@ -166,7 +170,7 @@
         }
     }
 
-    /// Takes in how a call ended; `jitter` is a random number from 0 to 1.
+    /// Records the outcome of a call; `jitter` is a random number from 0 to 1.
     pub fn record(
         &mut self,
         purpose: CallPurpose,
@@ -184,7 +188,7 @@
         }
     }
 
-    /// Whether the store counts as out of reach.
+    /// Whether the store counts as unreachable.
     pub fn in_outage(&self) -> bool {
         self.probe.is_some()
     }
@@ -194,8 +198,9 @@
         if self.probe.take().is_none() {
             return;
         }
-        // All processes see the store's return within one probe. Without the bursts they saved
-        // up during the outage, and spread over a while, they stay under the store's rates.
+        // All processes notice the store's recovery within one probe interval. Discarding the
+        // bursts accumulated during the outage and spreading the calls keeps them within the
+        // store's rate limits.
         self.resume_at = now + self.limits.recovery_spread.mul_f64(jitter);
         for bucket in &mut self.buckets {
             bucket.empty_until(self.resume_at);
--- a/lovagedock-platform/src/budgeted.rs
+++ b/lovagedock-platform/src/budgeted.rs
@@ -1,4 +1,4 @@
-//! A store whose calls keep to the budget of the process and are counted by purpose.
+//! A store wrapper that applies the budget of the process and counts calls by purpose.
 
 use std::{sync::Arc, time::Duration};
 
@@ -19,7 +19,7 @@
 
 const CALLS_METRIC: &str = "lovagedock_store_calls_total";
 
-/// Wraps the store that a process uses; every part of the process shares it.
+/// Wraps the store that a process uses; all parts of the process share it.
 pub struct BudgetedStore {
     inner: Arc<dyn ObjectStore>,
     started: Instant,
@@ -32,7 +32,7 @@
 }
 
 impl BudgetedStore {
-    /// Wraps `inner`; `seed` spreads the processes' calls and should be random.
+    /// Wraps `inner`. `seed` spreads the calls of different processes and should be random.
     pub fn new(inner: Arc<dyn ObjectStore>, limits: BudgetLimits, seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let budget = StoreBudget::new(limits, Duration::ZERO, rng.random());
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Whether the store counts as out of reach.
+    /// Whether the store counts as unreachable.
     pub fn in_outage(&self) -> bool {
         self.state.lock().budget.in_outage()
     }
--- a/lovagedock-platform/src/client.rs
+++ b/lovagedock-platform/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls over HTTP to a platform's store.
+//! HTTP client for a platform's store.
 
 use std::time::Duration;
 
@@ -14,31 +14,32 @@
 
 const MAX_IDLE_CONNECTIONS: usize = 8;
 
-/// Idle time after which the kernel asks whether the other side is there, and between questions.
-/// A watch waits for seconds without a byte; a connection that went silent meanwhile would hide
-/// every change until its end. Three questions without an answer end it.
+/// Idle time before the first TCP keepalive probe, and interval between probes. A watch waits for
+/// seconds without receiving a byte; a dead connection would hide every change until the wait ends.
+/// A connection ends after three unanswered probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 const KEEPALIVE_RETRIES: u32 = 2;
 
-/// Time after which sent bytes that nobody acknowledged end a connection.
+/// Time after which a connection with unacknowledged sent bytes is closed.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2500);
 
 type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
-/// Sends calls to a store; every client of a store uses it.
+/// Sends calls to a store; shared by all clients of a store.
 pub struct StoreClient {
     timeouts: StoreTimeouts,
     client: Mutex<HttpClient>,
 }
 
-/// How long a call may take.
+/// Timeouts of calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreTimeouts {
-    /// To open a connection.
+    /// Time limit for opening a connection.
     pub connect: Duration,
-    /// From the call to its whole answer; a watch gets this on top of its wait.
+    /// Time limit from sending the call to its complete response; a watch gets this in addition to
+    /// its wait.
     pub call: Duration,
-    /// How long an unused connection is kept.
+    /// Time for which an unused connection is kept.
     pub idle: Duration,
 }
 
@@ -52,28 +53,28 @@
     }
 }
 
-/// A whole answer of a store.
+/// A complete response of a store.
 #[derive(Clone, Debug)]
 pub struct StoreResponse {
-    /// Status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Headers.
+    /// HTTP headers.
     pub headers: HeaderMap,
-    /// Body.
+    /// HTTP body.
     pub body: Bytes,
 }
 
-/// Why no whole answer came.
+/// Reason why no complete response arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFailure {
-    /// No connection could be opened, so the call was never sent.
+    /// No connection could be opened, so the call was not sent.
     NotSent,
     /// The call may have reached the store.
     MayHaveReached,
 }
 
 impl StoreClient {
-    /// A client without connections.
+    /// Creates a client without open connections.
     pub fn new(timeouts: StoreTimeouts) -> Self {
         Self {
             timeouts,
@@ -81,7 +82,8 @@
         }
     }
 
-    /// Sends a call that the store may hold for `wait`; the answer has `limit` bytes at most.
+    /// Sends a call that the store may delay for up to `wait`; the response has at most `limit`
+    /// bytes.
     pub async fn call(
         &self,
         request: Request<Full<Bytes>>,
@@ -97,9 +99,9 @@
         {
             Ok(result) => result,
             Err(_) => {
-                // A connection that went silent looks alive, and others to the same host may be
-                // as dead: every call would wait out its time. New connections work, so the pool
-                // is left behind with all that is in it.
+                // A dead connection looks alive, and other connections to the same host may be dead
+                // too: every call on them would run into its timeout. New connections work, so the
+                // whole connection pool is replaced.
                 *self.client.lock() = new_client(self.timeouts);
                 Err(CallFailure::MayHaveReached)
             }
--- a/lovagedock-platform/src/config/apply.rs
+++ b/lovagedock-platform/src/config/apply.rs
@@ -1,4 +1,5 @@
-//! Applying a configuration: chunks first, then one conditional update of the root.
+//! Applies a configuration: writes the chunks first, then updates the root with one conditional
+//! write.
 
 use std::{fmt, time::Duration};
 
@@ -20,56 +21,58 @@
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What an operator asks for.
+/// An operator's request to apply a configuration.
 #[derive(Clone, Debug)]
 pub struct ApplyRequest {
     /// Canonical JSON of the configuration.
     pub config: Bytes,
-    /// Generation that it replaces; 0 for the first.
+    /// Generation that the configuration replaces; 0 for the first.
     pub expected: Generation,
-    /// Who applies it.
+    /// Name of the operator.
     pub author: String,
-    /// Random text that no other apply has.
+    /// Random text that is unique to this apply.
     pub nonce: ApplyNonce,
-    /// The time as text for people.
+    /// Time of submission as text for display.
     pub submitted_at: String,
-    /// How long the store may be tried before the outcome is given.
+    /// Time limit for retries before the outcome is returned.
     pub timeout: Duration,
-    /// Whether chunks of the present configuration are trusted to be in the store as they were.
+    /// Whether chunks of the current configuration are assumed to be intact in the store.
     pub reuse_chunks: bool,
 }
 
-/// What became of an apply; never a guess.
+/// Outcome of an apply. Every outcome except `Unknown` is certain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ApplyOutcome {
-    /// It is the configuration now, or was until another replaced it.
+    /// The configuration was accepted. It is in force, or was until another replaced it.
     Accepted {
-        /// Its generation.
+        /// Generation of the accepted configuration.
         generation: Generation,
     },
-    /// Another apply was accepted in its place.
+    /// Another apply was accepted instead.
     Conflict {
-        /// Generation of the other.
+        /// Generation of the other configuration.
         winner: Generation,
-        /// Who applied the other.
+        /// Operator who applied the other configuration.
         author: String,
     },
-    /// This call did not change the configuration and never will. It says nothing of an earlier
-    /// call with the same nonce that ended as [`ApplyOutcome::Unknown`].
+    /// This call did not change the configuration and never will. This does not cover an earlier
+    /// call with the same nonce that returned [`ApplyOutcome::Unknown`].
     NotAccepted {
-        /// Why.
+        /// Reason.
         reason: NotAcceptedReason,
     },
-    /// It may have been accepted; applying it again with the same nonce finds out.
+    /// The configuration may have been accepted; applying it again with the same nonce determines
+    /// the outcome.
     Unknown,
 }
 
-/// Why a configuration was not accepted.
+/// Reason why a configuration was not accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NotAcceptedReason {
-    /// The store was out of reach, or its rate used up, for as long as the apply might take.
+    /// The store was unreachable or its rate limit exceeded until the time limit of the apply.
     Unavailable(StoreError),
-    /// The expected generation is not the store's and the store does not know who replaced it.
+    /// The expected generation is not the store's, and the store no longer records which apply
+    /// replaced it.
     WrongGeneration,
     /// The configuration is too large for its root to fit into one value.
     TooLarge,
@@ -81,7 +84,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Unavailable(error) => error.fmt(f),
-            Self::WrongGeneration => f.write_str("the expected generation is not the store's"),
+            Self::WrongGeneration => {
+                f.write_str("the expected generation is not the current one in the store")
+            }
             Self::TooLarge => f.write_str("the configuration is too large"),
             Self::CorruptRoot => f.write_str("the configuration's root cannot be read"),
         }
@@ -89,7 +94,7 @@
 }
 
 impl ApplyRequest {
-    /// A request with the usual patience.
+    /// Creates a request with the default time limit.
     pub fn new(config: Bytes, expected: Generation, author: &str, nonce: ApplyNonce) -> Self {
         Self {
             config,
@@ -102,19 +107,19 @@
         }
     }
 
-    /// Names the time for people.
+    /// Sets the time of submission for display.
     pub fn with_submitted_at(mut self, text: &str) -> Self {
         self.submitted_at = text.to_owned();
         self
     }
 
-    /// Bounds the time for which the store is tried.
+    /// Sets the time limit for retries.
     pub fn with_timeout(mut self, timeout: Duration) -> Self {
         self.timeout = timeout;
         self
     }
 
-    /// Writes every chunk again, which repairs one that was damaged in the store.
+    /// Writes all chunks again, which repairs chunks that were damaged in the store.
     pub fn with_all_chunks(mut self) -> Self {
         self.reuse_chunks = false;
         self
@@ -137,7 +142,8 @@
         root.with_base(base)
     }
 
-    /// The outcome if `root` decides it; `None` while the generation is open.
+    /// Returns the outcome if `root` determines it; `None` while the expected next generation is
+    /// open.
     fn outcome(&self, root: Option<&ConfigRoot>, may_have_written: bool) -> Option<ApplyOutcome> {
         match apply_status(root, &self.nonce, self.expected) {
             ApplyStatus::Accepted(generation) => Some(ApplyOutcome::Accepted { generation }),
@@ -153,7 +159,7 @@
 }
 
 impl ConfigStore {
-    /// Applies a configuration whole. The same request may be applied again at any time: it is
+    /// Applies a complete configuration. The same request may be applied again at any time: it is
     /// accepted at most once.
     pub async fn apply(&self, request: &ApplyRequest) -> ApplyOutcome {
         let mut retry_timer = RetryTimer::new(request.timeout);
@@ -199,8 +205,8 @@
         }
     }
 
-    /// Writes the chunks that `reusable` does not name. Chunks that an older configuration left
-    /// behind are written again: the newer version keeps them from being collected.
+    /// Writes the chunks that `reusable` does not name. Chunks left over from an older
+    /// configuration are written again: their newer version protects them from collection.
     async fn write_chunks(
         &self,
         chunks: &[ConfigChunk],
@@ -220,8 +226,8 @@
             .await
     }
 
-    /// A chunk's key is its hash, so writing it twice changes nothing and a write whose outcome
-    /// is unknown is simply repeated.
+    /// Writes one chunk. Its key is its hash, so writing it twice changes nothing, and a write with
+    /// an unknown outcome is repeated.
     async fn write_chunk(
         &self,
         chunk: &ConfigChunk,
@@ -245,12 +251,12 @@
         }
     }
 
-    /// Puts the root until it is known what became of it.
+    /// Writes the root, with retries, until the outcome is known.
     ///
-    /// When the answer is lost the root is read back and looked through for the nonce. If the old
-    /// root is still there, the write may yet take effect, so "not accepted" would be a guess;
-    /// the same conditional write is sent again instead. Both carry the same condition, hence at
-    /// most one of them takes effect, and once any write moved the version neither can any more.
+    /// If the response is lost, the root is read back and searched for the nonce. If the old root
+    /// is still there, the write may yet take effect, so "not accepted" would not be certain; the
+    /// same conditional write is sent again instead. Both writes carry the same condition, so at
+    /// most one of them takes effect, and once any write has changed the version, neither can.
     async fn write_root(
         &self,
         request: &ApplyRequest,
@@ -292,7 +298,8 @@
         }
     }
 
-    /// Looks the outcome up in the store; `None` when it could not be read or is still open.
+    /// Determines the outcome from the root in the store; `None` if the root could not be read or
+    /// the outcome is still open.
     async fn read_back(
         &self,
         request: &ApplyRequest,
@@ -304,8 +311,8 @@
         if let Some(outcome) = request.outcome(root, may_have_written) {
             return Some(outcome);
         }
-        // Somebody put the expected generation back in place under another version. The
-        // condition can never hold again, so waiting would not help.
+        // Another writer restored the expected generation under another version. The condition can
+        // never hold again, so waiting would not help.
         is_conflict.then(|| match may_have_written {
             true => ApplyOutcome::Unknown,
             false => not_accepted(NotAcceptedReason::WrongGeneration),
@@ -313,7 +320,7 @@
     }
 }
 
-/// Pauses that grow, until a deadline.
+/// Retry delays that double up to a maximum, until a deadline.
 #[derive(Clone)]
 struct RetryTimer {
     deadline: Instant,
@@ -328,9 +335,10 @@
         }
     }
 
-    /// Pauses before a retry; false when the deadline leaves no time for one.
+    /// Waits before a retry; returns false if the deadline leaves no time for one.
     async fn wait(&mut self) -> bool {
-        // Operators are few, and the budget spreads the calls of the many: no jitter here.
+        // No jitter is needed here: there are few operators, and the store budget spreads the calls
+        // of the many other processes.
         let delay = self.next_delay;
         if Instant::now() + delay >= self.deadline {
             return false;
--- a/lovagedock-platform/src/config/chunk_name.rs
+++ b/lovagedock-platform/src/config/chunk_name.rs
@@ -9,12 +9,12 @@
 /// A [`ChunkHash`] in hexadecimal.
 pub type ChunkName = Arc<str>;
 
-/// The name under which the store keeps a chunk.
+/// Returns the name under which the store keeps a chunk.
 pub fn chunk_name(hash: &ChunkHash) -> ChunkName {
     blake3::Hash::from_bytes(*hash).to_hex().as_str().into()
 }
 
-/// The hash that a name tells; `None` when it is no such name.
+/// Parses a chunk name; returns `None` if it is not a hash.
 pub(crate) fn parse_name(name: &ChunkName) -> Option<ChunkHash> {
     let hash = blake3::Hash::from_hex(name.as_bytes()).ok()?;
     Some(*hash.as_bytes())
--- a/lovagedock-platform/src/config/chunks.rs
+++ b/lovagedock-platform/src/config/chunks.rs
@@ -1,4 +1,4 @@
-//! How a configuration is cut into chunks.
+//! Splitting of a configuration into chunks.
 
 use std::collections::HashMap;
 
@@ -20,28 +20,28 @@
 pub struct ConfigChunk {
     /// The chunk's hash, in hexadecimal.
     pub hash: ChunkName,
-    /// The bytes.
+    /// Bytes of the chunk.
     pub bytes: Bytes,
 }
 
-/// Chunks that a process has already, by hash.
+/// Chunks that a process already has, by hash.
 #[derive(Clone, Debug, Default)]
 pub struct ChunkCache {
     chunks: HashMap<ChunkName, Bytes>,
 }
 
 impl ChunkCache {
-    /// An empty cache.
+    /// Creates an empty cache.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The bytes of a chunk, if they are here.
+    /// Returns the bytes of a chunk, if cached.
     pub fn get(&self, hash: &ChunkName) -> Option<Bytes> {
         self.chunks.get(hash).cloned()
     }
 
-    /// Keeps a chunk if its bytes have its hash, and says whether they have.
+    /// Stores a chunk if its bytes match its hash; returns whether they match.
     pub fn insert(&mut self, hash: &ChunkName, bytes: Bytes) -> bool {
         let matches = name_of_bytes(&bytes) == *hash;
         if matches {
@@ -50,30 +50,30 @@
         matches
     }
 
-    /// Forgets every chunk that `root` does not name.
+    /// Removes every chunk that `root` does not name.
     pub fn retain(&mut self, root: &ConfigRoot) {
         self.chunks.retain(|hash, _| root.chunks.contains(hash));
     }
 
-    /// Number of chunks.
+    /// Number of cached chunks.
     pub fn len(&self) -> usize {
         self.chunks.len()
     }
 
-    /// Whether there is no chunk.
+    /// Whether the cache is empty.
     pub fn is_empty(&self) -> bool {
         self.chunks.is_empty()
     }
 }
 
-/// The form in which a configuration is kept: JSON without spaces, fields in the order of the
-/// types, so that equal configurations have equal bytes.
+/// Serialises a configuration in its stored form: JSON without whitespace, fields in the order of
+/// the types, so that equal configurations have equal bytes.
 pub fn canonical_json(config: &FleetConfig) -> Result<Bytes, serde_json::Error> {
     serde_json::to_vec(config).map(Bytes::from)
 }
 
-/// Cuts a configuration where its content says so: the same bytes give the same chunks, and an
-/// edit changes the chunks that it touches and seldom more.
+/// Splits a configuration at content-defined boundaries: the same bytes give the same chunks, and
+/// an edit changes the chunks that it touches and rarely more.
 pub fn split_chunks(config: &Bytes) -> Vec<ConfigChunk> {
     FastCDC::new(
         config,
--- a/lovagedock-platform/src/config/load.rs
+++ b/lovagedock-platform/src/config/load.rs
@@ -1,4 +1,4 @@
-//! Reading the configuration from the store, and collecting chunks that nobody needs.
+//! Reads the configuration from the store and collects chunks that are no longer needed.
 
 use std::{fmt, sync::Arc, time::Duration};
 
@@ -16,10 +16,10 @@
     CallPurpose, ChangeBatch, ObjectStore, ObjectVersion, PutCondition, Revision, StoreError,
 };
 
-/// Chunks that are read or written at the same time.
+/// Maximum number of chunks that are read or written concurrently.
 pub(crate) const PARALLEL_CALLS: usize = 16;
 
-/// How often the root is read again when its chunks were collected meanwhile.
+/// Number of attempts to load the configuration if its chunks are collected while it is being read.
 const LOAD_ATTEMPTS: usize = 3;
 
 /// The configuration in the platform's store.
@@ -28,29 +28,29 @@
     pub(crate) store: Arc<dyn ObjectStore>,
 }
 
-/// A configuration that was read and checked.
+/// A configuration that was loaded and verified.
 #[derive(Clone, Debug)]
 pub struct LoadedConfig {
-    /// The root that names it.
+    /// Root of the configuration.
     pub root: ConfigRoot,
-    /// Its bytes: canonical JSON of [`FleetConfig`].
+    /// Canonical JSON of the [`FleetConfig`].
     pub bytes: Bytes,
-    /// What the bytes say.
+    /// The parsed configuration.
     pub config: FleetConfig,
 }
 
-/// Why a configuration could not be read.
+/// Error of loading a configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LoadError {
-    /// The store did not answer.
+    /// The call to the store failed.
     Store(StoreError),
-    /// The root cannot be read.
+    /// The root cannot be parsed.
     CorruptRoot,
-    /// A chunk that the root names is not there.
+    /// A chunk named by the root does not exist.
     MissingChunk(ChunkName),
-    /// A chunk does not have its hash.
+    /// A chunk does not match its hash.
     CorruptChunk(ChunkName),
-    /// The chunks together are not what the root names, or not a configuration.
+    /// The joined chunks do not match the digest in the root, or are not a valid configuration.
     CorruptConfig,
 }
 
@@ -60,8 +60,8 @@
             Self::Store(error) => write!(f, "the configuration could not be read: {error}"),
             Self::CorruptRoot => f.write_str("the configuration's root cannot be read"),
             Self::MissingChunk(hash) => write!(f, "chunk {hash} is missing"),
-            Self::CorruptChunk(hash) => write!(f, "chunk {hash} does not have its hash"),
-            Self::CorruptConfig => f.write_str("the chunks do not make a configuration"),
+            Self::CorruptChunk(hash) => write!(f, "chunk {hash} does not match its hash"),
+            Self::CorruptConfig => f.write_str("the chunks do not form a valid configuration"),
         }
     }
 }
@@ -74,7 +74,7 @@
     }
 }
 
-/// A root and the version of its object.
+/// A root with the version of its object.
 #[derive(Clone, Debug)]
 pub struct VersionedRoot {
     /// Version of the object.
@@ -84,17 +84,17 @@
 }
 
 impl ConfigStore {
-    /// The configuration in `store`.
+    /// Creates access to the configuration in `store`.
     pub fn new(store: Arc<dyn ObjectStore>) -> Self {
         Self { store }
     }
 
-    /// Reads the root; `None` before the first acceptance.
+    /// Reads the root; returns `None` before the first acceptance.
     pub async fn load_root(&self) -> Result<Option<ConfigRoot>, LoadError> {
         Ok(self.read_root().await?.map(|versioned| versioned.root))
     }
 
-    /// Reads the newest configuration whole; `None` before the first acceptance.
+    /// Reads the complete newest configuration; returns `None` before the first acceptance.
     pub async fn load_latest(
         &self,
         cache: &mut ChunkCache,
@@ -105,16 +105,16 @@
                 return Ok(None);
             };
             match self.load(root, cache).await {
-                // A slow reader's chunks may be collected once newer configurations replaced
-                // them; the root in the store then names others.
+                // Chunks may be collected during a slow read once newer configurations have
+                // replaced them. The root in the store then names other chunks.
                 Err(LoadError::MissingChunk(_)) if attempt < LOAD_ATTEMPTS => attempt += 1,
                 result => return result.map(Some),
             }
         }
     }
 
-    /// Reads the configuration that `root` names. Chunks in `cache` are not read again, and
-    /// afterwards it holds those of `root` alone.
+    /// Reads the configuration that `root` names. Chunks in `cache` are not read again; afterwards
+    /// the cache holds only the chunks of `root`.
     pub async fn load(
         &self,
         root: ConfigRoot,
@@ -133,13 +133,14 @@
         assemble(root, cache)
     }
 
-    /// Deletes up to `limit` chunks that no process can need and returns how many it deleted.
+    /// Deletes up to `limit` chunks that no process can need and returns the number of deleted
+    /// chunks.
     ///
-    /// A chunk goes when the root neither names nor retains it and it was written before the
-    /// root. An apply that is under way has written its chunks after it read the root it builds
-    /// on: if that root is still the newest, the chunks are younger than it; if it is not, the
-    /// apply will be refused. The delete names the version that was listed, so that a chunk
-    /// written again in between stays.
+    /// A chunk is deleted if the root neither names nor retains it and it was written before the
+    /// root. An apply in progress writes its chunks after reading the root that it builds on. If
+    /// that root is still the newest, the chunks are newer than it; otherwise the apply will be
+    /// refused. The delete is conditional on the listed version, so a chunk that was written again
+    /// in between is kept.
     pub async fn collect_chunks(&self, limit: usize) -> Result<usize, LoadError> {
         let Some(versioned) = self.read_root().await? else {
             return Ok(0);
@@ -164,7 +165,7 @@
         Ok(deleted)
     }
 
-    /// Reads the root; `None` when nothing was accepted yet.
+    /// Reads the root and its version; returns `None` before the first acceptance.
     pub async fn read_root(&self) -> Result<Option<VersionedRoot>, LoadError> {
         let Some(object) = self.store.get(ROOT_KEY, CallPurpose::Config).await? else {
             return Ok(None);
@@ -187,7 +188,7 @@
             .await
     }
 
-    /// Reads one chunk; whether its bytes have its hash is for the caller to check.
+    /// Reads one chunk. The caller checks whether the bytes match the hash.
     pub async fn read_chunk_bytes(&self, name: &ChunkName) -> Result<Bytes, LoadError> {
         let (_, bytes) = self.read_chunk(name.clone()).await?;
         Ok(bytes)
--- a/lovagedock-platform/src/config/mod.rs
+++ b/lovagedock-platform/src/config/mod.rs
@@ -15,5 +15,5 @@
 /// Key of the root object.
 pub const ROOT_KEY: &str = "config/root";
 
-/// Beginning of the keys of chunks.
+/// Prefix of the keys of chunks.
 pub const CHUNK_PREFIX: &str = "config/chunks/";
--- a/lovagedock-platform/src/config/root.rs
+++ b/lovagedock-platform/src/config/root.rs
@@ -1,4 +1,4 @@
-//! The root object, and what it tells of an apply whose confirmation was lost.
+//! The root object, and how it determines the outcome of an apply whose confirmation was lost.
 
 use std::collections::HashSet;
 
@@ -7,47 +7,49 @@
 
 use super::chunk_name::{ChunkName, parse_name};
 
-/// Random text of one apply; the operator's program draws it once and keeps it over its retries.
+/// Random text that identifies one apply. The operator's program generates it once and reuses it
+/// for retries.
 pub type ApplyNonce = String;
 
-/// Past acceptances that the root names. A lost confirmation can be settled for as long as its
-/// generation is among them.
+/// Number of past acceptances recorded in the root. The outcome of an apply with a lost
+/// confirmation can be determined as long as its generation is among them.
 const HISTORY_LENGTH: usize = 32;
 
-/// Generations for which a chunk that is no longer used is kept for processes that still read it.
+/// Number of generations for which an unused chunk is kept for processes that still read it.
 const RETAINED_GENERATIONS: Generation = 8;
 
-/// What `config/root` holds: the accepted configuration and who applied it.
+/// Content of `config/root`: the accepted configuration and the operator who applied it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigRoot {
-    /// The acceptance that made this root.
+    /// The acceptance that created this root.
     pub accepted: AcceptedRecord,
-    /// When the operator's program sent it, as text for people; nothing is decided by it.
+    /// Time at which the operator's program sent the apply, as text for display; no decision
+    /// depends on it.
     pub accepted_at: String,
-    /// Bytes of the whole configuration.
+    /// Length of the whole configuration in bytes.
     pub length: u64,
-    /// BLAKE3 of the whole configuration.
+    /// BLAKE3 digest of the whole configuration.
     pub digest: ChunkName,
-    /// Chunks in their order.
+    /// Chunks in order.
     pub chunks: Vec<ChunkName>,
-    /// Acceptances before this one, newest first.
+    /// Previous acceptances, newest first.
     pub history: Vec<AcceptedRecord>,
-    /// Chunks that left the configuration not long ago.
+    /// Chunks that were recently removed from the configuration.
     pub retired: Vec<RetiredChunk>,
 }
 
 /// One acceptance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AcceptedRecord {
-    /// Generation that it made.
+    /// Generation that the acceptance created.
     pub generation: Generation,
     /// Nonce of the apply.
     pub nonce: ApplyNonce,
-    /// Who applied it.
+    /// Operator who applied it.
     pub author: String,
 }
 
-/// A chunk that left the configuration.
+/// A chunk that was removed from the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RetiredChunk {
     /// The chunk.
@@ -56,16 +58,16 @@
     pub generation: Generation,
 }
 
-/// What a root tells of an apply.
+/// Status of an apply according to a root.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ApplyStatus {
-    /// It was accepted as this generation.
+    /// The apply was accepted as this generation.
     Accepted(Generation),
-    /// Another apply has the generation that this one was to make.
+    /// Another apply created the generation that this one was to create.
     Superseded(AcceptedRecord),
-    /// Nobody has made that generation yet.
+    /// That generation does not exist yet.
     Open,
-    /// The root no longer names who made that generation.
+    /// The root no longer records which apply created that generation.
     NotRecorded,
 }
 
@@ -75,7 +77,8 @@
         self.accepted.generation
     }
 
-    /// What processes hand to each other of this root; `None` when a chunk's name is no hash.
+    /// Returns the manifest of this root that processes exchange; `None` if the name of a chunk is
+    /// not a hash.
     pub fn manifest(&self) -> Option<ConfigManifest> {
         let chunks: Option<_> = self.chunks.iter().map(parse_name).collect();
         Some(ConfigManifest {
@@ -84,7 +87,7 @@
         })
     }
 
-    /// Whether collecting chunks must leave this one alone.
+    /// Whether chunk collection must keep this chunk.
     pub fn retains(&self, hash: &str) -> bool {
         let retired = || self.retired.iter().any(|chunk| &*chunk.hash == hash);
         self.chunks.iter().any(|chunk| &**chunk == hash) || retired()
@@ -124,8 +127,8 @@
     }
 }
 
-/// Tells from the root that is in the store what became of the apply with `nonce`, which was to
-/// follow generation `expected`.
+/// Determines from the root in the store the status of the apply with `nonce`, which was to follow
+/// generation `expected`.
 pub(crate) fn apply_status(
     root: Option<&ConfigRoot>,
     nonce: &ApplyNonce,
--- a/lovagedock-platform/src/feed.rs
+++ b/lovagedock-platform/src/feed.rs
@@ -1,4 +1,4 @@
-//! Fleet state that a platform keeps as objects and tells by watches.
+//! Fleet state that a platform stores as objects and reports through watches.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -7,16 +7,16 @@
 
 use crate::store::StoreError;
 
-/// Source of the configuration, of endpoints and of other gateways.
+/// Source of the configuration, the endpoints and the other gateways.
 ///
-/// A platform's objects are decoded behind this border; what comes out is the product's own.
+/// Implementations decode the platform's objects and return lovagedock's own types.
 #[async_trait]
 pub trait FleetFeed: Send + Sync {
-    /// Reads a subject as a whole, at least as new as anything that was acknowledged before.
+    /// Reads a complete subject. The result is at least as new as anything acknowledged before.
     async fn snapshot(&self, subject: FeedSubject) -> Result<FeedSnapshot, FeedError>;
 
-    /// Waits up to `wait` for changes of a subject after `after`. A step of another era than that of
-    /// `after` says nothing of what happened in between; only a snapshot helps then.
+    /// Waits up to `wait` for changes of a subject after `after`. A step of another era than that
+    /// of `after` does not cover the changes in between; the caller then needs a snapshot.
     async fn follow(
         &self,
         subject: FeedSubject,
@@ -24,16 +24,16 @@
         wait: Duration,
     ) -> Result<FeedStep, FeedError>;
 
-    /// Tells other gateways where this one listens; returns the era that has it. A store that comes
-    /// back from an older copy loses it, though it was acknowledged.
+    /// Publishes this gateway's address for other gateways; returns the era that contains it. A
+    /// store restored from an older copy loses the entry, although it was acknowledged.
     async fn announce(&self, gateway: &GatewayEntry) -> Result<StoreEra, FeedError>;
 
-    /// Keeps what a gateway has seen of requests that end processes; replaces its former sheet.
-    /// Returns the era that has it, as [`announce`](Self::announce) does.
+    /// Stores a gateway's observations of requests under which processes ended, replacing its
+    /// previous sheet. Returns the era that contains it, as [`announce`](Self::announce) does.
     async fn store_suspects(&self, sheet: &SuspectSheet) -> Result<StoreEra, FeedError>;
 }
 
-/// What a feed is about.
+/// Subject of a feed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum FeedSubject {
     /// The configuration in force.
@@ -42,12 +42,12 @@
     Endpoints,
     /// Gateways.
     Gateways,
-    /// What gateways have seen of requests that end processes.
+    /// Observations of gateways about requests under which processes ended.
     Suspects,
 }
 
 impl FeedSubject {
-    /// Word in logs and metrics.
+    /// Name in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Traffic => "traffic",
@@ -58,71 +58,71 @@
     }
 }
 
-/// A whole subject.
+/// Complete state of a subject.
 #[derive(Clone, Debug)]
 pub struct FeedSnapshot {
-    /// Everything up to this point is in it.
+    /// All changes up to this position are included.
     pub position: StorePosition,
-    /// What is there.
+    /// Changes that build the complete state.
     pub changes: Vec<FeedChange>,
 }
 
-/// What a wait brought.
+/// Result of waiting for changes.
 #[derive(Clone, Debug)]
 pub struct FeedStep {
-    /// Everything up to this point is covered.
+    /// All changes up to this position are covered.
     pub position: StorePosition,
-    /// What changed, in order.
+    /// Changes, in order.
     pub changes: Vec<FeedChange>,
 }
 
 /// One change.
 #[derive(Clone, Debug)]
 pub enum FeedChange {
-    /// A configuration.
+    /// A new configuration.
     Traffic(Arc<TrafficConfig>),
-    /// An endpoint came or changed.
+    /// An endpoint was added or changed.
     Endpoint(DirectEndpoint),
-    /// An endpoint's entry is gone.
+    /// An endpoint's entry was removed.
     EndpointRemoved(EndpointId),
-    /// A gateway came or moved.
+    /// A gateway was added or changed its address.
     Gateway(GatewayEntry),
-    /// A gateway's entry is gone.
+    /// A gateway's entry was removed.
     GatewayRemoved(GatewayId),
-    /// A gateway's sheet.
+    /// A gateway's suspect sheet was written.
     Suspects(SuspectSheet),
 }
 
-/// What one gateway has seen of requests that end processes.
+/// Observations of one gateway about requests under which processes ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SuspectSheet {
-    /// The gateway.
+    /// Gateway that wrote the sheet.
     pub gateway: GatewayId,
-    /// When it was written, since 1970 by the gateway's clock.
+    /// Time of writing since 1970, by the gateway's clock.
     pub written_at: Duration,
-    /// The requests, with times as of then.
+    /// Reports on the requests, with times relative to the time of writing.
     pub reports: Vec<SuspectReport>,
 }
 
-/// Where a gateway listens for others.
+/// Address at which a gateway listens for others.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GatewayEntry {
-    /// Name.
+    /// Name of the gateway.
     pub name: GatewayId,
     /// Address for datagrams.
     pub address: SocketAddr,
 }
 
-/// Why a feed has nothing.
+/// Error of a feed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FeedError {
     /// The call failed.
     Store(StoreError),
-    /// The platform no longer knows what happened since the revision; only a snapshot helps.
+    /// The platform no longer has the changes since the revision; the caller needs a snapshot.
     HistoryLost,
     /// An object could not be decoded.
     Undecodable {
-        /// The object and what is wrong with it.
+        /// The object and the problem.
         detail: String,
     },
 }
@@ -131,7 +131,7 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::Store(error) => error.fmt(f),
-            Self::HistoryLost => f.write_str("the platform has dropped the history"),
+            Self::HistoryLost => f.write_str("the platform no longer has the change history"),
             Self::Undecodable { detail } => f.write_str(detail),
         }
     }
--- a/lovagedock-platform/src/hosts.rs
+++ b/lovagedock-platform/src/hosts.rs
@@ -6,17 +6,17 @@
 
 use crate::store::StoreError;
 
-/// Where the platform's list of hosts is read.
+/// Source of the platform's list of hosts.
 #[async_trait]
 pub trait HostDirectory: Send + Sync {
-    /// Reads the list, which lags behind the truth.
+    /// Reads the list, which lags behind the actual state.
     async fn hosts(&self) -> Result<HostList, StoreError>;
 }
 
 /// Live and leaving hosts, as the platform knew them some time ago.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostList {
-    /// One line per host; a host that is gone has none.
+    /// One entry per host; a host that no longer exists has none.
     pub hosts: Vec<HostEntry>,
 }
 
@@ -25,16 +25,16 @@
 pub struct HostEntry {
     /// Name of the host.
     pub host: HostId,
-    /// What the platform says of it.
+    /// State reported by the platform.
     pub state: HostState,
 }
 
-/// What the platform says of a host.
+/// State of a host as reported by the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostState {
-    /// It is there.
+    /// The host is available.
     Live,
-    /// It is about to go.
+    /// The host will be removed soon.
     Leaving,
 }
--- a/lovagedock-platform/src/http.rs
+++ b/lovagedock-platform/src/http.rs
@@ -26,12 +26,12 @@
 }
 
 impl HttpObjectStore {
-    /// A client of the store at `base`, such as `http://10.0.0.1:8300`.
+    /// Creates a client of the store at `base`, such as `http://10.0.0.1:8300`.
     pub fn new(base: &str) -> Self {
         Self::with_timeouts(base, StoreTimeouts::default())
     }
 
-    /// A client with its own timeouts.
+    /// Creates a client with custom timeouts.
     pub fn with_timeouts(base: &str, timeouts: StoreTimeouts) -> Self {
         Self {
             base: base.trim_end_matches('/').to_owned(),
@@ -94,8 +94,9 @@
             }),
             StatusCode::TOO_MANY_REQUESTS => Err(StoreError::RateLimited),
             StatusCode::PAYLOAD_TOO_LARGE => Err(StoreError::TooLarge),
-            // A proxy in front of the store also answers 502, 503 or 504 when the store was cut
-            // off after it had the call. Taken as "not written", a claim could run twice.
+            // A proxy in front of the store also returns 502, 503 or 504 when the store was
+            // disconnected after it had received the call. If this were treated as "not written", a
+            // request with a claim could run twice.
             status if status.is_server_error() => Err(StoreError::OutcomeUnknown),
             _ => Err(StoreError::Malformed),
         }
@@ -149,7 +150,7 @@
             return Err(StoreError::TooLarge);
         }
         let response = self.write(Method::PUT, key, value, condition).await?;
-        // The write took effect, but which version it made is not known.
+        // The write took effect, but its version is not known.
         read_version(&response).ok_or(StoreError::OutcomeUnknown)
     }
 
--- a/lovagedock-platform/src/lib.rs
+++ b/lovagedock-platform/src/lib.rs
@@ -1,9 +1,10 @@
-//! Port to the platform: its object store and its list of hosts, and what lovagedock keeps there.
+//! Interface to the platform: its object store, its list of hosts, and the data that lovagedock
+//! stores there.
 //!
-//! [`ObjectStore`] is the border: [`HttpObjectStore`] speaks the platform's HTTP API and
-//! [`MemoryStore`] stands in for it in tests, with scripted faults. A write whose answer was lost
-//! is [`StoreError::OutcomeUnknown`], and only what certainly did not take effect is
-//! [`StoreError::Unavailable`].
+//! [`ObjectStore`] is the interface. [`HttpObjectStore`] uses the platform's HTTP API;
+//! [`MemoryStore`] replaces it in tests, with scripted faults. A write whose response was lost
+//! fails with [`StoreError::OutcomeUnknown`]; [`StoreError::Unavailable`] is returned only if the
+//! write certainly did not take effect.
 //!
 //! # Example
 //!
--- a/lovagedock-platform/src/memory.rs
+++ b/lovagedock-platform/src/memory.rs
@@ -1,4 +1,4 @@
-//! A store in memory for tests, with faults that a test scripts call by call.
+//! An in-memory store for tests, with faults that a test scripts call by call.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -15,24 +15,25 @@
     table::ObjectTable,
 };
 
-/// A store in memory.
+/// An in-memory object store.
 pub struct MemoryStore {
     shared: Mutex<MemoryState>,
     changed: watch::Sender<Revision>,
 }
 
-/// A fault that hits calls of one kind.
+/// A fault that affects calls of one kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemoryFault {
     /// The call does not reach the store.
     Down,
-    /// The call takes effect and its answer is lost.
+    /// The call takes effect and its response is lost.
     LoseResponse,
-    /// The call is lost on its way, and the caller cannot tell.
+    /// The call is lost in transit, and the caller cannot tell.
     LoseRequest,
-    /// The answer is lost, and the call takes effect when [`MemoryStore::apply_delayed`] is called.
+    /// The response is lost, and the call takes effect when [`MemoryStore::apply_delayed`] is
+    /// called.
     DelayWrite,
-    /// The call is refused because of a rate.
+    /// The call is rejected because of a rate limit.
     RateLimited,
 }
 
@@ -45,7 +46,7 @@
     Write,
 }
 
-/// Calls that reached [`MemoryStore`], failed ones included.
+/// Number of calls that reached a [`MemoryStore`], including failed ones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CallCounts {
     /// Gets, lists and watches.
@@ -79,7 +80,7 @@
 }
 
 impl MemoryStore {
-    /// An empty store without faults.
+    /// Creates an empty store without faults.
     pub fn new() -> Self {
         Self {
             shared: Mutex::default(),
@@ -87,8 +88,8 @@
         }
     }
 
-    /// Lets `fault` hit the next `times` calls of `kind` whose key or prefix begins with
-    /// `key_prefix`, after `skip` such calls went through.
+    /// Applies `fault` to the next `times` calls of `kind` whose key or prefix begins with
+    /// `key_prefix`, after `skip` such calls have succeeded.
     pub fn script_fault(
         &self,
         kind: CallKind,
@@ -106,13 +107,13 @@
         });
     }
 
-    /// Ends all scripted faults.
+    /// Removes all scripted faults.
     pub fn clear_faults(&self) {
         self.shared.lock().script.clear();
     }
 
-    /// Carries out the writes that [`MemoryFault::DelayWrite`] held back, as far as their
-    /// conditions still hold; returns how many took effect.
+    /// Executes the writes delayed by [`MemoryFault::DelayWrite`] whose conditions still hold;
+    /// returns how many took effect.
     pub fn apply_delayed(&self) -> usize {
         let mut state = self.shared.lock();
         let calls = std::mem::take(&mut state.delayed);
@@ -124,19 +125,20 @@
         applied
     }
 
-    /// What it holds now.
+    /// Returns a copy of the current contents.
     pub fn copy(&self) -> ObjectTable {
         self.shared.lock().table.clone()
     }
 
-    /// Comes back from a copy: what was written since is gone and its revisions are given out again.
+    /// Restores the store from a copy: later writes are lost and their revisions are assigned
+    /// again.
     pub fn restore(&self, copy: ObjectTable) {
         let mut state = self.shared.lock();
         state.table = copy;
         self.changed.send_replace(state.table.revision());
     }
 
-    /// Calls so far.
+    /// Returns the call counts so far.
     pub fn counts(&self) -> CallCounts {
         self.shared.lock().counts
     }
--- a/lovagedock-platform/src/store.rs
+++ b/lovagedock-platform/src/store.rs
@@ -1,4 +1,4 @@
-//! The object store as the rest of lovagedock sees it.
+//! Interface of the object store.
 
 use std::{fmt, time::Duration};
 
@@ -7,11 +7,11 @@
 pub use lovagedock::Revision;
 use serde::{Deserialize, Serialize};
 
-/// Version of one object. The store draws versions from its [`Revision`] counter, so a later write
-/// to any key has a higher version, and a version is never used twice.
+/// Version of one object. The store takes versions from its [`Revision`] counter, so a later write
+/// to any key has a higher version, and no version is used twice.
 pub type ObjectVersion = u64;
 
-/// Largest value that the store takes, in bytes.
+/// Largest value that the store accepts, in bytes.
 pub const MAX_VALUE_BYTES: usize = 1 << 20;
 
 /// Longest key, in bytes.
@@ -20,7 +20,7 @@
 /// The platform's object store: versions, conditional updates and watches.
 #[async_trait]
 pub trait ObjectStore: Send + Sync {
-    /// Reads one object; `None` when there is none.
+    /// Reads one object; returns `None` if it does not exist.
     async fn get(
         &self,
         key: &str,
@@ -36,8 +36,8 @@
         purpose: CallPurpose,
     ) -> Result<ObjectVersion, StoreError>;
 
-    /// Deletes one object if `condition` holds. Under [`PutCondition::Any`], and only then,
-    /// deleting what is not there succeeds.
+    /// Deletes one object if `condition` holds. Deleting an object that does not exist succeeds
+    /// only under [`PutCondition::Any`].
     async fn delete(
         &self,
         key: &str,
@@ -53,8 +53,9 @@
     ) -> Result<Vec<ObjectEntry>, StoreError>;
 
     /// Waits up to `wait` for a change after revision `after` under `prefix`; a batch without keys
-    /// says that there was none. The batch's revision is the `after` of the next call. A store that came
-    /// back from an older copy may not have `after`; it then answers at once with its own revision.
+    /// means that there was none. The batch's revision is the `after` of the next call. A store
+    /// restored from an older copy may not have reached `after`; it then returns at once with its
+    /// own revision.
     async fn watch(
         &self,
         prefix: &str,
@@ -75,59 +76,59 @@
     pub value: Bytes,
 }
 
-/// A line of a list.
+/// An entry of a list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ObjectEntry {
     /// Key of the object.
     pub key: String,
     /// Version of the value.
     pub version: ObjectVersion,
-    /// Bytes of the value.
+    /// Size of the value in bytes.
     pub size: u64,
 }
 
-/// What changed under a prefix.
+/// Changes under a prefix.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeBatch {
-    /// Everything up to this revision is covered.
+    /// All changes up to this revision are covered.
     pub revision: Revision,
-    /// Keys that were written or deleted, each once.
+    /// Keys that were written or deleted, without duplicates.
     pub keys: Vec<String>,
 }
 
-/// What must hold for a write to take effect.
+/// Condition under which a write takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PutCondition {
-    /// Nothing.
+    /// No condition.
     Any,
-    /// There is no such object.
+    /// The object does not exist.
     Absent,
     /// The object has this version.
     Version(ObjectVersion),
 }
 
-/// Why a call to the store failed.
+/// Error of a call to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreError {
     /// The condition did not hold; nothing was written.
     Conflict {
-        /// Version that the object has, if it is there and the store told it.
+        /// Current version of the object, if it exists and the store reported it.
         current: Option<ObjectVersion>,
     },
     /// The write may have taken effect, or may still take effect later.
     OutcomeUnknown,
-    /// The store could not be reached; a write did certainly not take effect.
+    /// The store could not be reached; a write certainly did not take effect.
     Unavailable,
-    /// Refused because of a rate; nothing was written.
+    /// The call exceeded a rate limit; nothing was written.
     RateLimited,
     /// The value is larger than [`MAX_VALUE_BYTES`]; nothing was written.
     TooLarge,
-    /// The key is not allowed, or the store's answer could not be read.
+    /// The key is invalid, or the store's response could not be parsed.
     Malformed,
 }
 
 impl StoreError {
-    /// Whether a write that failed so may have taken effect.
+    /// Whether a write that failed with this error may have taken effect.
     pub fn may_have_written(&self) -> bool {
         matches!(self, Self::OutcomeUnknown)
     }
@@ -140,21 +141,21 @@
             Self::Conflict { current: None } => f.write_str("the condition did not hold"),
             Self::OutcomeUnknown => f.write_str("it is not known whether the write took effect"),
             Self::Unavailable => f.write_str("the store is unavailable"),
-            Self::RateLimited => f.write_str("the store's rate is used up"),
+            Self::RateLimited => f.write_str("the store's rate limit is exceeded"),
             Self::TooLarge => f.write_str("the value is too large"),
-            Self::Malformed => f.write_str("malformed key or answer"),
+            Self::Malformed => f.write_str("malformed key or response"),
         }
     }
 }
 
 impl std::error::Error for StoreError {}
 
-/// What a call is for; calls are budgeted and counted by it.
+/// Purpose of a call; calls are budgeted and counted by purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum CallPurpose {
-    /// Configuration: root, chunks and their watch.
+    /// Configuration: its root, its chunks and the watch on them.
     Config,
-    /// Claims of keyed requests and their recorded answers.
+    /// Claims of requests with an idempotency key, and their recorded answers.
     Claim,
     /// Leases of pools.
     Lease,
@@ -165,7 +166,7 @@
 }
 
 impl CallPurpose {
-    /// Every purpose.
+    /// All purposes.
     pub const ALL: [Self; 5] = [
         Self::Config,
         Self::Claim,
@@ -186,12 +187,13 @@
     }
 }
 
-/// Whether the store takes `key`: letters, digits and `. _ - /`, not empty, no `/` at either end.
+/// Whether `key` is valid: letters, digits and `. _ - /`, not empty, no `/` at either end.
 pub fn is_valid_key(key: &str) -> bool {
     !key.is_empty() && !key.ends_with('/') && is_valid_prefix(key)
 }
 
-/// Whether `prefix` can be listed or watched; like a key, but may be empty or end in `/`.
+/// Whether `prefix` can be listed or watched. The rules are those of a key, but a prefix may be
+/// empty or end in `/`.
 pub fn is_valid_prefix(prefix: &str) -> bool {
     prefix.len() <= MAX_KEY_BYTES && !prefix.starts_with('/') && prefix.bytes().all(is_key_byte)
 }
--- a/lovagedock-platform/src/table.rs
+++ b/lovagedock-platform/src/table.rs
@@ -1,4 +1,4 @@
-//! The rules of a versioned store, without I/O; shared by the store in memory and the stand-in.
+//! Versioned object table without I/O, shared by the in-memory store and the stand-in.
 
 use std::collections::BTreeMap;
 
@@ -16,7 +16,7 @@
     objects: BTreeMap<String, ObjectSlot>,
 }
 
-/// What is known of one key; a deleted object keeps its slot so that watches learn of it.
+/// State of one key. A deleted object keeps its slot so that watches report the deletion.
 #[derive(Clone, Debug)]
 struct ObjectSlot {
     changed: Revision,
@@ -24,7 +24,7 @@
 }
 
 impl ObjectTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new() -> Self {
         Self::default()
     }
--- a/lovagedock-platform/tests/config_property.rs
+++ b/lovagedock-platform/tests/config_property.rs
@@ -1,4 +1,4 @@
-//! Random schedules of applies, faults and collections against the configuration store.
+//! Random schedules of applies, faults and chunk collections against the configuration store.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -22,12 +22,12 @@
     fault: MemoryFault,
 }
 
-/// Two operators apply at the same time under some faults; afterwards writes that hung may arrive
-/// and chunks may be collected.
+/// Two operators apply at the same time under some faults. Afterwards delayed writes may take
+/// effect and chunks may be collected.
 #[derive(Clone, Debug)]
 struct PlannedRound {
     faults: Vec<PlannedFault>,
-    /// How far behind the newest generation each operator is.
+    /// Number of generations that each operator is behind the newest.
     behind: [u64; 2],
     release: bool,
     collect: bool,
@@ -83,7 +83,7 @@
 struct Schedule {
     memory: Arc<MemoryStore>,
     config: ConfigStore,
-    /// Nonce of each generation, as the store showed it while nothing failed.
+    /// Nonce of each generation, as read from the store while no fault was active.
     seen: HashMap<u64, String>,
     newest: u64,
     reported: Vec<(String, ApplyOutcome)>,
@@ -129,27 +129,28 @@
         self.verify_state().await;
     }
 
-    /// The store has a whole configuration, no generation went back, and none changed hands.
+    /// Checks that the store has a complete configuration, that the generation did not decrease,
+    /// and that no generation changed its nonce.
     async fn verify_state(&mut self) {
         let loaded = self.config.load_latest(&mut ChunkCache::new()).await;
-        let Some(loaded) = loaded.expect("whole") else {
+        let Some(loaded) = loaded.expect("complete configuration") else {
             assert_eq!(self.newest, 0);
             return;
         };
         let root = loaded.root;
-        assert!(root.generation() >= self.newest, "a generation went back");
+        assert!(root.generation() >= self.newest, "the generation decreased");
         self.newest = root.generation();
         assert_eq!(
             loaded.bytes,
             config(&root.accepted.nonce),
-            "another's configuration"
+            "the configuration is not that of the accepted nonce"
         );
         for record in root.history.iter().chain([&root.accepted]) {
             let known = self
                 .seen
                 .entry(record.generation)
                 .or_insert(record.nonce.clone());
-            assert_eq!(*known, record.nonce, "a generation changed hands");
+            assert_eq!(*known, record.nonce, "a generation changed its nonce");
         }
     }
 
@@ -193,9 +194,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// Operators race under lost answers, late writes, outages and refusals. Whatever they are
-    /// told stays true: accepted means in the history once, refused means never in it, and the
-    /// newest configuration can always be read whole.
+    /// Operators apply concurrently under lost responses, delayed writes, outages and rejections.
+    /// Every reported outcome stays true: an accepted apply is in the history exactly once, a
+    /// refused one never, and the newest configuration can always be read completely.
     #[test]
     fn reported_outcomes_match_the_store(rounds in vec(planned_round(), 1..12)) {
         paused_runtime().block_on(async {
--- a/lovagedock-platform/tests/config_store.rs
+++ b/lovagedock-platform/tests/config_store.rs
@@ -1,4 +1,5 @@
-//! The configuration store under races, lost confirmations, outages and damage.
+//! The configuration store under concurrent applies, lost confirmations, outages and damaged
+//! objects.
 
 use std::{collections::HashSet, sync::Arc, time::Duration};
 
@@ -92,18 +93,18 @@
     name: &'static str,
     kind: CallKind,
     key: &'static str,
-    /// Calls that go through before the fault begins.
+    /// Calls that succeed before the fault begins.
     skip: u32,
     times: u32,
     fault: MemoryFault,
     expected: ApplyOutcome,
-    /// Generation and organisations in the store once the faults are over.
+    /// Generation and number of organisations in the store after the faults.
     after: (u64, usize),
 }
 
-/// Generation 1 has one organisation; an apply of two organisations meets each fault. What the
-/// operator is told has to be what the store holds afterwards, with "unknown" only where the
-/// store could not be asked before the operator's patience ended.
+/// Generation 1 has one organisation; an apply of two organisations runs under each fault. The
+/// reported outcome must match what the store holds afterwards, and may be "unknown" only if the
+/// store could not be queried before the time limit of the apply.
 fn fault_cases() -> Vec<FaultCase> {
     let down = || not_accepted(NotAcceptedReason::Unavailable(StoreError::Unavailable));
     let base = |name| FaultCase {
@@ -127,24 +128,24 @@
         },
         FaultCase {
             fault: MemoryFault::DelayWrite,
-            ..base("confirmation lost, takes effect later: sent again, once in effect")
+            ..base("confirmation lost, takes effect later: sent again, applied once")
         },
         FaultCase {
             fault: MemoryFault::RateLimited,
             times: 3,
-            ..base("rate used up for a while")
+            ..base("rate limit exceeded temporarily")
         },
         FaultCase {
             kind: CallKind::Read,
             times: 3,
-            ..base("outage before, shorter than the patience")
+            ..base("outage before, shorter than the time limit")
         },
         FaultCase {
             kind: CallKind::Read,
             times: ALWAYS,
             expected: down(),
             after: (1, 1),
-            ..base("outage before, longer than the patience")
+            ..base("outage before, longer than the time limit")
         },
         FaultCase {
             key: CHUNK_PREFIX,
@@ -170,7 +171,7 @@
             fault: MemoryFault::RateLimited,
             expected: not_accepted(NotAcceptedReason::Unavailable(StoreError::RateLimited)),
             after: (1, 1),
-            ..base("rate used up for good")
+            ..base("rate limit exceeded permanently")
         },
         FaultCase {
             times: ALWAYS,
@@ -203,9 +204,9 @@
     }
 }
 
-/// The root is written, its confirmation is lost, and the store goes down before it can be read
-/// back. The operator is told "unknown"; applying the same request again when the store is back
-/// finds the first acceptance and does not make a second generation.
+/// The root is written, its confirmation is lost, and the store becomes unavailable before the root
+/// can be read back. The outcome is "unknown". Applying the same request again after the store has
+/// recovered finds the first acceptance and does not create a second generation.
 #[tokio::test(start_paused = true)]
 async fn reapplying_resolves_an_unknown_outcome() {
     let fixture = Fixture::with_first().await;
@@ -227,9 +228,10 @@
     assert_eq!(fixture.load().await, Ok((3, 3)));
 }
 
-/// The first operator's write hangs in the network, so it is unknown to her. A second operator's
-/// file is accepted. When the first write arrives at last its condition has passed: the accepted
-/// file stays, and the first operator learns who won.
+/// The first operator's write is delayed in the network, so its outcome is unknown. A second
+/// operator's file is accepted. When the first write finally arrives, its condition no longer
+/// holds: the accepted file stays, and the first operator's retry reports the conflict and the
+/// winner.
 #[tokio::test(start_paused = true)]
 async fn late_write_does_not_undo_an_accepted_file() {
     let fixture = Fixture::with_first().await;
@@ -253,8 +255,8 @@
     assert_eq!(fixture.config.apply(&slow).await, conflict);
 }
 
-/// Two operators read generation 1 and apply at once. One is accepted; the other is told who won
-/// and with which generation, also when further files were accepted meanwhile.
+/// Two operators read generation 1 and apply at once. One is accepted; the other gets a conflict
+/// with the winner's name and generation, even if further files were accepted in the meantime.
 #[tokio::test(start_paused = true)]
 async fn one_of_two_racing_operators_wins() {
     let fixture = Fixture::with_first().await;
@@ -277,8 +279,8 @@
     assert_eq!(fixture.config.apply(&ahead).await, wrong);
 }
 
-/// The loser's write is refused and the store goes down before the winner can be read: it is
-/// certain that the file was not accepted, only not who won.
+/// The second write is refused and the store becomes unavailable before the winner can be read: the
+/// file was certainly not accepted, but the winner is not known.
 #[tokio::test(start_paused = true)]
 async fn conflict_without_read_back_is_not_accepted() {
     let fixture = Fixture::with_first().await;
@@ -332,8 +334,8 @@
     );
 }
 
-/// Chunks of replaced configurations go after some generations, and never one that the newest
-/// configuration, a reader of a recent one, or an apply under way needs.
+/// Chunks of replaced configurations are collected after some generations, but never a chunk that
+/// the newest configuration, a reader of a recent one, or an apply in progress needs.
 #[tokio::test(start_paused = true)]
 async fn collection_keeps_chunks_that_may_be_needed() {
     let fixture = Fixture::with_first().await;
@@ -346,7 +348,7 @@
     assert_eq!(fixture.config.collect_chunks(100).await, Ok(1));
     let recent = fixture.chunk_keys().await;
     assert_eq!(recent.len(), 9);
-    // An apply that has written its chunks and is then stopped short of its root.
+    // An apply that has written its chunks and is stopped before it writes its root.
     fixture
         .memory
         .script_fault(CallKind::Write, ROOT_KEY, 0, 1, MemoryFault::DelayWrite);
@@ -359,8 +361,8 @@
     assert_eq!(fixture.load().await, Ok((11, 1)));
 }
 
-/// 25,000 organisations are many megabytes: every value stays far under the store's limit, an
-/// edit of one organisation writes few chunks, and a process that has the old ones reads few.
+/// 25,000 organisations are many megabytes: every value stays far below the store's limit, an edit
+/// of one organisation writes few chunks, and a process that has the old chunks reads few.
 #[tokio::test(start_paused = true)]
 async fn large_configuration_changes_in_few_chunks() {
     let fixture = Fixture::new();
--- a/lovagedock-platform/tests/http_responses.rs
+++ b/lovagedock-platform/tests/http_responses.rs
@@ -1,4 +1,4 @@
-//! What the HTTP client makes of answers that a proxy or a broken connection gives.
+//! How the HTTP client handles responses of a proxy and broken connections.
 
 use std::{sync::Arc, time::Duration};
 
@@ -19,8 +19,9 @@
     read: Result<Option<u64>, StoreError>,
 }
 
-/// A proxy answers 502, 503 and 504 also when the store was cut off after it had the write, and
-/// an answer that breaks off says nothing: for a write each is "unknown", for a read "unavailable".
+/// A proxy returns 502, 503 and 504 also if the store was disconnected after it received the write,
+/// and a truncated response is inconclusive. For a write each of these is "unknown", for a read
+/// "unavailable".
 const CASES: &[ResponseCase] = &[
     ResponseCase {
         response: OK_RESPONSE,
@@ -93,7 +94,7 @@
     }
 }
 
-/// Answers one request and then keeps the connection open without a word.
+/// Responds to one request and then keeps the connection open without sending anything.
 async fn respond_once(mut stream: TcpStream, both: Option<Arc<Barrier>>) {
     let mut request = [0; 4096];
     let _length = stream.read(&mut request).await;
@@ -118,9 +119,9 @@
     }
 }
 
-/// Two connections serve a call each and then go silent for good, while new ones work. The next
-/// call may wait out its time on one of them, and its outcome is unknown; the call after it must
-/// not do the same on the other.
+/// Two connections serve one call each and then go silent permanently, while new ones work. The
+/// next call may run into its timeout on one of them, with an unknown outcome; the call after it
+/// must not do the same on the other.
 #[tokio::test]
 async fn silent_connections_cost_one_timeout() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback");
--- a/lovagedock-platform/tests/store_budget.rs
+++ b/lovagedock-platform/tests/store_budget.rs
@@ -1,4 +1,4 @@
-//! The budget of one process, and what many processes together do to the store.
+//! Tests of the budget of one process and of the combined load of many processes on the store.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,7 +10,7 @@
 use rand::{RngExt, SeedableRng, rngs::StdRng};
 
 const PROCESSES: usize = 30;
-/// Calls that each process wants to send at once.
+/// Calls that each process sends at once.
 const CALLS: usize = 200;
 const TICK: Duration = Duration::from_millis(10);
 
@@ -44,8 +44,8 @@
     );
 }
 
-/// During an outage each process sends one probe at a time, ever more slowly, and its other calls
-/// fail at once as without effect; the first answer ends that.
+/// During an outage each process sends one probe at a time, at increasing intervals, and its other
+/// calls fail at once without effect. The first response ends the outage.
 #[test]
 fn outage_is_probed_and_recovery_is_spread() {
     let mut budget = StoreBudget::new(limits(), Duration::ZERO, 0.5);
@@ -63,7 +63,8 @@
     assert_eq!(admit(&mut budget, at(500)), BudgetDecision::Proceed);
     assert_eq!(admit(&mut budget, at(999)), refused);
     budget.record(CallPurpose::Claim, CallResult::Answered, at(999), 0.5);
-    // Half of the spread of a second, and the first turn at 30 claims a second after it.
+    // Half of the recovery spread of one second, plus the wait for the first token at 30 claims per
+    // second.
     assert_eq!(
         admit(&mut budget, at(999)),
         BudgetDecision::Wait(at(500) + Duration::from_secs(1) / 30)
@@ -73,14 +74,14 @@
 struct DemandCase {
     name: &'static str,
     outage: bool,
-    /// Most calls that the store may see in any second.
+    /// Maximum number of calls that the store may receive in any second.
     max_per_second: usize,
 }
 
-/// Thirty processes want to load a large configuration at one moment: they all start, or the
-/// store returns after an outage. The store allows 2,000 reads a second and would see all 6,000
-/// at once. At the start it sees the bursts and the steady rates; at its return only the rates,
-/// since bursts saved up in the outage are forfeit.
+/// Thirty processes load a large configuration at the same moment, because all of them start or the
+/// store recovers after an outage. The store allows 2,000 reads per second and would otherwise
+/// receive all 6,000 at once. At the start it receives the bursts and the steady rates; after an
+/// outage only the steady rates, since the bursts accumulated during the outage are discarded.
 #[test]
 fn fleet_stays_within_the_store_rate_under_simultaneous_load() {
     let cases = [
@@ -140,8 +141,8 @@
     (0..sent_at.len()).map(in_second).max().unwrap_or_default()
 }
 
-/// The store is down: three calls find out, the rest fail without reaching it, and once it is
-/// back a probe lets the calls through again.
+/// While the store is unavailable, three calls detect the outage and the others fail without
+/// reaching it. After its recovery a probe lets calls through again.
 #[tokio::test(start_paused = true)]
 async fn calls_in_an_outage_do_not_reach_the_store() {
     let memory = Arc::new(MemoryStore::new());
