--- a/lovagedock-platform/src/config/apply.rs
+++ b/lovagedock-platform/src/config/apply.rs
@@ -213,11 +213,11 @@
         reusable: Option<&ConfigRoot>,
         retry_timer: &RetryTimer,
     ) -> Result<(), StoreError> {
-        let is_there =
+        let is_reusable =
             |chunk: &&ConfigChunk| reusable.is_some_and(|root| root.chunks.contains(&chunk.hash));
         let writes: Vec<_> = chunks
             .iter()
-            .filter(|chunk| !is_there(chunk))
+            .filter(|chunk| !is_reusable(chunk))
             .map(|chunk| self.write_chunk(chunk, retry_timer.clone()))
             .collect();
         stream::iter(writes)
@@ -280,8 +280,8 @@
             may_have_written |= error.may_have_written();
             let is_conflict = matches!(error, StoreError::Conflict { .. });
             if is_conflict || error.may_have_written() {
-                let outcome = self.read_back(request, may_have_written, is_conflict).await;
-                if let Some(outcome) = outcome {
+                let determined = self.read_back(request, may_have_written, is_conflict).await;
+                if let Some(outcome) = determined {
                     return outcome;
                 }
             }
--- a/lovagedock-platform/tests/config_store.rs
+++ b/lovagedock-platform/tests/config_store.rs
@@ -258,7 +258,7 @@
 /// Two operators read generation 1 and apply at once. One is accepted; the other gets a conflict
 /// with the winner's name and generation, even if further files were accepted in the meantime.
 #[tokio::test(start_paused = true)]
-async fn one_of_two_racing_operators_wins() {
+async fn one_of_two_concurrent_applies_is_accepted() {
     let fixture = Fixture::with_first().await;
     let (ann, bob) = (request(2, 1, "ann"), request(3, 1, "bob"));
     let (first, second) = tokio::join!(fixture.config.apply(&ann), fixture.config.apply(&bob));
--- a/lovagedock-wire/tests/generated_code.rs
+++ b/lovagedock-wire/tests/generated_code.rs
@@ -10,7 +10,7 @@
 /// build error. docs/OPERATING.md, "Changing the protocol", explains how to regenerate the code and
 /// record the digests.
 #[test]
-fn generated_code_is_of_this_schema() {
+fn generated_code_matches_the_schema() {
     let schema = blake3::hash(SCHEMA).to_hex();
     let code = blake3::hash(CODE).to_hex();
     let digests = format!("schema {schema}\ncode {code}\n");
--- a/lovagedock/src/config/document.rs
+++ b/lovagedock/src/config/document.rs
@@ -9,7 +9,7 @@
 use super::{
     check::check_config,
     position::{ConfigProblem, LineIndex, SourceFile, SourceMap},
-    shape::ShapeReader,
+    schema_reader::SchemaReader,
     types::{CONFIG_VERSION, FleetConfig},
 };
 
@@ -80,7 +80,7 @@
             complete = false;
             continue;
         }
-        let mut reader = ShapeReader::new(
+        let mut reader = SchemaReader::new(
             schema,
             &lines,
             &mut sources,
@@ -91,7 +91,7 @@
     }
     if complete {
         let lines = LineIndex::new(&files[0]);
-        let mut reader = ShapeReader::new(
+        let mut reader = SchemaReader::new(
             schema,
             &lines,
             &mut sources,
--- a/lovagedock/src/config/mod.rs
+++ b/lovagedock/src/config/mod.rs
@@ -11,11 +11,11 @@
 mod diff;
 mod document;
 mod names;
-mod node_text;
 mod position;
 mod scalar;
 mod schema;
-mod shape;
+mod schema_nodes;
+mod schema_reader;
 mod types;
 
 pub use check::check_config;
--- a/lovagedock/src/config/scalar.rs
+++ b/lovagedock/src/config/scalar.rs
@@ -5,11 +5,11 @@
 use jsonc_parser::ast;
 use serde_json::Value;
 
-use super::shape::ShapeReader;
+use super::schema_reader::SchemaReader;
 
 const ADDRESS_FORMAT: &str = "ip-port";
 
-impl<'a> ShapeReader<'a> {
+impl<'a> SchemaReader<'a> {
     pub(super) fn read_integer(
         &mut self,
         schema: &'a Value,
--- a/lovagedock/src/config/shape.rs
+++ b/lovagedock/src/config/schema_reader.rs
@@ -7,13 +7,13 @@
 use serde_json::{Map, Value};
 
 use super::{
-    node_text::{
+    position::{ConfigProblem, LineIndex, SourceMap, SourcePosition, name_hint, nearest_name},
+    schema_nodes::{
         describe, join_path, name_list, plain_value, required_names, type_name, variant_name,
     },
-    position::{ConfigProblem, LineIndex, SourceMap, SourcePosition, name_hint, nearest_name},
 };
 
-pub(crate) struct ShapeReader<'a> {
+pub(crate) struct SchemaReader<'a> {
     root: &'a Value,
     lines: &'a LineIndex<'a>,
     sources: &'a mut SourceMap,
@@ -21,7 +21,7 @@
     invalid_paths: &'a mut Vec<String>,
 }
 
-impl<'a> ShapeReader<'a> {
+impl<'a> SchemaReader<'a> {
     pub(crate) fn new(
         root: &'a Value,
         lines: &'a LineIndex<'a>,
--- a/lovagedock/tests/config_language.rs
+++ b/lovagedock/tests/config_format.rs
@@ -97,7 +97,7 @@
     /// A serialised configuration parses to an equal configuration, and a difference is reported
     /// exactly when the configurations differ.
     #[test]
-    fn written_configurations_read_back(
+    fn configurations_survive_a_round_trip(
         index in 0..EXAMPLES.len(),
         memory in 1u64..u64::MAX,
         bytes_per_token in 0.01f64..64.0,
@@ -124,7 +124,7 @@
     /// Text that is corrupted at any position is either parsed or rejected, with every problem
     /// positioned inside the file.
     #[test]
-    fn damaged_text_never_panics(
+    fn corrupted_text_never_panics(
         index in 0..EXAMPLES.len(),
         start in 0.0f64..1.0,
         length in 0usize..40,
@@ -134,10 +134,10 @@
         let floor = |at: usize| (0..=at).rev().find(|at| text.is_char_boundary(*at)).unwrap_or(0);
         let from = floor((text.len() as f64 * start) as usize);
         let to = floor((from + length).min(text.len())).max(from);
-        let damaged = format!("{}{patch}{}", &text[..from], &text[to..]);
-        if let Err(problems) = parse_config("damaged", &damaged) {
+        let corrupted = format!("{}{patch}{}", &text[..from], &text[to..]);
+        if let Err(problems) = parse_config("damaged", &corrupted) {
             prop_assert!(!problems.is_empty());
-            let lines = damaged.split('\n').count();
+            let lines = corrupted.split('\n').count();
             for problem in problems {
                 prop_assert!(problem.line >= 1 && problem.line <= lines, "{}", problem);
             }
--- a/lovagedock/tests/config_problems.rs
+++ b/lovagedock/tests/config_problems.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn shape_problems_are_reported_with_their_place() {
+fn structure_problems_are_reported_with_their_position() {
     check_cases(&[
         ProblemCase {
             from: "{",
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn value_problems_are_reported_with_their_place() {
+fn value_problems_are_reported_with_their_position() {
     check_cases(&[
         ProblemCase {
             from: "\"id\": \"local-b\"",
--- a/lovagedock/tests/registry.rs
+++ b/lovagedock/tests/registry.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn unknown_names_are_refused_with_the_nearest() {
+fn unknown_policies_are_rejected_with_the_nearest_name() {
     struct Case {
         name: &'static str,
         nearest: Option<&'static str>,
