--- a/lovagedock-gateway/src/admin.rs
+++ b/lovagedock-gateway/src/admin.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 use serde_json::{Value, json};
 
-use crate::{orders::OrderBoard, shared::GatewayShared, trail::RequestTrail};
+use crate::{orders::OrderStatusTable, shared::GatewayShared, trail::RequestTrail};
 
 /// Trails in a dump.
 const DUMPED_TRAILS: usize = 50;
@@ -17,9 +17,9 @@
 const DRAIN_PATH: &str = "/drain";
 
 /// The operators' view of a gateway.
-pub(crate) struct GatewaySurface {
+pub(crate) struct GatewayAdmin {
     shared: GatewayShared,
-    orders: OrderBoard,
+    orders: OrderStatusTable,
     shutdown: ShutdownSignal,
 }
 
@@ -53,9 +53,13 @@
     endpoints: Vec<EndpointStatus>,
 }
 
-impl GatewaySurface {
+impl GatewayAdmin {
     /// A view of this gateway.
-    pub(crate) fn new(shared: GatewayShared, orders: OrderBoard, shutdown: ShutdownSignal) -> Self {
+    pub(crate) fn new(
+        shared: GatewayShared,
+        orders: OrderStatusTable,
+        shutdown: ShutdownSignal,
+    ) -> Self {
         Self {
             shared,
             orders,
@@ -117,7 +121,7 @@
 }
 
 #[async_trait]
-impl AdminHandler for GatewaySurface {
+impl AdminHandler for GatewayAdmin {
     /// Ready with a configuration in force and a session to at least one endpoint: a gateway that
     /// is cut off from everything must not get callers from the balancer.
     fn ready(&self) -> bool {
--- a/lovagedock-gateway/src/adopt.rs
+++ b/lovagedock-gateway/src/adopt.rs
@@ -12,8 +12,8 @@
     active::ActiveConfig,
     context::GatewayContext,
     fleet::EndpointEntry,
-    limits::LimitDesk,
-    workers::{LinkSeed, WorkerPool},
+    limits::OrganisationLimiter,
+    workers::{LinkSpec, WorkerPool},
 };
 
 /// Why a configuration was not put in force.
@@ -30,7 +30,7 @@
 /// Lock order: the adoption lock first, then the fleet table.
 pub(crate) struct ConfigAdopter {
     context: GatewayContext,
-    limits: LimitDesk,
+    limits: OrganisationLimiter,
     workers: WorkerPool,
     adoption: Mutex<()>,
     adopted: watch::Sender<Generation>,
@@ -41,7 +41,7 @@
     /// An adopter with nothing in force.
     pub(crate) fn new(
         context: GatewayContext,
-        limits: LimitDesk,
+        limits: OrganisationLimiter,
         workers: WorkerPool,
         log: Logger,
     ) -> Self {
@@ -88,7 +88,7 @@
     }
 
     /// Logs that a configuration could not be read.
-    pub(crate) fn refused(&self, detail: &str) {
+    pub(crate) fn log_rejected(&self, detail: &str) {
         warn!(self.log, "configuration refused"; "detail" => detail);
     }
 
@@ -167,7 +167,7 @@
         let (commands, receiver) = mpsc::unbounded_channel();
         let entry = EndpointEntry::new(pool.id.clone(), spec, commands);
         self.context.fleet.insert(spec.id.clone(), entry);
-        self.workers.start_link(LinkSeed {
+        self.workers.start_link(LinkSpec {
             endpoint: spec.id.clone(),
             address: spec.sidecar,
             commands: receiver,
--- a/lovagedock-gateway/src/call.rs
+++ b/lovagedock-gateway/src/call.rs
@@ -54,7 +54,7 @@
 
 impl PromptSummary {
     /// Upper bound of the prompt and its answer together.
-    pub(crate) fn all_tokens(&self) -> TokenCount {
+    pub(crate) fn total_tokens(&self) -> TokenCount {
         self.tokens.saturating_add(self.answer_tokens)
     }
 }
--- a/lovagedock-gateway/src/call_task.rs
+++ b/lovagedock-gateway/src/call_task.rs
@@ -8,16 +8,16 @@
 
 use crate::{
     call::CallerCall,
-    claims::ClaimAnswer,
-    cuts::{CutWord, count_cut},
-    driver::{KeptAnswer, RequestDriver},
+    claims::ClaimOutcome,
+    cuts::{CutNotice, count_cut},
+    driver::{BufferedAnswer, RequestDriver},
     front::{CallerEvent, CallerSink, RequestProblem},
     recorded::RecordedAnswer,
     shared::GatewayShared,
 };
 
 /// Time to record a failure; a store that is down for longer leaves the claim to its deadline.
-const FAILURE_TIME: Duration = Duration::from_secs(5);
+const FAILURE_RECORD_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Runs a call: claims its key if it has one, drives it, records its answer.
 pub(crate) struct CallTask {
@@ -52,19 +52,19 @@
         let mut end = match &self.call.idempotency_key {
             None => {
                 let (outcome, _) = self.drive(false).await;
-                CallEnd::told(last_word(&outcome))
+                CallEnd::without_failure(final_event(&outcome))
             }
             Some(key) => self.run_keyed(key.clone()).await,
         };
-        let code = end.last.code();
-        if let CallerEvent::Problem(problem) = &mut end.last
-            && self.shared.ends_with_drain(self.deadline)
+        let code = end.event.code();
+        if let CallerEvent::Problem(problem) = &mut end.event
+            && self.shared.is_cut_by_drain(self.deadline)
         {
-            self.note_cut(problem, started);
+            self.log_cut(problem, started);
         }
         self.shared.limits.finish(&self.call.organisation);
-        self.caller.send(end.last).await;
-        self.note_end(code, started);
+        self.caller.send(end.event).await;
+        self.record_outcome(code, started);
         if let Some(failure) = end.failure {
             self.record_failure(failure).await;
         }
@@ -78,20 +78,22 @@
         }
         .hash();
         match self.claim(key).await {
-            Some(ClaimAnswer::Granted) => self.run_granted(key).await,
-            Some(ClaimAnswer::Replay(answer)) => CallEnd::told(self.replay(&answer).await),
-            Some(ClaimAnswer::Refused(code)) => {
-                self.step(format!("key refused with code {}", code.number()));
-                CallEnd::told(CallerEvent::Problem(RequestProblem::new(code)))
+            Some(ClaimOutcome::Granted) => self.run_granted(key).await,
+            Some(ClaimOutcome::Replay(answer)) => {
+                CallEnd::without_failure(self.replay(&answer).await)
             }
-            None => CallEnd::told(CallerEvent::Problem(
+            Some(ClaimOutcome::Refused(code)) => {
+                self.record_step(format!("key refused with code {}", code.number()));
+                CallEnd::without_failure(CallerEvent::Problem(RequestProblem::new(code)))
+            }
+            None => CallEnd::without_failure(CallerEvent::Problem(
                 RequestProblem::new(ResultCode::CallerGone).with_ran(RanState::No),
             )),
         }
     }
 
     /// Claims the key; `None` if the caller went away before it was granted.
-    async fn claim(&self, key: KeyHash) -> Option<ClaimAnswer> {
+    async fn claim(&self, key: KeyHash) -> Option<ClaimOutcome> {
         let call = &self.call;
         let claim = ClaimRequest {
             key,
@@ -105,24 +107,24 @@
                 self.shared.claims.withdraw(key, call.id);
                 None
             }
-            () = self.shared.drain_over() => {
+            () = self.shared.drain_expired() => {
                 self.shared.claims.withdraw(key, call.id);
-                Some(ClaimAnswer::Refused(ResultCode::GatewayStopping))
+                Some(ClaimOutcome::Refused(ResultCode::GatewayStopping))
             }
         }
     }
 
     async fn run_granted(&self, key: KeyHash) -> CallEnd {
-        self.step("key claimed");
-        let (outcome, kept) = self.drive(true).await;
+        self.record_step("key claimed");
+        let (outcome, buffered) = self.drive(true).await;
         if outcome.ran == RanState::No {
             self.shared.claims.abandon(key, self.call.id);
         }
-        if let (ResultCode::Complete, Some(kept)) = (outcome.code, kept) {
-            return CallEnd::told(self.record(key, kept).await);
+        if let (ResultCode::Complete, Some(buffered)) = (outcome.code, buffered) {
+            return CallEnd::without_failure(self.record(key, buffered).await);
         }
         CallEnd {
-            last: last_word(&outcome),
+            event: final_event(&outcome),
             failure: ClaimFailure::new(key, &outcome),
         }
     }
@@ -134,10 +136,10 @@
     async fn record_failure(&self, failure: ClaimFailure) {
         let answer = RecordedAnswer::failure(&failure.problem, self.call.id);
         let Ok(bytes) = answer.encode() else { return };
-        let deadline = self.shared.context.clock.now() + FAILURE_TIME;
+        let deadline = self.shared.context.clock.now() + FAILURE_RECORD_TIMEOUT;
         let claims = &self.shared.claims;
         let recorded = claims.record(failure.key, self.call.id, bytes, deadline);
-        self.step(match recorded.await {
+        self.record_step(match recorded.await {
             true => "failure recorded",
             false => "failure not recorded",
         });
@@ -147,31 +149,31 @@
     ///
     /// A caller that saw a clean end may ask again and count on the same bytes. If the answer is
     /// not in the store, the end is a failure that says so.
-    async fn record(&self, key: KeyHash, kept: KeptAnswer) -> CallerEvent {
-        let answer = RecordedAnswer::new(&kept.head, kept.body);
+    async fn record(&self, key: KeyHash, buffered: BufferedAnswer) -> CallerEvent {
+        let answer = RecordedAnswer::new(&buffered.head, buffered.body);
         let recorded = match answer.encode() {
             Ok(bytes) => {
                 let claims = &self.shared.claims;
                 tokio::select! {
                     recorded = claims.record(key, self.call.id, bytes, self.deadline) => recorded,
-                    () = self.shared.drain_over() => false,
+                    () = self.shared.drain_expired() => false,
                 }
             }
             Err(_) => false,
         };
         if recorded {
-            self.step("answer recorded");
+            self.record_step("answer recorded");
             if !self.call.prompt.stream {
                 self.deliver(answer).await;
             }
             return CallerEvent::Complete;
         }
-        self.step("answer not recorded");
+        self.record_step("answer not recorded");
         CallerEvent::Problem(RequestProblem::new(ResultCode::AnswerLost).with_ran(RanState::Yes))
     }
 
     async fn replay(&self, recorded: &Bytes) -> CallerEvent {
-        self.step("key was used before; its recorded answer is delivered");
+        self.record_step("key was used before; its recorded answer is delivered");
         let Ok(answer) = RecordedAnswer::decode(recorded) else {
             let problem = RequestProblem::new(ResultCode::AnswerLost);
             return CallerEvent::Problem(problem.with_detail("the recorded answer is damaged"));
@@ -186,32 +188,32 @@
         self.caller.send(CallerEvent::Bytes(body)).await;
     }
 
-    async fn drive(&self, keep: bool) -> (RequestOutcome, Option<KeptAnswer>) {
+    async fn drive(&self, buffer_answer: bool) -> (RequestOutcome, Option<BufferedAnswer>) {
         let shared = self.shared.clone();
         let driver = RequestDriver::new(
             shared,
             Arc::clone(&self.call),
             self.caller.clone(),
-            self.shared.within_drain(self.deadline),
+            self.shared.limit_to_drain(self.deadline),
         );
-        let (outcome, kept) = driver.with_kept_answer(keep).run().await;
+        let (outcome, buffered) = driver.with_answer_buffering(buffer_answer).run().await;
         info!(self.log, "request driven";
             "request" => format_request_id(self.call.id),
             "code" => outcome.code.number(),
             "ran" => outcome.ran.as_str(),
             "attempts" => outcome.attempts,
             "detail" => &outcome.detail);
-        (outcome, kept)
+        (outcome, buffered)
     }
 
-    fn note_end(&self, code: ResultCode, started: Timestamp) {
+    fn record_outcome(&self, code: ResultCode, started: Timestamp) {
         let now = self.shared.context.clock.now();
         if code == ResultCode::Complete {
             self.shared.record_success(&self.call.service, now);
             self.shared.suspects.record_served(now, &self.call);
         }
         count_outcome(code);
-        self.step(format!("ended with code {}", code.number()));
+        self.record_step(format!("ended with code {}", code.number()));
         info!(self.log, "request ended";
             "request" => format_request_id(self.call.id),
             "organisation" => &*self.call.organisation,
@@ -222,11 +224,11 @@
     }
 
     /// Names a request that ends with the drain; its code may speak of a deadline.
-    fn note_cut(&self, problem: &mut RequestProblem, started: Timestamp) {
+    fn log_cut(&self, problem: &mut RequestProblem, started: Timestamp) {
         if problem.detail.is_empty() {
             problem.detail = ResultCode::GatewayStopping.title().to_owned();
         }
-        count_cut(CutWord::Told);
+        count_cut(CutNotice::Sent);
         let now = self.shared.context.clock.now();
         warn!(self.log, "request cut by the shutdown";
             "request" => format_request_id(self.call.id),
@@ -237,22 +239,22 @@
             "ms" => (now - started).as_millis() as u64);
     }
 
-    fn step(&self, step: impl Into<String>) {
+    fn record_step(&self, text: impl Into<String>) {
         let now = self.shared.context.clock.now();
-        self.shared.trails.step(self.call.id, now, step);
+        self.shared.trails.record_step(self.call.id, now, text);
     }
 }
 
 /// How a call ended.
 struct CallEnd {
-    last: CallerEvent,
+    event: CallerEvent,
     failure: Option<ClaimFailure>,
 }
 
 impl CallEnd {
-    fn told(last: CallerEvent) -> Self {
+    fn without_failure(event: CallerEvent) -> Self {
         Self {
-            last,
+            event,
             failure: None,
         }
     }
@@ -285,7 +287,7 @@
         .increment(1);
 }
 
-fn last_word(outcome: &RequestOutcome) -> CallerEvent {
+fn final_event(outcome: &RequestOutcome) -> CallerEvent {
     if outcome.code == ResultCode::Complete {
         return CallerEvent::Complete;
     }
--- a/lovagedock-gateway/src/claims.rs
+++ b/lovagedock-gateway/src/claims.rs
@@ -27,7 +27,7 @@
 
 /// What becomes of a keyed request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum ClaimAnswer {
+pub(crate) enum ClaimOutcome {
     /// It may run, once.
     Granted,
     /// It ran before; this is the recorded answer.
@@ -38,15 +38,15 @@
 
 /// Where keyed requests are claimed and their answers recorded; cheap to clone.
 #[derive(Clone)]
-pub(crate) struct ClaimDesk {
+pub(crate) struct ClaimCoordinator {
     map: PartitionMap,
-    partitions: Arc<[mpsc::UnboundedSender<DeskCall>]>,
+    partitions: Arc<[mpsc::UnboundedSender<PartitionCommand>]>,
 }
 
-enum DeskCall {
+enum PartitionCommand {
     Claim {
         claim: ClaimRequest,
-        reply: oneshot::Sender<ClaimAnswer>,
+        reply: oneshot::Sender<ClaimOutcome>,
     },
     Record {
         key: KeyHash,
@@ -64,7 +64,7 @@
     },
 }
 
-impl ClaimDesk {
+impl ClaimCoordinator {
     /// Starts a task for each partition; they end when the last clone is dropped.
     pub(crate) fn start(
         owner: Incarnation,
@@ -82,8 +82,8 @@
                 machine: ClaimPartition::new(index, owner, limits.clone()),
                 store: Arc::clone(store),
                 clock,
-                claims: HashMap::new(),
-                records: HashMap::new(),
+                claim_replies: HashMap::new(),
+                record_replies: HashMap::new(),
                 wake: WakeTimer::new(),
             };
             tokio::spawn(task.run(receiver));
@@ -97,10 +97,10 @@
 
     /// Claims a key; waits for the store, or for the answer of another request with the key, until
     /// the claim's deadline.
-    pub(crate) async fn claim(&self, claim: ClaimRequest) -> ClaimAnswer {
+    pub(crate) async fn claim(&self, claim: ClaimRequest) -> ClaimOutcome {
         let (reply, answer) = oneshot::channel();
-        self.send(claim.key, DeskCall::Claim { claim, reply });
-        let unavailable = ClaimAnswer::Refused(ResultCode::ClaimUnavailable);
+        self.send(claim.key, PartitionCommand::Claim { claim, reply });
+        let unavailable = ClaimOutcome::Refused(ResultCode::ClaimUnavailable);
         answer.await.unwrap_or(unavailable)
     }
 
@@ -113,7 +113,7 @@
         deadline: Timestamp,
     ) -> bool {
         let (reply, recorded) = oneshot::channel();
-        let call = DeskCall::Record {
+        let call = PartitionCommand::Record {
             key,
             request,
             answer,
@@ -126,15 +126,15 @@
 
     /// Gives a claim back whose request certainly did not run.
     pub(crate) fn abandon(&self, key: KeyHash, request: RequestId) {
-        self.send(key, DeskCall::Abandon { key, request });
+        self.send(key, PartitionCommand::Abandon { key, request });
     }
 
     /// Forgets a claim that is not granted yet.
     pub(crate) fn withdraw(&self, key: KeyHash, request: RequestId) {
-        self.send(key, DeskCall::Withdraw { request });
+        self.send(key, PartitionCommand::Withdraw { request });
     }
 
-    fn send(&self, key: KeyHash, call: DeskCall) {
+    fn send(&self, key: KeyHash, call: PartitionCommand) {
         let partition = self.map.partition_of(&key) as usize;
         // The task lives as long as its sender.
         let _ended = self.partitions[partition].send(call);
@@ -145,56 +145,56 @@
     machine: ClaimPartition,
     store: Arc<dyn ObjectStore>,
     clock: ProcessClock,
-    claims: HashMap<RequestId, oneshot::Sender<ClaimAnswer>>,
-    records: HashMap<RequestId, oneshot::Sender<bool>>,
+    claim_replies: HashMap<RequestId, oneshot::Sender<ClaimOutcome>>,
+    record_replies: HashMap<RequestId, oneshot::Sender<bool>>,
     wake: WakeTimer,
 }
 
-enum StoreWork {
+enum StoreCall {
     Read(ObjectName),
     Write(ObjectName, WriteCondition, Bytes, WriteNonce),
     Delete(ObjectName, WriteNonce),
 }
 
 impl PartitionTask {
-    async fn run(mut self, mut calls: mpsc::UnboundedReceiver<DeskCall>) {
+    async fn run(mut self, mut calls: mpsc::UnboundedReceiver<PartitionCommand>) {
         let (done, mut finished) = mpsc::unbounded_channel();
         loop {
-            let wake = self.wake.next(self.clock.now(), LONGEST_SLEEP);
+            let wake = self.wake.next(self.clock.now(), MAX_SLEEP);
             let wake = self.clock.instant_at(wake);
             let event = tokio::select! {
                 call = calls.recv() => match call {
-                    Some(call) => self.event(call),
+                    Some(call) => self.claim_event(call),
                     None => return,
                 },
                 Some(event) = finished.recv() => event,
                 () = sleep_until(wake.into()) => ClaimEvent::Tick,
             };
-            for work in self.decide(event) {
+            for call in self.handle_event(event) {
                 let store = Arc::clone(&self.store);
                 let done = done.clone();
                 tokio::spawn(async move {
                     // The partition has ended when nobody hears this.
-                    let _ended = done.send(carry_out(&*store, work).await);
+                    let _ended = done.send(execute(&*store, call).await);
                 });
             }
         }
     }
 
-    fn event(&mut self, call: DeskCall) -> ClaimEvent {
+    fn claim_event(&mut self, call: PartitionCommand) -> ClaimEvent {
         match call {
-            DeskCall::Claim { claim, reply } => {
-                self.claims.insert(claim.request, reply);
+            PartitionCommand::Claim { claim, reply } => {
+                self.claim_replies.insert(claim.request, reply);
                 ClaimEvent::Claim(claim)
             }
-            DeskCall::Record {
+            PartitionCommand::Record {
                 key,
                 request,
                 answer,
                 deadline,
                 reply,
             } => {
-                self.records.insert(request, reply);
+                self.record_replies.insert(request, reply);
                 ClaimEvent::Record {
                     key,
                     request,
@@ -202,74 +202,76 @@
                     deadline,
                 }
             }
-            DeskCall::Abandon { key, request } => ClaimEvent::Abandon { key, request },
-            DeskCall::Withdraw { request } => {
-                self.claims.remove(&request);
+            PartitionCommand::Abandon { key, request } => ClaimEvent::Abandon { key, request },
+            PartitionCommand::Withdraw { request } => {
+                self.claim_replies.remove(&request);
                 ClaimEvent::Withdraw { request }
             }
         }
     }
 
-    fn decide(&mut self, event: ClaimEvent) -> Vec<StoreWork> {
-        let mut work = Vec::new();
+    fn handle_event(&mut self, event: ClaimEvent) -> Vec<StoreCall> {
+        let mut calls = Vec::new();
         let now = self.clock.now();
         self.wake.clear_if_due(now);
         for action in self.machine.handle(now, event) {
             match action {
-                ClaimAction::Read { object } => work.push(StoreWork::Read(object)),
+                ClaimAction::Read { object } => calls.push(StoreCall::Read(object)),
                 ClaimAction::Write {
                     object,
                     condition,
                     bytes,
                     nonce,
-                } => work.push(StoreWork::Write(object, condition, bytes, nonce)),
+                } => calls.push(StoreCall::Write(object, condition, bytes, nonce)),
                 ClaimAction::Delete { object, nonce } => {
-                    work.push(StoreWork::Delete(object, nonce));
+                    calls.push(StoreCall::Delete(object, nonce));
+                }
+                ClaimAction::Grant { request } => {
+                    self.reply_to_claim(request, ClaimOutcome::Granted)
                 }
-                ClaimAction::Grant { request } => self.answer(request, ClaimAnswer::Granted),
                 ClaimAction::Replay { request, answer } => {
-                    self.answer(request, ClaimAnswer::Replay(answer));
+                    self.reply_to_claim(request, ClaimOutcome::Replay(answer));
                 }
                 ClaimAction::InProgress { .. } => {}
                 ClaimAction::Refuse { request, code } => {
-                    self.answer(request, ClaimAnswer::Refused(code));
+                    self.reply_to_claim(request, ClaimOutcome::Refused(code));
                 }
-                ClaimAction::Recorded { request } => self.recorded(request, true),
-                ClaimAction::NotRecorded { request } => self.recorded(request, false),
+                ClaimAction::Recorded { request } => self.reply_to_record(request, true),
+                ClaimAction::NotRecorded { request } => self.reply_to_record(request, false),
                 ClaimAction::WakeAt(at) => self.wake.set(at),
             }
         }
-        work
+        calls
     }
 
-    fn answer(&mut self, request: RequestId, answer: ClaimAnswer) {
-        if let Some(reply) = self.claims.remove(&request) {
+    fn reply_to_claim(&mut self, request: RequestId, answer: ClaimOutcome) {
+        if let Some(reply) = self.claim_replies.remove(&request) {
             let _caller_gone = reply.send(answer);
         }
     }
 
-    fn recorded(&mut self, request: RequestId, recorded: bool) {
-        if let Some(reply) = self.records.remove(&request) {
+    fn reply_to_record(&mut self, request: RequestId, recorded: bool) {
+        if let Some(reply) = self.record_replies.remove(&request) {
             let _caller_gone = reply.send(recorded);
         }
     }
 }
 
 /// Longest sleep between looks at the wake time.
-const LONGEST_SLEEP: Duration = Duration::from_secs(3_600);
+const MAX_SLEEP: Duration = Duration::from_secs(3_600);
 
-async fn carry_out(store: &dyn ObjectStore, work: StoreWork) -> ClaimEvent {
+async fn execute(store: &dyn ObjectStore, call: StoreCall) -> ClaimEvent {
     let purpose = CallPurpose::Claim;
-    match work {
-        StoreWork::Read(object) => {
+    match call {
+        StoreCall::Read(object) => {
             let outcome = store_calls::read(store, &object, purpose).await;
             ClaimEvent::StoreReadEnded { object, outcome }
         }
-        StoreWork::Write(object, condition, bytes, nonce) => {
+        StoreCall::Write(object, condition, bytes, nonce) => {
             let outcome = store_calls::write(store, &object, bytes, condition, purpose).await;
             ClaimEvent::StoreWriteEnded { nonce, outcome }
         }
-        StoreWork::Delete(object, nonce) => {
+        StoreCall::Delete(object, nonce) => {
             let outcome = store_calls::delete(store, &object, purpose).await;
             ClaimEvent::StoreWriteEnded { nonce, outcome }
         }
--- a/lovagedock-gateway/src/cuts.rs
+++ b/lovagedock-gateway/src/cuts.rs
@@ -2,18 +2,18 @@
 
 /// Whether the caller of a request that a shutdown cut was told what became of it.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum CutWord {
+pub(crate) enum CutNotice {
     /// It was told by a problem document.
-    Told,
+    Sent,
     /// Its connection broke.
-    Untold,
+    NotSent,
 }
 
 /// Counts a request that a shutdown cut.
-pub(crate) fn count_cut(word: CutWord) {
-    let told = match word {
-        CutWord::Told => "yes",
-        CutWord::Untold => "no",
+pub(crate) fn count_cut(notice: CutNotice) {
+    let told = match notice {
+        CutNotice::Sent => "yes",
+        CutNotice::NotSent => "no",
     };
     metrics::counter!("lovagedock_requests_cut_total", "told" => told).increment(1);
 }
--- a/lovagedock-gateway/src/direct/caller_server.rs
+++ b/lovagedock-gateway/src/direct/caller_server.rs
@@ -35,7 +35,7 @@
     response::{ResponseSender, problem_response},
     state::GatewayState,
 };
-use crate::front::{AnswerBody, RequestProblem};
+use crate::front::{ResponseBody, RequestProblem};
 
 /// Delay after a failed accept. Such errors recur immediately until file descriptors are closed.
 pub(crate) const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
@@ -182,7 +182,7 @@
         plan.is_some_and(|plan| now >= plan.notice_ends_at())
     }
 
-    async fn respond(&self, request: Request<Incoming>) -> Response<AnswerBody> {
+    async fn respond(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let mut response = self.handle_request(request).await;
         if self.state.is_stopping() {
             let close = HeaderValue::from_static("close");
@@ -191,7 +191,7 @@
         response
     }
 
-    async fn handle_request(&self, request: Request<Incoming>) -> Response<AnswerBody> {
+    async fn handle_request(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let arrived = self.state.clock.now();
         let head = self
             .dialect
@@ -271,7 +271,7 @@
         is_admitted
     }
 
-    fn reject(&self, request: &str, code: ResultCode) -> Response<AnswerBody> {
+    fn reject(&self, request: &str, code: ResultCode) -> Response<ResponseBody> {
         crate::call_task::count_outcome(code);
         if let Some(left_out) = self.state.log_limiter.admit(self.state.clock.now()) {
             info!(self.log, "rejected";
@@ -322,7 +322,7 @@
 
 /// A response body that aborts its request when it is dropped.
 struct GuardedBody {
-    body: AnswerBody,
+    body: ResponseBody,
     _guard: AbortOnDrop,
 }
 
@@ -347,7 +347,7 @@
 }
 
 /// Ties the guard to the lifetime of the body.
-fn with_guard(body: AnswerBody, guard: AbortOnDrop) -> AnswerBody {
+fn with_guard(body: ResponseBody, guard: AbortOnDrop) -> ResponseBody {
     let body = GuardedBody {
         body,
         _guard: guard,
--- a/lovagedock-gateway/src/direct/response.rs
+++ b/lovagedock-gateway/src/direct/response.rs
@@ -13,7 +13,7 @@
 use lovagedock::prelude::*;
 use tokio::sync::{mpsc, oneshot};
 
-use crate::front::{AnswerBody, RequestProblem, whole_body};
+use crate::front::{ResponseBody, RequestProblem, full_body};
 
 /// Number of events that are buffered for a caller that reads slowly. While the buffer is full,
 /// nothing is read from the engine.
@@ -32,7 +32,7 @@
 
 /// Sends the response to a caller: first the head, exactly once, and then the body.
 pub(crate) struct ResponseSender {
-    head: Option<oneshot::Sender<Response<AnswerBody>>>,
+    head: Option<oneshot::Sender<Response<ResponseBody>>>,
     body: Option<mpsc::Sender<StreamPart>>,
 }
 
@@ -50,7 +50,7 @@
 
 impl ResponseSender {
     /// Creates a sender and the receiver of the response head.
-    pub(crate) fn channel() -> (Self, oneshot::Receiver<Response<AnswerBody>>) {
+    pub(crate) fn channel() -> (Self, oneshot::Receiver<Response<ResponseBody>>) {
         let (head, receiver) = oneshot::channel();
         let response_sender = Self {
             head: Some(head),
@@ -69,7 +69,7 @@
         &mut self,
         buffered: BufferedResponse,
     ) -> Result<(), CallerDisconnected> {
-        let mut response = Response::new(whole_body(buffered.body));
+        let mut response = Response::new(full_body(buffered.body));
         *response.status_mut() = buffered.status;
         *response.headers_mut() = buffered.headers;
         response.headers_mut().remove(CONTENT_LENGTH);
@@ -119,7 +119,7 @@
         }
     }
 
-    fn send_head(&mut self, response: Response<AnswerBody>) -> Result<(), CallerDisconnected> {
+    fn send_head(&mut self, response: Response<ResponseBody>) -> Result<(), CallerDisconnected> {
         let head = self.head.take().ok_or(CallerDisconnected)?;
         head.send(response).map_err(|_| CallerDisconnected)
     }
@@ -154,7 +154,7 @@
     problem: &RequestProblem,
     request: &str,
     retry_after: Option<Duration>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let id = RequestId::from_str_radix(request, 16).unwrap_or_default();
     let mut response = problem.response(id);
     let headers = response.headers_mut();
--- a/lovagedock-gateway/src/driver/command.rs
+++ b/lovagedock-gateway/src/driver/command.rs
@@ -6,11 +6,11 @@
 use lovagedock_wire::{SpanHolder, WorkMessage};
 use tokio::sync::oneshot;
 
-use super::{DriverNote, RequestDriver, span::SpanRun};
+use super::{RequestDriver, TaskEvent, span::SpanRun};
 use crate::link::{AttemptSender, LinkCommand};
 
 impl RequestDriver {
-    pub(super) fn command(&mut self, action: RequestAction) {
+    pub(super) fn send_command(&mut self, action: RequestAction) {
         match action {
             RequestAction::Submit {
                 endpoint,
@@ -19,12 +19,12 @@
                 remaining,
                 ..
             } => {
-                self.step(format!("attempt {attempt} submitted to {endpoint}"));
+                self.record_step(format!("attempt {attempt} submitted to {endpoint}"));
                 let key = self.key(attempt, incarnation);
                 let holders = self.span.as_ref().map_or_else(Vec::new, SpanRun::holders);
-                let work = Box::new(self.work(key, remaining, holders));
+                let work = Box::new(self.work_message(key, remaining, holders));
                 let events = self.attempt_sender(attempt);
-                self.send(&endpoint, LinkCommand::Submit { work, events });
+                self.send_to_link(&endpoint, LinkCommand::Submit { work, events });
             }
             RequestAction::Resume {
                 endpoint,
@@ -32,7 +32,7 @@
                 incarnation,
                 offset,
             } => {
-                self.step(format!(
+                self.record_step(format!(
                     "attempt {attempt} resumed on {endpoint} at byte {offset}"
                 ));
                 let command = LinkCommand::Resume {
@@ -40,7 +40,7 @@
                     offset,
                     events: self.attempt_sender(attempt),
                 };
-                self.send(&endpoint, command);
+                self.send_to_link(&endpoint, command);
             }
             RequestAction::Revoke {
                 endpoint,
@@ -53,7 +53,7 @@
                 incarnation,
             } => {
                 let key = self.key(attempt, incarnation);
-                self.send(&endpoint, LinkCommand::Cancel { key });
+                self.send_to_link(&endpoint, LinkCommand::Cancel { key });
             }
             RequestAction::Place { .. }
             | RequestAction::AskRetry
@@ -68,11 +68,11 @@
     }
 
     fn revoke(&self, endpoint: &EndpointId, attempt: AttemptNumber, incarnation: Incarnation) {
-        self.step(format!("attempt {attempt} on {endpoint} revoked"));
+        self.record_step(format!("attempt {attempt} on {endpoint} revoked"));
         let (reply, verdict) = oneshot::channel();
         let key = self.key(attempt, incarnation);
-        self.send(endpoint, LinkCommand::Revoke { key, reply });
-        let notes = self.note_sender.clone();
+        self.send_to_link(endpoint, LinkCommand::Revoke { key, reply });
+        let task_events = self.task_event_sender.clone();
         tokio::spawn(async move {
             let event = match verdict.await {
                 Ok(Ok(verdict)) => RequestEvent::RevokeAnswered {
@@ -83,7 +83,7 @@
                 Ok(Err(_)) | Err(_) => RequestEvent::RevokeFailed { attempt },
             };
             // A driver that has finished does not need the verdict.
-            let _finished = notes.send(DriverNote::Request(event));
+            let _finished = task_events.send(TaskEvent::Request(event));
         });
     }
 
@@ -95,7 +95,7 @@
         }
     }
 
-    pub(crate) fn work(
+    pub(crate) fn work_message(
         &self,
         key: AttemptKey,
         remaining: Duration,
@@ -130,7 +130,7 @@
 
     /// Gives a command to the endpoint's link; an endpoint that has left the configuration has
     /// none, and the machine's own times end the wait.
-    pub(crate) fn send(&self, endpoint: &EndpointId, command: LinkCommand) {
+    pub(crate) fn send_to_link(&self, endpoint: &EndpointId, command: LinkCommand) {
         if let Some(entry) = self.shared.context.fleet.get(endpoint) {
             let _link_ended = entry.commands.send(command);
         }
--- a/lovagedock-gateway/src/driver/mod.rs
+++ b/lovagedock-gateway/src/driver/mod.rs
@@ -23,7 +23,7 @@
 
 /// The answer of a keyed request, to be recorded.
 #[derive(Clone, Debug)]
-pub(crate) struct KeptAnswer {
+pub(crate) struct BufferedAnswer {
     /// Status and headers.
     pub(crate) head: AnswerHead,
     /// The whole body.
@@ -31,7 +31,7 @@
 }
 
 /// What a task that the driver started tells it.
-pub(crate) enum DriverNote {
+pub(crate) enum TaskEvent {
     /// Something for the request machine.
     Request(RequestEvent),
     /// Something for the span coordinator.
@@ -57,8 +57,8 @@
     caller: CallerSink,
     sender: mpsc::Sender<(AttemptNumber, AttemptEvent)>,
     events: mpsc::Receiver<(AttemptNumber, AttemptEvent)>,
-    notes: mpsc::UnboundedReceiver<DriverNote>,
-    pub(crate) note_sender: mpsc::UnboundedSender<DriverNote>,
+    task_events: mpsc::UnboundedReceiver<TaskEvent>,
+    pub(crate) task_event_sender: mpsc::UnboundedSender<TaskEvent>,
     pub(crate) span: Option<SpanRun>,
     deadline: Timestamp,
     wake_at: Timestamp,
@@ -66,15 +66,15 @@
     chunk: Bytes,
     hasher: blake3::Hasher,
     sent_to: Vec<EndpointId>,
-    keep: bool,
-    kept: Option<KeptAnswer>,
+    buffer_answer: bool,
+    buffered_answer: Option<BufferedAnswer>,
     /// When the first bytes of the present attempt came.
     first_bytes_at: Option<Timestamp>,
 }
 
 /// What the machine has been told that stays true.
 #[derive(Default)]
-struct ToldOnce {
+struct ReportedConditions {
     caller_gone: bool,
     stopping: bool,
 }
@@ -94,7 +94,7 @@
             .with_tier(call.tier)
             .with_non_idempotent(call.non_idempotent);
         let (sender, events) = mpsc::channel(EVENT_QUEUE);
-        let (note_sender, notes) = mpsc::unbounded_channel();
+        let (task_event_sender, task_events) = mpsc::unbounded_channel();
         Self {
             machine: RequestMachine::new(now, spec),
             deadline,
@@ -104,74 +104,74 @@
             caller,
             sender,
             events,
-            notes,
-            note_sender,
+            task_events,
+            task_event_sender,
             span: None,
             head: None,
             chunk: Bytes::new(),
             hasher: blake3::Hasher::new(),
             sent_to: Vec::new(),
-            keep: false,
-            kept: None,
+            buffer_answer: false,
+            buffered_answer: None,
             first_bytes_at: None,
         }
     }
 
     /// Sets whether the whole answer is returned at the end.
-    pub(crate) fn with_kept_answer(mut self, keep: bool) -> Self {
-        self.keep = keep;
+    pub(crate) fn with_answer_buffering(mut self, buffer_answer: bool) -> Self {
+        self.buffer_answer = buffer_answer;
         self
     }
 
     /// Runs the request to its final answer.
-    pub(crate) async fn run(mut self) -> (RequestOutcome, Option<KeptAnswer>) {
+    pub(crate) async fn run(mut self) -> (RequestOutcome, Option<BufferedAnswer>) {
         let actions = self.machine.start();
-        let mut finished = self.carry_out(actions).await;
-        let mut told = ToldOnce::default();
+        let mut finished = self.execute(actions).await;
+        let mut reported = ReportedConditions::default();
         let outcome = loop {
             if let Some(outcome) = finished {
                 break outcome;
             }
-            let event = self.next_event(&mut told).await;
+            let event = self.next_event(&mut reported).await;
             let Some(event) = event else { continue };
             let actions = self.machine.handle(self.now(), event);
-            finished = self.carry_out(actions).await;
+            finished = self.execute(actions).await;
         };
         for endpoint in &self.sent_to {
             self.shared.context.fleet.work_ended(endpoint);
         }
-        (outcome, self.kept)
+        (outcome, self.buffered_answer)
     }
 
-    async fn next_event(&mut self, told: &mut ToldOnce) -> Option<RequestEvent> {
+    async fn next_event(&mut self, reported: &mut ReportedConditions) -> Option<RequestEvent> {
         let wake = self.shared.context.clock.instant_at(self.wake_at);
         let span_wake = self.span.as_ref().map_or(self.wake_at, |span| span.wake_at);
         let span_wake = self.shared.context.clock.instant_at(span_wake);
         tokio::select! {
             biased;
             () = sleep_until(wake.into()) => Some(RequestEvent::Tick),
-            () = self.caller.closed(), if !told.caller_gone => {
-                told.caller_gone = true;
+            () = self.caller.closed(), if !reported.caller_gone => {
+                reported.caller_gone = true;
                 Some(RequestEvent::CallerGone)
             }
-            () = self.shared.shutdown.wait(), if !told.stopping => {
-                told.stopping = true;
-                let grace = self.shared.drain_left();
+            () = self.shared.shutdown.wait(), if !reported.stopping => {
+                reported.stopping = true;
+                let grace = self.shared.remaining_drain_time();
                 Some(RequestEvent::Stopping { grace })
             }
             () = sleep_until(span_wake.into()), if self.span.is_some() => {
                 self.span_event(SpanEvent::Tick)
             }
-            Some(note) = self.notes.recv() => self.note(note),
+            Some(event) = self.task_events.recv() => self.handle_task_event(event),
             Some((attempt, event)) = self.events.recv() => self.attempt_event(attempt, event),
         }
     }
 
-    fn note(&mut self, note: DriverNote) -> Option<RequestEvent> {
-        match note {
-            DriverNote::Request(event) => Some(event),
-            DriverNote::Span(event) => self.span_event(event),
-            DriverNote::Prefilled {
+    fn handle_task_event(&mut self, event: TaskEvent) -> Option<RequestEvent> {
+        match event {
+            TaskEvent::Request(event) => Some(event),
+            TaskEvent::Span(event) => self.span_event(event),
+            TaskEvent::Prefilled {
                 endpoint,
                 start,
                 reply,
@@ -185,8 +185,8 @@
         attempt: AttemptNumber,
         event: AttemptEvent,
     ) -> Option<RequestEvent> {
-        self.watch_outlier(&event);
-        self.watch_engine(attempt, &event);
+        self.report_outlier_event(&event);
+        self.record_engine_end(attempt, &event);
         Some(match event {
             AttemptEvent::Accepted { incarnation } => RequestEvent::SubmitAccepted {
                 attempt,
@@ -217,7 +217,7 @@
     }
 
     /// Counts an engine that ended under the request.
-    fn watch_engine(&mut self, attempt: AttemptNumber, event: &AttemptEvent) {
+    fn record_engine_end(&mut self, attempt: AttemptNumber, event: &AttemptEvent) {
         let now = self.now();
         match event {
             AttemptEvent::Accepted { .. } => self.first_bytes_at = None,
@@ -238,7 +238,7 @@
     }
 
     /// Tells the outlier detector what the endpoint of the current attempt did.
-    fn watch_outlier(&self, event: &AttemptEvent) {
+    fn report_outlier_event(&self, event: &AttemptEvent) {
         let Some(endpoint) = self.machine.endpoint() else {
             return;
         };
@@ -246,26 +246,31 @@
             return;
         };
         let now = self.now();
-        for action in self.shared.context.fleet.watch(now, endpoint, event) {
-            self.step(format!("{}: {:?}", action.endpoint, action.cause));
+        for action in self
+            .shared
+            .context
+            .fleet
+            .record_outlier_event(now, endpoint, event)
+        {
+            self.record_step(format!("{}: {:?}", action.endpoint, action.cause));
         }
     }
 
-    async fn carry_out(&mut self, actions: Vec<RequestAction>) -> Option<RequestOutcome> {
+    async fn execute(&mut self, actions: Vec<RequestAction>) -> Option<RequestOutcome> {
         let mut queue = VecDeque::from(actions);
         while let Some(action) = queue.pop_front() {
             match action {
                 RequestAction::Place { excluded } => {
-                    let placed = self.place(&excluded);
-                    queue.extend(self.feed(RequestEvent::Placed(placed)));
+                    let outcome = self.place(&excluded);
+                    queue.extend(self.handle_event(RequestEvent::Placed(outcome)));
                 }
                 RequestAction::AskRetry => {
                     let answer = self.ask_retry();
-                    queue.extend(self.feed(answer));
+                    queue.extend(self.handle_event(answer));
                 }
                 RequestAction::CheckDigest { expected } => {
                     let matches = *self.hasher.finalize().as_bytes() == expected;
-                    queue.extend(self.feed(RequestEvent::DigestChecked { matches }));
+                    queue.extend(self.handle_event(RequestEvent::DigestChecked { matches }));
                 }
                 RequestAction::StartSpan {
                     attempt,
@@ -273,20 +278,20 @@
                     remaining,
                 } => {
                     let event = self.start_span(attempt, members, remaining);
-                    queue.extend(event.map_or_else(Vec::new, |event| self.feed(event)));
+                    queue.extend(event.map_or_else(Vec::new, |event| self.handle_event(event)));
                 }
                 RequestAction::ReleaseSpan { .. } => self.release_span(),
                 RequestAction::Deliver { skip, .. } => self.deliver(skip).await,
                 RequestAction::DeliverHead { .. } => self.deliver_head().await,
                 RequestAction::WakeAt(wake_at) => self.wake_at = wake_at,
                 RequestAction::Finish(outcome) => return Some(outcome),
-                other => self.command(other),
+                other => self.send_command(other),
             }
         }
         None
     }
 
-    fn feed(&mut self, event: RequestEvent) -> Vec<RequestAction> {
+    fn handle_event(&mut self, event: RequestEvent) -> Vec<RequestAction> {
         self.machine.handle(self.now(), event)
     }
 
@@ -299,8 +304,10 @@
         self.shared.context.clock.now()
     }
 
-    pub(crate) fn step(&self, step: impl Into<String>) {
-        self.shared.trails.step(self.call.id, self.now(), step);
+    pub(crate) fn record_step(&self, text: impl Into<String>) {
+        self.shared
+            .trails
+            .record_step(self.call.id, self.now(), text);
     }
 }
 
--- a/lovagedock-gateway/src/driver/place.rs
+++ b/lovagedock-gateway/src/driver/place.rs
@@ -9,16 +9,16 @@
 use rand::Rng;
 
 use super::RequestDriver;
-use crate::suspects::fingerprint;
+use crate::suspects::request_fingerprint;
 
 impl RequestDriver {
     pub(super) fn place(&mut self, excluded: &[EndpointId]) -> PlacementOutcome {
         if let Some(left) = self.quarantined_for() {
-            self.step("refused: engines end under it");
+            self.record_step("refused: engines end under it");
             return refused(ResultCode::Quarantined, left);
         }
         let choice = self.choose(excluded);
-        self.placed(choice)
+        self.placement_outcome(choice)
     }
 
     pub(crate) fn choose(&self, excluded: &[EndpointId]) -> Option<PlacementChoice> {
@@ -38,7 +38,7 @@
         fleet.place(now, &self.call.pool, &request, &mut rand::rng())
     }
 
-    fn placed(&mut self, choice: Option<PlacementChoice>) -> PlacementOutcome {
+    fn placement_outcome(&mut self, choice: Option<PlacementChoice>) -> PlacementOutcome {
         match choice {
             None => refused(ResultCode::NotConfigured, Duration::ZERO),
             Some(PlacementChoice::Refuse {
@@ -46,7 +46,7 @@
                 retry_after,
                 reason,
             }) => {
-                self.step(format!("refused with code {}: {reason}", code.number()));
+                self.record_step(format!("refused with code {}: {reason}", code.number()));
                 refused(code, retry_after)
             }
             Some(PlacementChoice::One {
@@ -55,11 +55,11 @@
                 predicted_prefill,
                 reason,
             }) => {
-                self.step(format!(
+                self.record_step(format!(
                     "placed on {endpoint}: {reason}, first token predicted in {predicted_first_token:?}"
                 ));
                 let tokens = self.call.prompt.tokens;
-                self.count_sent(&endpoint, tokens, predicted_prefill);
+                self.record_sent(&endpoint, tokens, predicted_prefill);
                 match self.incarnation(&endpoint) {
                     Some(incarnation) => PlacementOutcome::One {
                         endpoint,
@@ -75,7 +75,7 @@
                 if parts.is_empty() {
                     return refused(ResultCode::EndpointUnreachable, Duration::ZERO);
                 }
-                self.step(format!("placed on {} engines: {reason}", parts.len()));
+                self.record_step(format!("placed on {} engines: {reason}", parts.len()));
                 PlacementOutcome::Span(parts)
             }
         }
@@ -96,12 +96,12 @@
         }
         for part in &parts {
             let prefill = CostParameters::ASSUMED.prefill(part.tokens, 0);
-            self.count_sent(&part.endpoint, part.tokens, prefill);
+            self.record_sent(&part.endpoint, part.tokens, prefill);
         }
         parts
     }
 
-    pub(crate) fn count_sent(
+    pub(crate) fn record_sent(
         &mut self,
         endpoint: &EndpointId,
         tokens: TokenCount,
@@ -136,7 +136,7 @@
 
     /// How much longer the request is not to be sent to engines.
     fn quarantined_for(&self) -> Option<Duration> {
-        let fingerprint = fingerprint(&self.call);
+        let fingerprint = request_fingerprint(&self.call);
         self.shared
             .suspects
             .quarantined_for(self.now(), fingerprint)
@@ -144,8 +144,8 @@
 
     pub(super) fn ask_retry(&self) -> RequestEvent {
         let is_quarantined = self.quarantined_for().is_some();
-        let granted = !is_quarantined && self.shared.take_retry(&self.call.service, self.now());
-        self.step(match granted {
+        let granted = !is_quarantined && self.shared.consume_retry(&self.call.service, self.now());
+        self.record_step(match granted {
             true => "retry granted",
             false => "retry budget is spent",
         });
--- a/lovagedock-gateway/src/driver/span.rs
+++ b/lovagedock-gateway/src/driver/span.rs
@@ -9,7 +9,7 @@
 use lovagedock_wire::{SegmentRange, SegmentReply, SpanHolder};
 use tokio::sync::oneshot;
 
-use super::{DriverNote, RequestDriver};
+use super::{RequestDriver, TaskEvent};
 use crate::link::LinkCommand;
 
 /// A span of one request.
@@ -38,7 +38,7 @@
 
 /// A part of a prompt is one segment: engines prefill in chunks of their own between other work,
 /// and a second cut would only add a round trip for each piece.
-fn timing() -> SpanTiming {
+fn span_timing() -> SpanTiming {
     SpanTiming {
         segment_tokens: TokenCount::MAX,
         ..SpanTiming::default()
@@ -55,7 +55,8 @@
     ) -> Option<RequestEvent> {
         let now = self.now();
         let tokens = self.call.prompt.tokens;
-        let plan = SpanPlan::new(self.call.id, attempt, tokens, remaining).with_timing(timing());
+        let plan =
+            SpanPlan::new(self.call.id, attempt, tokens, remaining).with_timing(span_timing());
         let mut coordinator = SpanCoordinator::new(now, plan, rand::random());
         let actions = coordinator.start(now, members.clone());
         self.span = Some(SpanRun {
@@ -81,20 +82,20 @@
     /// Tells the coordinator; a tick also tells it which members' sessions came or went.
     pub(crate) fn span_event(&mut self, event: SpanEvent) -> Option<RequestEvent> {
         let now = self.now();
-        let mut told = None;
+        let mut request_event = None;
         if event == SpanEvent::Tick {
             for event in self.member_events() {
                 let span = self.span.as_mut()?;
                 let actions = span.coordinator.handle(now, event);
-                told = told.or(self.span_actions(actions));
+                request_event = request_event.or(self.span_actions(actions));
             }
         }
         let span = self.span.as_mut()?;
         if event == SpanEvent::Tick {
-            span.wake_at = now + LONGEST_PAUSE;
+            span.wake_at = now + MAX_TICK_INTERVAL;
         }
         let actions = span.coordinator.handle(now, event);
-        told.or(self.span_actions(actions))
+        request_event.or(self.span_actions(actions))
     }
 
     /// Notes what an engine calls itself when it has prefilled its part.
@@ -142,10 +143,10 @@
     }
 
     fn span_actions(&mut self, actions: Vec<SpanAction>) -> Option<RequestEvent> {
-        let mut told = None;
+        let mut request_event = None;
         for action in actions {
             let event = match action {
-                SpanAction::ChooseEngines => self.choose_again(),
+                SpanAction::ChooseEngines => self.choose_engines_again(),
                 SpanAction::Reserve {
                     endpoint,
                     incarnation,
@@ -164,7 +165,7 @@
                     None
                 }
                 SpanAction::Segment(segment) => {
-                    self.segment(segment);
+                    self.prefill_segment(segment);
                     None
                 }
                 SpanAction::Decode { .. } => self.decode(),
@@ -176,12 +177,12 @@
                     None
                 }
             };
-            told = told.or(event);
+            request_event = request_event.or(event);
         }
-        told
+        request_event
     }
 
-    fn choose_again(&mut self) -> Option<RequestEvent> {
+    fn choose_engines_again(&mut self) -> Option<RequestEvent> {
         let parts = match self.choose(&[]) {
             Some(PlacementChoice::Span { members, .. }) => self.span_parts(members),
             Some(PlacementChoice::One { .. } | PlacementChoice::Refuse { .. }) | None => Vec::new(),
@@ -202,7 +203,7 @@
         hold: Duration,
     ) {
         let Some(span) = &self.span else { return };
-        let notes = self.note_sender.clone();
+        let task_events = self.task_event_sender.clone();
         // From the submit on the lead's reservation lasts as long as the request.
         if span.decoding && span.is_lead(&endpoint) {
             let granted = SpanEvent::ReserveAnswered {
@@ -210,7 +211,7 @@
                 round,
                 granted: true,
             };
-            let _own = notes.send(DriverNote::Span(granted));
+            let _own = task_events.send(TaskEvent::Span(granted));
             return;
         }
         let (reply, answer) = oneshot::channel();
@@ -220,7 +221,7 @@
             hold,
             reply,
         };
-        self.send(&endpoint, command);
+        self.send_to_link(&endpoint, command);
         tokio::spawn(async move {
             let event = match answer.await {
                 Ok(Ok(reply)) => SpanEvent::ReserveAnswered {
@@ -234,17 +235,17 @@
                 },
             };
             // A driver that has finished does not need it.
-            let _finished = notes.send(DriverNote::Span(event));
+            let _finished = task_events.send(TaskEvent::Span(event));
         });
     }
 
     fn release(&self, endpoint: &EndpointId, incarnation: Incarnation) {
         let Some(span) = &self.span else { return };
         let key = self.key(span.attempt, incarnation);
-        self.send(endpoint, LinkCommand::Release { key });
+        self.send_to_link(endpoint, LinkCommand::Release { key });
     }
 
-    fn segment(&mut self, segment: SpanSegment) {
+    fn prefill_segment(&mut self, segment: SpanSegment) {
         let Some(span) = &self.span else { return };
         let SpanSegment {
             endpoint,
@@ -252,7 +253,7 @@
             start,
             tokens,
         } = segment;
-        let notes = self.note_sender.clone();
+        let task_events = self.task_event_sender.clone();
         if span.is_lead(&endpoint) {
             // The lead prefills its own part when it decodes.
             let done = SpanEvent::SegmentDone {
@@ -260,34 +261,34 @@
                 start,
                 end: AnswerEnd::new(ResultCode::Complete),
             };
-            let _own = notes.send(DriverNote::Span(done));
+            let _own = task_events.send(TaskEvent::Span(done));
             return;
         }
-        self.step(format!("{tokens} tokens from {start} go to {endpoint}"));
+        self.record_step(format!("{tokens} tokens from {start} go to {endpoint}"));
         let limit = self.remaining();
         let key = self.key(span.attempt, incarnation);
         let (reply, answer) = oneshot::channel();
         let command = LinkCommand::Segment {
-            work: Box::new(self.work(key, limit, Vec::new())),
+            work: Box::new(self.work_message(key, limit, Vec::new())),
             range: SegmentRange { start, tokens },
             limit,
             reply,
         };
-        self.send(&endpoint, command);
+        self.send_to_link(&endpoint, command);
         tokio::spawn(async move {
-            let note = match answer.await {
-                Ok(Ok(reply)) => DriverNote::Prefilled {
+            let event = match answer.await {
+                Ok(Ok(reply)) => TaskEvent::Prefilled {
                     endpoint,
                     start,
                     reply,
                     tokens,
                 },
-                Ok(Err(_)) | Err(_) => DriverNote::Span(SpanEvent::MemberLost {
+                Ok(Err(_)) | Err(_) => TaskEvent::Span(SpanEvent::MemberLost {
                     endpoint,
                     incarnation,
                 }),
             };
-            let _finished = notes.send(note);
+            let _finished = task_events.send(event);
         });
     }
 
@@ -301,7 +302,7 @@
 
     fn span_failed(&mut self, end: AnswerEnd) -> Option<RequestEvent> {
         let span = self.span.take()?;
-        self.step(format!("span ended with code {}", end.code.number()));
+        self.record_step(format!("span ended with code {}", end.code.number()));
         Some(RequestEvent::SpanFailed {
             attempt: span.attempt,
             end,
@@ -310,4 +311,4 @@
 }
 
 /// Longest time between looks at the members' sessions.
-const LONGEST_PAUSE: Duration = Duration::from_secs(1);
+const MAX_TICK_INTERVAL: Duration = Duration::from_secs(1);
--- a/lovagedock-gateway/src/fleet.rs
+++ b/lovagedock-gateway/src/fleet.rs
@@ -37,11 +37,11 @@
     /// Configuration in force at the sidecar, by its last report.
     pub(crate) generation: Generation,
     /// Whether it said that it takes no new work.
-    pub(crate) closed: bool,
+    pub(crate) rejects_work: bool,
     /// Requests of this gateway in flight there.
     pub(crate) in_flight: u32,
     /// Sent after the heartbeat that is under way, so not in its answer.
-    pub(crate) since_beat: SentWork,
+    pub(crate) sent_since_heartbeat: SentWork,
     /// How to reach the task that owns the session.
     pub(crate) commands: mpsc::UnboundedSender<LinkCommand>,
 }
@@ -60,9 +60,9 @@
             address: spec.sidecar,
             incarnation: None,
             generation: 0,
-            closed: false,
+            rejects_work: false,
             in_flight: 0,
-            since_beat: SentWork::default(),
+            sent_since_heartbeat: SentWork::default(),
             commands,
         }
     }
@@ -76,7 +76,7 @@
 
 impl PoolEntry {
     /// Lets the detector decide and puts it into force for placement.
-    fn watch(&mut self, now: Timestamp, event: OutlierEvent) -> Vec<OutlierAction> {
+    fn handle_outlier_event(&mut self, now: Timestamp, event: OutlierEvent) -> Vec<OutlierAction> {
         let actions = self.outliers.handle(now, event);
         for action in &actions {
             self.state.set_ejected(&action.endpoint, action.ejected);
@@ -128,7 +128,7 @@
             let domain = entry.domain.clone();
             let mut pool = pool.lock();
             pool.state.insert(endpoint.clone(), domain);
-            pool.watch(Timestamp::ZERO, OutlierEvent::Joined(endpoint.clone()));
+            pool.handle_outlier_event(Timestamp::ZERO, OutlierEvent::Joined(endpoint.clone()));
         }
         state.endpoints.insert(endpoint, entry);
     }
@@ -142,7 +142,7 @@
         if let Some(pool) = state.pools.get(&entry.pool) {
             let mut pool = pool.lock();
             pool.state.remove(endpoint);
-            pool.watch(Timestamp::ZERO, OutlierEvent::Left(endpoint.clone()));
+            pool.handle_outlier_event(Timestamp::ZERO, OutlierEvent::Left(endpoint.clone()));
         }
     }
 
@@ -204,7 +204,7 @@
     /// Notes that a heartbeat goes out: what is sent from now on is not in its answer.
     pub(crate) fn heartbeat_sent(&self, endpoint: &EndpointId) {
         if let Some(entry) = self.state.write().endpoints.get_mut(endpoint) {
-            entry.since_beat = SentWork::default();
+            entry.sent_since_heartbeat = SentWork::default();
         }
     }
 
@@ -215,8 +215,8 @@
             return;
         };
         entry.generation = load.generation;
-        entry.closed = load.leaving || load.engine_down;
-        let unreported = entry.since_beat;
+        entry.rejects_work = load.leaving || load.engine_down;
+        let unreported = entry.sent_since_heartbeat;
         let pool = entry.pool.clone();
         if let Some(pool) = state.pools.get(&pool) {
             let report = Arc::new(endpoint_report(load));
@@ -234,12 +234,12 @@
             return;
         };
         entry.in_flight += 1;
-        entry.since_beat.add(&work);
+        entry.sent_since_heartbeat.add(&work);
         let pool = entry.pool.clone();
         if let Some(pool) = state.pools.get(&pool) {
             let mut pool = pool.lock();
             pool.state.record_sent(endpoint, work);
-            pool.watch(now, OutlierEvent::ProbeSent(endpoint.clone()));
+            pool.handle_outlier_event(now, OutlierEvent::ProbeSent(endpoint.clone()));
         }
     }
 
@@ -251,7 +251,7 @@
     }
 
     /// Tells the outlier detector of the endpoint's pool; returns whose admission changed.
-    pub(crate) fn watch(
+    pub(crate) fn record_outlier_event(
         &self,
         now: Timestamp,
         endpoint: &EndpointId,
@@ -262,15 +262,17 @@
             .endpoints
             .get(endpoint)
             .and_then(|entry| state.pools.get(&entry.pool));
-        pool.map_or_else(Vec::new, |pool| pool.lock().watch(now, event))
+        pool.map_or_else(Vec::new, |pool| {
+            pool.lock().handle_outlier_event(now, event)
+        })
     }
 
     /// Tells all outlier detectors that time passed; returns whose admission changed.
-    pub(crate) fn watch_tick(&self, now: Timestamp) -> Vec<OutlierAction> {
+    pub(crate) fn tick_outliers(&self, now: Timestamp) -> Vec<OutlierAction> {
         let state = self.state.read();
         let pools = state.pools.values();
         pools
-            .flat_map(|pool| pool.lock().watch(now, OutlierEvent::Tick))
+            .flat_map(|pool| pool.lock().handle_outlier_event(now, OutlierEvent::Tick))
             .collect()
     }
 
@@ -293,7 +295,7 @@
         let Some(entry) = self.endpoints.get(endpoint) else {
             return;
         };
-        let leaving = entry.closed || self.leaving_hosts.contains(&entry.host);
+        let leaving = entry.rejects_work || self.leaving_hosts.contains(&entry.host);
         let usable = entry.incarnation.is_some() && !leaving;
         if let Some(pool) = self.pools.get(&entry.pool) {
             pool.lock().state.set_usable(endpoint, usable);
--- a/lovagedock-gateway/src/front/checks.rs
+++ b/lovagedock-gateway/src/front/checks.rs
@@ -20,7 +20,7 @@
 const BEARER: &str = "Bearer ";
 
 /// Headers that concern one connection only, or that the gateway sets itself.
-const NOT_PASSED_ON: &[header::HeaderName] = &[
+const NOT_FORWARDED: &[header::HeaderName] = &[
     header::AUTHORIZATION,
     header::CONNECTION,
     header::CONTENT_LENGTH,
@@ -33,13 +33,13 @@
     header::UPGRADE,
 ];
 
-type Checked<T> = Result<T, RequestProblem>;
+type CheckResult<T> = Result<T, RequestProblem>;
 
 /// Finds the organisation of the API key.
 pub(super) fn authenticate<'a>(
     headers: &HeaderMap,
     config: &'a ActiveConfig,
-) -> Checked<&'a OrganisationSpec> {
+) -> CheckResult<&'a OrganisationSpec> {
     let key = headers
         .get(header::AUTHORIZATION)
         .and_then(|value| value.to_str().ok())
@@ -55,7 +55,7 @@
 }
 
 /// Whether the organisation may use the service.
-pub(super) fn authorise(organisation: &OrganisationSpec, service: &ServiceSpec) -> Checked<()> {
+pub(super) fn authorise(organisation: &OrganisationSpec, service: &ServiceSpec) -> CheckResult<()> {
     let services = &organisation.services;
     if services.is_empty() || services.contains(&service.id) {
         return Ok(());
@@ -65,7 +65,7 @@
 }
 
 /// Refuses headers that are too large together.
-pub(super) fn check_header_size(headers: &HeaderMap, limit: usize) -> Checked<()> {
+pub(super) fn check_header_size(headers: &HeaderMap, limit: usize) -> CheckResult<()> {
     let size: usize = headers
         .iter()
         .map(|(name, value)| name.as_str().len() + value.len())
@@ -104,20 +104,20 @@
     headers: &HeaderMap,
     service: &ServiceSpec,
     rule: Option<&LengthRule>,
-) -> Checked<Duration> {
-    let ruled = rule.map_or(0, |rule| rule.default_deadline_ms);
-    let default = match ruled {
+) -> CheckResult<Duration> {
+    let rule_deadline_ms = rule.map_or(0, |rule| rule.default_deadline_ms);
+    let default = match rule_deadline_ms {
         0 => service.default_deadline(),
         milliseconds => Duration::from_millis(milliseconds),
     };
     let Some(value) = headers.get(DEADLINE_HEADER) else {
         return Ok(default);
     };
-    let asked = value
+    let requested = value
         .to_str()
         .ok()
         .and_then(|text| text.parse::<u64>().ok());
-    match asked {
+    match requested {
         Some(milliseconds) if milliseconds > 0 => {
             Ok(Duration::from_millis(milliseconds).min(service.max_deadline()))
         }
@@ -130,23 +130,23 @@
     headers: &HeaderMap,
     organisation: &OrganisationSpec,
     rule: Option<&LengthRule>,
-) -> Checked<PriorityTier> {
+) -> CheckResult<PriorityTier> {
     let cap = rule.and_then(|rule| rule.priority_cap);
     let highest = cap.map_or(organisation.priority, |cap| cap.min(organisation.priority));
     let Some(value) = headers.get(PRIORITY_HEADER) else {
         return Ok(highest);
     };
-    let asked = match value.as_bytes() {
+    let requested = match value.as_bytes() {
         b"batch" => PriorityTier::Batch,
         b"standard" => PriorityTier::Standard,
         b"interactive" => PriorityTier::Interactive,
         _ => return Err(malformed(PRIORITY_HEADER, "batch, standard or interactive")),
     };
-    Ok(asked.min(highest))
+    Ok(requested.min(highest))
 }
 
 /// The caller's idempotency key.
-pub(super) fn idempotency_key(headers: &HeaderMap) -> Checked<Option<String>> {
+pub(super) fn idempotency_key(headers: &HeaderMap) -> CheckResult<Option<String>> {
     let Some(value) = headers.get(IDEMPOTENCY_HEADER) else {
         return Ok(None);
     };
@@ -171,10 +171,10 @@
 }
 
 /// Headers that go on to the endpoint.
-pub(super) fn passed_headers(headers: &HeaderMap) -> Vec<HeaderField> {
+pub(super) fn forwarded_headers(headers: &HeaderMap) -> Vec<HeaderField> {
     headers
         .iter()
-        .filter(|(name, _)| !NOT_PASSED_ON.contains(name))
+        .filter(|(name, _)| !NOT_FORWARDED.contains(name))
         .map(|(name, value)| HeaderField {
             name: name.as_str().to_owned(),
             value: bytes::Bytes::copy_from_slice(value.as_bytes()),
--- a/lovagedock-gateway/src/front/in_flight.rs
+++ b/lovagedock-gateway/src/front/in_flight.rs
@@ -14,7 +14,7 @@
 use parking_lot::Mutex;
 use tokio_util::task::{TaskTracker, task_tracker::TaskTrackerToken};
 
-use super::body::AnswerBody;
+use super::body::ResponseBody;
 
 /// Requests in flight, and since when; cheap to clone.
 ///
@@ -71,39 +71,39 @@
 }
 
 impl InFlightRequest {
-    fn forget(&self) {
+    fn remove_from_table(&self) {
         self.table.requests.lock().remove(&self.id);
     }
 }
 
 impl Drop for InFlightRequest {
     fn drop(&mut self) {
-        self.forget();
+        self.remove_from_table();
     }
 }
 
 /// A body whose request is in flight until the connection has taken all of it.
 struct InFlightBody {
-    body: AnswerBody,
+    body: ResponseBody,
     request: Arc<InFlightRequest>,
 }
 
 impl Drop for InFlightBody {
     /// The caller has its answer or has gone; what its request still does is not cut for it.
     fn drop(&mut self) {
-        self.request.forget();
+        self.request.remove_from_table();
     }
 }
 
 /// Keeps a request in flight until its answer was taken by the connection.
-pub(super) fn in_flight_body(body: AnswerBody, request: Arc<InFlightRequest>) -> AnswerBody {
+pub(super) fn in_flight_body(body: ResponseBody, request: Arc<InFlightRequest>) -> ResponseBody {
     let body = InFlightBody { body, request };
     body.boxed_unsync()
 }
 
 impl Body for InFlightBody {
     type Data = Bytes;
-    type Error = <AnswerBody as Body>::Error;
+    type Error = <ResponseBody as Body>::Error;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
--- a/lovagedock-gateway/src/front/intake.rs
+++ b/lovagedock-gateway/src/front/intake.rs
@@ -137,17 +137,18 @@
         headers: &HeaderMap,
         organisation: &OrganisationSpec,
     ) -> Vec<lovagedock_wire::HeaderField> {
-        let mut passed = checks::passed_headers(headers);
-        passed.retain(|field| field.name != REQUEST_ID_HEADER && field.name != ORGANISATION_HEADER);
+        let mut forwarded = checks::forwarded_headers(headers);
+        forwarded
+            .retain(|field| field.name != REQUEST_ID_HEADER && field.name != ORGANISATION_HEADER);
         let mut add = |name: &str, value: &str| {
-            passed.push(lovagedock_wire::HeaderField {
+            forwarded.push(lovagedock_wire::HeaderField {
                 name: name.to_owned(),
                 value: Bytes::copy_from_slice(value.as_bytes()),
             });
         };
         add(REQUEST_ID_HEADER, &format_request_id(self.id));
         add(ORGANISATION_HEADER, &organisation.id);
-        passed
+        forwarded
     }
 
     async fn read_body(&self, body: Incoming) -> Result<Bytes, RequestProblem> {
@@ -188,13 +189,13 @@
     organisation: &OrganisationSpec,
 ) -> Result<(), RequestProblem> {
     let own = organisation.limits.max_prompt_tokens;
-    let too_long = |limit: TokenCount, whose: &str| {
+    let too_long = |limit: TokenCount, owner: &str| {
         RequestProblem::new(ResultCode::PromptTooLong).with_detail(format!(
-            "about {} tokens of prompt and {} of answer, {whose} limit is {limit}",
+            "about {} tokens of prompt and {} of answer, {owner} limit is {limit}",
             prompt.tokens, prompt.answer_tokens
         ))
     };
-    if prompt.all_tokens() > context {
+    if prompt.total_tokens() > context {
         return Err(too_long(context, "the model's"));
     }
     if own > 0 && prompt.tokens > own {
--- a/lovagedock-gateway/src/front/mod.rs
+++ b/lovagedock-gateway/src/front/mod.rs
@@ -10,7 +10,7 @@
 mod router;
 mod server;
 
-pub(crate) use body::{AnswerBody, whole_body};
+pub(crate) use body::{ResponseBody, full_body};
 pub(crate) use problem::{PROBLEM_TYPE, RequestProblem};
 pub(crate) use reply::{CallerEvent, CallerSink};
 pub(crate) use server::FrontServer;
--- a/lovagedock-gateway/src/front/problem.rs
+++ b/lovagedock-gateway/src/front/problem.rs
@@ -7,7 +7,7 @@
 use lovagedock::prelude::*;
 use serde::Serialize;
 
-use super::body::{AnswerBody, whole_body};
+use super::body::{ResponseBody, full_body};
 
 /// Header that carries the request's id in every answer.
 pub(crate) const REQUEST_ID_HEADER: &str = "x-request-id";
@@ -81,8 +81,8 @@
     }
 
     /// The whole answer.
-    pub(crate) fn response(&self, id: RequestId) -> Response<AnswerBody> {
-        let mut response = Response::new(whole_body(Bytes::from(self.bytes(id))));
+    pub(crate) fn response(&self, id: RequestId) -> Response<ResponseBody> {
+        let mut response = Response::new(full_body(Bytes::from(self.bytes(id))));
         *response.status_mut() = status(self.code.http_status());
         let headers = response.headers_mut();
         headers.insert(
--- a/lovagedock-gateway/src/front/reply.rs
+++ b/lovagedock-gateway/src/front/reply.rs
@@ -18,7 +18,7 @@
 use tokio::sync::mpsc;
 
 use super::{
-    body::{AnswerBody, whole_body},
+    body::{ResponseBody, full_body},
     problem::{RequestProblem, set_request_id, status},
 };
 
@@ -77,36 +77,36 @@
     id: RequestId,
     stream: bool,
     mut events: mpsc::Receiver<CallerEvent>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     match events.recv().await {
-        Some(CallerEvent::Head(head)) => streaming(id, head, stream, events),
+        Some(CallerEvent::Head(head)) => streaming_response(id, head, stream, events),
         Some(CallerEvent::Problem(problem)) => problem.response(id),
-        Some(CallerEvent::Complete) => empty(id),
-        Some(CallerEvent::Bytes(_)) | None => lost().response(id),
+        Some(CallerEvent::Complete) => empty_response(id),
+        Some(CallerEvent::Bytes(_)) | None => driver_ended().response(id),
     }
 }
 
-fn empty(id: RequestId) -> Response<AnswerBody> {
-    let mut response = Response::new(whole_body(Bytes::new()));
+fn empty_response(id: RequestId) -> Response<ResponseBody> {
+    let mut response = Response::new(full_body(Bytes::new()));
     set_request_id(&mut response, id);
     response
 }
 
-fn lost() -> RequestProblem {
+fn driver_ended() -> RequestProblem {
     RequestProblem::new(ResultCode::EndpointLost).with_detail("the request's driver ended early")
 }
 
-fn streaming(
+fn streaming_response(
     id: RequestId,
     head: AnswerHead,
     stream: bool,
     events: mpsc::Receiver<CallerEvent>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let body = EventBody {
         id,
         stream,
         events,
-        ending: BodyEnding::Open,
+        state: BodyState::Open,
     };
     let mut response = Response::new(body.boxed_unsync());
     *response.status_mut() = status(head.status);
@@ -117,7 +117,7 @@
     response
 }
 
-fn copy_header(response: &mut Response<AnswerBody>, field: &HeaderField) {
+fn copy_header(response: &mut Response<ResponseBody>, field: &HeaderField) {
     let Ok(name) = HeaderName::from_bytes(field.name.as_bytes()) else {
         return;
     };
@@ -135,21 +135,21 @@
     id: RequestId,
     stream: bool,
     events: mpsc::Receiver<CallerEvent>,
-    ending: BodyEnding,
+    state: BodyState,
 }
 
 #[derive(Clone, Copy)]
-enum BodyEnding {
+enum BodyState {
     Open,
     /// The problem was handed over and is to be written before the break.
-    Told,
+    ProblemSent,
     Broken,
 }
 
 impl EventBody {
     /// Tells a streaming client why its stream breaks, as one more event before the break.
     fn problem_frame(&mut self, problem: &RequestProblem) -> Frame<Bytes> {
-        self.ending = BodyEnding::Told;
+        self.state = BodyState::ProblemSent;
         let document = serde_json::to_string(&problem.document(self.id)).unwrap_or_default();
         Frame::data(Bytes::from(format!("event: error\ndata: {document}\n\n")))
     }
@@ -163,16 +163,16 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
-        match self.ending {
-            BodyEnding::Open => {}
+        match self.state {
+            BodyState::Open => {}
             // The error of a body drops what the connection has not written yet, and the caller
             // would see a break without its reason. A pause lets the connection write first.
-            BodyEnding::Told => {
-                self.ending = BodyEnding::Broken;
+            BodyState::ProblemSent => {
+                self.state = BodyState::Broken;
                 context.waker().wake_by_ref();
                 return Poll::Pending;
             }
-            BodyEnding::Broken => return Poll::Ready(Some(Err(cut()))),
+            BodyState::Broken => return Poll::Ready(Some(Err(truncated_body()))),
         }
         match self.events.poll_recv(context) {
             Poll::Pending => Poll::Pending,
@@ -184,12 +184,12 @@
                 Poll::Ready(Some(Ok(self.problem_frame(&problem))))
             }
             Poll::Ready(Some(CallerEvent::Problem(_) | CallerEvent::Head(_)) | None) => {
-                Poll::Ready(Some(Err(cut())))
+                Poll::Ready(Some(Err(truncated_body())))
             }
         }
     }
 }
 
-fn cut() -> io::Error {
+fn truncated_body() -> io::Error {
     io::Error::new(io::ErrorKind::ConnectionAborted, "the answer is not whole")
 }
--- a/lovagedock-gateway/src/front/router.rs
+++ b/lovagedock-gateway/src/front/router.rs
@@ -13,7 +13,7 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
 use super::{
-    body::{AnswerBody, whole_body},
+    body::{ResponseBody, full_body},
     in_flight::{InFlightRequest, InFlightTable, in_flight_body},
     intake::CallIntake,
     problem::{RequestProblem, set_request_id},
@@ -22,7 +22,7 @@
 use crate::{
     call::CallerCall,
     call_task::{CallTask, count_outcome},
-    cuts::{CutWord, count_cut},
+    cuts::{CutNotice, count_cut},
     settings::CallerLimits,
     shared::GatewayShared,
     trail::RequestTrail,
@@ -62,12 +62,12 @@
     }
 
     /// Time that requests in flight still get.
-    pub(super) fn drain_left(&self) -> Duration {
-        self.shared.drain_left()
+    pub(super) fn remaining_drain_time(&self) -> Duration {
+        self.shared.remaining_drain_time()
     }
 
     /// Answers one request.
-    pub(super) async fn answer(&self, request: Request<Incoming>) -> Response<AnswerBody> {
+    pub(super) async fn respond(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let id: RequestId = rand::random();
         // Counted before the check: a request whose body is still coming when the gateway stops
         // would be in flight unseen, and the process would end under it.
@@ -91,7 +91,7 @@
         id: RequestId,
         request: Request<Incoming>,
         in_flight: &Arc<InFlightRequest>,
-    ) -> Result<Response<AnswerBody>, RequestProblem> {
+    ) -> Result<Response<ResponseBody>, RequestProblem> {
         let config = self.shared.context.config.load_full();
         if config.generation == 0 {
             return Err(RequestProblem::new(ResultCode::NotConfigured)
@@ -107,22 +107,22 @@
             return models(&intake, &request);
         }
         if self.in_flight.is_closed() {
-            return Err(stopping());
+            return Err(stopping_problem());
         }
-        let permit = self.take_stream()?;
+        let permit = self.acquire_stream()?;
         let call = tokio::select! {
             call = intake.call(request) => call?,
-            () = self.shared.drain_over() => {
-                self.note_body_cut(id);
-                return Err(stopping());
+            () = self.shared.drain_expired() => {
+                self.log_body_cut(id);
+                return Err(stopping_problem());
             }
         };
         self.check_limits(&call)?;
         Ok(self.drive(Arc::new(call), permit, in_flight).await)
     }
 
-    fn note_body_cut(&self, id: RequestId) {
-        count_cut(CutWord::Told);
+    fn log_body_cut(&self, id: RequestId) {
+        count_cut(CutNotice::Sent);
         warn!(self.log, "request cut by the shutdown";
             "request" => format_request_id(id),
             "code" => ResultCode::GatewayStopping.number(),
@@ -132,7 +132,7 @@
 
     fn check_limits(&self, call: &CallerCall) -> Result<(), RequestProblem> {
         let now = self.now();
-        let tokens = call.prompt.all_tokens();
+        let tokens = call.prompt.total_tokens();
         match self.shared.limits.admit(now, &call.organisation, tokens) {
             LimitDecision::Admitted => Ok(()),
             LimitDecision::Refused { limit, retry_after } => {
@@ -148,7 +148,7 @@
         }
     }
 
-    fn take_stream(&self) -> Result<OwnedSemaphorePermit, RequestProblem> {
+    fn acquire_stream(&self) -> Result<OwnedSemaphorePermit, RequestProblem> {
         let permit = Arc::clone(&self.streams).try_acquire_owned();
         permit.map_err(|_| {
             RequestProblem::new(ResultCode::TooManyStreams).with_retry_after(Duration::from_secs(1))
@@ -160,7 +160,7 @@
         call: Arc<CallerCall>,
         permit: OwnedSemaphorePermit,
         in_flight: &Arc<InFlightRequest>,
-    ) -> Response<AnswerBody> {
+    ) -> Response<ResponseBody> {
         self.shared.trails.begin(call.id, new_trail(&call));
         let (caller, events) = CallerSink::channel();
         let shared = self.shared.clone();
@@ -174,7 +174,7 @@
     }
 }
 
-fn stopping() -> RequestProblem {
+fn stopping_problem() -> RequestProblem {
     RequestProblem::new(ResultCode::GatewayStopping).with_retry_after(Duration::from_secs(1))
 }
 
@@ -217,7 +217,7 @@
 fn models(
     intake: &CallIntake<'_>,
     request: &Request<Incoming>,
-) -> Result<Response<AnswerBody>, RequestProblem> {
+) -> Result<Response<ResponseBody>, RequestProblem> {
     let organisation = intake.check_caller(request.headers())?;
     let allowed = |service: &ServiceId| {
         organisation.services.is_empty() || organisation.services.contains(service)
@@ -245,7 +245,7 @@
             serde_json::to_vec(&entry)
         }
     };
-    let mut response = Response::new(whole_body(Bytes::from(document.unwrap_or_default())));
+    let mut response = Response::new(full_body(Bytes::from(document.unwrap_or_default())));
     let json = header::HeaderValue::from_static("application/json");
     response.headers_mut().insert(header::CONTENT_TYPE, json);
     set_request_id(&mut response, intake.id);
--- a/lovagedock-gateway/src/front/server.rs
+++ b/lovagedock-gateway/src/front/server.rs
@@ -19,19 +19,19 @@
 
 use super::router::CallRouter;
 use crate::{
-    cuts::{CutWord, count_cut},
+    cuts::{CutNotice, count_cut},
     settings::CallerLimits,
     shared::GatewayShared,
 };
 
 /// Pause after an accept that failed, since such errors repeat at once until files are closed.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Time after the drain to write what callers are told of requests that did not end in it.
-const LAST_WORD_TIME: Duration = Duration::from_millis(300);
+const FINAL_RESPONSE_TIME: Duration = Duration::from_millis(300);
 /// Requests that the log names when the process ends under them; the rest is only counted.
-const NAMED_REQUESTS: usize = 200;
+const MAX_LOGGED_REQUESTS: usize = 200;
 /// Room for header lines beside the values that the header limit counts.
-const HEADER_SLACK_BYTES: usize = 64 * 1024;
+const HEADER_OVERHEAD_BYTES: usize = 64 * 1024;
 
 /// Serves callers until the shutdown, and then until all requests have ended.
 pub(crate) struct FrontServer {
@@ -79,10 +79,10 @@
     /// noticed yet gets "not run" instead of a refused connection.
     pub(crate) async fn run(self) {
         let connections = GracefulShutdown::new();
-        let places = Arc::new(Semaphore::new(self.limits.connections));
+        let connection_slots = Arc::new(Semaphore::new(self.limits.connections));
         let accept = async {
             loop {
-                let Ok(place) = Arc::clone(&places).acquire_owned().await else {
+                let Ok(slot) = Arc::clone(&connection_slots).acquire_owned().await else {
                     return;
                 };
                 match self.listener.accept().await {
@@ -96,38 +96,38 @@
                         };
                         tokio::spawn(async move {
                             connection.serve(stream, peer, watcher).await;
-                            drop(place);
+                            drop(slot);
                         });
                     }
                     Err(error) => {
                         warn!(self.log, "cannot accept a caller"; "error" => %error);
-                        sleep(ACCEPT_PAUSE).await;
+                        sleep(ACCEPT_RETRY_DELAY).await;
                     }
                 }
             }
         };
         tokio::select! {
             () = accept => {}
-            () = self.drained() => {}
+            () = self.wait_for_drain() => {}
         }
         // A caller that is refused a connection knows that nothing ran; one that gets into the
         // backlog does not.
         drop(self.listener);
         // The end of an answer may still wait in a connection for a slow caller.
-        let time = self.router.drain_left() + LAST_WORD_TIME;
+        let time = self.router.remaining_drain_time() + FINAL_RESPONSE_TIME;
         if timeout(time, connections.shutdown()).await.is_err() {
-            let open = self.limits.connections - places.available_permits();
+            let open = self.limits.connections - connection_slots.available_permits();
             warn!(self.log, "connections cut by the shutdown"; "connections" => open);
         }
     }
 
     /// Names the requests whose connections break with the end of the process.
-    fn note_cuts(&self, requests: &[(RequestId, Timestamp)]) {
+    fn log_cut_requests(&self, requests: &[(RequestId, Timestamp)]) {
         warn!(self.log, "drain time is over"; "requests" => requests.len());
         let now = self.router.now();
         for (number, (id, since)) in requests.iter().enumerate() {
-            count_cut(CutWord::Untold);
-            if number < NAMED_REQUESTS {
+            count_cut(CutNotice::NotSent);
+            if number < MAX_LOGGED_REQUESTS {
                 warn!(self.log, "request cut by the exit";
                     "request" => format_request_id(*id),
                     "ms" => now.saturating_sub(*since).as_millis() as u64);
@@ -135,14 +135,14 @@
         }
     }
 
-    async fn drained(&self) {
+    async fn wait_for_drain(&self) {
         self.shutdown.wait().await;
         let in_flight = self.router.in_flight();
         in_flight.close();
         info!(self.log, "draining"; "requests" => in_flight.len());
-        let time = self.router.drain_left() + LAST_WORD_TIME;
+        let time = self.router.remaining_drain_time() + FINAL_RESPONSE_TIME;
         if timeout(time, in_flight.wait()).await.is_err() {
-            self.note_cuts(&in_flight.list());
+            self.log_cut_requests(&in_flight.list());
         }
     }
 }
@@ -171,12 +171,12 @@
         let router = Arc::clone(&self.router);
         let service = service_fn(move |request| {
             let router = Arc::clone(&router);
-            async move { Ok::<_, Infallible>(router.answer(request).await) }
+            async move { Ok::<_, Infallible>(router.respond(request).await) }
         });
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(self.limits.header_time())
-            .max_buf_size(self.limits.header_bytes + HEADER_SLACK_BYTES)
+            .max_buf_size(self.limits.header_bytes + HEADER_OVERHEAD_BYTES)
             .serve_connection(TokioIo::new(stream), service);
         if let Err(error) = watcher.watch(connection).await {
             debug!(self.log, "caller's connection ended"; "peer" => %peer, "error" => %error);
--- a/lovagedock-gateway/src/gateway.rs
+++ b/lovagedock-gateway/src/gateway.rs
@@ -10,19 +10,19 @@
 
 use crate::{
     active::ActiveConfig,
-    admin::GatewaySurface,
+    admin::GatewayAdmin,
     adopt::ConfigAdopter,
-    claims::ClaimDesk,
+    claims::ClaimCoordinator,
     connect::ConnectorFactory,
     context::GatewayContext,
     fleet::FleetTable,
     front::FrontServer,
-    limits::LimitDesk,
-    orders::{DeskParts, OrderDesk},
+    limits::OrganisationLimiter,
+    orders::{DispatcherParts, OrderDispatcher},
     settings::GatewaySettings,
     shared::GatewayShared,
-    sources::{ConfigSources, PlatformPorts, SourceParts},
-    suspects::SuspectDesk,
+    sources::{ConfigSources, PlatformClients, SourceParts},
+    suspects::SuspectTracker,
     workers::WorkerPool,
 };
 
@@ -48,7 +48,7 @@
     // Ends the links when the gateway goes.
     _adopter: Arc<ConfigAdopter>,
     // Ends the orders when the gateway goes.
-    _orders: OrderDesk,
+    _orders: OrderDispatcher,
 }
 
 impl Gateway {
@@ -69,7 +69,7 @@
             adoption: Arc::default(),
             fleet: FleetTable::default(),
         };
-        let limits = LimitDesk::new(settings.name.clone(), daemon.clock.now());
+        let limits = OrganisationLimiter::new(settings.name.clone(), daemon.clock.now());
         let links = open_transport(&settings.links.transport, &daemon)?;
         let connectors = ConnectorFactory::new(links);
         let times = settings.links.times();
@@ -87,8 +87,8 @@
             BudgetLimits::default(),
             context.incarnation,
         ));
-        let claims = ClaimDesk::start(context.incarnation, &store, daemon.clock);
-        let orders = OrderDesk::start(DeskParts {
+        let claims = ClaimCoordinator::start(context.incarnation, &store, daemon.clock);
+        let orders = OrderDispatcher::start(DispatcherParts {
             context: context.clone(),
             store: Arc::clone(&store),
             connectors: connectors.clone(),
@@ -99,7 +99,7 @@
             log: log.clone(),
         })
         .change_context(GatewayError)?;
-        let suspects = SuspectDesk::new(log.clone());
+        let suspects = SuspectTracker::new(log.clone());
         let shared = GatewayShared::new(context.clone(), claims, limits.clone(), suspects.clone())
             .with_shutdown(daemon.shutdown.clone(), settings.limits.drain_time());
         let front = FrontServer::bind(
@@ -113,16 +113,21 @@
         .await
         .change_context(GatewayError)?;
         let callers = front.address().change_context(GatewayError)?;
-        let surface = Arc::new(GatewaySurface::new(
+        let admin_handler = Arc::new(GatewayAdmin::new(
             shared,
-            orders.board(),
+            orders.status_table(),
             daemon.shutdown.clone(),
         ));
-        let admin = AdminServer::start("lovagedock-gateway", &settings.admin, surface, &daemon)
-            .await
-            .change_context(GatewayError)?;
+        let admin = AdminServer::start(
+            "lovagedock-gateway",
+            &settings.admin,
+            admin_handler,
+            &daemon,
+        )
+        .await
+        .change_context(GatewayError)?;
         let parts = SourceParts {
-            platform: PlatformPorts {
+            platform: PlatformClients {
                 store,
                 hosts: platform,
             },
--- a/lovagedock-gateway/src/limits.rs
+++ b/lovagedock-gateway/src/limits.rs
@@ -20,20 +20,20 @@
 ///
 /// Lock order: a leaf.
 #[derive(Clone)]
-pub(crate) struct LimitDesk {
+pub(crate) struct OrganisationLimiter {
     own: GatewayId,
-    state: Arc<Mutex<DeskState>>,
+    state: Arc<Mutex<LimiterState>>,
 }
 
-struct DeskState {
+struct LimiterState {
     peers: Vec<GatewayId>,
     limiter: UsageLimiter,
 }
 
-impl LimitDesk {
+impl OrganisationLimiter {
     /// A desk without limits, before the first configuration.
     pub(crate) fn new(own: GatewayId, now: Timestamp) -> Self {
-        let state = DeskState {
+        let state = LimiterState {
             peers: Vec::new(),
             limiter: UsageLimiter::new(now, Vec::new(), LimitTiming::default()),
         };
@@ -76,23 +76,28 @@
     }
 
     /// Time for an exchange: what to tell each peer.
-    pub(crate) fn reports(&self, now: Timestamp) -> Vec<PeerReport> {
+    pub(crate) fn due_reports(&self, now: Timestamp) -> Vec<PeerReport> {
         let actions = self.state.lock().limiter.handle(now, LimitEvent::Tick);
-        let reports = actions.into_iter().filter_map(|action| match action {
+        let due_reports = actions.into_iter().filter_map(|action| match action {
             LimitAction::Report { peer, report } => Some(PeerReport { peer, report }),
             LimitAction::Acknowledge { .. } => None,
         });
-        reports.collect()
+        due_reports.collect()
     }
 
     /// Notes that a peer answered, and in which life.
-    pub(crate) fn connected(&self, now: Timestamp, peer: GatewayId, incarnation: Incarnation) {
+    pub(crate) fn record_connection(
+        &self,
+        now: Timestamp,
+        peer: GatewayId,
+        incarnation: Incarnation,
+    ) {
         let event = LimitEvent::PeerConnected { peer, incarnation };
         self.state.lock().limiter.handle(now, event);
     }
 
     /// Takes a peer's report; the confirmation for it, if it is of use.
-    pub(crate) fn received(
+    pub(crate) fn handle_report(
         &self,
         now: Timestamp,
         peer: GatewayId,
@@ -107,7 +112,7 @@
     }
 
     /// Takes a peer's confirmation.
-    pub(crate) fn confirmed(&self, now: Timestamp, peer: GatewayId, ack: UsageAck) {
+    pub(crate) fn handle_ack(&self, now: Timestamp, peer: GatewayId, ack: UsageAck) {
         let event = LimitEvent::AckReceived { peer, ack };
         self.state.lock().limiter.handle(now, event);
     }
--- a/lovagedock-gateway/src/link/beat.rs
+++ b/lovagedock-gateway/src/link/heartbeat.rs
@@ -9,7 +9,7 @@
 use crate::context::GatewayContext;
 
 /// Sends heartbeats and feeds configuration on one session.
-pub(super) struct SessionBeater {
+pub(super) struct HeartbeatSender {
     /// Endpoint at the other end.
     pub(super) endpoint: EndpointId,
     /// What all parts of the gateway share.
@@ -18,9 +18,9 @@
     pub(super) silence: Duration,
 }
 
-impl SessionBeater {
+impl HeartbeatSender {
     /// Sends one heartbeat.
-    pub(super) async fn beat(&self, session: &LinkSession, sequence: u64) -> Result<(), WireError> {
+    pub(super) async fn send(&self, session: &LinkSession, sequence: u64) -> Result<(), WireError> {
         let generation = self.context.generation();
         let limit = self.silence;
         let fleet = &self.context.fleet;
@@ -29,16 +29,16 @@
             .client
             .heartbeat(sequence, generation, limit)
             .await?;
-        let lacking = load.generation < generation;
+        let is_outdated = load.generation < generation;
         fleet.report(&self.endpoint, self.context.clock.now(), &load);
-        if lacking {
-            self.feed(session).await?;
+        if is_outdated {
+            self.send_config(session).await?;
         }
         Ok(())
     }
 
     /// Hands the configuration in force to a sidecar that has an older one.
-    async fn feed(&self, session: &LinkSession) -> Result<(), WireError> {
+    async fn send_config(&self, session: &LinkSession) -> Result<(), WireError> {
         let active = self.context.config.load_full();
         let message = ConfigMessage {
             generation: active.generation,
--- a/lovagedock-gateway/src/link/mod.rs
+++ b/lovagedock-gateway/src/link/mod.rs
@@ -4,7 +4,7 @@
 //! it, and carries commands of request drivers out. A session without a heartbeat's answer within
 //! [`LinkTimes::silence`] is given up, and each request on it is told.
 
-mod beat;
+mod heartbeat;
 mod message;
 mod receive;
 mod resume;
@@ -23,7 +23,7 @@
 };
 
 pub(crate) use self::message::{AttemptEvent, AttemptSender, LinkCommand};
-use self::{beat::SessionBeater, receive::AttemptReceiver, resume::ResumedAnswer};
+use self::{heartbeat::HeartbeatSender, receive::AttemptReceiver, resume::ResumedAnswer};
 use crate::{connect::PeerConnector, context::GatewayContext};
 
 /// Times that a link keeps.
@@ -71,7 +71,7 @@
     /// Runs until the gateway drops the link's command sender.
     pub(crate) async fn run(mut self) {
         loop {
-            match self.open().await {
+            match self.open_session().await {
                 Ok(session) => {
                     if self.run_session(session).await {
                         return;
@@ -79,7 +79,7 @@
                 }
                 Err(error) => {
                     debug!(self.log, "no session"; "endpoint" => &*self.endpoint, "error" => %error);
-                    if self.refuse_for(self.times.reconnect).await {
+                    if self.reject_commands_for(self.times.reconnect).await {
                         return;
                     }
                 }
@@ -87,7 +87,7 @@
         }
     }
 
-    async fn open(&self) -> Result<LinkSession, WireError> {
+    async fn open_session(&self) -> Result<LinkSession, WireError> {
         let limit = self.times.silence;
         let client = open_client(&*self.connector, self.address, limit).await?;
         let welcome = client.hello(&self.identity(), limit).await?;
@@ -148,24 +148,24 @@
         let mut ticks = interval(self.times.heartbeat);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut sequence = 0;
-        let beater = Rc::new(self.beater());
+        let heartbeat_sender = Rc::new(self.heartbeat_sender());
         // Beside the commands, not before them: a submit must not wait for a heartbeat's answer.
-        let mut beat: Option<LocalBoxFuture<'static, Result<(), WireError>>> = None;
+        let mut pending_heartbeat: Option<LocalBoxFuture<'static, Result<(), WireError>>> = None;
         loop {
             tokio::select! {
                 command = self.commands.recv() => {
                     let Some(command) = command else { return SessionEnd::Closed };
                     in_flight.retain(|_, events| !events.sender.is_closed());
-                    self.carry_out(command, session, in_flight);
+                    self.execute(command, session, in_flight);
                 }
-                _ = ticks.tick(), if beat.is_none() => {
+                _ = ticks.tick(), if pending_heartbeat.is_none() => {
                     sequence += 1;
-                    let beater = Rc::clone(&beater);
+                    let heartbeat_sender = Rc::clone(&heartbeat_sender);
                     let session = Rc::clone(session);
-                    beat = Some(async move { beater.beat(&session, sequence).await }.boxed_local());
+                    pending_heartbeat = Some(async move { heartbeat_sender.send(&session, sequence).await }.boxed_local());
                 }
-                ended = async { beat.as_mut().expect("guarded by is_some").await }, if beat.is_some() => {
-                    beat = None;
+                ended = async { pending_heartbeat.as_mut().expect("guarded by is_some").await }, if pending_heartbeat.is_some() => {
+                    pending_heartbeat = None;
                     if let Err(error) = ended {
                         return SessionEnd::Lost(error.to_string());
                     }
@@ -174,8 +174,8 @@
         }
     }
 
-    fn beater(&self) -> SessionBeater {
-        SessionBeater {
+    fn heartbeat_sender(&self) -> HeartbeatSender {
+        HeartbeatSender {
             endpoint: self.endpoint.clone(),
             context: Rc::clone(&self.context),
             silence: self.times.silence,
@@ -183,13 +183,13 @@
     }
 
     /// Carries a command out in a task of its own, so that heartbeats are not held up.
-    fn carry_out(&self, command: LinkCommand, session: &Rc<LinkSession>, in_flight: &mut InFlight) {
+    fn execute(&self, command: LinkCommand, session: &Rc<LinkSession>, in_flight: &mut InFlight) {
         let session = Rc::clone(session);
         let limit = self.times.silence;
         match command {
             LinkCommand::Submit { work, events } => {
                 if work.key.incarnation != session.incarnation {
-                    refuse_submit(events, ResultCode::StaleIncarnation);
+                    reject_submit(events, ResultCode::StaleIncarnation);
                     return;
                 }
                 in_flight.insert(work.key, events.clone());
@@ -238,7 +238,8 @@
         let address = self.address;
         let limit = self.times.silence;
         tokio::task::spawn_local(async move {
-            let verdict = revoke_anew(&*connector, address, &identity, key, limit).await;
+            let verdict =
+                revoke_on_new_connection(&*connector, address, &identity, key, limit).await;
             let _gone = reply.send(verdict);
         });
     }
@@ -256,7 +257,7 @@
     }
 
     /// Answers commands while there is no session; true when the gateway has dropped the link.
-    async fn refuse_for(&mut self, wait: Duration) -> bool {
+    async fn reject_commands_for(&mut self, wait: Duration) -> bool {
         let pause = sleep(wait);
         tokio::pin!(pause);
         loop {
@@ -264,17 +265,17 @@
                 () = &mut pause => return false,
                 command = self.commands.recv() => {
                     let Some(command) = command else { return true };
-                    self.refuse(command);
+                    self.reject(command);
                 }
             }
         }
     }
 
-    fn refuse(&self, command: LinkCommand) {
-        let gone = || WireError::Disconnected("no session".to_owned());
+    fn reject(&self, command: LinkCommand) {
+        let no_session = || WireError::Disconnected("no session".to_owned());
         match command {
             LinkCommand::Submit { events, .. } => {
-                refuse_submit(events, ResultCode::EndpointUnreachable);
+                reject_submit(events, ResultCode::EndpointUnreachable);
             }
             LinkCommand::Resume {
                 key,
@@ -284,10 +285,10 @@
             LinkCommand::Revoke { key, reply } => self.revoke(key, reply),
             LinkCommand::Cancel { .. } | LinkCommand::Release { .. } => {}
             LinkCommand::Reserve { reply, .. } => {
-                let _gone = reply.send(Err(gone()));
+                let _gone = reply.send(Err(no_session()));
             }
             LinkCommand::Segment { reply, .. } => {
-                let _gone = reply.send(Err(gone()));
+                let _gone = reply.send(Err(no_session()));
             }
         }
     }
@@ -302,7 +303,7 @@
     Ok(EndpointClient::new(stream))
 }
 
-async fn revoke_anew(
+async fn revoke_on_new_connection(
     connector: &dyn PeerConnector,
     address: SocketAddr,
     identity: &PeerIdentity,
@@ -315,7 +316,7 @@
 }
 
 /// Tells a driver that its submit was never sent, so that it certainly did not run.
-fn refuse_submit(events: AttemptSender, code: ResultCode) {
+fn reject_submit(events: AttemptSender, code: ResultCode) {
     tokio::task::spawn_local(async move {
         events
             .send(AttemptEvent::Refused(AnswerEnd::new(code)))
--- a/lovagedock-gateway/src/link/resume.rs
+++ b/lovagedock-gateway/src/link/resume.rs
@@ -43,7 +43,7 @@
                 self.events
                     .send(AttemptEvent::Resumed { found: true })
                     .await;
-                self.watch(&client, key, &ended).await;
+                self.send_heartbeats(&client, key, &ended).await;
             }
             Err(_) => self.events.send(AttemptEvent::ResumeFailed).await,
         }
@@ -66,13 +66,14 @@
     }
 
     /// Sends heartbeats until the answer ends: this connection may go silent like any other.
-    async fn watch(&self, client: &EndpointClient, key: AttemptKey, ended: &Cell<bool>) {
+    async fn send_heartbeats(&self, client: &EndpointClient, key: AttemptKey, ended: &Cell<bool>) {
         let mut sequence = 0;
         while !ended.get() && !self.events.sender.is_closed() {
             sleep(self.times.heartbeat).await;
             sequence += 1;
-            let beat = client.heartbeat(sequence, self.identity.generation, self.times.silence);
-            if beat.await.is_err() && !ended.get() {
+            let heartbeat =
+                client.heartbeat(sequence, self.identity.generation, self.times.silence);
+            if heartbeat.await.is_err() && !ended.get() {
                 let incarnation = key.incarnation;
                 self.events.send(AttemptEvent::Lost { incarnation }).await;
                 return;
--- a/lovagedock-gateway/src/orders/call.rs
+++ b/lovagedock-gateway/src/orders/call.rs
@@ -11,7 +11,7 @@
 use crate::{connect::PeerConnector, link::LinkTimes};
 
 /// Time that an order may take, waiting for others at the sidecar included.
-const ORDER_TIME: Duration = Duration::from_secs(30 * 60);
+const ORDER_TIMEOUT: Duration = Duration::from_secs(30 * 60);
 
 /// One call.
 ///
@@ -48,7 +48,7 @@
         }
         let reply = match self.message.order {
             None => client.order(&self.message, self.times.silence).await,
-            Some(_) => self.order(&client).await,
+            Some(_) => self.send_order(&client).await,
         };
         match reply {
             Ok(reply) => self.answer(reply),
@@ -74,8 +74,8 @@
 
     /// Sends heartbeats while the engine loads: the connection may go silent like any other, and
     /// the sidecar gives up sessions without them.
-    async fn order(&self, client: &EndpointClient) -> Result<OrderReply, WireError> {
-        let order = client.order(&self.message, ORDER_TIME);
+    async fn send_order(&self, client: &EndpointClient) -> Result<OrderReply, WireError> {
+        let order = client.order(&self.message, ORDER_TIMEOUT);
         tokio::pin!(order);
         let mut sequence = 0;
         loop {
--- a/lovagedock-gateway/src/orders/mod.rs
+++ b/lovagedock-gateway/src/orders/mod.rs
@@ -4,9 +4,9 @@
 //! [`LeaseHolder`](lovagedock::LeaseHolder) and [`OrderPlanner`](lovagedock::OrderPlanner) and
 //! carries out what they decide. Serving needs none of it.
 
-mod board;
 mod call;
 mod pool;
+mod status_table;
 
 use std::{collections::BTreeMap, io, sync::Arc, thread, time::Duration};
 
@@ -22,7 +22,7 @@
     time::timeout,
 };
 
-pub(crate) use board::OrderBoard;
+pub(crate) use status_table::OrderStatusTable;
 
 use crate::{
     active::ActiveConfig, connect::ConnectorFactory, context::GatewayContext, link::LinkTimes,
@@ -32,10 +32,10 @@
 /// Gateways that compete for the lease of one pool: one to hold it and one to take over.
 const CONTENDERS: usize = 2;
 /// Time that a shutdown gives leases back in; one that is not given back lapses.
-const RELEASE_TIME: Duration = Duration::from_secs(3);
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// What the thread for orders needs.
-pub(crate) struct DeskParts {
+pub(crate) struct DispatcherParts {
     /// Configuration and fleet.
     pub(crate) context: GatewayContext,
     /// The platform's store.
@@ -55,31 +55,34 @@
 }
 
 /// The thread that gives orders; it ends when this is dropped.
-pub(crate) struct OrderDesk {
-    board: OrderBoard,
+pub(crate) struct OrderDispatcher {
+    status_table: OrderStatusTable,
     _stop: watch::Sender<()>,
 }
 
-impl OrderDesk {
+impl OrderDispatcher {
     /// Starts the thread; must be called on a runtime, which carries the store calls.
-    pub(crate) fn start(parts: DeskParts) -> io::Result<Self> {
+    pub(crate) fn start(parts: DispatcherParts) -> io::Result<Self> {
         let (stop, stopped) = watch::channel(());
-        let board = OrderBoard::default();
-        let worker = DeskWorker {
+        let status_table = OrderStatusTable::default();
+        let worker = DispatcherWorker {
             parts,
-            board: board.clone(),
+            status_table: status_table.clone(),
             store_runtime: Handle::current(),
             pools: BTreeMap::new(),
         };
         thread::Builder::new()
             .name("orders".to_owned())
             .spawn(move || worker.run(stopped))?;
-        Ok(Self { board, _stop: stop })
+        Ok(Self {
+            status_table,
+            _stop: stop,
+        })
     }
 
     /// What operators see of the orders.
-    pub(crate) fn board(&self) -> OrderBoard {
-        self.board.clone()
+    pub(crate) fn status_table(&self) -> OrderStatusTable {
+        self.status_table.clone()
     }
 }
 
@@ -89,14 +92,14 @@
     task: JoinHandle<()>,
 }
 
-struct DeskWorker {
-    parts: DeskParts,
-    board: OrderBoard,
+struct DispatcherWorker {
+    parts: DispatcherParts,
+    status_table: OrderStatusTable,
     store_runtime: Handle,
     pools: BTreeMap<PoolId, RunningPool>,
 }
 
-impl DeskWorker {
+impl DispatcherWorker {
     fn run(mut self, stopped: watch::Receiver<()>) {
         let runtime = match runtime::Builder::new_current_thread().enable_all().build() {
             Ok(runtime) => runtime,
@@ -106,12 +109,12 @@
             }
         };
         LocalSet::new().block_on(&runtime, async {
-            self.follow(stopped).await;
-            self.give_back().await;
+            self.run_assignments(stopped).await;
+            self.release_leases().await;
         });
     }
 
-    async fn follow(&mut self, mut stopped: watch::Receiver<()>) {
+    async fn run_assignments(&mut self, mut stopped: watch::Receiver<()>) {
         let shutdown = self.parts.shutdown.clone();
         let mut adopted = self.parts.adopted.clone();
         loop {
@@ -124,28 +127,28 @@
         }
     }
 
-    async fn give_back(&mut self) {
+    async fn release_leases(&mut self) {
         let pools = std::mem::take(&mut self.pools).into_values();
         let ending = pools.map(|pool| {
             drop(pool.configs);
             pool.task
         });
         // What takes longer lapses by itself.
-        let _late = timeout(RELEASE_TIME, join_all(ending)).await;
+        let _late = timeout(RELEASE_TIMEOUT, join_all(ending)).await;
     }
 
     /// Starts and ends tasks so that each pool that this gateway competes for has one.
     fn assign(&mut self) {
         let active = self.parts.context.config.load_full();
-        let mine: Vec<&PoolSpec> = active
+        let own_pools: Vec<&PoolSpec> = active
             .fleet
             .pools
             .iter()
             .filter(|pool| self.competes(&active.fleet, pool))
             .collect();
         self.pools
-            .retain(|id, _| mine.iter().any(|pool| pool.id == *id));
-        for pool in mine {
+            .retain(|id, _| own_pools.iter().any(|pool| pool.id == *id));
+        for pool in own_pools {
             if !self.pools.contains_key(&pool.id) {
                 let running = self.start_pool(&pool.id);
                 self.pools.insert(pool.id.clone(), running);
@@ -173,7 +176,7 @@
             connector: self.parts.connectors.connector(),
             times: self.parts.times,
             lease: self.parts.lease,
-            board: self.board.clone(),
+            status_table: self.status_table.clone(),
             log: self.parts.log.clone(),
         });
         RunningPool {
--- a/lovagedock-gateway/src/orders/pool.rs
+++ b/lovagedock-gateway/src/orders/pool.rs
@@ -14,8 +14,8 @@
 use tokio::{runtime::Handle, sync::mpsc, task::spawn_local, time::sleep_until};
 
 use super::{
-    board::{OrderBoard, PoolOrders},
     call::SidecarCall,
+    status_table::{OrderStatusTable, PoolOrderStatus},
 };
 use crate::{
     active::ActiveConfig, connect::PeerConnector, context::GatewayContext, link::LinkTimes,
@@ -23,7 +23,7 @@
 };
 
 /// Longest sleep between looks at the wake times.
-const LONGEST_SLEEP: Duration = Duration::from_secs(3_600);
+const MAX_SLEEP: Duration = Duration::from_secs(3_600);
 
 /// What a pool's task needs.
 pub(super) struct PoolParts {
@@ -35,7 +35,7 @@
     pub(super) connector: Rc<dyn PeerConnector>,
     pub(super) times: LinkTimes,
     pub(super) lease: Duration,
-    pub(super) board: OrderBoard,
+    pub(super) status_table: OrderStatusTable,
     pub(super) log: Logger,
 }
 
@@ -81,9 +81,9 @@
 
     /// Runs until the sender of configurations is dropped, then gives the lease back.
     pub(super) async fn run(mut self, mut configs: mpsc::UnboundedReceiver<Arc<ActiveConfig>>) {
-        self.lease(LeaseEvent::Want);
+        self.handle_lease_event(LeaseEvent::Want);
         loop {
-            let latest = self.parts.context.clock.now() + LONGEST_SLEEP;
+            let latest = self.parts.context.clock.now() + MAX_SLEEP;
             let wake = self.lease_wake.min(self.order_wake).min(latest);
             let wake = self.parts.context.clock.instant_at(wake);
             tokio::select! {
@@ -91,35 +91,35 @@
                     Some(active) => self.configure(&active),
                     None => break,
                 },
-                Some(event) = self.events.recv() => self.take(event),
+                Some(event) = self.events.recv() => self.handle_event(event),
                 () = sleep_until(wake.into()) => self.tick(),
             }
-            self.show();
+            self.publish_status();
         }
-        self.give_back().await;
-        self.parts.board.remove(&self.parts.pool);
+        self.release_lease().await;
+        self.parts.status_table.remove(&self.parts.pool);
     }
 
-    fn take(&mut self, event: PoolEvent) {
+    fn handle_event(&mut self, event: PoolEvent) {
         match event {
-            PoolEvent::Lease(event) => self.lease(event),
-            PoolEvent::Order(event) => self.order(event),
+            PoolEvent::Lease(event) => self.handle_lease_event(event),
+            PoolEvent::Order(event) => self.handle_order_event(event),
         }
     }
 
     fn tick(&mut self) {
         self.lease_wake = Timestamp::MAX;
         self.order_wake = Timestamp::MAX;
-        self.lease(LeaseEvent::Tick);
-        self.order(OrderEvent::Tick);
+        self.handle_lease_event(LeaseEvent::Tick);
+        self.handle_order_event(OrderEvent::Tick);
     }
 
-    fn show(&self) {
+    fn publish_status(&self) {
         let lease = self.holder.borrow().status(self.parts.context.clock.now());
         let orders = self.planner.status();
         self.parts
-            .board
-            .set(&self.parts.pool, PoolOrders { lease, orders });
+            .status_table
+            .set(&self.parts.pool, PoolOrderStatus { lease, orders });
     }
 
     fn configure(&mut self, active: &ActiveConfig) {
@@ -139,34 +139,34 @@
         self.addresses = endpoints
             .map(|spec| (spec.id.clone(), spec.sidecar))
             .collect();
-        self.order(OrderEvent::Configure {
+        self.handle_order_event(OrderEvent::Configure {
             wanted: ArtifactSet::wanted(model),
             endpoints: pool.endpoints.iter().map(|spec| spec.id.clone()).collect(),
         });
     }
 
-    fn lease(&mut self, event: LeaseEvent) {
+    fn handle_lease_event(&mut self, event: LeaseEvent) {
         let now = self.parts.context.clock.now();
         let actions = self.holder.borrow_mut().handle(now, event);
         for action in actions {
-            self.carry_out_lease(action);
+            self.execute_lease_action(action);
         }
     }
 
-    fn carry_out_lease(&mut self, action: LeaseAction) {
+    fn execute_lease_action(&mut self, action: LeaseAction) {
         let pool = &*self.parts.pool;
         match action {
             LeaseAction::WakeAt(at) => self.lease_wake = at,
             LeaseAction::Acquired { epoch, expires_at } => {
                 info!(self.parts.log, "lease acquired"; "pool" => pool, "epoch" => epoch);
-                self.order(OrderEvent::Lease { epoch, expires_at });
+                self.handle_order_event(OrderEvent::Lease { epoch, expires_at });
             }
             LeaseAction::Renewed { epoch, expires_at } => {
-                self.order(OrderEvent::Lease { epoch, expires_at });
+                self.handle_order_event(OrderEvent::Lease { epoch, expires_at });
             }
             LeaseAction::Lost { epoch } => {
                 info!(self.parts.log, "lease lost"; "pool" => pool, "epoch" => epoch);
-                self.order(OrderEvent::LeaseLost);
+                self.handle_order_event(OrderEvent::LeaseLost);
             }
             call @ (LeaseAction::Read { .. } | LeaseAction::Write { .. }) => {
                 let sender = self.sender.clone();
@@ -181,7 +181,7 @@
         }
     }
 
-    fn order(&mut self, event: OrderEvent) {
+    fn handle_order_event(&mut self, event: OrderEvent) {
         let now = self.parts.context.clock.now();
         for action in self.planner.handle(now, event) {
             match action {
@@ -191,12 +191,18 @@
                     epoch,
                     sequence,
                     order,
-                } => self.call(endpoint, epoch, sequence, order),
+                } => self.call_sidecar(endpoint, epoch, sequence, order),
             }
         }
     }
 
-    fn call(&self, endpoint: EndpointId, epoch: Epoch, sequence: u64, order: Option<LoadOrder>) {
+    fn call_sidecar(
+        &self,
+        endpoint: EndpointId,
+        epoch: Epoch,
+        sequence: u64,
+        order: Option<LoadOrder>,
+    ) {
         let Some(address) = self.addresses.get(&endpoint).copied() else {
             // The planner knows the endpoints of the configuration that the addresses are from.
             return;
@@ -236,7 +242,7 @@
     }
 
     /// The other contender's next look finds the lease free, instead of a renewal to wait out.
-    async fn give_back(&mut self) {
+    async fn release_lease(&mut self) {
         let now = self.parts.context.clock.now();
         let actions = self.holder.borrow_mut().handle(now, LeaseEvent::Release);
         for action in actions {
--- a/lovagedock-gateway/src/orders/board.rs
+++ b/lovagedock-gateway/src/orders/status_table.rs
@@ -8,7 +8,7 @@
 
 /// Lease and orders of one pool.
 #[derive(Clone, Serialize)]
-pub(crate) struct PoolOrders {
+pub(crate) struct PoolOrderStatus {
     /// The lease, as this gateway sees it.
     pub(crate) lease: LeaseStatus,
     /// What engines have to load; absent before a configuration.
@@ -17,12 +17,12 @@
 
 /// The pools that this gateway competes for; cheap to clone.
 #[derive(Clone, Default)]
-pub(crate) struct OrderBoard {
-    pools: Arc<Mutex<BTreeMap<PoolId, PoolOrders>>>,
+pub(crate) struct OrderStatusTable {
+    pools: Arc<Mutex<BTreeMap<PoolId, PoolOrderStatus>>>,
 }
 
-impl OrderBoard {
-    pub(crate) fn set(&self, pool: &PoolId, orders: PoolOrders) {
+impl OrderStatusTable {
+    pub(crate) fn set(&self, pool: &PoolId, orders: PoolOrderStatus) {
         self.pools.lock().insert(pool.clone(), orders);
     }
 
@@ -31,7 +31,7 @@
     }
 
     /// Copy of everything.
-    pub(crate) fn pools(&self) -> BTreeMap<PoolId, PoolOrders> {
+    pub(crate) fn pools(&self) -> BTreeMap<PoolId, PoolOrderStatus> {
         self.pools.lock().clone()
     }
 }
--- a/lovagedock-gateway/src/peers/clients.rs
+++ b/lovagedock-gateway/src/peers/clients.rs
@@ -5,16 +5,18 @@
 use lovagedock::{ProcessId, prelude::*};
 use lovagedock_wire::{PROTOCOL_VERSION, PeerClient, PeerIdentity, WireError};
 
-use super::CALL_TIME;
-use crate::{connect::PeerConnector, context::GatewayContext, limits::LimitDesk, relay::seed_name};
+use super::CALL_TIMEOUT;
+use crate::{
+    connect::PeerConnector, context::GatewayContext, limits::OrganisationLimiter, relay::seed_name,
+};
 
 /// A session is replaced after this time: the other end closes its side after twice as long.
-const CLIENT_LIFE: Duration = Duration::from_secs(30);
+const MAX_CLIENT_AGE: Duration = Duration::from_secs(30);
 
 /// Sessions that this gateway opened; lives on the peers' thread.
 pub(crate) struct PeerClients {
     context: GatewayContext,
-    limits: LimitDesk,
+    limits: OrganisationLimiter,
     connector: Rc<dyn PeerConnector>,
     seeds: HashMap<ProcessId, SocketAddr>,
     open: RefCell<HashMap<ProcessId, OpenClient>>,
@@ -31,7 +33,7 @@
     /// No session yet; `seeds` can be called by their address.
     pub(crate) fn new(
         context: GatewayContext,
-        limits: LimitDesk,
+        limits: OrganisationLimiter,
         connector: Rc<dyn PeerConnector>,
         seeds: &[SocketAddr],
     ) -> Self {
@@ -57,7 +59,7 @@
         let client = self.client(peer).await?;
         let result = call(&client).await;
         if result.is_err() {
-            self.give_up(peer, &client);
+            self.discard_session(peer, &client);
         }
         result
     }
@@ -66,10 +68,10 @@
         let address = self.address_of(peer)?;
         let known = self.open.borrow().get(peer).cloned();
         let now = self.context.clock.now();
-        let is_good = |open: &OpenClient| {
-            open.address == address && now.saturating_sub(open.opened_at) < CLIENT_LIFE
+        let is_reusable = |open: &OpenClient| {
+            open.address == address && now.saturating_sub(open.opened_at) < MAX_CLIENT_AGE
         };
-        if let Some(open) = known.filter(is_good) {
+        if let Some(open) = known.filter(is_reusable) {
             return Ok(open.client);
         }
         let client = Rc::new(self.connect(address).await?);
@@ -83,19 +85,19 @@
     }
 
     async fn connect(&self, address: SocketAddr) -> Result<PeerClient, WireError> {
-        let stream = self.connector.connect(address, CALL_TIME).await?;
+        let stream = self.connector.connect(address, CALL_TIMEOUT).await?;
         let client = PeerClient::new(stream);
-        let welcome = client.hello(&identity(&self.context), CALL_TIME).await?;
+        let welcome = client.hello(&identity(&self.context), CALL_TIMEOUT).await?;
         let now = self.context.clock.now();
         self.limits
-            .connected(now, welcome.name.into(), welcome.incarnation);
+            .record_connection(now, welcome.name.into(), welcome.incarnation);
         Ok(client)
     }
 
-    fn give_up(&self, peer: &ProcessId, client: &Rc<PeerClient>) {
+    fn discard_session(&self, peer: &ProcessId, client: &Rc<PeerClient>) {
         let mut open = self.open.borrow_mut();
-        let is_it = |open: &OpenClient| Rc::ptr_eq(&open.client, client);
-        if open.get(peer).is_some_and(is_it) {
+        let is_same_client = |open: &OpenClient| Rc::ptr_eq(&open.client, client);
+        if open.get(peer).is_some_and(is_same_client) {
             open.remove(peer);
         }
     }
--- a/lovagedock-gateway/src/peers/mod.rs
+++ b/lovagedock-gateway/src/peers/mod.rs
@@ -26,19 +26,19 @@
     adopt::ConfigAdopter,
     connect::ConnectorFactory,
     context::GatewayContext,
-    limits::{LimitDesk, PeerReport, exchange_interval},
-    relay::{ConfigRelay, RelayParts, StoreOrder},
-    suspects::{SuspectDesk, TELL_INTERVAL},
+    limits::{OrganisationLimiter, PeerReport, exchange_interval},
+    relay::{ConfigRelay, RelayParts, StoreRequest},
+    suspects::{SUSPECT_SEND_INTERVAL, SuspectTracker},
 };
 use session::PeerSession;
 
 /// Pause after an accept that failed, since such errors repeat at once until files are closed.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Longest life of a session that another gateway opened. One whose other end vanished without a
 /// word is gone after it; a gateway that lives opens another.
-const SESSION_LIFE: Duration = Duration::from_secs(60);
+const MAX_SESSION_AGE: Duration = Duration::from_secs(60);
 /// Time for one call.
-pub(crate) const CALL_TIME: Duration = Duration::from_secs(2);
+pub(crate) const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What the thread for peers needs.
 pub(crate) struct PeerWorker {
@@ -51,19 +51,19 @@
     /// How peers connect here.
     pub(crate) transport: Transport,
     /// Limits of organisations.
-    pub(crate) limits: LimitDesk,
+    pub(crate) limits: OrganisationLimiter,
     /// Requests that end engines.
-    pub(crate) suspects: SuspectDesk,
+    pub(crate) suspects: SuspectTracker,
     /// Gateways to ask before there is a configuration.
     pub(crate) seeds: Vec<SocketAddr>,
     /// Takes the relay's store calls.
-    pub(crate) orders: UnboundedSender<StoreOrder>,
+    pub(crate) store_requests: UnboundedSender<StoreRequest>,
     /// Log.
     pub(crate) log: Logger,
 }
 
 /// What the tasks on the thread share.
-struct PeerDesk {
+struct PeerExchange {
     worker: PeerWorker,
     clients: Rc<PeerClients>,
     relay: Rc<ConfigRelay>,
@@ -98,20 +98,20 @@
                 return;
             }
         };
-        let desk = Rc::new(PeerDesk::new(self));
+        let exchange = Rc::new(PeerExchange::new(self));
         LocalSet::new().block_on(&runtime, async {
             tokio::select! {
-                () = Rc::clone(&desk).accept(listener) => {}
-                () = Rc::clone(&desk.relay).run(events) => {}
-                () = Rc::clone(&desk).exchange_usage() => {}
-                () = Rc::clone(&desk).tell_suspects() => {}
+                () = Rc::clone(&exchange).accept(listener) => {}
+                () = Rc::clone(&exchange.relay).run(events) => {}
+                () = Rc::clone(&exchange).exchange_usage() => {}
+                () = Rc::clone(&exchange).send_suspects() => {}
                 _ = stop.changed() => {}
             }
         });
     }
 }
 
-impl PeerDesk {
+impl PeerExchange {
     fn new(worker: PeerWorker) -> Self {
         let clients = Rc::new(PeerClients::new(
             worker.context.clone(),
@@ -124,7 +124,7 @@
             adopter: Arc::clone(&worker.adopter),
             clients: Rc::clone(&clients),
             seeds: worker.seeds.clone(),
-            orders: worker.orders.clone(),
+            store_requests: worker.store_requests.clone(),
             log: worker.log.clone(),
         }));
         Self {
@@ -146,16 +146,16 @@
         loop {
             match listener.accept().await {
                 Ok((stream, peer)) => {
-                    let desk = Rc::clone(&self);
+                    let exchange = Rc::clone(&self);
                     spawn_local(async move {
-                        let end = desk.serve(stream).await;
-                        debug!(desk.worker.log, "peer's session ended";
+                        let end = exchange.serve(stream).await;
+                        debug!(exchange.worker.log, "peer's session ended";
                             "peer" => %peer, "end" => format!("{end:?}"));
                     });
                 }
                 Err(error) => {
                     warn!(log, "cannot accept a peer"; "error" => %error);
-                    sleep(ACCEPT_PAUSE).await;
+                    sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
@@ -170,7 +170,7 @@
             self.worker.suspects.clone(),
             Rc::clone(&self.relay),
         ));
-        match timeout(SESSION_LIFE, serve_peer(Box::new(stream), session)).await {
+        match timeout(MAX_SESSION_AGE, serve_peer(Box::new(stream), session)).await {
             Ok(ended) => ended,
             Err(_) => Ok(()),
         }
@@ -183,12 +183,12 @@
         loop {
             ticks.tick().await;
             let now = self.worker.context.clock.now();
-            for report in self.worker.limits.reports(now) {
-                let desk = Rc::clone(&self);
+            for report in self.worker.limits.due_reports(now) {
+                let exchange = Rc::clone(&self);
                 spawn_local(async move {
                     let peer = report.peer.clone();
-                    if let Err(error) = desk.send_usage(report).await {
-                        debug!(desk.worker.log, "no exchange with a peer";
+                    if let Err(error) = exchange.send_usage(report).await {
+                        debug!(exchange.worker.log, "no exchange with a peer";
                             "peer" => &*peer, "error" => %error);
                     }
                 });
@@ -197,26 +197,27 @@
     }
 
     /// Tells the other gateways of requests that end engines, so that each is stopped everywhere.
-    async fn tell_suspects(self: Rc<Self>) {
-        let mut ticks = interval(TELL_INTERVAL);
+    async fn send_suspects(self: Rc<Self>) {
+        let mut ticks = interval(SUSPECT_SEND_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
-            let news = self
+            let updates = self
                 .worker
                 .suspects
-                .take_news(self.worker.context.clock.now());
-            if news.is_empty() {
+                .take_updates(self.worker.context.clock.now());
+            if updates.is_empty() {
                 continue;
             }
-            let news: Rc<[SuspectUpdate]> = news.into();
+            let updates: Rc<[SuspectUpdate]> = updates.into();
             for peer in self.peers() {
-                let desk = Rc::clone(&self);
-                let news = Rc::clone(&news);
+                let exchange = Rc::clone(&self);
+                let updates = Rc::clone(&updates);
                 spawn_local(async move {
-                    let call = async |client: &PeerClient| client.suspects(&news, CALL_TIME).await;
-                    if let Err(error) = desk.clients.call(&peer, call).await {
-                        debug!(desk.worker.log, "a peer was not told of suspects";
+                    let call =
+                        async |client: &PeerClient| client.suspects(&updates, CALL_TIMEOUT).await;
+                    if let Err(error) = exchange.clients.call(&peer, call).await {
+                        debug!(exchange.worker.log, "a peer was not told of suspects";
                             "peer" => &*peer, "error" => %error);
                     }
                 });
@@ -234,10 +235,10 @@
     }
 
     async fn send_usage(&self, PeerReport { peer, report }: PeerReport) -> Result<(), WireError> {
-        let call = async |client: &PeerClient| client.usage(&report, CALL_TIME).await;
+        let call = async |client: &PeerClient| client.usage(&report, CALL_TIMEOUT).await;
         let ack = self.clients.call(&peer, call).await?;
         let now = self.worker.context.clock.now();
-        self.worker.limits.confirmed(now, peer, ack);
+        self.worker.limits.handle_ack(now, peer, ack);
         Ok(())
     }
 }
--- a/lovagedock-gateway/src/peers/session.rs
+++ b/lovagedock-gateway/src/peers/session.rs
@@ -7,14 +7,15 @@
 
 use super::clients::identity;
 use crate::{
-    context::GatewayContext, limits::LimitDesk, relay::ConfigRelay, suspects::SuspectDesk,
+    context::GatewayContext, limits::OrganisationLimiter, relay::ConfigRelay,
+    suspects::SuspectTracker,
 };
 
 /// One session that another gateway opened.
 pub(super) struct PeerSession {
     context: GatewayContext,
-    limits: LimitDesk,
-    suspects: SuspectDesk,
+    limits: OrganisationLimiter,
+    suspects: SuspectTracker,
     relay: Rc<ConfigRelay>,
     /// Who is at the other end, once it has said so.
     peer: RefCell<Option<GatewayId>>,
@@ -24,8 +25,8 @@
     /// A session of a gateway that has not introduced itself.
     pub(super) fn new(
         context: GatewayContext,
-        limits: LimitDesk,
-        suspects: SuspectDesk,
+        limits: OrganisationLimiter,
+        suspects: SuspectTracker,
         relay: Rc<ConfigRelay>,
     ) -> Self {
         Self {
@@ -46,22 +47,23 @@
     fn hello(&self, peer: PeerIdentity) -> PeerIdentity {
         let name = GatewayId::from(peer.name);
         let now = self.context.clock.now();
-        self.limits.connected(now, name.clone(), peer.incarnation);
+        self.limits
+            .record_connection(now, name.clone(), peer.incarnation);
         self.peer.replace(Some(name.clone()));
-        self.relay.told(name, peer.generation);
+        self.relay.record_peer_generation(name, peer.generation);
         identity(&self.context)
     }
 
     fn push(&self, bundle: ConfigBundle) -> Generation {
         match self.peer() {
-            Some(peer) => self.relay.pushed(peer, bundle),
+            Some(peer) => self.relay.handle_push(peer, bundle),
             None => self.context.adoption.load().generation,
         }
     }
 
     fn offer(&self, generation: Generation) {
         if let Some(peer) = self.peer() {
-            self.relay.told(peer, generation);
+            self.relay.record_peer_generation(peer, generation);
         }
     }
 
@@ -71,10 +73,12 @@
 
     fn usage(&self, report: UsageReport) -> Option<UsageAck> {
         let peer = self.peer()?;
-        self.limits.received(self.context.clock.now(), peer, report)
+        self.limits
+            .handle_report(self.context.clock.now(), peer, report)
     }
 
-    fn suspects(&self, news: Vec<SuspectUpdate>) {
-        self.suspects.hear(self.context.clock.now(), news);
+    fn suspects(&self, updates: Vec<SuspectUpdate>) {
+        self.suspects
+            .apply_updates(self.context.clock.now(), updates);
     }
 }
--- a/lovagedock-gateway/src/relay/mod.rs
+++ b/lovagedock-gateway/src/relay/mod.rs
@@ -27,17 +27,17 @@
 };
 
 pub(crate) use role::seed_name;
-pub(crate) use store::{StoreOrder, StoreReader};
+pub(crate) use store::{StoreReader, StoreRequest};
 
 use crate::{
     adopt::{AdoptError, ConfigAdopter},
     context::GatewayContext,
-    peers::{CALL_TIME, PeerClients},
+    peers::{CALL_TIMEOUT, PeerClients},
 };
 use role::relay_role;
 
 /// Shortest sleep before a tick; timers have a resolution of a millisecond.
-const SHORTEST_SLEEP: Duration = Duration::from_millis(1);
+const MIN_SLEEP: Duration = Duration::from_millis(1);
 
 /// What the relay works with.
 pub(crate) struct RelayParts {
@@ -50,7 +50,7 @@
     /// Gateways to ask before there is a configuration.
     pub(crate) seeds: Vec<SocketAddr>,
     /// Takes store calls; their ends come as events.
-    pub(crate) orders: UnboundedSender<StoreOrder>,
+    pub(crate) store_requests: UnboundedSender<StoreRequest>,
     /// Log.
     pub(crate) log: Logger,
 }
@@ -82,7 +82,7 @@
         self.update_role();
         loop {
             tokio::select! {
-                Some(event) = events.recv() => self.take(event),
+                Some(event) = events.recv() => self.handle_event(event),
                 () = self.sleep_until_wake() => self.tick(),
                 () = self.rescheduled.notified() => {}
             }
@@ -90,14 +90,18 @@
     }
 
     /// Takes what a peer pushed; returns what is here then.
-    pub(crate) fn pushed(self: &Rc<Self>, from: ProcessId, bundle: ConfigBundle) -> Generation {
-        self.take(AdoptionEvent::Pushed { from, bundle });
+    pub(crate) fn handle_push(
+        self: &Rc<Self>,
+        from: ProcessId,
+        bundle: ConfigBundle,
+    ) -> Generation {
+        self.handle_event(AdoptionEvent::Pushed { from, bundle });
         self.state.borrow().generation()
     }
 
     /// Takes note of what a peer has.
-    pub(crate) fn told(self: &Rc<Self>, from: ProcessId, generation: Generation) {
-        self.take(AdoptionEvent::PeerReported { from, generation });
+    pub(crate) fn record_peer_generation(self: &Rc<Self>, from: ProcessId, generation: Generation) {
+        self.handle_event(AdoptionEvent::PeerReported { from, generation });
     }
 
     /// Tells a peer at `above` what it lacks.
@@ -105,25 +109,29 @@
         self.state.borrow().answer_pull(above)
     }
 
-    fn take(self: &Rc<Self>, event: AdoptionEvent) {
+    fn handle_event(self: &Rc<Self>, event: AdoptionEvent) {
         let now = self.parts.context.clock.now();
         let actions = self.state.borrow_mut().handle(now, event);
         let mut has_adopted = false;
         for action in actions {
             has_adopted |= matches!(action, AdoptionAction::Adopt { .. });
-            self.carry_out(action);
+            self.execute(action);
         }
-        self.publish();
+        self.publish_status();
         if has_adopted {
             self.update_role();
         }
     }
 
-    fn carry_out(self: &Rc<Self>, action: AdoptionAction) {
+    fn execute(self: &Rc<Self>, action: AdoptionAction) {
         match action {
-            AdoptionAction::ReadRoot => self.order(StoreOrder::ReadRoot),
-            AdoptionAction::WatchRoot { above } => self.order(StoreOrder::WatchRoot { above }),
-            AdoptionAction::ReadChunk { hash } => self.order(StoreOrder::ReadChunk { hash }),
+            AdoptionAction::ReadRoot => self.send_store_request(StoreRequest::ReadRoot),
+            AdoptionAction::WatchRoot { above } => {
+                self.send_store_request(StoreRequest::WatchRoot { above })
+            }
+            AdoptionAction::ReadChunk { hash } => {
+                self.send_store_request(StoreRequest::ReadChunk { hash })
+            }
             AdoptionAction::Push { to, bundle } => {
                 spawn_local(Rc::clone(self).push(to, bundle));
             }
@@ -138,7 +146,7 @@
             } => {
                 info!(self.parts.log, "newer configuration";
                     "generation" => generation, "source" => format!("{source:?}"));
-                self.put_in_force(generation);
+                self.apply_config(generation);
             }
             AdoptionAction::Rejected { from, error } => {
                 warn!(self.parts.log, "configuration of a peer not taken";
@@ -151,20 +159,20 @@
         }
     }
 
-    fn order(&self, order: StoreOrder) {
+    fn send_store_request(&self, request: StoreRequest) {
         // The reader ends only with the gateway.
-        let _gone = self.parts.orders.send(order);
+        let _gone = self.parts.store_requests.send(request);
     }
 
     /// A configuration that this gateway is too old to read is kept for the peers, since newer
     /// ones below it in the tree depend on it; requests go on under the one in force.
-    fn put_in_force(&self, generation: Generation) {
+    fn apply_config(&self, generation: Generation) {
         let Some(text) = self.state.borrow().text() else {
             return;
         };
         match self.parts.adopter.adopt(generation, text) {
             Ok(()) | Err(AdoptError::NotNewer) => {}
-            Err(AdoptError::Malformed(detail)) => self.parts.adopter.refused(&detail),
+            Err(AdoptError::Malformed(detail)) => self.parts.adopter.log_rejected(&detail),
         }
     }
 
@@ -174,11 +182,11 @@
         let role = relay_role(&active.fleet, &context.name, &self.parts.seeds);
         if *self.role.borrow() != role {
             self.role.replace(role.clone());
-            self.take(AdoptionEvent::Role(role));
+            self.handle_event(AdoptionEvent::Role(role));
         }
     }
 
-    fn publish(&self) {
+    fn publish_status(&self) {
         let status = self.state.borrow().status();
         let adoption = &self.parts.context.adoption;
         if **adoption.load() != status {
@@ -191,7 +199,7 @@
             return std::future::pending().await;
         };
         let now = self.parts.context.clock.now();
-        sleep(wake_at.saturating_sub(now).max(SHORTEST_SLEEP)).await;
+        sleep(wake_at.saturating_sub(now).max(MIN_SLEEP)).await;
     }
 
     fn tick(self: &Rc<Self>) {
@@ -199,11 +207,11 @@
         if self.wake_at.get().is_some_and(|at| at <= now) {
             self.wake_at.set(None);
         }
-        self.take(AdoptionEvent::Tick);
+        self.handle_event(AdoptionEvent::Tick);
     }
 
     async fn push(self: Rc<Self>, to: ProcessId, bundle: ConfigBundle) {
-        let call = async |client: &PeerClient| client.push(&bundle, CALL_TIME).await;
+        let call = async |client: &PeerClient| client.push(&bundle, CALL_TIMEOUT).await;
         let event = match self.parts.clients.call(&to, call).await {
             Ok(generation) => AdoptionEvent::PushAnswered { to, generation },
             Err(error) => {
@@ -211,23 +219,23 @@
                 AdoptionEvent::PushFailed { to }
             }
         };
-        self.take(event);
+        self.handle_event(event);
     }
 
     async fn offer(self: Rc<Self>, to: ProcessId, generation: Generation) {
-        let call = async |client: &PeerClient| client.offer(generation, CALL_TIME).await;
+        let call = async |client: &PeerClient| client.offer(generation, CALL_TIMEOUT).await;
         if let Err(error) = self.parts.clients.call(&to, call).await {
             debug!(self.parts.log, "no offer to a peer"; "peer" => &*to, "error" => %error);
         }
     }
 
     async fn pull(self: Rc<Self>, from: ProcessId, above: Generation) {
-        let call = async |client: &PeerClient| client.pull(above, CALL_TIME).await;
+        let call = async |client: &PeerClient| client.pull(above, CALL_TIMEOUT).await;
         let answer = self.parts.clients.call(&from, call).await;
         if let Err(error) = &answer {
             debug!(self.parts.log, "no answer from a peer"; "peer" => &*from, "error" => %error);
         }
         let answer = answer.ok();
-        self.take(AdoptionEvent::Pulled { from, answer });
+        self.handle_event(AdoptionEvent::Pulled { from, answer });
     }
 }
--- a/lovagedock-gateway/src/relay/store.rs
+++ b/lovagedock-gateway/src/relay/store.rs
@@ -13,11 +13,11 @@
 };
 
 /// Time that a watch of the store waits for a change.
-const WATCH_WAIT: Duration = Duration::from_secs(20);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// What the relay wants from the store.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum StoreOrder {
+pub(crate) enum StoreRequest {
     /// Read the root.
     ReadRoot,
     /// Wait for a root above a generation.
@@ -59,30 +59,30 @@
     /// Carries out orders until their sender is gone; calls under way end with the returned future.
     pub(crate) async fn run(
         self,
-        mut orders: UnboundedReceiver<StoreOrder>,
+        mut requests: UnboundedReceiver<StoreRequest>,
         events: UnboundedSender<AdoptionEvent>,
     ) {
         let reader = Arc::new(self);
         let mut calls = JoinSet::new();
-        while let Some(order) = orders.recv().await {
+        while let Some(request) = requests.recv().await {
             while calls.try_join_next().is_some() {}
             let reader = Arc::clone(&reader);
             let events = events.clone();
             calls.spawn(async move {
-                let event = reader.carry_out(order).await;
+                let event = reader.execute(request).await;
                 // A relay that has gone needs no answer.
                 let _gone = events.send(event);
             });
         }
     }
 
-    async fn carry_out(&self, order: StoreOrder) -> AdoptionEvent {
-        match order {
-            StoreOrder::ReadRoot => AdoptionEvent::RootRead(self.read_root().await),
-            StoreOrder::WatchRoot { above } => {
+    async fn execute(&self, request: StoreRequest) -> AdoptionEvent {
+        match request {
+            StoreRequest::ReadRoot => AdoptionEvent::RootRead(self.read_root().await),
+            StoreRequest::WatchRoot { above } => {
                 AdoptionEvent::RootRead(self.watch_root(above).await)
             }
-            StoreOrder::ReadChunk { hash } => AdoptionEvent::ChunkRead {
+            StoreRequest::ReadChunk { hash } => AdoptionEvent::ChunkRead {
                 hash,
                 bytes: self.read_chunk(&hash).await,
             },
@@ -91,7 +91,7 @@
 
     async fn read_root(&self) -> RootOutcome {
         match self.config.read_root().await {
-            Ok(Some(versioned)) => self.note(&versioned),
+            Ok(Some(versioned)) => self.record_root(&versioned),
             Ok(None) => RootOutcome::Unchanged,
             Err(error) => {
                 debug!(self.log, "no configuration from the store"; "error" => %error);
@@ -106,7 +106,7 @@
         if last_read.generation > above {
             return self.read_root().await;
         }
-        let watch = self.config.watch_root(last_read.revision, WATCH_WAIT);
+        let watch = self.config.watch_root(last_read.revision, WATCH_TIMEOUT);
         match watch.await {
             Ok(change) if change.revision < last_read.revision => {
                 // The store came back from an older copy and gives its revisions out again: a root that
@@ -132,7 +132,7 @@
         }
     }
 
-    fn note(&self, versioned: &VersionedRoot) -> RootOutcome {
+    fn record_root(&self, versioned: &VersionedRoot) -> RootOutcome {
         let Some(manifest) = versioned.root.manifest() else {
             warn!(
                 self.log,
--- a/lovagedock-gateway/src/settings.rs
+++ b/lovagedock-gateway/src/settings.rs
@@ -9,7 +9,7 @@
 use crate::link::LinkTimes;
 
 /// Below this, calls to the store take up the lease.
-const SHORTEST_LEASE_MS: u64 = 500;
+const MIN_LEASE_MS: u64 = 500;
 
 /// What a gateway is told when it starts; everything else is in the configuration.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -63,9 +63,9 @@
         if links.workers == 0 {
             problems.push("links.workers: found 0, expected at least 1".to_owned());
         }
-        if self.orders.lease_ms < SHORTEST_LEASE_MS {
+        if self.orders.lease_ms < MIN_LEASE_MS {
             problems.push(format!(
-                "orders.lease_ms: found {}, expected at least {SHORTEST_LEASE_MS}",
+                "orders.lease_ms: found {}, expected at least {MIN_LEASE_MS}",
                 self.orders.lease_ms
             ));
         }
--- a/lovagedock-gateway/src/shared.rs
+++ b/lovagedock-gateway/src/shared.rs
@@ -8,8 +8,8 @@
 use tokio::time::sleep;
 
 use crate::{
-    claims::ClaimDesk, context::GatewayContext, limits::LimitDesk, suspects::SuspectDesk,
-    trail::TrailBook,
+    claims::ClaimCoordinator, context::GatewayContext, limits::OrganisationLimiter,
+    suspects::SuspectTracker, trail::RequestTrails,
 };
 
 /// Shared by all drivers of a gateway; cheap to clone.
@@ -20,13 +20,13 @@
     /// Configuration, fleet, clock.
     pub(crate) context: GatewayContext,
     /// What was decided about recent requests.
-    pub(crate) trails: TrailBook,
+    pub(crate) trails: RequestTrails,
     /// Claims of idempotency keys.
-    pub(crate) claims: ClaimDesk,
+    pub(crate) claims: ClaimCoordinator,
     /// Limits of organisations.
-    pub(crate) limits: LimitDesk,
+    pub(crate) limits: OrganisationLimiter,
     /// Requests that end engines.
-    pub(crate) suspects: SuspectDesk,
+    pub(crate) suspects: SuspectTracker,
     /// Tells that the gateway drains.
     pub(crate) shutdown: ShutdownSignal,
     drain_time: Duration,
@@ -37,13 +37,13 @@
     /// Shared state of a gateway that has served nothing yet.
     pub(crate) fn new(
         context: GatewayContext,
-        claims: ClaimDesk,
-        limits: LimitDesk,
-        suspects: SuspectDesk,
+        claims: ClaimCoordinator,
+        limits: OrganisationLimiter,
+        suspects: SuspectTracker,
     ) -> Self {
         Self {
             context,
-            trails: TrailBook::default(),
+            trails: RequestTrails::default(),
             claims,
             limits,
             suspects,
@@ -61,38 +61,38 @@
     }
 
     /// Time that requests in flight still get; all of the drain time while the gateway serves.
-    pub(crate) fn drain_left(&self) -> Duration {
+    pub(crate) fn remaining_drain_time(&self) -> Duration {
         self.drain_time
             .saturating_sub(self.shutdown.time_since_trigger())
     }
 
     /// Ends when the gateway drains and its requests have no time left.
-    pub(crate) async fn drain_over(&self) {
+    pub(crate) async fn drain_expired(&self) {
         self.shutdown.wait().await;
-        sleep(self.drain_left()).await;
+        sleep(self.remaining_drain_time()).await;
     }
 
     /// A deadline, or the end of the drain if the gateway drains and that comes first.
-    pub(crate) fn within_drain(&self, deadline: Timestamp) -> Timestamp {
+    pub(crate) fn limit_to_drain(&self, deadline: Timestamp) -> Timestamp {
         if !self.shutdown.is_triggered() {
             return deadline;
         }
-        let left = self.drain_left();
+        let left = self.remaining_drain_time();
         deadline.min(self.context.clock.now() + left)
     }
 
     /// Whether a request that ends now, in vain and before its deadline, ends with the drain.
     ///
     /// A sidecar gives up a little earlier than its gateway, so that its word arrives in time.
-    pub(crate) fn ends_with_drain(&self, deadline: Timestamp) -> bool {
+    pub(crate) fn is_cut_by_drain(&self, deadline: Timestamp) -> bool {
         let margin = RequestTiming::default().answer_margin;
         self.shutdown.is_triggered()
-            && self.drain_left() <= margin
+            && self.remaining_drain_time() <= margin
             && self.context.clock.now() + margin < deadline
     }
 
     /// Takes a retry from the service's budget, if there is one.
-    pub(crate) fn take_retry(&self, service: &ServiceId, now: Timestamp) -> bool {
+    pub(crate) fn consume_retry(&self, service: &ServiceId, now: Timestamp) -> bool {
         self.with_budget(service, now, |budget| budget.try_consume(now))
     }
 
@@ -105,12 +105,12 @@
         &self,
         service: &ServiceId,
         now: Timestamp,
-        act: impl FnOnce(&mut RetryBudget) -> T,
+        action: impl FnOnce(&mut RetryBudget) -> T,
     ) -> T {
         let mut budgets = self.budgets.lock();
         let budget = budgets
             .entry(service.clone())
             .or_insert_with(|| RetryBudget::new(now, RetryAllowance::default()));
-        act(budget)
+        action(budget)
     }
 }
--- a/lovagedock-gateway/src/sources.rs
+++ b/lovagedock-gateway/src/sources.rs
@@ -13,8 +13,9 @@
 };
 
 use crate::{
-    adopt::ConfigAdopter, connect::ConnectorFactory, context::GatewayContext, limits::LimitDesk,
-    peers::PeerWorker, relay::StoreReader, settings::GatewaySettings, suspects::SuspectDesk,
+    adopt::ConfigAdopter, connect::ConnectorFactory, context::GatewayContext,
+    limits::OrganisationLimiter, peers::PeerWorker, relay::StoreReader, settings::GatewaySettings,
+    suspects::SuspectTracker,
 };
 
 /// Time between ticks of the outlier detectors.
@@ -23,7 +24,7 @@
 const HOSTS_INTERVAL: Duration = Duration::from_secs(2);
 
 /// The platform as a gateway uses it.
-pub(crate) struct PlatformPorts {
+pub(crate) struct PlatformClients {
     /// The object store, within the process's budget.
     pub(crate) store: Arc<dyn ObjectStore>,
     /// The list of hosts.
@@ -33,7 +34,7 @@
 /// What the sources feed, and through what.
 pub(crate) struct SourceParts {
     /// The platform.
-    pub(crate) platform: PlatformPorts,
+    pub(crate) platform: PlatformClients,
     /// Configuration and fleet.
     pub(crate) context: GatewayContext,
     /// Where configurations come into force.
@@ -41,9 +42,9 @@
     /// How to connect to peers.
     pub(crate) connectors: ConnectorFactory,
     /// Limits of organisations.
-    pub(crate) limits: LimitDesk,
+    pub(crate) limits: OrganisationLimiter,
     /// Requests that end engines.
-    pub(crate) suspects: SuspectDesk,
+    pub(crate) suspects: SuspectTracker,
 }
 
 /// Tasks that feed a gateway; they end when this is dropped.
@@ -69,8 +70,8 @@
             .attach_with(|| format!("peers' address {}", settings.peers.address))?;
         let peers = listener.local_addr()?;
         let (stop, stopped) = watch::channel(());
-        let (orders, ordered) = mpsc::unbounded_channel();
-        let (ends, ended) = mpsc::unbounded_channel();
+        let (store_requests, store_request_receiver) = mpsc::unbounded_channel();
+        let (adoption_events, adoption_event_receiver) = mpsc::unbounded_channel();
         let worker = PeerWorker {
             context: parts.context.clone(),
             adopter: parts.adopter,
@@ -79,10 +80,10 @@
             limits: parts.limits,
             suspects: parts.suspects,
             seeds: settings.seed_peers.clone(),
-            orders,
+            store_requests,
             log: log.clone(),
         };
-        worker.start(listener, ended, stopped)?;
+        worker.start(listener, adoption_event_receiver, stopped)?;
         let outliers = parts.context.clone();
         let config = ConfigStore::new(parts.platform.store);
         let reader = StoreReader::new(config, log.clone());
@@ -94,7 +95,7 @@
         Ok(Self {
             peers,
             tasks: vec![
-                tokio::spawn(reader.run(ordered, ends)),
+                tokio::spawn(reader.run(store_request_receiver, adoption_events)),
                 tokio::spawn(hosts.run()),
                 tokio::spawn(run_outlier_ticks(outliers, log.clone())),
             ],
@@ -144,7 +145,7 @@
 async fn run_outlier_ticks(context: GatewayContext, log: Logger) {
     loop {
         sleep(OUTLIER_INTERVAL).await;
-        for action in context.fleet.watch_tick(context.clock.now()) {
+        for action in context.fleet.tick_outliers(context.clock.now()) {
             info!(log, "ejection changed";
                 "endpoint" => &*action.endpoint,
                 "ejected" => action.ejected,
--- a/lovagedock-gateway/src/store_calls.rs
+++ b/lovagedock-gateway/src/store_calls.rs
@@ -8,7 +8,7 @@
 use tokio::time::timeout;
 
 /// Time for one store call.
-const STORE_TIME: Duration = Duration::from_secs(3);
+const STORE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Reads an object.
 pub(crate) async fn read(
@@ -16,7 +16,7 @@
     object: &str,
     purpose: CallPurpose,
 ) -> ReadOutcome {
-    match timeout(STORE_TIME, store.get(object, purpose)).await {
+    match timeout(STORE_TIMEOUT, store.get(object, purpose)).await {
         Ok(Ok(Some(found))) => ReadOutcome::Found {
             version: found.version,
             bytes: found.value,
@@ -36,7 +36,7 @@
     purpose: CallPurpose,
 ) -> WriteOutcome {
     let put = store.put(object, bytes, put_condition(condition), purpose);
-    match timeout(STORE_TIME, put).await {
+    match timeout(STORE_TIMEOUT, put).await {
         Ok(Ok(version)) => WriteOutcome::Applied(version),
         Ok(Err(error)) => write_failure(&error),
         Err(_) => WriteOutcome::Unknown,
@@ -50,7 +50,7 @@
     purpose: CallPurpose,
 ) -> WriteOutcome {
     let delete = store.delete(object, PutCondition::Any, purpose);
-    match timeout(STORE_TIME, delete).await {
+    match timeout(STORE_TIMEOUT, delete).await {
         Ok(Ok(())) => WriteOutcome::Applied(0),
         Ok(Err(error)) => write_failure(&error),
         Err(_) => WriteOutcome::Unknown,
--- a/lovagedock-gateway/src/suspects.rs
+++ b/lovagedock-gateway/src/suspects.rs
@@ -13,24 +13,24 @@
 use crate::call::CallerCall;
 
 /// Time between two tellings; gateways open no session for it while there is nothing to tell.
-pub(crate) const TELL_INTERVAL: Duration = Duration::from_millis(250);
+pub(crate) const SUSPECT_SEND_INTERVAL: Duration = Duration::from_millis(250);
 
 /// What is held against requests; cheap to clone.
 ///
 /// Lock order: a leaf.
 #[derive(Clone)]
-pub(crate) struct SuspectDesk {
-    state: Arc<Mutex<DeskState>>,
+pub(crate) struct SuspectTracker {
+    state: Arc<Mutex<TrackerState>>,
     log: Logger,
 }
 
 #[derive(Default)]
-struct DeskState {
+struct TrackerState {
     ledger: SuspectLedger,
-    telling: SuspectQueue,
+    update_queue: SuspectQueue,
 }
 
-impl SuspectDesk {
+impl SuspectTracker {
     /// A desk that suspects nobody.
     pub(crate) fn new(log: Logger) -> Self {
         Self {
@@ -59,44 +59,47 @@
         endpoint: &EndpointId,
         streamed: Duration,
     ) {
-        let fingerprint = fingerprint(call);
+        let fingerprint = request_fingerprint(call);
         let run = call.id as u64 ^ u64::from(attempt);
-        let life = EndpointProcess::new(endpoint.clone(), run);
-        let end = ProcessEnd::new(&life, EndEvidence::new(true, streamed));
+        let process = EndpointProcess::new(endpoint.clone(), run);
+        let end = ProcessEnd::new(&process, EndEvidence::new(true, streamed));
         let is_new = self.state.lock().ledger.record_end(now, fingerprint, end);
         info!(self.log, "an engine ended under a request";
             "request" => format_request_id(call.id), "endpoint" => &**endpoint,
             "fingerprint" => format_fingerprint(fingerprint),
             "streamed_ms" => streamed.as_millis() as u64);
         if is_new {
-            self.note_quarantine(fingerprint, "own");
+            self.record_quarantine(fingerprint, "own");
         }
     }
 
     /// Records that a request was served whole.
     pub(crate) fn record_served(&self, now: Timestamp, call: &CallerCall) {
-        let fingerprint = fingerprint(call);
+        let fingerprint = request_fingerprint(call);
         self.state.lock().ledger.record_served(now, fingerprint);
     }
 
     /// News for all peers.
-    pub(crate) fn take_news(&self, now: Timestamp) -> Vec<SuspectUpdate> {
-        let DeskState { ledger, telling } = &mut *self.state.lock();
+    pub(crate) fn take_updates(&self, now: Timestamp) -> Vec<SuspectUpdate> {
+        let TrackerState {
+            ledger,
+            update_queue,
+        } = &mut *self.state.lock();
         ledger.forget_old(now);
-        telling.take_due(now, ledger)
+        update_queue.take_due(now, ledger)
     }
 
     /// Takes in what a peer tells.
-    pub(crate) fn hear(&self, now: Timestamp, news: Vec<SuspectUpdate>) {
-        for news in news {
-            let is_new = self.state.lock().ledger.apply_update(now, news);
+    pub(crate) fn apply_updates(&self, now: Timestamp, updates: Vec<SuspectUpdate>) {
+        for update in updates {
+            let is_new = self.state.lock().ledger.apply_update(now, update);
             if is_new {
-                self.note_quarantine(news.fingerprint(), "peer");
+                self.record_quarantine(update.fingerprint(), "peer");
             }
         }
     }
 
-    fn note_quarantine(&self, fingerprint: RequestFingerprint, source: &'static str) {
+    fn record_quarantine(&self, fingerprint: RequestFingerprint, source: &'static str) {
         metrics::counter!("lovagedock_quarantines_total", "source" => source).increment(1);
         info!(self.log, "request in quarantine";
             "fingerprint" => format_fingerprint(fingerprint), "source" => source);
@@ -104,7 +107,7 @@
 }
 
 /// What a call asks, whatever id it has.
-pub(crate) fn fingerprint(call: &CallerCall) -> RequestFingerprint {
+pub(crate) fn request_fingerprint(call: &CallerCall) -> RequestFingerprint {
     let mut hasher = Xxh3Default::new();
     hasher.update(call.path.as_bytes());
     hasher.update(call.organisation.as_bytes());
--- a/lovagedock-gateway/src/trail.rs
+++ b/lovagedock-gateway/src/trail.rs
@@ -10,9 +10,9 @@
 use serde::Serialize;
 
 /// Requests that are remembered.
-const REMEMBERED_REQUESTS: usize = 4_096;
+const MAX_REQUESTS: usize = 4_096;
 /// Steps that are remembered of one request.
-const REMEMBERED_STEPS: usize = 64;
+const MAX_STEPS: usize = 64;
 
 /// One decision about a request.
 #[derive(Clone, Debug, Serialize)]
@@ -48,15 +48,15 @@
 ///
 /// Lock order: a leaf.
 #[derive(Clone, Default)]
-pub(crate) struct TrailBook {
+pub(crate) struct RequestTrails {
     state: Arc<Mutex<TrailState>>,
 }
 
-impl TrailBook {
+impl RequestTrails {
     /// Begins the trail of a request and forgets the oldest one when there are too many.
     pub(crate) fn begin(&self, id: RequestId, trail: RequestTrail) {
         let mut state = self.state.lock();
-        if state.order.len() >= REMEMBERED_REQUESTS
+        if state.order.len() >= MAX_REQUESTS
             && let Some(oldest) = state.order.pop_front()
         {
             state.trails.remove(&oldest);
@@ -66,12 +66,12 @@
     }
 
     /// Adds a step.
-    pub(crate) fn step(&self, id: RequestId, now: Timestamp, step: impl Into<String>) {
+    pub(crate) fn record_step(&self, id: RequestId, now: Timestamp, step: impl Into<String>) {
         let mut state = self.state.lock();
         let Some(trail) = state.trails.get_mut(&id) else {
             return;
         };
-        if trail.steps.len() < REMEMBERED_STEPS {
+        if trail.steps.len() < MAX_STEPS {
             trail.steps.push(TrailStep {
                 at_ms: u64::try_from(now.as_millis()).unwrap_or(u64::MAX),
                 step: step.into(),
--- a/lovagedock-gateway/src/workers.rs
+++ b/lovagedock-gateway/src/workers.rs
@@ -21,7 +21,7 @@
 };
 
 /// An endpoint for a worker to keep a session to.
-pub(crate) struct LinkSeed {
+pub(crate) struct LinkSpec {
     /// The endpoint.
     pub(crate) endpoint: EndpointId,
     /// Address of its sidecar.
@@ -32,7 +32,7 @@
 
 /// Threads that run links; they end when the pool is dropped.
 pub(crate) struct WorkerPool {
-    seeds: Vec<mpsc::UnboundedSender<LinkSeed>>,
+    link_specs: Vec<mpsc::UnboundedSender<LinkSpec>>,
 }
 
 impl WorkerPool {
@@ -44,7 +44,7 @@
         times: LinkTimes,
         log: &Logger,
     ) -> std::io::Result<Self> {
-        let mut seeds = Vec::with_capacity(workers);
+        let mut link_specs = Vec::with_capacity(workers);
         for number in 0..workers.max(1) {
             let (sender, receiver) = mpsc::unbounded_channel();
             let worker = LinkWorker {
@@ -56,17 +56,17 @@
             thread::Builder::new()
                 .name(format!("links-{number}"))
                 .spawn(move || worker.run(receiver))?;
-            seeds.push(sender);
+            link_specs.push(sender);
         }
-        Ok(Self { seeds })
+        Ok(Self { link_specs })
     }
 
     /// Gives an endpoint to its worker.
-    pub(crate) fn start_link(&self, seed: LinkSeed) {
-        let hash = xxh3_64(seed.endpoint.as_bytes());
-        let worker = (hash % self.seeds.len() as u64) as usize;
+    pub(crate) fn start_link(&self, spec: LinkSpec) {
+        let hash = xxh3_64(spec.endpoint.as_bytes());
+        let worker = (hash % self.link_specs.len() as u64) as usize;
         // A worker ends only with the pool.
-        let _ended = self.seeds[worker].send(seed);
+        let _ended = self.link_specs[worker].send(spec);
     }
 }
 
@@ -78,7 +78,7 @@
 }
 
 impl LinkWorker {
-    fn run(self, seeds: mpsc::UnboundedReceiver<LinkSeed>) {
+    fn run(self, link_specs: mpsc::UnboundedReceiver<LinkSpec>) {
         let runtime = match runtime::Builder::new_current_thread().enable_all().build() {
             Ok(runtime) => runtime,
             Err(error) => {
@@ -86,18 +86,18 @@
                 return;
             }
         };
-        LocalSet::new().block_on(&runtime, self.accept(seeds));
+        LocalSet::new().block_on(&runtime, self.accept(link_specs));
     }
 
-    async fn accept(self, mut seeds: mpsc::UnboundedReceiver<LinkSeed>) {
+    async fn accept(self, mut link_specs: mpsc::UnboundedReceiver<LinkSpec>) {
         let context = Rc::new(self.context);
-        while let Some(seed) = seeds.recv().await {
+        while let Some(spec) = link_specs.recv().await {
             let link = EndpointLink {
-                endpoint: seed.endpoint,
-                address: seed.address,
+                endpoint: spec.endpoint,
+                address: spec.address,
                 context: Rc::clone(&context),
                 connector: self.connectors.connector(),
-                commands: seed.commands,
+                commands: spec.commands,
                 times: self.times,
                 log: self.log.clone(),
             };
