--- a/lovagedock-gateway/src/active.rs
+++ b/lovagedock-gateway/src/active.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, with the tables that requests look things up in.
+//! The configuration in force with its look-up tables.
 
 use std::collections::HashMap;
 
@@ -8,17 +8,17 @@
 /// One accepted configuration and its look-up tables.
 #[derive(Debug, Default)]
 pub(crate) struct ActiveConfig {
-    /// Its number; 0 before the first.
+    /// Generation; 0 before the first configuration.
     pub(crate) generation: Generation,
     /// The configuration itself.
     pub(crate) fleet: FleetConfig,
-    /// As JSON, to feed sidecars and other gateways.
+    /// The configuration as JSON, for sidecars and other gateways.
     pub(crate) text: Bytes,
     organisations: HashMap<String, usize>,
 }
 
 impl ActiveConfig {
-    /// Builds the tables.
+    /// Builds the look-up tables.
     pub(crate) fn new(generation: Generation, fleet: FleetConfig, text: Bytes) -> Self {
         let mut organisations = HashMap::new();
         for (index, organisation) in fleet.organisations.iter().enumerate() {
@@ -34,13 +34,13 @@
         }
     }
 
-    /// The organisation whose API key has this SHA-256.
+    /// The organisation that has an API key with this SHA-256 hash.
     pub(crate) fn organisation_by_key_hash(&self, hash: &str) -> Option<&OrganisationSpec> {
         let index = self.organisations.get(hash)?;
         self.fleet.organisations.get(*index)
     }
 
-    /// The model of a name, which may carry an adapter.
+    /// The model with this name, which may include an adapter.
     pub(crate) fn model(&self, id: &str) -> Option<&ModelSpec> {
         self.fleet.find_model(id)
     }
@@ -56,7 +56,7 @@
             })
     }
 
-    /// The plain service with the longest prefix of a path.
+    /// The plain service with the longest prefix that matches a path.
     pub(crate) fn service_of_path(&self, path: &str) -> Option<&ServiceSpec> {
         let prefix_length = |service: &ServiceSpec| match &service.kind {
             ServiceKind::Plain { path_prefix } if path.starts_with(path_prefix.as_str()) => {
--- a/lovagedock-gateway/src/admin.rs
+++ b/lovagedock-gateway/src/admin.rs
@@ -1,4 +1,4 @@
-//! What a gateway shows to operators.
+//! Administration endpoints of a gateway: status, explanations, dumps and drain.
 
 use async_trait::async_trait;
 use lovagedock::{AdoptionStatus, prelude::*};
@@ -10,13 +10,13 @@
 
 use crate::{orders::OrderStatusTable, shared::GatewayShared, trail::RequestTrail};
 
-/// Trails in a dump.
+/// Maximum number of request trails in a dump.
 const DUMPED_TRAILS: usize = 50;
 const STATUS_PATH: &str = "/status";
 const EXPLAIN_PATH: &str = "/explain/";
 const DRAIN_PATH: &str = "/drain";
 
-/// The operators' view of a gateway.
+/// Handles the administration requests of a gateway.
 pub(crate) struct GatewayAdmin {
     shared: GatewayShared,
     orders: OrderStatusTable,
@@ -43,7 +43,7 @@
     free_tokens: TokenCount,
 }
 
-/// What `GET /status` returns.
+/// Response of `GET /status`.
 #[derive(Serialize)]
 struct GatewayStatus {
     gateway: GatewayId,
@@ -54,7 +54,7 @@
 }
 
 impl GatewayAdmin {
-    /// A view of this gateway.
+    /// Creates the handler of this gateway.
     pub(crate) fn new(
         shared: GatewayShared,
         orders: OrderStatusTable,
@@ -114,7 +114,7 @@
             Some(trail) => reply(&trail),
             None => AdminReply::Problem {
                 code: ResultCode::UnknownService,
-                detail: format!("this gateway does not remember request {argument}"),
+                detail: format!("this gateway has no record of request {argument}"),
             },
         }
     }
@@ -122,8 +122,8 @@
 
 #[async_trait]
 impl AdminHandler for GatewayAdmin {
-    /// Ready with a configuration in force and a session to at least one endpoint: a gateway that
-    /// is cut off from everything must not get callers from the balancer.
+    /// Ready if a configuration is in force and there is a session to at least one endpoint. A load
+    /// balancer must not send callers to a gateway that is disconnected from all endpoints.
     fn ready(&self) -> bool {
         let context = &self.shared.context;
         let connected = || {
--- a/lovagedock-gateway/src/adopt.rs
+++ b/lovagedock-gateway/src/adopt.rs
@@ -1,4 +1,4 @@
-//! Puts a configuration in force: the look-up tables, the pools, the links.
+//! Puts a configuration in force: updates look-up tables, pools and links.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -19,13 +19,13 @@
 /// Why a configuration was not put in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum AdoptError {
-    /// A newer one, or the same one, is in force.
+    /// The same or a newer configuration is in force.
     NotNewer,
-    /// It cannot be read.
+    /// It cannot be parsed.
     Malformed(String),
 }
 
-/// The one place where a configuration comes into force.
+/// Puts configurations in force; the only component that does.
 ///
 /// Lock order: the adoption lock first, then the fleet table.
 pub(crate) struct ConfigAdopter {
@@ -38,7 +38,7 @@
 }
 
 impl ConfigAdopter {
-    /// An adopter with nothing in force.
+    /// Creates an adopter without a configuration in force.
     pub(crate) fn new(
         context: GatewayContext,
         limits: OrganisationLimiter,
@@ -55,15 +55,16 @@
         }
     }
 
-    /// Tells each generation that comes into force.
+    /// Subscribes to the generations that come into force.
     pub(crate) fn subscribe(&self) -> watch::Receiver<Generation> {
         self.adopted.subscribe()
     }
 
-    /// Puts a configuration in force if it is newer than the one that is.
+    /// Puts a configuration in force if it is newer than the current one.
     ///
-    /// Store, peers and polls race here, and an old answer may arrive last. Without the check
-    /// under the lock an accepted configuration would revert for a while.
+    /// Configurations arrive concurrently from the store, peers and polls, and an old one may
+    /// arrive last. Without the check under the lock the gateway could return to an older
+    /// configuration for a while.
     pub(crate) fn adopt(&self, generation: Generation, text: Bytes) -> Result<(), AdoptError> {
         if generation <= self.context.generation() {
             return Err(AdoptError::NotNewer);
@@ -87,18 +88,20 @@
         Ok(())
     }
 
-    /// Logs that a configuration could not be read.
+    /// Logs that a configuration could not be parsed.
     pub(crate) fn log_rejected(&self, detail: &str) {
-        warn!(self.log, "configuration refused"; "detail" => detail);
+        warn!(self.log, "configuration rejected"; "detail" => detail);
     }
 
     fn set_pools(&self, fleet: &FleetConfig) {
         for pool in &fleet.pools {
             match build_policy(&fleet.placement) {
                 Ok(policy) => self.context.fleet.set_policy(&pool.id, policy),
-                // `lovagedock check` refuses an unknown name; this is a gateway older than the
-                // command line. The pool keeps the policy that it has.
-                Err(error) => warn!(self.log, "placement policy kept"; "error" => %error),
+                // `lovagedock check` rejects unknown policy names, so this gateway is older than
+                // the command line tool. The pool keeps its current policy.
+                Err(error) => {
+                    warn!(self.log, "unknown placement policy, keeping the current one"; "error" => %error)
+                }
             }
         }
     }
@@ -122,7 +125,7 @@
         fleet.retain_pools(|id| config.pools.iter().any(|pool| pool.id == *id));
     }
 
-    /// The endpoints that this gateway keeps a session to, with their pools.
+    /// The endpoints to which this gateway keeps a session, with their pools.
     fn subset<'a>(
         &self,
         config: &'a FleetConfig,
@@ -137,7 +140,8 @@
             .iter()
             .position(|gateway| gateway.id == self.context.name);
         let Some(own) = own else {
-            // A gateway that the configuration does not name has no place in the plan.
+            // The plan does not include a gateway that the configuration does not name; it connects
+            // to all endpoints.
             return all
                 .into_iter()
                 .map(|(pool, spec)| (&spec.id, (pool, spec)))
@@ -175,7 +179,7 @@
     }
 }
 
-/// The region of a failure domain; empty for one that is not in the configuration.
+/// The region of a failure domain; empty for a failure domain that is not in the configuration.
 pub(crate) fn region_of(config: &FleetConfig, domain: &DomainId) -> Arc<str> {
     let spec = config
         .failure_domains
@@ -184,7 +188,7 @@
     spec.map_or_else(|| Arc::from(""), |spec| Arc::from(spec.region.as_str()))
 }
 
-/// Whether a link can stay as it is under a new configuration.
+/// Whether a link can be kept under a new configuration.
 fn is_same(entry: &EndpointEntry, pool: &PoolSpec, spec: &EndpointSpec) -> bool {
     entry.pool == pool.id
         && entry.address == spec.sidecar
--- a/lovagedock-gateway/src/call.rs
+++ b/lovagedock-gateway/src/call.rs
@@ -1,4 +1,4 @@
-//! One caller's request after all checks, ready to be placed.
+//! A caller's request that passed all checks and can be placed.
 
 use std::{sync::Arc, time::Duration};
 
@@ -6,43 +6,43 @@
 use lovagedock::prelude::*;
 use lovagedock_wire::HeaderField;
 
-/// A request that may be placed.
+/// A request that passed all checks.
 #[derive(Clone, Debug)]
 pub(crate) struct CallerCall {
-    /// Id that the caller sees in every answer.
+    /// Id that is returned to the caller in every response.
     pub(crate) id: RequestId,
-    /// Organisation that pays for it.
+    /// Organisation that the request is charged to.
     pub(crate) organisation: OrganisationId,
     /// Tier after all caps.
     pub(crate) tier: PriorityTier,
     /// Weight of the organisation.
     pub(crate) weight: u32,
-    /// Service that it addresses.
+    /// Requested service.
     pub(crate) service: ServiceId,
-    /// Pool that serves it.
+    /// Pool that serves the service.
     pub(crate) pool: PoolId,
-    /// Time that it has.
+    /// Time limit of the request.
     pub(crate) deadline: Duration,
     /// Whether it must not run twice.
     pub(crate) non_idempotent: bool,
-    /// The caller's key for it.
+    /// The caller's idempotency key.
     pub(crate) idempotency_key: Option<String>,
-    /// What is known of the prompt; empty for a plain service.
+    /// Summary of the prompt; empty for a plain service.
     pub(crate) prompt: PromptSummary,
     /// HTTP method.
     pub(crate) method: String,
     /// HTTP path with query.
     pub(crate) path: String,
-    /// HTTP headers to pass on.
+    /// HTTP headers to forward.
     pub(crate) headers: Vec<HeaderField>,
     /// HTTP body.
     pub(crate) body: Bytes,
 }
 
-/// What placement needs to know of a prompt.
+/// The properties of a prompt that placement uses.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct PromptSummary {
-    /// Estimated length.
+    /// Estimated length in tokens.
     pub(crate) tokens: TokenCount,
     /// Upper bound of the answer's length.
     pub(crate) answer_tokens: TokenCount,
@@ -53,7 +53,7 @@
 }
 
 impl PromptSummary {
-    /// Upper bound of the prompt and its answer together.
+    /// Upper bound of the length of prompt and answer together.
     pub(crate) fn total_tokens(&self) -> TokenCount {
         self.tokens.saturating_add(self.answer_tokens)
     }
--- a/lovagedock-gateway/src/call_task.rs
+++ b/lovagedock-gateway/src/call_task.rs
@@ -1,4 +1,4 @@
-//! One call from its admission to the last word to its caller.
+//! Runs one call from admission to the final event for its caller.
 
 use std::{sync::Arc, time::Duration};
 
@@ -16,10 +16,12 @@
     shared::GatewayShared,
 };
 
-/// Time to record a failure; a store that is down for longer leaves the claim to its deadline.
+/// Time limit for recording a failure. If the store is unavailable for longer, the claim stays
+/// until its deadline.
 const FAILURE_RECORD_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Runs a call: claims its key if it has one, drives it, records its answer.
+/// Runs a call: claims its idempotency key if it has one, drives the request and records its
+/// answer.
 pub(crate) struct CallTask {
     shared: GatewayShared,
     call: Arc<CallerCall>,
@@ -29,7 +31,7 @@
 }
 
 impl CallTask {
-    /// A task for a call that passed all checks.
+    /// Creates a task for a call that passed all checks.
     pub(crate) fn new(
         shared: GatewayShared,
         call: Arc<CallerCall>,
@@ -46,7 +48,7 @@
         }
     }
 
-    /// Runs the call to the last word to its caller.
+    /// Runs the call until the final event was sent to its caller.
     pub(crate) async fn run(self) {
         let started = self.shared.context.clock.now();
         let mut end = match &self.call.idempotency_key {
@@ -92,7 +94,7 @@
         }
     }
 
-    /// Claims the key; `None` if the caller went away before it was granted.
+    /// Claims the key; `None` if the caller disconnected before the claim was decided.
     async fn claim(&self, key: KeyHash) -> Option<ClaimOutcome> {
         let call = &self.call;
         let claim = ClaimRequest {
@@ -129,10 +131,11 @@
         }
     }
 
-    /// Records how a request failed, after its caller was told.
+    /// Records the failure of a request, after it was reported to the caller.
     ///
-    /// The claim of a request that may have run stays until its deadline. Until then a repeat with
-    /// the key would wait, though its answer is known: the same failure.
+    /// The claim of a request that may have run stays until its deadline. Without the record, a
+    /// retry with the same key would wait until then, although its result is known: the same
+    /// failure.
     async fn record_failure(&self, failure: ClaimFailure) {
         let answer = RecordedAnswer::failure(&failure.problem, self.call.id);
         let Ok(bytes) = answer.encode() else { return };
@@ -145,10 +148,10 @@
         });
     }
 
-    /// Records the answer before its clean end.
+    /// Records the answer before the response ends cleanly.
     ///
-    /// A caller that saw a clean end may ask again and count on the same bytes. If the answer is
-    /// not in the store, the end is a failure that says so.
+    /// A caller that received a clean end may repeat the request and rely on the same bytes. If the
+    /// answer could not be stored, the request ends with a failure that reports it.
     async fn record(&self, key: KeyHash, buffered: BufferedAnswer) -> CallerEvent {
         let answer = RecordedAnswer::new(&buffered.head, buffered.body);
         let recorded = match answer.encode() {
@@ -173,10 +176,12 @@
     }
 
     async fn replay(&self, recorded: &Bytes) -> CallerEvent {
-        self.record_step("key was used before; its recorded answer is delivered");
+        self.record_step("key already used; delivering its recorded answer");
         let Ok(answer) = RecordedAnswer::decode(recorded) else {
             let problem = RequestProblem::new(ResultCode::AnswerLost);
-            return CallerEvent::Problem(problem.with_detail("the recorded answer is damaged"));
+            return CallerEvent::Problem(
+                problem.with_detail("the recorded answer cannot be decoded"),
+            );
         };
         self.deliver(answer).await;
         CallerEvent::Complete
@@ -197,7 +202,7 @@
             self.shared.limit_to_drain(self.deadline),
         );
         let (outcome, buffered) = driver.with_answer_buffering(buffer_answer).run().await;
-        info!(self.log, "request driven";
+        info!(self.log, "request execution ended";
             "request" => format_request_id(self.call.id),
             "code" => outcome.code.number(),
             "ran" => outcome.ran.as_str(),
@@ -223,7 +228,8 @@
             "ms" => (now - started).as_millis() as u64);
     }
 
-    /// Names a request that ends with the drain; its code may speak of a deadline.
+    /// Logs and counts a request that the end of the drain cut. If the problem has no detail, the
+    /// drain is named there, since the result code may be the one of a deadline.
     fn log_cut(&self, problem: &mut RequestProblem, started: Timestamp) {
         if problem.detail.is_empty() {
             problem.detail = ResultCode::GatewayStopping.title().to_owned();
@@ -245,7 +251,7 @@
     }
 }
 
-/// How a call ended.
+/// Result of a call.
 struct CallEnd {
     event: CallerEvent,
     failure: Option<ClaimFailure>,
@@ -260,17 +266,17 @@
     }
 }
 
-/// The failure that each repeat of a key reads.
+/// A failure to be recorded for retries with the same key.
 struct ClaimFailure {
     key: KeyHash,
     problem: RequestProblem,
 }
 
 impl ClaimFailure {
-    /// `None` if the request did not run, so that a repeat may.
+    /// `None` if the request did not run: a retry may then run.
     fn new(key: KeyHash, outcome: &RequestOutcome) -> Option<Self> {
         let code = match outcome.code {
-            // The repeat's caller is there; what it lacks is the answer.
+            // The caller of a retry is still connected; what is missing is the answer.
             ResultCode::CallerGone | ResultCode::Complete => ResultCode::AnswerLost,
             code => code,
         };
@@ -281,7 +287,7 @@
     }
 }
 
-/// Counts how a request ended.
+/// Counts the result of a request.
 pub(crate) fn count_outcome(code: ResultCode) {
     metrics::counter!("lovagedock_requests_total", "code" => code.number().to_string())
         .increment(1);
--- a/lovagedock-gateway/src/claims.rs
+++ b/lovagedock-gateway/src/claims.rs
@@ -1,7 +1,7 @@
-//! Carries out what claim partitions decide about keyed requests.
+//! Executes the decisions of claim partitions about requests with idempotency keys.
 //!
-//! Each partition is a task of its own, which owns its machine and carries its store calls out one
-//! after the other, so that a slow call of one partition holds up no other.
+//! Each partition is its own task, which owns its state machine and starts the store calls that the
+//! machine asks for, so that a slow call of one partition does not delay another.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -19,24 +19,24 @@
 
 use crate::store_calls;
 
-/// Partitions of all claims; the same at all gateways.
+/// Number of claim partitions; must be the same at all gateways.
 const CLAIM_PARTITIONS: u32 = 16;
-/// Least time between two writes of a partition by one gateway: what arrives meanwhile shares one
-/// write, and the store's rate is kept whatever the load.
+/// Minimum time between two writes of a partition by one gateway. Changes that arrive in between
+/// share one write, so that the write rate stays bounded at any load.
 const WRITE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What becomes of a keyed request.
+/// Result of a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum ClaimOutcome {
-    /// It may run, once.
+    /// The request may run, once.
     Granted,
-    /// It ran before; this is the recorded answer.
+    /// A request with the key has run before; this is its recorded answer.
     Replay(Bytes),
-    /// It may not run.
+    /// The request may not run.
     Refused(ResultCode),
 }
 
-/// Where keyed requests are claimed and their answers recorded; cheap to clone.
+/// Claims idempotency keys and records the answers of their requests; cheap to clone.
 #[derive(Clone)]
 pub(crate) struct ClaimCoordinator {
     map: PartitionMap,
@@ -95,8 +95,8 @@
         }
     }
 
-    /// Claims a key; waits for the store, or for the answer of another request with the key, until
-    /// the claim's deadline.
+    /// Claims a key. Waits for the store, or for the answer of another request with the same key,
+    /// until the claim's deadline.
     pub(crate) async fn claim(&self, claim: ClaimRequest) -> ClaimOutcome {
         let (reply, answer) = oneshot::channel();
         self.send(claim.key, PartitionCommand::Claim { claim, reply });
@@ -104,7 +104,7 @@
         answer.await.unwrap_or(unavailable)
     }
 
-    /// Records the answer of a granted request; whether it is in the store.
+    /// Records the answer of a granted request; returns whether it was stored.
     pub(crate) async fn record(
         &self,
         key: KeyHash,
@@ -124,19 +124,19 @@
         recorded.await.unwrap_or(false)
     }
 
-    /// Gives a claim back whose request certainly did not run.
+    /// Releases a claim whose request certainly did not run.
     pub(crate) fn abandon(&self, key: KeyHash, request: RequestId) {
         self.send(key, PartitionCommand::Abandon { key, request });
     }
 
-    /// Forgets a claim that is not granted yet.
+    /// Withdraws a claim that was not granted yet.
     pub(crate) fn withdraw(&self, key: KeyHash, request: RequestId) {
         self.send(key, PartitionCommand::Withdraw { request });
     }
 
     fn send(&self, key: KeyHash, call: PartitionCommand) {
         let partition = self.map.partition_of(&key) as usize;
-        // The task lives as long as its sender.
+        // The task runs as long as its sender exists.
         let _ended = self.partitions[partition].send(call);
     }
 }
@@ -174,7 +174,7 @@
                 let store = Arc::clone(&self.store);
                 let done = done.clone();
                 tokio::spawn(async move {
-                    // The partition has ended when nobody hears this.
+                    // The send fails only if the partition task has ended.
                     let _ended = done.send(execute(&*store, call).await);
                 });
             }
@@ -257,7 +257,7 @@
     }
 }
 
-/// Longest sleep between looks at the wake time.
+/// Maximum sleep before the wake time is checked again.
 const MAX_SLEEP: Duration = Duration::from_secs(3_600);
 
 async fn execute(store: &dyn ObjectStore, call: StoreCall) -> ClaimEvent {
--- a/lovagedock-gateway/src/connect.rs
+++ b/lovagedock-gateway/src/connect.rs
@@ -1,4 +1,4 @@
-//! How links and peers open connections.
+//! Opens connections for links and peers.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -10,7 +10,7 @@
 /// Opens connections to other processes of the system.
 #[async_trait(?Send)]
 pub(crate) trait PeerConnector {
-    /// Opens one, within a time.
+    /// Opens a connection within a time limit.
     async fn connect(
         &self,
         address: SocketAddr,
@@ -18,19 +18,19 @@
     ) -> Result<Box<dyn WireStream>, WireError>;
 }
 
-/// Makes connectors, one for each worker.
+/// Creates connectors, one for each worker.
 #[derive(Clone)]
 pub(crate) struct ConnectorFactory {
     transport: Transport,
 }
 
 impl ConnectorFactory {
-    /// Connectors over this transport.
+    /// Creates a factory of connectors over this transport.
     pub(crate) fn new(transport: Transport) -> Self {
         Self { transport }
     }
 
-    /// One connector.
+    /// Creates a connector.
     pub(crate) fn connector(&self) -> Rc<dyn PeerConnector> {
         Rc::new(TransportConnector {
             transport: self.transport.clone(),
--- a/lovagedock-gateway/src/context.rs
+++ b/lovagedock-gateway/src/context.rs
@@ -1,4 +1,4 @@
-//! What all parts of one gateway share.
+//! State that all parts of one gateway share.
 
 use std::sync::Arc;
 
@@ -10,28 +10,28 @@
 
 /// Shared, read-mostly state; cheap to clone.
 ///
-/// Lock order: none of these takes another's lock. The configuration is swapped whole, so a
-/// request that has loaded it keeps one generation from beginning to end.
+/// Lock order: none of the fields acquires the lock of another. The configuration is replaced as a
+/// whole, so a request that has loaded it uses the same generation from beginning to end.
 #[derive(Clone)]
 pub(crate) struct GatewayContext {
     /// Name of this gateway.
     pub(crate) name: GatewayId,
     /// Failure domain of its host.
     pub(crate) domain: DomainId,
-    /// This life of the process.
+    /// Incarnation of this process.
     pub(crate) incarnation: Incarnation,
-    /// Monotonic time since the start.
+    /// Monotonic time since the process started.
     pub(crate) clock: ProcessClock,
     /// Configuration in force.
     pub(crate) config: Arc<ArcSwap<ActiveConfig>>,
-    /// What the relay knows of configurations.
+    /// Status of the configuration relay.
     pub(crate) adoption: Arc<ArcSwap<AdoptionStatus>>,
-    /// Endpoints.
+    /// Table of endpoints.
     pub(crate) fleet: FleetTable,
 }
 
 impl GatewayContext {
-    /// Number of the configuration in force; 0 for none.
+    /// Generation of the configuration in force; 0 for none.
     pub(crate) fn generation(&self) -> Generation {
         self.config.load().generation
     }
--- a/lovagedock-gateway/src/cuts.rs
+++ b/lovagedock-gateway/src/cuts.rs
@@ -1,11 +1,11 @@
-//! Counts the requests that a shutdown cuts.
+//! Counts the requests that a shutdown interrupts ("cuts").
 
-/// Whether the caller of a request that a shutdown cut was told what became of it.
+/// Whether the result of a request that a shutdown cut was reported to its caller.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum CutNotice {
-    /// It was told by a problem document.
+    /// A problem document was sent.
     Sent,
-    /// Its connection broke.
+    /// The connection broke without a result.
     NotSent,
 }
 
--- a/lovagedock-gateway/src/driver/command.rs
+++ b/lovagedock-gateway/src/driver/command.rs
@@ -1,4 +1,4 @@
-//! Commands to the links of endpoints.
+//! Sends the commands of the request machine to the links of endpoints.
 
 use std::time::Duration;
 
@@ -63,7 +63,7 @@
             | RequestAction::Deliver { .. }
             | RequestAction::DeliverHead { .. }
             | RequestAction::WakeAt(_)
-            | RequestAction::Finish(_) => unreachable!("carry_out handles these"),
+            | RequestAction::Finish(_) => unreachable!("RequestDriver::execute handles these"),
         }
     }
 
@@ -82,7 +82,7 @@
                 },
                 Ok(Err(_)) | Err(_) => RequestEvent::RevokeFailed { attempt },
             };
-            // A driver that has finished does not need the verdict.
+            // The send fails only if the driver has finished; it then does not need the verdict.
             let _finished = task_events.send(TaskEvent::Request(event));
         });
     }
@@ -128,8 +128,10 @@
         }
     }
 
-    /// Gives a command to the endpoint's link; an endpoint that has left the configuration has
-    /// none, and the machine's own times end the wait.
+    /// Sends a command to the endpoint's link.
+    ///
+    /// An endpoint that was removed from the configuration has no link. The command is then
+    /// dropped, and the timeouts of the request machine end the wait.
     pub(crate) fn send_to_link(&self, endpoint: &EndpointId, command: LinkCommand) {
         if let Some(entry) = self.shared.context.fleet.get(endpoint) {
             let _link_ended = entry.commands.send(command);
--- a/lovagedock-gateway/src/driver/deliver.rs
+++ b/lovagedock-gateway/src/driver/deliver.rs
@@ -1,4 +1,4 @@
-//! Bytes on their way to the caller.
+//! Delivers the answer to the caller.
 
 use tokio::time::sleep_until;
 
@@ -20,11 +20,12 @@
         }
     }
 
-    /// Whether the caller gets the answer only once it is recorded.
+    /// Whether the answer is delivered only after it was recorded.
     ///
-    /// After the head a failure to record could only break the answer off, and the caller would not
-    /// learn that the request ran. A stream can name the reason before it breaks, and is worth its
-    /// first token.
+    /// Once the head has been sent, a failure to record the answer can only be signalled by
+    /// breaking the connection, and the caller would not learn that the request ran. A streamed
+    /// answer is delivered at once: an error event can report the failure before the connection
+    /// breaks, and waiting would delay the first token.
     fn delivers_after_recording(&self) -> bool {
         self.buffer_answer && !self.call.prompt.stream
     }
@@ -41,7 +42,8 @@
         }
     }
 
-    /// Waits for a slow caller, but not past the deadline: the next tick then ends the request.
+    /// Sends an event and waits while the caller is slow, but not past the deadline: the next tick
+    /// then ends the request.
     async fn send_to_caller(&self, event: CallerEvent) {
         let deadline = self.shared.context.clock.instant_at(self.deadline);
         tokio::select! {
--- a/lovagedock-gateway/src/driver/mod.rs
+++ b/lovagedock-gateway/src/driver/mod.rs
@@ -1,4 +1,4 @@
-//! Carries out what the request machine decides about one caller's request.
+//! Executes the decisions of the request machine for one caller's request.
 
 mod command;
 mod deliver;
@@ -18,10 +18,10 @@
 use self::span::SpanRun;
 use crate::{call::CallerCall, front::CallerSink, link::AttemptEvent, shared::GatewayShared};
 
-/// Events of attempts that may wait for the driver.
+/// Capacity of the queue of attempt events.
 const EVENT_QUEUE: usize = 64;
 
-/// The answer of a keyed request, to be recorded.
+/// The complete answer of a request with an idempotency key, buffered until it is recorded.
 #[derive(Clone, Debug)]
 pub(crate) struct BufferedAnswer {
     /// Status and headers.
@@ -30,11 +30,11 @@
     pub(crate) body: Vec<u8>,
 }
 
-/// What a task that the driver started tells it.
+/// An event from a task that the driver started.
 pub(crate) enum TaskEvent {
-    /// Something for the request machine.
+    /// An event for the request machine.
     Request(RequestEvent),
-    /// Something for the span coordinator.
+    /// An event for the span coordinator.
     Span(SpanEvent),
     /// An engine has prefilled its part of the span.
     Prefilled {
@@ -42,14 +42,14 @@
         endpoint: EndpointId,
         /// First token of the part.
         start: TokenCount,
-        /// How it ended, and what the engine calls itself.
+        /// Result, and the locator of the engine.
         reply: SegmentReply,
         /// Tokens of the part.
         tokens: TokenCount,
     },
 }
 
-/// One request on its way.
+/// Drives one request from placement to its final result.
 pub(crate) struct RequestDriver {
     pub(crate) shared: GatewayShared,
     pub(crate) call: Arc<CallerCall>,
@@ -68,11 +68,11 @@
     sent_to: Vec<EndpointId>,
     buffer_answer: bool,
     buffered_answer: Option<BufferedAnswer>,
-    /// When the first bytes of the present attempt came.
+    /// When the first bytes of the current attempt arrived.
     first_bytes_at: Option<Timestamp>,
 }
 
-/// What the machine has been told that stays true.
+/// Permanent conditions that were already reported to the request machine.
 #[derive(Default)]
 struct ReportedConditions {
     caller_gone: bool,
@@ -80,7 +80,7 @@
 }
 
 impl RequestDriver {
-    /// A driver for a request that passed all checks.
+    /// Creates a driver for a request that passed all checks.
     pub(crate) fn new(
         shared: GatewayShared,
         call: Arc<CallerCall>,
@@ -117,13 +117,13 @@
         }
     }
 
-    /// Sets whether the whole answer is returned at the end.
+    /// Sets whether [`RequestDriver::run`] returns the complete answer.
     pub(crate) fn with_answer_buffering(mut self, buffer_answer: bool) -> Self {
         self.buffer_answer = buffer_answer;
         self
     }
 
-    /// Runs the request to its final answer.
+    /// Runs the request to its end and returns the outcome.
     pub(crate) async fn run(mut self) -> (RequestOutcome, Option<BufferedAnswer>) {
         let actions = self.machine.start();
         let mut finished = self.execute(actions).await;
@@ -216,7 +216,7 @@
         })
     }
 
-    /// Counts an engine that ended under the request.
+    /// Records with the suspect tracker that an engine process ended while it executed the request.
     fn record_engine_end(&mut self, attempt: AttemptNumber, event: &AttemptEvent) {
         let now = self.now();
         match event {
@@ -237,7 +237,7 @@
         }
     }
 
-    /// Tells the outlier detector what the endpoint of the current attempt did.
+    /// Reports an event of the current attempt's endpoint to the outlier detector.
     fn report_outlier_event(&self, event: &AttemptEvent) {
         let Some(endpoint) = self.machine.endpoint() else {
             return;
@@ -311,7 +311,7 @@
     }
 }
 
-/// What an event of an attempt says about the endpoint, if anything.
+/// The outlier event that an attempt's event implies for its endpoint, if any.
 fn outlier_event(endpoint: &EndpointId, event: &AttemptEvent) -> Option<OutlierEvent> {
     let endpoint = endpoint.clone();
     match event {
--- a/lovagedock-gateway/src/driver/place.rs
+++ b/lovagedock-gateway/src/driver/place.rs
@@ -1,4 +1,4 @@
-//! Placing a request and counting what was sent where.
+//! Places a request and records the work that was sent to each endpoint.
 
 use std::time::Duration;
 
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Engines of a span with the lives of their sidecars; empty if one is out of reach.
+    /// The engines of a span with the incarnations of their sidecars; empty if one has no session.
     pub(crate) fn span_parts(&mut self, members: Vec<SpanMember>) -> Vec<SpanPart> {
         let mut parts = Vec::with_capacity(members.len());
         for member in members {
@@ -134,7 +134,7 @@
         self.shared.context.fleet.get(endpoint)?.incarnation
     }
 
-    /// How much longer the request is not to be sent to engines.
+    /// Remaining quarantine of the request; `None` if it is not quarantined.
     fn quarantined_for(&self) -> Option<Duration> {
         let fingerprint = request_fingerprint(&self.call);
         self.shared
@@ -147,7 +147,7 @@
         let granted = !is_quarantined && self.shared.consume_retry(&self.call.service, self.now());
         self.record_step(match granted {
             true => "retry granted",
-            false => "retry budget is spent",
+            false => "retry budget exhausted",
         });
         RequestEvent::RetryAnswered {
             granted,
--- a/lovagedock-gateway/src/driver/span.rs
+++ b/lovagedock-gateway/src/driver/span.rs
@@ -1,4 +1,4 @@
-//! Carries out what the span coordinator decides about one prompt that needs several engines.
+//! Executes the decisions of the span coordinator for a prompt that needs several engines.
 
 use std::time::Duration;
 
@@ -12,11 +12,11 @@
 use super::{RequestDriver, TaskEvent};
 use crate::link::LinkCommand;
 
-/// A span of one request.
+/// State of the span that serves one request.
 pub(crate) struct SpanRun {
     attempt: AttemptNumber,
     coordinator: SpanCoordinator,
-    /// When the coordinator wants its next tick.
+    /// When the coordinator's next tick is due.
     pub(crate) wake_at: Timestamp,
     members: Vec<SpanPart>,
     holders: Vec<SpanHolder>,
@@ -24,7 +24,7 @@
 }
 
 impl SpanRun {
-    /// The engines that hold parts of the prompt, in its order; the lead's own part is not here.
+    /// The engines that hold parts of the prompt, in prompt order, without the lead's own part.
     pub(crate) fn holders(&self) -> Vec<SpanHolder> {
         self.holders.clone()
     }
@@ -36,8 +36,10 @@
     }
 }
 
-/// A part of a prompt is one segment: engines prefill in chunks of their own between other work,
-/// and a second cut would only add a round trip for each piece.
+/// Timing that makes each engine's part of a prompt a single segment.
+///
+/// Engines already split a prefill into chunks and interleave them with other work. Smaller
+/// segments would only add one round trip per segment.
 fn span_timing() -> SpanTiming {
     SpanTiming {
         segment_tokens: TokenCount::MAX,
@@ -46,7 +48,7 @@
 }
 
 impl RequestDriver {
-    /// Begins to reserve the engines of a span.
+    /// Starts to reserve memory on the engines of a span.
     pub(crate) fn start_span(
         &mut self,
         attempt: AttemptNumber,
@@ -70,7 +72,7 @@
         self.span_actions(actions)
     }
 
-    /// Gives all engines of the span free.
+    /// Releases all engines of the span.
     pub(crate) fn release_span(&mut self) {
         let now = self.now();
         let Some(span) = &mut self.span else { return };
@@ -79,7 +81,7 @@
         self.span = None;
     }
 
-    /// Tells the coordinator; a tick also tells it which members' sessions came or went.
+    /// Passes an event to the coordinator. A tick also reports the session state of each member.
     pub(crate) fn span_event(&mut self, event: SpanEvent) -> Option<RequestEvent> {
         let now = self.now();
         let mut request_event = None;
@@ -98,7 +100,7 @@
         request_event.or(self.span_actions(actions))
     }
 
-    /// Notes what an engine calls itself when it has prefilled its part.
+    /// Records the locator of an engine that has prefilled its part.
     pub(crate) fn prefilled(
         &mut self,
         endpoint: EndpointId,
@@ -204,7 +206,7 @@
     ) {
         let Some(span) = &self.span else { return };
         let task_events = self.task_event_sender.clone();
-        // From the submit on the lead's reservation lasts as long as the request.
+        // After the submit, the lead's reservation lasts until the request ends.
         if span.decoding && span.is_lead(&endpoint) {
             let granted = SpanEvent::ReserveAnswered {
                 endpoint,
@@ -234,7 +236,7 @@
                     incarnation,
                 },
             };
-            // A driver that has finished does not need it.
+            // The send fails only if the driver has finished; it then does not need the event.
             let _finished = task_events.send(TaskEvent::Span(event));
         });
     }
@@ -255,7 +257,7 @@
         } = segment;
         let task_events = self.task_event_sender.clone();
         if span.is_lead(&endpoint) {
-            // The lead prefills its own part when it decodes.
+            // The lead prefills its own part as the first step of decoding.
             let done = SpanEvent::SegmentDone {
                 endpoint,
                 start,
@@ -264,7 +266,9 @@
             let _own = task_events.send(TaskEvent::Span(done));
             return;
         }
-        self.record_step(format!("{tokens} tokens from {start} go to {endpoint}"));
+        self.record_step(format!(
+            "{tokens} tokens from offset {start} sent to {endpoint}"
+        ));
         let limit = self.remaining();
         let key = self.key(span.attempt, incarnation);
         let (reply, answer) = oneshot::channel();
@@ -310,5 +314,5 @@
     }
 }
 
-/// Longest time between looks at the members' sessions.
+/// Maximum time between checks of the members' sessions.
 const MAX_TICK_INTERVAL: Duration = Duration::from_secs(1);
--- a/lovagedock-gateway/src/fleet.rs
+++ b/lovagedock-gateway/src/fleet.rs
@@ -1,7 +1,7 @@
-//! What this gateway knows of each endpoint, shared by all its workers.
+//! State of each endpoint as known to this gateway, shared by all its workers.
 //!
-//! Lock order: the endpoint table first, then one pool; never two pools. Nobody waits for
-//! anything else while holding either.
+//! Lock order: the endpoint table first, then one pool; never two pools. No code waits for anything
+//! else while it holds either lock.
 
 use std::{
     collections::{BTreeMap, HashSet},
@@ -21,7 +21,7 @@
 
 use crate::link::LinkCommand;
 
-/// One endpoint as this gateway reaches it.
+/// One endpoint and the state of the session to it.
 #[derive(Clone, Debug)]
 pub(crate) struct EndpointEntry {
     /// Pool that the endpoint is in.
@@ -32,22 +32,22 @@
     pub(crate) host: HostId,
     /// Address of its sidecar.
     pub(crate) address: SocketAddr,
-    /// Life of the sidecar, while there is a session to it.
+    /// Incarnation of the sidecar while there is a session to it.
     pub(crate) incarnation: Option<Incarnation>,
-    /// Configuration in force at the sidecar, by its last report.
+    /// Generation in force at the sidecar according to its last report.
     pub(crate) generation: Generation,
-    /// Whether it said that it takes no new work.
+    /// Whether its last report said that it is leaving or that its engine is down.
     pub(crate) rejects_work: bool,
-    /// Requests of this gateway in flight there.
+    /// Number of requests of this gateway in flight at the endpoint.
     pub(crate) in_flight: u32,
-    /// Sent after the heartbeat that is under way, so not in its answer.
+    /// Work sent since the last heartbeat, which the response to it does not include.
     pub(crate) sent_since_heartbeat: SentWork,
-    /// How to reach the task that owns the session.
+    /// Commands to the task that owns the session.
     pub(crate) commands: mpsc::UnboundedSender<LinkCommand>,
 }
 
 impl EndpointEntry {
-    /// An endpoint without a session.
+    /// Creates an entry without a session.
     pub(crate) fn new(
         pool: PoolId,
         spec: &EndpointSpec,
@@ -75,7 +75,7 @@
 }
 
 impl PoolEntry {
-    /// Lets the detector decide and puts it into force for placement.
+    /// Passes an event to the outlier detector and applies its decisions to placement.
     fn handle_outlier_event(&mut self, now: Timestamp, event: OutlierEvent) -> Vec<OutlierAction> {
         let actions = self.outliers.handle(now, event);
         for action in &actions {
@@ -116,7 +116,7 @@
             .insert(pool.clone(), Arc::new(Mutex::new(entry)));
     }
 
-    /// Takes out the pools that `keep` does not name.
+    /// Removes the pools for which `keep` returns false.
     pub(crate) fn retain_pools(&self, keep: impl Fn(&PoolId) -> bool) {
         self.state.write().pools.retain(|pool, _| keep(pool));
     }
@@ -133,7 +133,7 @@
         state.endpoints.insert(endpoint, entry);
     }
 
-    /// Takes out an endpoint that the configuration no longer names; its link ends.
+    /// Removes an endpoint that the configuration no longer names; its link ends.
     pub(crate) fn remove(&self, endpoint: &EndpointId) {
         let mut state = self.state.write();
         let Some(entry) = state.endpoints.remove(endpoint) else {
@@ -161,7 +161,7 @@
         self.state.read().endpoints.get(endpoint).cloned()
     }
 
-    /// What the policy of a pool sees of an endpoint.
+    /// The state of an endpoint that the placement policy of its pool uses.
     pub(crate) fn view(&self, endpoint: &EndpointId) -> Option<EndpointView> {
         let state = self.state.read();
         let entry = state.endpoints.get(endpoint)?;
@@ -169,7 +169,7 @@
         pool.state.endpoint(endpoint).cloned()
     }
 
-    /// Lets the policy of a pool choose; `None` if there is no such pool.
+    /// Places a request with the policy of a pool; `None` if there is no such pool.
     pub(crate) fn place(
         &self,
         now: Timestamp,
@@ -183,7 +183,7 @@
         Some(policy.place(now, request, &state.view(), rng))
     }
 
-    /// Notes a new session.
+    /// Records a new session.
     pub(crate) fn session_opened(&self, endpoint: &EndpointId, incarnation: Incarnation) {
         let mut state = self.state.write();
         if let Some(entry) = state.endpoints.get_mut(endpoint) {
@@ -192,7 +192,7 @@
         state.refresh(endpoint);
     }
 
-    /// Notes that there is no session.
+    /// Records that the session was lost.
     pub(crate) fn session_lost(&self, endpoint: &EndpointId) {
         let mut state = self.state.write();
         if let Some(entry) = state.endpoints.get_mut(endpoint) {
@@ -201,14 +201,15 @@
         state.refresh(endpoint);
     }
 
-    /// Notes that a heartbeat goes out: what is sent from now on is not in its answer.
+    /// Records that a heartbeat is sent. The response does not include work that is sent from now
+    /// on.
     pub(crate) fn heartbeat_sent(&self, endpoint: &EndpointId) {
         if let Some(entry) = self.state.write().endpoints.get_mut(endpoint) {
             entry.sent_since_heartbeat = SentWork::default();
         }
     }
 
-    /// Takes the report that answers a heartbeat.
+    /// Records the load report in the response to a heartbeat.
     pub(crate) fn report(&self, endpoint: &EndpointId, now: Timestamp, load: &LoadMessage) {
         let mut state = self.state.write();
         let Some(entry) = state.endpoints.get_mut(endpoint) else {
@@ -227,7 +228,7 @@
         state.refresh(endpoint);
     }
 
-    /// Counts a request that goes to an endpoint.
+    /// Records a request that is sent to an endpoint.
     pub(crate) fn work_sent(&self, now: Timestamp, endpoint: &EndpointId, work: SentWork) {
         let mut state = self.state.write();
         let Some(entry) = state.endpoints.get_mut(endpoint) else {
@@ -243,14 +244,15 @@
         }
     }
 
-    /// Counts a request that has ended there.
+    /// Records that a request has ended at an endpoint.
     pub(crate) fn work_ended(&self, endpoint: &EndpointId) {
         if let Some(entry) = self.state.write().endpoints.get_mut(endpoint) {
             entry.in_flight = entry.in_flight.saturating_sub(1);
         }
     }
 
-    /// Tells the outlier detector of the endpoint's pool; returns whose admission changed.
+    /// Passes an event to the outlier detector of the endpoint's pool; returns the endpoints whose
+    /// ejection changed.
     pub(crate) fn record_outlier_event(
         &self,
         now: Timestamp,
@@ -267,7 +269,7 @@
         })
     }
 
-    /// Tells all outlier detectors that time passed; returns whose admission changed.
+    /// Sends a tick to all outlier detectors; returns the endpoints whose ejection changed.
     pub(crate) fn tick_outliers(&self, now: Timestamp) -> Vec<OutlierAction> {
         let state = self.state.read();
         let pools = state.pools.values();
@@ -276,10 +278,10 @@
             .collect()
     }
 
-    /// Takes the platform's list of leaving hosts.
+    /// Sets the hosts that the platform lists as leaving.
     ///
-    /// The list is a backstop: a sidecar says itself that it is leaving. One that cannot, because
-    /// nobody told it, would go on to get work until its host is gone.
+    /// Normally a sidecar reports itself that it is leaving. The list covers sidecars that were not
+    /// notified and would otherwise receive work until their host is gone.
     pub(crate) fn set_leaving_hosts(&self, hosts: HashSet<HostId>) {
         let mut state = self.state.write();
         state.leaving_hosts = hosts;
--- a/lovagedock-gateway/src/front/checks.rs
+++ b/lovagedock-gateway/src/front/checks.rs
@@ -1,4 +1,4 @@
-//! Checks that a request passes before it is placed; each failure says that it did not run.
+//! Checks that a request passes before it is placed. Each failure reports that it did not run.
 
 use std::time::Duration;
 
@@ -10,16 +10,16 @@
 use super::problem::RequestProblem;
 use crate::active::ActiveConfig;
 
-/// Header by which a caller asks for a time, in milliseconds.
+/// Header in which a caller requests a deadline, in milliseconds from now.
 const DEADLINE_HEADER: &str = "x-lovagedock-deadline-ms";
-/// Header by which a caller asks for a tier.
+/// Header in which a caller requests a priority tier.
 const PRIORITY_HEADER: &str = "x-lovagedock-priority";
-/// Header by which a caller makes its retries of a call one call.
+/// Header by which a caller marks retries of the same call.
 const IDEMPOTENCY_HEADER: &str = "idempotency-key";
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 255;
 const BEARER: &str = "Bearer ";
 
-/// Headers that concern one connection only, or that the gateway sets itself.
+/// Headers that apply to one connection only, or that the gateway sets itself.
 const NOT_FORWARDED: &[header::HeaderName] = &[
     header::AUTHORIZATION,
     header::CONNECTION,
@@ -35,7 +35,7 @@
 
 type CheckResult<T> = Result<T, RequestProblem>;
 
-/// Finds the organisation of the API key.
+/// Finds the organisation that owns the API key.
 pub(super) fn authenticate<'a>(
     headers: &HeaderMap,
     config: &'a ActiveConfig,
@@ -54,7 +54,7 @@
         .ok_or_else(|| RequestProblem::new(ResultCode::Unauthenticated))
 }
 
-/// Whether the organisation may use the service.
+/// Checks that the organisation may use the service.
 pub(super) fn authorise(organisation: &OrganisationSpec, service: &ServiceSpec) -> CheckResult<()> {
     let services = &organisation.services;
     if services.is_empty() || services.contains(&service.id) {
@@ -64,7 +64,7 @@
         .with_detail(format!("{} may not use {}", organisation.id, service.id)))
 }
 
-/// Refuses headers that are too large together.
+/// Checks the total size of all headers.
 pub(super) fn check_header_size(headers: &HeaderMap, limit: usize) -> CheckResult<()> {
     let size: usize = headers
         .iter()
@@ -77,7 +77,7 @@
         .with_detail(format!("{size} bytes, at most {limit}")))
 }
 
-/// The first rule for prompts of this length at this hour.
+/// The first rule that applies to prompts of this length at this hour.
 pub(super) fn length_rule(
     rules: &[LengthRule],
     tokens: TokenCount,
@@ -99,7 +99,7 @@
     hour >= from || hour < to
 }
 
-/// The time that a request gets: what it asks for, within what the service allows.
+/// The deadline of a request: the requested one or the default, limited by the service's maximum.
 pub(super) fn deadline(
     headers: &HeaderMap,
     service: &ServiceSpec,
@@ -125,7 +125,7 @@
     }
 }
 
-/// The tier that a request gets: what it asks for, within what the organisation may.
+/// The tier of a request: the requested one, limited by the organisation's and the rule's cap.
 pub(super) fn tier(
     headers: &HeaderMap,
     organisation: &OrganisationSpec,
@@ -158,7 +158,7 @@
     }
 }
 
-/// Whether one of the rules names the call.
+/// Whether one of the rules matches the call.
 pub(super) fn is_listed(rules: &[CallRule], method: &str, path: &str) -> bool {
     rules.iter().any(|rule| {
         let method_fits = rule.method == "*" || rule.method.eq_ignore_ascii_case(method);
@@ -170,7 +170,7 @@
     })
 }
 
-/// Headers that go on to the endpoint.
+/// Headers that are forwarded to the endpoint.
 pub(super) fn forwarded_headers(headers: &HeaderMap) -> Vec<HeaderField> {
     headers
         .iter()
--- a/lovagedock-gateway/src/front/in_flight.rs
+++ b/lovagedock-gateway/src/front/in_flight.rs
@@ -1,4 +1,4 @@
-//! Requests in flight: taken from a caller and not yet answered in full.
+//! Requests in flight: received from a caller and not yet answered completely.
 
 use std::{
     collections::BTreeMap,
@@ -16,9 +16,9 @@
 
 use super::body::ResponseBody;
 
-/// Requests in flight, and since when; cheap to clone.
+/// Requests in flight with their start times; cheap to clone.
 ///
-/// Lock order: a leaf.
+/// Lock order: this lock is a leaf.
 #[derive(Clone, Default)]
 pub(super) struct InFlightTable {
     tracker: TaskTracker,
@@ -26,7 +26,7 @@
 }
 
 impl InFlightTable {
-    /// Adds a request; it is in flight until all clones of the result are gone.
+    /// Adds a request. It stays in flight until all clones of the result are dropped.
     pub(super) fn begin(&self, id: RequestId, now: Timestamp) -> Arc<InFlightRequest> {
         self.requests.lock().insert(id, now);
         Arc::new(InFlightRequest {
@@ -36,7 +36,7 @@
         })
     }
 
-    /// Lets [`InFlightTable::wait`] end once no request is in flight.
+    /// Lets [`InFlightTable::wait`] return once no request is in flight.
     pub(super) fn close(&self) {
         self.tracker.close();
     }
@@ -56,7 +56,7 @@
         self.requests.lock().len()
     }
 
-    /// The requests in flight, and since when.
+    /// The requests in flight with their start times.
     pub(super) fn list(&self) -> Vec<(RequestId, Timestamp)> {
         let requests = self.requests.lock();
         requests.iter().map(|(id, since)| (*id, *since)).collect()
@@ -82,20 +82,21 @@
     }
 }
 
-/// A body whose request is in flight until the connection has taken all of it.
+/// A body that keeps its request in flight until the connection has read all of it.
 struct InFlightBody {
     body: ResponseBody,
     request: Arc<InFlightRequest>,
 }
 
 impl Drop for InFlightBody {
-    /// The caller has its answer or has gone; what its request still does is not cut for it.
+    /// The caller has received its response or has disconnected. Work of the request that continues
+    /// does not count as cut for the caller.
     fn drop(&mut self) {
         self.request.remove_from_table();
     }
 }
 
-/// Keeps a request in flight until its answer was taken by the connection.
+/// Wraps a body so that its request stays in flight until the connection has read the body.
 pub(super) fn in_flight_body(body: ResponseBody, request: Arc<InFlightRequest>) -> ResponseBody {
     let body = InFlightBody { body, request };
     body.boxed_unsync()
--- a/lovagedock-gateway/src/front/intake.rs
+++ b/lovagedock-gateway/src/front/intake.rs
@@ -1,4 +1,4 @@
-//! Turns a caller's HTTP request into a checked call.
+//! Validates a caller's HTTP request and converts it into a [`CallerCall`].
 
 use std::time::Duration;
 
@@ -19,25 +19,25 @@
     settings::CallerLimits,
 };
 
-/// Header by which a plain service learns whose call it is.
+/// Header that names the calling organisation to a plain service.
 const ORGANISATION_HEADER: &str = "x-lovagedock-organisation";
 const SECONDS_PER_HOUR: u64 = 3_600;
 const HOURS_PER_DAY: u64 = 24;
 
-/// Checks one request against one configuration.
+/// Validates one request against one configuration.
 pub(super) struct CallIntake<'a> {
-    /// Id that the request got.
+    /// Id assigned to the request.
     pub(super) id: RequestId,
-    /// Configuration that decides about it.
+    /// Configuration that applies to the request.
     pub(super) config: &'a ActiveConfig,
     /// Limits of the gateway.
     pub(super) limits: &'a CallerLimits,
-    /// Wall-clock time since the epoch, for rules by the hour.
+    /// Wall-clock time since the epoch, for rules that depend on the hour.
     pub(super) since_epoch: Duration,
 }
 
 impl CallIntake<'_> {
-    /// The call that a request asks for; waits for the body.
+    /// Validates a request and reads its body.
     pub(super) async fn call(
         &self,
         request: Request<Incoming>,
@@ -91,7 +91,7 @@
         self.assemble(&parts, body, organisation, service, prompt, None)
     }
 
-    /// The organisation, after the checks that need no body.
+    /// Runs the checks that need no body and returns the organisation.
     pub(super) fn check_caller(
         &self,
         headers: &HeaderMap,
@@ -121,7 +121,8 @@
             service: service.id.clone(),
             pool: service.pool.clone(),
             deadline: checks::deadline(&parts.headers, service, rule)?,
-            // A caller that sends a key counts on one run, whatever the configuration lists.
+            // A caller that sends a key relies on a single execution, whatever the configuration
+            // lists as non-idempotent.
             non_idempotent: listed || key.is_some(),
             idempotency_key: key,
             prompt,
--- a/lovagedock-gateway/src/front/mod.rs
+++ b/lovagedock-gateway/src/front/mod.rs
@@ -1,4 +1,4 @@
-//! The callers' side: HTTP, checks, answers.
+//! The HTTP interface to callers: connections, request checks and responses.
 
 mod body;
 mod checks;
--- a/lovagedock-gateway/src/front/problem.rs
+++ b/lovagedock-gateway/src/front/problem.rs
@@ -9,26 +9,26 @@
 
 use super::body::{ResponseBody, full_body};
 
-/// Header that carries the request's id in every answer.
+/// Header that carries the request's id in every response.
 pub(crate) const REQUEST_ID_HEADER: &str = "x-request-id";
 /// Content type of the documents.
 pub(crate) const PROBLEM_TYPE: &str = "application/problem+json";
 
-/// How a request ended, when not with an answer.
+/// Why a request ended without a complete answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct RequestProblem {
-    /// Numbered code.
+    /// Result code.
     pub(crate) code: ResultCode,
-    /// Whether it ran.
+    /// Whether the request ran.
     pub(crate) ran: RanState,
-    /// When another try may help.
+    /// Time after which a retry may succeed; zero for none.
     pub(crate) retry_after: Duration,
-    /// One line about this case.
+    /// One line with the particulars of this request.
     pub(crate) detail: String,
 }
 
 impl RequestProblem {
-    /// A problem with what the code says.
+    /// Creates a problem with the defaults of the code.
     pub(crate) fn new(code: ResultCode) -> Self {
         Self {
             code,
@@ -38,25 +38,25 @@
         }
     }
 
-    /// Sets the line about this case.
+    /// Sets the line with the particulars.
     pub(crate) fn with_detail(mut self, detail: impl Into<String>) -> Self {
         self.detail = detail.into();
         self
     }
 
-    /// Sets whether it ran.
+    /// Sets whether the request ran.
     pub(crate) fn with_ran(mut self, ran: RanState) -> Self {
         self.ran = ran;
         self
     }
 
-    /// Sets when another try may help.
+    /// Sets the time after which a retry may succeed.
     pub(crate) fn with_retry_after(mut self, retry_after: Duration) -> Self {
         self.retry_after = retry_after;
         self
     }
 
-    /// The document.
+    /// The problem document.
     pub(crate) fn document(&self, id: RequestId) -> ProblemDocument<'_> {
         ProblemDocument {
             kind: format!("urn:lovagedock:code:{}", self.code.number()),
@@ -75,12 +75,12 @@
         }
     }
 
-    /// The document as its bytes.
+    /// The problem document as JSON bytes.
     pub(crate) fn bytes(&self, id: RequestId) -> Vec<u8> {
         serde_json::to_vec(&self.document(id)).unwrap_or_default()
     }
 
-    /// The whole answer.
+    /// The complete HTTP response.
     pub(crate) fn response(&self, id: RequestId) -> Response<ResponseBody> {
         let mut response = Response::new(full_body(Bytes::from(self.bytes(id))));
         *response.status_mut() = status(self.code.http_status());
@@ -108,14 +108,14 @@
     }
 }
 
-/// Puts the request's id into an answer.
+/// Adds the request's id to a response.
 pub(crate) fn set_request_id<B>(response: &mut Response<B>, id: RequestId) {
     if let Ok(value) = header::HeaderValue::from_str(&format_request_id(id)) {
         response.headers_mut().insert(REQUEST_ID_HEADER, value);
     }
 }
 
-/// The status of a number; 502 for a number that HTTP does not have.
+/// Converts a status number; 502 for a number that is not a valid HTTP status.
 pub(crate) fn status(number: u16) -> StatusCode {
     StatusCode::from_u16(number).unwrap_or(StatusCode::BAD_GATEWAY)
 }
@@ -135,7 +135,7 @@
     error: ClientError,
 }
 
-/// What the usual client libraries show to people.
+/// The error object that common client libraries display to users.
 #[derive(Serialize)]
 struct ClientError {
     message: String,
--- a/lovagedock-gateway/src/front/prompt.rs
+++ b/lovagedock-gateway/src/front/prompt.rs
@@ -1,4 +1,4 @@
-//! What placement needs from the body of a chat or completion request.
+//! Parses the parts of a chat or completion request that placement needs.
 
 use std::borrow::Cow;
 
@@ -7,13 +7,13 @@
 
 use crate::call::PromptSummary;
 
-/// Answer length that is assumed when the caller gives no bound.
+/// Answer length that is assumed if the caller sets no limit.
 const DEFAULT_ANSWER_TOKENS: TokenCount = 256;
 
-/// The fields of a request that the gateway reads; engines read the rest.
+/// The fields of a request body that the gateway reads; engines read the rest.
 #[derive(Debug, Deserialize)]
 pub(super) struct ModelBody<'a> {
-    /// Model that the caller addresses.
+    /// Requested model.
     #[serde(borrow)]
     pub(super) model: Cow<'a, str>,
     #[serde(borrow, default)]
@@ -55,7 +55,8 @@
 }
 
 impl ModelBody<'_> {
-    /// Length, answer bound and prefix hashes of the prompt, by the model's bytes per token.
+    /// Estimated prompt length, answer limit and prefix hashes, based on the model's bytes per
+    /// token.
     pub(super) fn summary(&self, model: &ModelSpec) -> PromptSummary {
         let text = self.text();
         let tokens = (text.len() as f64 / model.bytes_per_token).ceil() as TokenCount;
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Whether there is any prompt.
+    /// Whether the request contains a prompt or messages.
     pub(super) fn has_prompt(&self) -> bool {
         self.prompt.is_some() || !self.messages.is_empty()
     }
--- a/lovagedock-gateway/src/front/reply.rs
+++ b/lovagedock-gateway/src/front/reply.rs
@@ -1,4 +1,4 @@
-//! Answers on their way to callers.
+//! Builds responses to callers from the events of request drivers.
 
 use std::{
     io,
@@ -22,24 +22,24 @@
     problem::{RequestProblem, set_request_id, status},
 };
 
-/// Events that may wait between a driver and its caller's connection.
+/// Capacity of the event queue between a driver and its caller's connection.
 const CALLER_QUEUE: usize = 32;
 
-/// What a driver tells the caller's connection, in order.
+/// Events that a driver sends to the caller's connection, in order.
 #[derive(Debug)]
 pub(crate) enum CallerEvent {
-    /// Status and headers; at most one, first.
+    /// Status and headers; sent at most once, as the first event.
     Head(AnswerHead),
     /// Bytes of the answer.
     Bytes(Bytes),
-    /// The whole answer was sent and checked.
+    /// The complete answer was sent and verified.
     Complete,
-    /// The request ended without a whole answer.
+    /// The request ended without a complete answer.
     Problem(RequestProblem),
 }
 
 impl CallerEvent {
-    /// The code that the caller sees at the end.
+    /// The result code that the caller receives.
     pub(crate) fn code(&self) -> ResultCode {
         match self {
             Self::Problem(problem) => problem.code,
@@ -48,31 +48,32 @@
     }
 }
 
-/// A driver's end of the way to its caller.
+/// The sending end of a driver's event channel to its caller.
 #[derive(Clone, Debug)]
 pub(crate) struct CallerSink {
     sender: mpsc::Sender<CallerEvent>,
 }
 
 impl CallerSink {
-    /// Both ends.
+    /// Creates the channel to a caller.
     pub(crate) fn channel() -> (Self, mpsc::Receiver<CallerEvent>) {
         let (sender, receiver) = mpsc::channel(CALLER_QUEUE);
         (Self { sender }, receiver)
     }
 
-    /// Sends an event; waits while the caller is slow. False if the caller has gone.
+    /// Sends an event and waits while the caller is slow. Returns false if the caller has
+    /// disconnected.
     pub(crate) async fn send(&self, event: CallerEvent) -> bool {
         self.sender.send(event).await.is_ok()
     }
 
-    /// Ends when the caller has gone.
+    /// Returns when the caller has disconnected.
     pub(crate) async fn closed(&self) {
         self.sender.closed().await;
     }
 }
 
-/// Waits for the first event and makes the response of it and what follows.
+/// Waits for the first event and builds the response from it and the events that follow.
 pub(crate) async fn response(
     id: RequestId,
     stream: bool,
@@ -93,7 +94,8 @@
 }
 
 fn driver_ended() -> RequestProblem {
-    RequestProblem::new(ResultCode::EndpointLost).with_detail("the request's driver ended early")
+    RequestProblem::new(ResultCode::EndpointLost)
+        .with_detail("the request's driver ended without a response head")
 }
 
 fn streaming_response(
@@ -129,8 +131,8 @@
 
 /// A body that ends cleanly only after [`CallerEvent::Complete`].
 ///
-/// An answer that was cut would otherwise look whole to a client that reads until the end: any
-/// other end is an error of the body, so that the connection breaks without the last chunk.
+/// Any other end is a body error, so that the connection breaks without the last chunk. Otherwise
+/// a truncated answer would look complete to a client that reads until the end of the body.
 struct EventBody {
     id: RequestId,
     stream: bool,
@@ -141,13 +143,13 @@
 #[derive(Clone, Copy)]
 enum BodyState {
     Open,
-    /// The problem was handed over and is to be written before the break.
+    /// The problem was passed to the connection, which still has to write it before the error.
     ProblemSent,
     Broken,
 }
 
 impl EventBody {
-    /// Tells a streaming client why its stream breaks, as one more event before the break.
+    /// Sends a streaming client the reason as one more event before the connection breaks.
     fn problem_frame(&mut self, problem: &RequestProblem) -> Frame<Bytes> {
         self.state = BodyState::ProblemSent;
         let document = serde_json::to_string(&problem.document(self.id)).unwrap_or_default();
@@ -165,8 +167,9 @@
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         match self.state {
             BodyState::Open => {}
-            // The error of a body drops what the connection has not written yet, and the caller
-            // would see a break without its reason. A pause lets the connection write first.
+            // A body error discards data that the connection has not written yet, so the caller
+            // would see the connection break without the reason. Returning `Pending` once lets the
+            // connection write the problem first.
             BodyState::ProblemSent => {
                 self.state = BodyState::Broken;
                 context.waker().wake_by_ref();
@@ -191,5 +194,8 @@
 }
 
 fn truncated_body() -> io::Error {
-    io::Error::new(io::ErrorKind::ConnectionAborted, "the answer is not whole")
+    io::Error::new(
+        io::ErrorKind::ConnectionAborted,
+        "answer truncated: the request ended before the answer was complete",
+    )
 }
--- a/lovagedock-gateway/src/front/router.rs
+++ b/lovagedock-gateway/src/front/router.rs
@@ -1,4 +1,4 @@
-//! Decides by method and path who answers a caller.
+//! Routes callers' requests by method and path.
 
 use std::{
     sync::Arc,
@@ -30,7 +30,7 @@
 
 const MODELS_PATH: &str = "/v1/models";
 
-/// Answers callers' requests.
+/// Responds to callers' requests.
 pub(super) struct CallRouter {
     shared: GatewayShared,
     limits: CallerLimits,
@@ -40,7 +40,7 @@
 }
 
 impl CallRouter {
-    /// A router without requests in flight.
+    /// Creates a router without requests in flight.
     pub(super) fn new(shared: GatewayShared, limits: CallerLimits, log: Logger) -> Self {
         Self {
             streams: Arc::new(Semaphore::new(limits.streams)),
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Requests in flight.
+    /// The table of requests in flight.
     pub(super) fn in_flight(&self) -> &InFlightTable {
         &self.in_flight
     }
@@ -61,16 +61,17 @@
         self.shared.context.clock.now()
     }
 
-    /// Time that requests in flight still get.
+    /// Remaining time of the drain for requests in flight.
     pub(super) fn remaining_drain_time(&self) -> Duration {
         self.shared.remaining_drain_time()
     }
 
-    /// Answers one request.
+    /// Responds to one request.
     pub(super) async fn respond(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let id: RequestId = rand::random();
-        // Counted before the check: a request whose body is still coming when the gateway stops
-        // would be in flight unseen, and the process would end under it.
+        // The request is counted before it is checked. Otherwise a request whose body is still
+        // being received when the gateway stops would not be in the table, and the process would
+        // exit without waiting for it.
         let in_flight = self.in_flight.begin(id, self.now());
         let response = match self.route(id, request, &in_flight).await {
             Ok(response) => response,
@@ -127,7 +128,7 @@
             "request" => format_request_id(id),
             "code" => ResultCode::GatewayStopping.number(),
             "ran" => RanState::No.as_str(),
-            "detail" => "its body has not come");
+            "detail" => "the request body was not received completely");
     }
 
     fn check_limits(&self, call: &CallerCall) -> Result<(), RequestProblem> {
@@ -213,7 +214,7 @@
     rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
 }
 
-/// The models that the organisation may use, or one of them.
+/// The list of models that the organisation may use, or the entry of one of them.
 fn models(
     intake: &CallIntake<'_>,
     request: &Request<Incoming>,
--- a/lovagedock-gateway/src/front/server.rs
+++ b/lovagedock-gateway/src/front/server.rs
@@ -1,4 +1,4 @@
-//! Accepts callers' connections.
+//! Accepts and serves callers' connections.
 
 use std::{convert::Infallible, io, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -24,16 +24,18 @@
     shared::GatewayShared,
 };
 
-/// Pause after an accept that failed, since such errors repeat at once until files are closed.
+/// Delay after a failed accept. Errors such as too many open files repeat at once until files are
+/// closed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Time after the drain to write what callers are told of requests that did not end in it.
+/// Time after the drain for writing the responses to requests that did not end within it.
 const FINAL_RESPONSE_TIME: Duration = Duration::from_millis(300);
-/// Requests that the log names when the process ends under them; the rest is only counted.
+/// Maximum number of requests logged one by one if the process exits before they end; further ones
+/// are only counted.
 const MAX_LOGGED_REQUESTS: usize = 200;
-/// Room for header lines beside the values that the header limit counts.
+/// Buffer space for the parts of header lines that the header limit does not count.
 const HEADER_OVERHEAD_BYTES: usize = 64 * 1024;
 
-/// Serves callers until the shutdown, and then until all requests have ended.
+/// Serves callers until shutdown, then until all requests have ended.
 pub(crate) struct FrontServer {
     listener: TcpListener,
     transport: Transport,
@@ -44,7 +46,7 @@
 }
 
 impl FrontServer {
-    /// Listens.
+    /// Binds the callers' address.
     pub(crate) async fn bind(
         address: SocketAddr,
         transport: Transport,
@@ -73,10 +75,10 @@
         self.listener.local_addr()
     }
 
-    /// Serves until the shutdown; returns when no request is in flight, or the drain time is over.
+    /// Serves until shutdown; returns when no request is in flight or the drain time is over.
     ///
-    /// The listener stays open while requests are in flight, so that a balancer that has not
-    /// noticed yet gets "not run" instead of a refused connection.
+    /// The listener stays open while requests are in flight. A load balancer that has not noticed
+    /// the drain yet then receives a "not run" response instead of a refused connection.
     pub(crate) async fn run(self) {
         let connections = GracefulShutdown::new();
         let connection_slots = Arc::new(Semaphore::new(self.limits.connections));
@@ -100,7 +102,7 @@
                         });
                     }
                     Err(error) => {
-                        warn!(self.log, "cannot accept a caller"; "error" => %error);
+                        warn!(self.log, "cannot accept a caller's connection"; "error" => %error);
                         sleep(ACCEPT_RETRY_DELAY).await;
                     }
                 }
@@ -110,10 +112,10 @@
             () = accept => {}
             () = self.wait_for_drain() => {}
         }
-        // A caller that is refused a connection knows that nothing ran; one that gets into the
-        // backlog does not.
+        // A caller whose connection is refused knows that its request did not run. A caller whose
+        // connection is left in the accept backlog does not.
         drop(self.listener);
-        // The end of an answer may still wait in a connection for a slow caller.
+        // The end of a response may still be buffered in the connection of a slow caller.
         let time = self.router.remaining_drain_time() + FINAL_RESPONSE_TIME;
         if timeout(time, connections.shutdown()).await.is_err() {
             let open = self.limits.connections - connection_slots.available_permits();
@@ -121,7 +123,7 @@
         }
     }
 
-    /// Names the requests whose connections break with the end of the process.
+    /// Logs and counts the requests whose connections break when the process exits.
     fn log_cut_requests(&self, requests: &[(RequestId, Timestamp)]) {
         warn!(self.log, "drain time is over"; "requests" => requests.len());
         let now = self.router.now();
@@ -164,7 +166,7 @@
         let stream = match self.transport.accept(stream).await {
             Ok(stream) => stream,
             Err(error) => {
-                debug!(self.log, "no TLS with a caller"; "peer" => %peer, "error" => %error);
+                debug!(self.log, "TLS handshake with a caller failed"; "peer" => %peer, "error" => %error);
                 return;
             }
         };
--- a/lovagedock-gateway/src/gateway.rs
+++ b/lovagedock-gateway/src/gateway.rs
@@ -38,21 +38,21 @@
 
 impl std::error::Error for GatewayError {}
 
-/// A gateway that serves.
+/// A running gateway.
 pub struct Gateway {
     callers: SocketAddr,
     context: GatewayContext,
     admin: AdminServer,
     front: JoinHandle<()>,
     sources: ConfigSources,
-    // Ends the links when the gateway goes.
+    // Dropping the adopter ends the links.
     _adopter: Arc<ConfigAdopter>,
-    // Ends the orders when the gateway goes.
+    // Dropping the dispatcher ends the order thread.
     _orders: OrderDispatcher,
 }
 
 impl Gateway {
-    /// Listens, connects to the platform and serves in the background.
+    /// Binds the listeners, connects to the platform and serves in the background.
     pub async fn start(
         settings: GatewaySettings,
         daemon: DaemonContext,
@@ -173,7 +173,7 @@
         self.context.generation() > 0 && connected
     }
 
-    /// Waits until the shutdown was asked for and all requests have ended.
+    /// Waits until shutdown was requested and all requests have ended or the drain time is over.
     pub async fn wait(self) -> Result<(), Report<GatewayError>> {
         self.front.await.change_context(GatewayError)
     }
--- a/lovagedock-gateway/src/lib.rs
+++ b/lovagedock-gateway/src/lib.rs
@@ -1,8 +1,9 @@
-//! Daemon on the entry hosts: callers' HTTP, placement, retries, configuration relay.
+//! Gateway daemon on the entry hosts: HTTP for callers, placement, retries and configuration relay.
 //!
-//! [`Gateway::start`] serves until its shutdown signal. A request passes the checks of the front,
-//! gets a driver of its own, and the driver carries out what the kernel's
-//! [`RequestMachine`](lovagedock::RequestMachine) decides. Sessions to sidecars live on workers.
+//! [`Gateway::start`] serves until its shutdown signal. The module `front` checks each request.
+//! Each request has its own driver, which executes the decisions of the core crate's
+//! [`RequestMachine`](lovagedock::RequestMachine). Sessions to sidecars are owned by worker
+//! threads.
 //!
 //! [`DirectGateway`] is the gateway for fleets without sidecars; it calls endpoints itself.
 
--- a/lovagedock-gateway/src/limits.rs
+++ b/lovagedock-gateway/src/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of organisations at this gateway.
+//! Usage limits of organisations at this gateway.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 };
 use parking_lot::Mutex;
 
-/// A report for a peer.
+/// A usage report to send to a peer.
 pub(crate) struct PeerReport {
     /// The peer.
     pub(crate) peer: GatewayId,
@@ -18,7 +18,7 @@
 
 /// The usage limiter of a gateway; cheap to clone.
 ///
-/// Lock order: a leaf.
+/// Lock order: this lock is a leaf.
 #[derive(Clone)]
 pub(crate) struct OrganisationLimiter {
     own: GatewayId,
@@ -31,7 +31,7 @@
 }
 
 impl OrganisationLimiter {
-    /// A desk without limits, before the first configuration.
+    /// Creates a limiter without limits, before the first configuration.
     pub(crate) fn new(own: GatewayId, now: Timestamp) -> Self {
         let state = LimiterState {
             peers: Vec::new(),
@@ -43,9 +43,9 @@
         }
     }
 
-    /// Takes over the gateways and the limits of a configuration.
+    /// Applies the gateways and limits of a configuration.
     ///
-    /// Other gateways mean other shares: the limiter begins anew, with equal shares.
+    /// A change of the gateways changes their shares, so the limiter restarts with equal shares.
     pub(crate) fn configure(&self, now: Timestamp, fleet: &FleetConfig) {
         let gateways = fleet.gateways.iter().map(|gateway| gateway.id.clone());
         let peers: Vec<GatewayId> = gateways.filter(|id| *id != self.own).collect();
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Decides about a request and counts it if it is admitted.
+    /// Decides whether a request is admitted, and counts it if it is.
     pub(crate) fn admit(
         &self,
         now: Timestamp,
@@ -70,12 +70,12 @@
         self.state.lock().limiter.admit(now, organisation, tokens)
     }
 
-    /// Counts an admitted request that has ended.
+    /// Records that an admitted request has ended.
     pub(crate) fn finish(&self, organisation: &OrganisationId) {
         self.state.lock().limiter.finish(organisation, 0);
     }
 
-    /// Time for an exchange: what to tell each peer.
+    /// The usage reports that are due to be sent to peers.
     pub(crate) fn due_reports(&self, now: Timestamp) -> Vec<PeerReport> {
         let actions = self.state.lock().limiter.handle(now, LimitEvent::Tick);
         let due_reports = actions.into_iter().filter_map(|action| match action {
@@ -85,7 +85,7 @@
         due_reports.collect()
     }
 
-    /// Notes that a peer answered, and in which life.
+    /// Records a connection to a peer and the peer's incarnation.
     pub(crate) fn record_connection(
         &self,
         now: Timestamp,
@@ -96,7 +96,7 @@
         self.state.lock().limiter.handle(now, event);
     }
 
-    /// Takes a peer's report; the confirmation for it, if it is of use.
+    /// Handles a peer's report; returns the acknowledgement, if one is to be sent.
     pub(crate) fn handle_report(
         &self,
         now: Timestamp,
@@ -111,14 +111,14 @@
         })
     }
 
-    /// Takes a peer's confirmation.
+    /// Handles a peer's acknowledgement.
     pub(crate) fn handle_ack(&self, now: Timestamp, peer: GatewayId, ack: UsageAck) {
         let event = LimitEvent::AckReceived { peer, ack };
         self.state.lock().limiter.handle(now, event);
     }
 }
 
-/// Time between two exchanges.
+/// Time between two exchanges of usage reports.
 pub(crate) fn exchange_interval() -> std::time::Duration {
     LimitTiming::default().interval
 }
--- a/lovagedock-gateway/src/link/heartbeat.rs
+++ b/lovagedock-gateway/src/link/heartbeat.rs
@@ -8,18 +8,18 @@
 use super::LinkSession;
 use crate::context::GatewayContext;
 
-/// Sends heartbeats and feeds configuration on one session.
+/// Sends heartbeats and configurations on one session.
 pub(super) struct HeartbeatSender {
     /// Endpoint at the other end.
     pub(super) endpoint: EndpointId,
-    /// What all parts of the gateway share.
+    /// Shared state of the gateway.
     pub(super) context: Rc<GatewayContext>,
-    /// Time without an answer after which the session is lost.
+    /// Time without a response after which the session is lost.
     pub(super) silence: Duration,
 }
 
 impl HeartbeatSender {
-    /// Sends one heartbeat.
+    /// Sends one heartbeat, and the configuration if the sidecar has an older one.
     pub(super) async fn send(&self, session: &LinkSession, sequence: u64) -> Result<(), WireError> {
         let generation = self.context.generation();
         let limit = self.silence;
@@ -37,7 +37,7 @@
         Ok(())
     }
 
-    /// Hands the configuration in force to a sidecar that has an older one.
+    /// Sends the configuration in force.
     async fn send_config(&self, session: &LinkSession) -> Result<(), WireError> {
         let active = self.context.config.load_full();
         let message = ConfigMessage {
--- a/lovagedock-gateway/src/link/message.rs
+++ b/lovagedock-gateway/src/link/message.rs
@@ -1,4 +1,4 @@
-//! What request drivers and links tell each other.
+//! Messages between request drivers and links.
 
 use std::time::Duration;
 
@@ -9,16 +9,16 @@
 };
 use tokio::sync::{mpsc, oneshot};
 
-/// What a request driver asks of a link.
+/// A command from a request driver to a link.
 pub(crate) enum LinkCommand {
-    /// Hand a request over; the link fills the incarnation in.
+    /// Submit a request to the sidecar; rejected if the session has another incarnation.
     Submit {
         /// The request.
         work: Box<WorkMessage>,
         /// Where its events go.
         events: AttemptSender,
     },
-    /// Go on with an answer from an offset, on a new connection.
+    /// Resume an answer from an offset, on a new connection.
     Resume {
         /// The attempt.
         key: AttemptKey,
@@ -27,30 +27,30 @@
         /// Where its events go.
         events: AttemptSender,
     },
-    /// Ask on a new connection that an attempt never runs.
+    /// Revoke an attempt on a new connection, so that it never runs.
     Revoke {
         /// The attempt.
         key: AttemptKey,
         /// Where the verdict goes.
         reply: oneshot::Sender<Result<RevokeVerdict, WireError>>,
     },
-    /// End an attempt that nobody waits for.
+    /// Cancel an attempt whose result is no longer needed.
     Cancel {
         /// The attempt.
         key: AttemptKey,
     },
-    /// Hold memory for one part of a span.
+    /// Reserve memory for one part of a span.
     Reserve {
         /// Names the reservation.
         key: AttemptKey,
-        /// How much.
+        /// Tokens to reserve.
         tokens: TokenCount,
-        /// How long it stays without being used.
+        /// How long an unused reservation is kept.
         hold: Duration,
         /// Where the answer goes.
         reply: oneshot::Sender<Result<ReserveReply, WireError>>,
     },
-    /// Give a reservation back.
+    /// Release a reservation.
     Release {
         /// Names the reservation.
         key: AttemptKey,
@@ -59,33 +59,33 @@
     Segment {
         /// The request.
         work: Box<WorkMessage>,
-        /// Its part.
+        /// The part of the prompt to prefill.
         range: SegmentRange,
-        /// Time that the part may take.
+        /// Time limit of the prefill.
         limit: Duration,
         /// Where the answer goes.
         reply: oneshot::Sender<Result<SegmentReply, WireError>>,
     },
 }
 
-/// What a link tells a request driver about one attempt.
+/// An event about one attempt, from a link to a request driver.
 #[derive(Debug)]
 pub(crate) enum AttemptEvent {
-    /// The sidecar has queued or started it.
+    /// The sidecar has queued or started the request.
     Accepted {
         /// Life of the sidecar.
         incarnation: Incarnation,
     },
-    /// The sidecar did not take it.
+    /// The sidecar rejected the request.
     Refused(AnswerEnd),
-    /// The session went away while the sidecar may have had the request.
+    /// The session was lost while the sidecar may have had the request.
     Lost {
         /// Life of the sidecar.
         incarnation: Incarnation,
     },
     /// The sidecar answered a resume.
     Resumed {
-        /// Whether it has the answer.
+        /// Whether the sidecar still has the answer.
         found: bool,
     },
     /// The resume could not be delivered.
@@ -99,13 +99,13 @@
         /// The bytes.
         bytes: Bytes,
     },
-    /// How it ended.
+    /// The result of the attempt.
     Done(AnswerEnd),
 }
 
-/// Where the events of one attempt go, with the attempt's number.
+/// Sends the events of one attempt to its driver.
 ///
-/// Bounded, so that a slow caller holds back its own answer and no other.
+/// The channel is bounded, so that a slow caller delays only its own answer.
 #[derive(Clone, Debug)]
 pub(crate) struct AttemptSender {
     /// Number of the attempt.
@@ -116,7 +116,7 @@
 
 impl AttemptSender {
     pub(super) async fn send(&self, event: AttemptEvent) {
-        // A driver that is gone has finished its request; nobody needs the event.
+        // The send fails only if the driver has finished its request and needs no more events.
         let _gone = self.sender.send((self.attempt, event)).await;
     }
 }
--- a/lovagedock-gateway/src/link/mod.rs
+++ b/lovagedock-gateway/src/link/mod.rs
@@ -1,8 +1,9 @@
 //! The task that owns the session to one endpoint.
 //!
-//! It connects, introduces itself, sends heartbeats, feeds configuration to a sidecar that lacks
-//! it, and carries commands of request drivers out. A session without a heartbeat's answer within
-//! [`LinkTimes::silence`] is given up, and each request on it is told.
+//! The task connects, introduces itself, sends heartbeats, sends newer configurations to the
+//! sidecar and executes the commands of request drivers. A session is closed if no response to a
+//! heartbeat arrives within [`LinkTimes::silence`], and the driver of each request on it is
+//! notified.
 
 mod heartbeat;
 mod message;
@@ -26,14 +27,14 @@
 use self::{heartbeat::HeartbeatSender, receive::AttemptReceiver, resume::ResumedAnswer};
 use crate::{connect::PeerConnector, context::GatewayContext};
 
-/// Times that a link keeps.
+/// Intervals and timeouts of a link.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LinkTimes {
-    /// Between heartbeats.
+    /// Time between heartbeats.
     pub(crate) heartbeat: Duration,
-    /// Without an answer for this long a session is lost.
+    /// Time without a response after which a session is lost.
     pub(crate) silence: Duration,
-    /// Between attempts to connect.
+    /// Time between attempts to connect.
     pub(crate) reconnect: Duration,
 }
 
@@ -43,13 +44,13 @@
     pub(crate) endpoint: EndpointId,
     /// Address of its sidecar.
     pub(crate) address: SocketAddr,
-    /// What all parts of the gateway share.
+    /// Shared state of the gateway.
     pub(crate) context: Rc<GatewayContext>,
-    /// How to connect.
+    /// Opens connections.
     pub(crate) connector: Rc<dyn PeerConnector>,
     /// Commands of request drivers.
     pub(crate) commands: mpsc::UnboundedReceiver<LinkCommand>,
-    /// Times to keep.
+    /// Intervals and timeouts.
     pub(crate) times: LinkTimes,
     /// Log.
     pub(crate) log: Logger,
@@ -78,7 +79,7 @@
                     }
                 }
                 Err(error) => {
-                    debug!(self.log, "no session"; "endpoint" => &*self.endpoint, "error" => %error);
+                    debug!(self.log, "cannot open a session"; "endpoint" => &*self.endpoint, "error" => %error);
                     if self.reject_commands_for(self.times.reconnect).await {
                         return;
                     }
@@ -93,7 +94,7 @@
         let welcome = client.hello(&self.identity(), limit).await?;
         if welcome.name != *self.endpoint {
             return Err(WireError::Malformed(format!(
-                "{} answers at the address of {}",
+                "sidecar of {} responded at the address of {}",
                 welcome.name, self.endpoint
             )));
         }
@@ -103,7 +104,7 @@
         let fleet = &self.context.fleet;
         fleet.session_opened(&self.endpoint, welcome.incarnation);
         fleet.report(&self.endpoint, self.context.clock.now(), &load);
-        info!(self.log, "session open"; "endpoint" => &*self.endpoint, "incarnation" => welcome.incarnation);
+        info!(self.log, "session opened"; "endpoint" => &*self.endpoint, "incarnation" => welcome.incarnation);
         Ok(LinkSession {
             client,
             incarnation: welcome.incarnation,
@@ -119,18 +120,18 @@
         }
     }
 
-    /// Serves one session; true when the gateway has dropped the link.
+    /// Serves one session; returns true when the gateway has dropped the link.
     async fn run_session(&mut self, session: LinkSession) -> bool {
         let session = Rc::new(session);
         let mut in_flight = InFlight::new();
         let end = self.serve(&session, &mut in_flight).await;
-        // Calls under way hold the session; without the close they would wait on a connection
-        // that may be silent for good.
+        // Pending calls keep the session alive. Without the close they would wait on a connection
+        // that may never respond again.
         session.client.close();
         self.context.fleet.session_lost(&self.endpoint);
         for events in in_flight.into_values() {
             let incarnation = session.incarnation;
-            // Its own task, so that one slow caller does not keep the others from the news.
+            // Each event is sent in its own task, so that a slow caller does not delay the others.
             tokio::task::spawn_local(async move {
                 events.send(AttemptEvent::Lost { incarnation }).await;
             });
@@ -149,7 +150,8 @@
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut sequence = 0;
         let heartbeat_sender = Rc::new(self.heartbeat_sender());
-        // Beside the commands, not before them: a submit must not wait for a heartbeat's answer.
+        // Heartbeats are awaited concurrently with commands: a submit must not wait for the
+        // response to a heartbeat.
         let mut pending_heartbeat: Option<LocalBoxFuture<'static, Result<(), WireError>>> = None;
         loop {
             tokio::select! {
@@ -162,9 +164,13 @@
                     sequence += 1;
                     let heartbeat_sender = Rc::clone(&heartbeat_sender);
                     let session = Rc::clone(session);
-                    pending_heartbeat = Some(async move { heartbeat_sender.send(&session, sequence).await }.boxed_local());
+                    pending_heartbeat = Some(
+                        async move { heartbeat_sender.send(&session, sequence).await }.boxed_local()
+                    );
                 }
-                ended = async { pending_heartbeat.as_mut().expect("guarded by is_some").await }, if pending_heartbeat.is_some() => {
+                ended = async {
+                    pending_heartbeat.as_mut().expect("guarded by is_some").await
+                }, if pending_heartbeat.is_some() => {
                     pending_heartbeat = None;
                     if let Err(error) = ended {
                         return SessionEnd::Lost(error.to_string());
@@ -182,7 +188,7 @@
         }
     }
 
-    /// Carries a command out in a task of its own, so that heartbeats are not held up.
+    /// Executes a command in its own task, so that heartbeats are not delayed.
     fn execute(&self, command: LinkCommand, session: &Rc<LinkSession>, in_flight: &mut InFlight) {
         let session = Rc::clone(session);
         let limit = self.times.silence;
@@ -231,7 +237,7 @@
         }
     }
 
-    /// Revokes on a new connection: the old one may be silent for good while new ones work.
+    /// Revokes on a new connection: the old one may never respond again while new ones work.
     fn revoke(&self, key: AttemptKey, reply: oneshot::Sender<Result<RevokeVerdict, WireError>>) {
         let connector = Rc::clone(&self.connector);
         let identity = self.identity();
@@ -244,7 +250,7 @@
         });
     }
 
-    /// Resumes on a new connection, which lives until the answer ends.
+    /// Resumes on a new connection, which stays open until the answer ends.
     fn resume(&self, key: AttemptKey, offset: u64, events: AttemptSender) {
         let answer = ResumedAnswer {
             connector: Rc::clone(&self.connector),
@@ -256,7 +262,8 @@
         tokio::task::spawn_local(answer.run(key, offset));
     }
 
-    /// Answers commands while there is no session; true when the gateway has dropped the link.
+    /// Rejects commands while there is no session; returns true when the gateway has dropped the
+    /// link.
     async fn reject_commands_for(&mut self, wait: Duration) -> bool {
         let pause = sleep(wait);
         tokio::pin!(pause);
@@ -315,7 +322,7 @@
     client.revoke(key, limit).await
 }
 
-/// Tells a driver that its submit was never sent, so that it certainly did not run.
+/// Notifies a driver that its submit was never sent, so that the request certainly did not run.
 fn reject_submit(events: AttemptSender, code: ResultCode) {
     tokio::task::spawn_local(async move {
         events
--- a/lovagedock-gateway/src/link/receive.rs
+++ b/lovagedock-gateway/src/link/receive.rs
@@ -1,4 +1,4 @@
-//! Frames of answers.
+//! Receives the frames of an answer.
 
 use std::{cell::Cell, rc::Rc};
 
@@ -8,15 +8,15 @@
 
 use super::message::{AttemptEvent, AttemptSender};
 
-/// Passes an answer on to its driver.
+/// Forwards the frames of one answer to its driver.
 pub(super) struct AttemptReceiver {
     events: AttemptSender,
-    /// Whether the end has come.
+    /// Whether the end of the answer was received.
     pub(super) ended: Rc<Cell<bool>>,
 }
 
 impl AttemptReceiver {
-    /// A receiver for one attempt.
+    /// Creates a receiver for one attempt.
     pub(super) fn new(events: AttemptSender) -> Self {
         Self {
             events,
--- a/lovagedock-gateway/src/link/resume.rs
+++ b/lovagedock-gateway/src/link/resume.rs
@@ -1,4 +1,4 @@
-//! The rest of an answer whose session was lost.
+//! Receives the rest of an answer after its session was lost.
 
 use std::{cell::Cell, net::SocketAddr, rc::Rc};
 
@@ -14,22 +14,22 @@
 };
 use crate::connect::PeerConnector;
 
-/// The rest of one answer, on a connection of its own.
+/// Receives the rest of one answer on its own connection.
 pub(super) struct ResumedAnswer {
-    /// How to connect.
+    /// Opens connections.
     pub(super) connector: Rc<dyn PeerConnector>,
     /// How this gateway introduces itself.
     pub(super) identity: PeerIdentity,
     /// Address of the sidecar.
     pub(super) address: SocketAddr,
-    /// Times to keep.
+    /// Intervals and timeouts.
     pub(super) times: LinkTimes,
-    /// Where the answer goes.
+    /// Destination of the answer.
     pub(super) events: AttemptSender,
 }
 
 impl ResumedAnswer {
-    /// Resumes and follows the answer to its end.
+    /// Resumes the answer and receives it until its end.
     pub(super) async fn run(self, key: AttemptKey, offset: u64) {
         let receiver = AttemptReceiver::new(self.events.clone());
         let ended = Rc::clone(&receiver.ended);
@@ -65,7 +65,7 @@
         Ok(found.then_some(client))
     }
 
-    /// Sends heartbeats until the answer ends: this connection may go silent like any other.
+    /// Sends heartbeats until the answer ends: this connection, too, may stop responding.
     async fn send_heartbeats(&self, client: &EndpointClient, key: AttemptKey, ended: &Cell<bool>) {
         let mut sequence = 0;
         while !ended.get() && !self.events.sender.is_closed() {
--- a/lovagedock-gateway/src/main.rs
+++ b/lovagedock-gateway/src/main.rs
@@ -1,4 +1,4 @@
-//! Daemon on the entry hosts.
+//! Gateway daemon on the entry hosts.
 
 use std::process::ExitCode;
 
--- a/lovagedock-gateway/src/orders/call.rs
+++ b/lovagedock-gateway/src/orders/call.rs
@@ -1,4 +1,4 @@
-//! One call to one sidecar, on a connection of its own.
+//! One call to a sidecar, on its own connection.
 
 use std::{cell::RefCell, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -10,13 +10,13 @@
 
 use crate::{connect::PeerConnector, link::LinkTimes};
 
-/// Time that an order may take, waiting for others at the sidecar included.
+/// Time limit of an order, including the time that it waits behind others at the sidecar.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(30 * 60);
 
-/// One call.
+/// One call to a sidecar.
 ///
-/// It does not use the gateway's session to the endpoint: in a large fleet the holder of a pool's
-/// lease has sessions to a part of the pool only.
+/// It does not use the gateway's session to the endpoint. In a large fleet the holder of a pool's
+/// lease has sessions to only a part of the pool.
 pub(crate) struct SidecarCall {
     pub(crate) endpoint: EndpointId,
     pub(crate) address: SocketAddr,
@@ -30,18 +30,19 @@
 }
 
 impl SidecarCall {
-    /// Calls and waits for the end.
+    /// Makes the call and waits for its result.
     pub(crate) async fn run(self) -> OrderAnswer {
         let client = match self.open().await {
             Ok(client) => client,
             Err(error) => {
-                info!(self.log, "no connection for an order";
+                info!(self.log, "cannot connect to a sidecar for an order";
                     "endpoint" => &*self.endpoint, "error" => %error);
                 return unanswered(ResultCode::EndpointUnreachable);
             }
         };
-        // Only now, after this life of the sidecar has answered: opening may have taken longer
-        // than the lease, and a sidecar that has restarted takes the first number that comes.
+        // The fence is checked only after this incarnation of the sidecar has responded. Connecting
+        // may have taken longer than the lease, and a sidecar that has restarted accepts the first
+        // epoch that it receives.
         let fence = self.holder.borrow().fence(self.clock.now());
         if fence != Some(self.message.epoch) {
             return unanswered(ResultCode::StoreUnavailable);
@@ -53,7 +54,7 @@
         match reply {
             Ok(reply) => self.answer(reply),
             Err(error) => {
-                warn!(self.log, "end of an order is not known";
+                warn!(self.log, "result of an order is unknown";
                     "endpoint" => &*self.endpoint, "error" => %error);
                 unanswered(ResultCode::EndpointLost)
             }
@@ -66,14 +67,17 @@
         let client = EndpointClient::new(stream);
         let welcome = client.hello(&self.identity, limit).await?;
         if welcome.name != *self.endpoint {
-            let detail = format!("{} answers for {}", welcome.name, self.endpoint);
+            let detail = format!(
+                "sidecar of {} responded at the address of {}",
+                welcome.name, self.endpoint
+            );
             return Err(WireError::Malformed(detail));
         }
         Ok(client)
     }
 
-    /// Sends heartbeats while the engine loads: the connection may go silent like any other, and
-    /// the sidecar gives up sessions without them.
+    /// Sends an order, and heartbeats while the engine loads. The connection may stop responding
+    /// like any other, and the sidecar closes sessions without heartbeats.
     async fn send_order(&self, client: &EndpointClient) -> Result<OrderReply, WireError> {
         let order = client.order(&self.message, ORDER_TIMEOUT);
         tokio::pin!(order);
--- a/lovagedock-gateway/src/orders/mod.rs
+++ b/lovagedock-gateway/src/orders/mod.rs
@@ -1,8 +1,8 @@
-//! Orders to the engines of the pools whose leases this gateway holds.
+//! Sends orders to the engines of the pools whose leases this gateway holds.
 //!
-//! One thread has a task for each pool that this gateway competes for. A task owns the pool's
-//! [`LeaseHolder`](lovagedock::LeaseHolder) and [`OrderPlanner`](lovagedock::OrderPlanner) and
-//! carries out what they decide. Serving needs none of it.
+//! One thread runs a task for each pool whose lease this gateway competes for. A task owns the
+//! pool's [`LeaseHolder`](lovagedock::LeaseHolder) and [`OrderPlanner`](lovagedock::OrderPlanner)
+//! and executes their decisions. Serving requests does not depend on it.
 
 mod call;
 mod pool;
@@ -29,39 +29,39 @@
 };
 use pool::{PoolParts, PoolTask};
 
-/// Gateways that compete for the lease of one pool: one to hold it and one to take over.
+/// Number of gateways that compete for the lease of a pool: one holds it, the other can take over.
 const CONTENDERS: usize = 2;
-/// Time that a shutdown gives leases back in; one that is not given back lapses.
+/// Time for releasing leases at shutdown; a lease that is not released expires.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What the thread for orders needs.
+/// Dependencies of the order thread.
 pub(crate) struct DispatcherParts {
     /// Configuration and fleet.
     pub(crate) context: GatewayContext,
     /// The platform's store.
     pub(crate) store: Arc<dyn ObjectStore>,
-    /// How to connect to sidecars.
+    /// Opens connections to sidecars.
     pub(crate) connectors: ConnectorFactory,
-    /// Times of sessions.
+    /// Intervals and timeouts of sessions.
     pub(crate) times: LinkTimes,
-    /// How long the lease of a pool lasts.
+    /// Duration of a pool's lease.
     pub(crate) lease: Duration,
-    /// Tells each generation that comes into force.
+    /// Publishes each generation that comes into force.
     pub(crate) adopted: watch::Receiver<Generation>,
-    /// Ends the orders.
+    /// Stops the thread.
     pub(crate) shutdown: ShutdownSignal,
     /// Log.
     pub(crate) log: Logger,
 }
 
-/// The thread that gives orders; it ends when this is dropped.
+/// Handle of the order thread, which ends when the handle is dropped.
 pub(crate) struct OrderDispatcher {
     status_table: OrderStatusTable,
     _stop: watch::Sender<()>,
 }
 
 impl OrderDispatcher {
-    /// Starts the thread; must be called on a runtime, which carries the store calls.
+    /// Starts the thread. Must be called on a runtime, which executes the store calls.
     pub(crate) fn start(parts: DispatcherParts) -> io::Result<Self> {
         let (stop, stopped) = watch::channel(());
         let status_table = OrderStatusTable::default();
@@ -80,13 +80,13 @@
         })
     }
 
-    /// What operators see of the orders.
+    /// Status of the orders, for operators.
     pub(crate) fn status_table(&self) -> OrderStatusTable {
         self.status_table.clone()
     }
 }
 
-/// A pool's task; it gives its lease back when the sender is dropped.
+/// The task of a pool; it releases its lease when the sender is dropped.
 struct RunningPool {
     configs: mpsc::UnboundedSender<Arc<ActiveConfig>>,
     task: JoinHandle<()>,
@@ -104,7 +104,7 @@
         let runtime = match runtime::Builder::new_current_thread().enable_all().build() {
             Ok(runtime) => runtime,
             Err(error) => {
-                warn!(self.parts.log, "no runtime for orders"; "error" => %error);
+                warn!(self.parts.log, "cannot create the runtime for orders"; "error" => %error);
                 return;
             }
         };
@@ -133,11 +133,11 @@
             drop(pool.configs);
             pool.task
         });
-        // What takes longer lapses by itself.
+        // A lease that is not released in time expires.
         let _late = timeout(RELEASE_TIMEOUT, join_all(ending)).await;
     }
 
-    /// Starts and ends tasks so that each pool that this gateway competes for has one.
+    /// Starts and stops tasks so that each pool that this gateway competes for has one.
     fn assign(&mut self) {
         let active = self.parts.context.config.load_full();
         let own_pools: Vec<&PoolSpec> = active
@@ -153,7 +153,7 @@
                 let running = self.start_pool(&pool.id);
                 self.pools.insert(pool.id.clone(), running);
             }
-            // The task ends only when this sender is dropped.
+            // The task ends only when its sender is dropped.
             let _running = self.pools[&pool.id].configs.send(Arc::clone(&active));
         }
     }
--- a/lovagedock-gateway/src/orders/pool.rs
+++ b/lovagedock-gateway/src/orders/pool.rs
@@ -1,4 +1,4 @@
-//! The task that holds one pool's lease and gives its orders.
+//! The task that holds one pool's lease and sends its orders.
 
 use std::{
     cell::RefCell, collections::HashMap, net::SocketAddr, rc::Rc, sync::Arc, time::Duration,
@@ -22,15 +22,15 @@
     store_calls,
 };
 
-/// Longest sleep between looks at the wake times.
+/// Maximum sleep before the wake times are checked again.
 const MAX_SLEEP: Duration = Duration::from_secs(3_600);
 
-/// What a pool's task needs.
+/// Dependencies of a pool's task.
 pub(super) struct PoolParts {
     pub(super) pool: PoolId,
     pub(super) context: GatewayContext,
     pub(super) store: Arc<dyn ObjectStore>,
-    /// Runtime of the store's connections, which other parts of the gateway share.
+    /// Runtime of the store's connections, which are shared with other parts of the gateway.
     pub(super) store_runtime: Handle,
     pub(super) connector: Rc<dyn PeerConnector>,
     pub(super) times: LinkTimes,
@@ -57,7 +57,7 @@
 }
 
 impl PoolTask {
-    /// A task that has no configuration yet.
+    /// Creates a task without a configuration.
     pub(super) fn new(parts: PoolParts) -> Self {
         let limits = LeaseLimits {
             duration: parts.lease,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Runs until the sender of configurations is dropped, then gives the lease back.
+    /// Runs until the sender of configurations is dropped, then releases the lease.
     pub(super) async fn run(mut self, mut configs: mpsc::UnboundedReceiver<Arc<ActiveConfig>>) {
         self.handle_lease_event(LeaseEvent::Want);
         loop {
@@ -173,7 +173,7 @@
                 let calling = store_call(Arc::clone(&self.parts.store), call);
                 self.parts.store_runtime.spawn(async move {
                     if let Some(event) = calling.await {
-                        // The task has ended when nobody hears this.
+                        // The send fails only if the task has ended.
                         let _ended = sender.send(PoolEvent::Lease(event));
                     }
                 });
@@ -204,7 +204,8 @@
         order: Option<LoadOrder>,
     ) {
         let Some(address) = self.addresses.get(&endpoint).copied() else {
-            // The planner knows the endpoints of the configuration that the addresses are from.
+            // Cannot happen: the planner's endpoints and the addresses come from the same
+            // configuration.
             return;
         };
         let context = &self.parts.context;
@@ -241,21 +242,22 @@
         });
     }
 
-    /// The other contender's next look finds the lease free, instead of a renewal to wait out.
+    /// Releases the lease, so that the other contender finds it free at its next read and does not
+    /// have to wait for it to expire.
     async fn release_lease(&mut self) {
         let now = self.parts.context.clock.now();
         let actions = self.holder.borrow_mut().handle(now, LeaseEvent::Release);
         for action in actions {
             if matches!(action, LeaseAction::Write { .. }) {
                 let calling = store_call(Arc::clone(&self.parts.store), action);
-                // If it fails the lease lapses.
+                // If the write fails, the lease expires.
                 let _lapses = self.parts.store_runtime.spawn(calling).await;
             }
         }
     }
 }
 
-/// Carries a store call out; `None` for other actions.
+/// Executes a store call; `None` for other actions.
 async fn store_call(store: Arc<dyn ObjectStore>, action: LeaseAction) -> Option<LeaseEvent> {
     let purpose = CallPurpose::Lease;
     match action {
--- a/lovagedock-gateway/src/orders/status_table.rs
+++ b/lovagedock-gateway/src/orders/status_table.rs
@@ -1,4 +1,4 @@
-//! What operators see of leases and orders.
+//! Status of leases and orders, for operators.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -6,16 +6,16 @@
 use parking_lot::Mutex;
 use serde::Serialize;
 
-/// Lease and orders of one pool.
+/// Status of the lease and the orders of one pool.
 #[derive(Clone, Serialize)]
 pub(crate) struct PoolOrderStatus {
     /// The lease, as this gateway sees it.
     pub(crate) lease: LeaseStatus,
-    /// What engines have to load; absent before a configuration.
+    /// Status of the orders; absent before the first configuration.
     pub(crate) orders: Option<OrderStatus>,
 }
 
-/// The pools that this gateway competes for; cheap to clone.
+/// Status of each pool whose lease this gateway competes for; cheap to clone.
 #[derive(Clone, Default)]
 pub(crate) struct OrderStatusTable {
     pools: Arc<Mutex<BTreeMap<PoolId, PoolOrderStatus>>>,
@@ -30,7 +30,7 @@
         self.pools.lock().remove(pool);
     }
 
-    /// Copy of everything.
+    /// A copy of all entries.
     pub(crate) fn pools(&self) -> BTreeMap<PoolId, PoolOrderStatus> {
         self.pools.lock().clone()
     }
--- a/lovagedock-gateway/src/peers/clients.rs
+++ b/lovagedock-gateway/src/peers/clients.rs
@@ -1,4 +1,4 @@
-//! Sessions to other gateways, opened when they are needed.
+//! Sessions to other gateways, opened on demand.
 
 use std::{cell::RefCell, collections::HashMap, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -10,10 +10,10 @@
     connect::PeerConnector, context::GatewayContext, limits::OrganisationLimiter, relay::seed_name,
 };
 
-/// A session is replaced after this time: the other end closes its side after twice as long.
+/// Age at which a session is replaced. The other end closes it at twice this age.
 const MAX_CLIENT_AGE: Duration = Duration::from_secs(30);
 
-/// Sessions that this gateway opened; lives on the peers' thread.
+/// Sessions that this gateway opened; used on the peer thread only.
 pub(crate) struct PeerClients {
     context: GatewayContext,
     limits: OrganisationLimiter,
@@ -30,7 +30,7 @@
 }
 
 impl PeerClients {
-    /// No session yet; `seeds` can be called by their address.
+    /// Creates a table without sessions. The peers in `seeds` are named by their addresses.
     pub(crate) fn new(
         context: GatewayContext,
         limits: OrganisationLimiter,
@@ -47,10 +47,10 @@
         }
     }
 
-    /// Makes a call over the session to a peer.
+    /// Makes a call on the session to a peer, which is opened if necessary.
     ///
-    /// A session may have gone silent for good while new ones work. The call then fails by its
-    /// time limit, and giving the session up makes the repeat go over another.
+    /// A session may have stopped responding while new ones work. The call then fails with a
+    /// timeout, and the session is discarded so that a retry opens another.
     pub(crate) async fn call<T>(
         &self,
         peer: &ProcessId,
--- a/lovagedock-gateway/src/peers/mod.rs
+++ b/lovagedock-gateway/src/peers/mod.rs
@@ -1,4 +1,4 @@
-//! Sessions between gateways: configuration and use of limits go from peer to peer.
+//! Sessions between gateways, which exchange configurations, usage of limits and suspects.
 
 mod clients;
 mod session;
@@ -32,37 +32,38 @@
 };
 use session::PeerSession;
 
-/// Pause after an accept that failed, since such errors repeat at once until files are closed.
+/// Delay after a failed accept. Errors such as too many open files repeat at once until files are
+/// closed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Longest life of a session that another gateway opened. One whose other end vanished without a
-/// word is gone after it; a gateway that lives opens another.
+/// Maximum age of a session that another gateway opened. It removes sessions whose other end
+/// disappeared without closing them; a running gateway opens a new session.
 const MAX_SESSION_AGE: Duration = Duration::from_secs(60);
-/// Time for one call.
+/// Timeout of one call.
 pub(crate) const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What the thread for peers needs.
+/// Dependencies of the peer thread.
 pub(crate) struct PeerWorker {
     /// Configuration and fleet.
     pub(crate) context: GatewayContext,
-    /// Where configurations come into force.
+    /// Puts configurations in force.
     pub(crate) adopter: Arc<ConfigAdopter>,
-    /// How to connect to peers.
+    /// Opens connections to peers.
     pub(crate) connectors: ConnectorFactory,
-    /// How peers connect here.
+    /// Accepts connections of peers.
     pub(crate) transport: Transport,
-    /// Limits of organisations.
+    /// Usage limits of organisations.
     pub(crate) limits: OrganisationLimiter,
-    /// Requests that end engines.
+    /// Requests under which engines ended.
     pub(crate) suspects: SuspectTracker,
-    /// Gateways to ask before there is a configuration.
+    /// Gateways to ask while no configuration is in force.
     pub(crate) seeds: Vec<SocketAddr>,
-    /// Takes the relay's store calls.
+    /// Requests of the relay to the store.
     pub(crate) store_requests: UnboundedSender<StoreRequest>,
     /// Log.
     pub(crate) log: Logger,
 }
 
-/// What the tasks on the thread share.
+/// State that the tasks on the peer thread share.
 struct PeerExchange {
     worker: PeerWorker,
     clients: Rc<PeerClients>,
@@ -70,8 +71,8 @@
 }
 
 impl PeerWorker {
-    /// Serves peers and exchanges configuration until `stop` is dropped; `events` are the ends of
-    /// the store calls.
+    /// Serves peers and exchanges configurations until `stop` is dropped; `events` are the results
+    /// of the store requests.
     pub(crate) fn start(
         self,
         listener: std::net::TcpListener,
@@ -94,7 +95,7 @@
         let runtime = match runtime::Builder::new_current_thread().enable_all().build() {
             Ok(runtime) => runtime,
             Err(error) => {
-                warn!(self.log, "no runtime for peers"; "error" => %error);
+                warn!(self.log, "cannot create the runtime for peers"; "error" => %error);
                 return;
             }
         };
@@ -154,7 +155,7 @@
                     });
                 }
                 Err(error) => {
-                    warn!(log, "cannot accept a peer"; "error" => %error);
+                    warn!(log, "cannot accept a peer's connection"; "error" => %error);
                     sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
@@ -176,7 +177,8 @@
         }
     }
 
-    /// Tells the other gateways what organisations use here, so that limits hold over all.
+    /// Sends the usage of organisations at this gateway to the others, so that limits apply across
+    /// all gateways.
     async fn exchange_usage(self: Rc<Self>) {
         let mut ticks = interval(exchange_interval());
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -188,7 +190,7 @@
                 spawn_local(async move {
                     let peer = report.peer.clone();
                     if let Err(error) = exchange.send_usage(report).await {
-                        debug!(exchange.worker.log, "no exchange with a peer";
+                        debug!(exchange.worker.log, "usage exchange with a peer failed";
                             "peer" => &*peer, "error" => %error);
                     }
                 });
@@ -196,7 +198,7 @@
         }
     }
 
-    /// Tells the other gateways of requests that end engines, so that each is stopped everywhere.
+    /// Sends suspects to the other gateways, so that every gateway quarantines them.
     async fn send_suspects(self: Rc<Self>) {
         let mut ticks = interval(SUSPECT_SEND_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -217,7 +219,7 @@
                     let call =
                         async |client: &PeerClient| client.suspects(&updates, CALL_TIMEOUT).await;
                     if let Err(error) = exchange.clients.call(&peer, call).await {
-                        debug!(exchange.worker.log, "a peer was not told of suspects";
+                        debug!(exchange.worker.log, "cannot send suspects to a peer";
                             "peer" => &*peer, "error" => %error);
                     }
                 });
--- a/lovagedock-gateway/src/peers/session.rs
+++ b/lovagedock-gateway/src/peers/session.rs
@@ -1,4 +1,4 @@
-//! What this gateway does with the calls of another one.
+//! Handles the calls of another gateway.
 
 use std::{cell::RefCell, rc::Rc};
 
@@ -17,12 +17,12 @@
     limits: OrganisationLimiter,
     suspects: SuspectTracker,
     relay: Rc<ConfigRelay>,
-    /// Who is at the other end, once it has said so.
+    /// Name of the gateway at the other end, once it has introduced itself.
     peer: RefCell<Option<GatewayId>>,
 }
 
 impl PeerSession {
-    /// A session of a gateway that has not introduced itself.
+    /// Creates a session of a gateway that has not introduced itself.
     pub(super) fn new(
         context: GatewayContext,
         limits: OrganisationLimiter,
--- a/lovagedock-gateway/src/recorded.rs
+++ b/lovagedock-gateway/src/recorded.rs
@@ -1,4 +1,4 @@
-//! The form in which the answer of a keyed request is kept in the store.
+//! Stored form of the answer to a request with an idempotency key.
 
 use bytes::Bytes;
 use lovagedock::prelude::RequestId;
@@ -7,10 +7,10 @@
 
 use crate::front::{PROBLEM_TYPE, RequestProblem};
 
-/// Headers that belong to one delivery, not to the answer.
+/// Headers that belong to one delivery of the answer and are not recorded.
 const NOT_RECORDED: &[&str] = &["connection", "content-length", "date", "transfer-encoding"];
 
-/// An answer as each delivery of it reads.
+/// A recorded answer, from which each delivery is made.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct RecordedAnswer {
     status: u16,
@@ -25,7 +25,7 @@
 }
 
 impl RecordedAnswer {
-    /// An answer that ended cleanly.
+    /// Creates the record of an answer that ended cleanly.
     pub(crate) fn new(head: &AnswerHead, body: Vec<u8>) -> Self {
         let headers = head.headers.iter();
         let headers = headers.filter(|field| !NOT_RECORDED.contains(&field.name.as_str()));
@@ -41,7 +41,7 @@
         }
     }
 
-    /// A failure of a request that ran or may have run.
+    /// Creates the record of the failure of a request that ran or may have run.
     pub(crate) fn failure(problem: &RequestProblem, id: RequestId) -> Self {
         let content_type = RecordedHeader {
             name: "content-type".to_owned(),
@@ -54,17 +54,17 @@
         }
     }
 
-    /// The bytes for the store.
+    /// Encodes the answer for the store.
     pub(crate) fn encode(&self) -> Result<Bytes, postcard::Error> {
         postcard::to_stdvec(self).map(Bytes::from)
     }
 
-    /// Reads what [`RecordedAnswer::encode`] wrote.
+    /// Decodes the bytes that [`RecordedAnswer::encode`] returned.
     pub(crate) fn decode(bytes: &[u8]) -> Result<Self, postcard::Error> {
         postcard::from_bytes(bytes)
     }
 
-    /// Head and body for a delivery.
+    /// Head and body of a delivery.
     pub(crate) fn into_parts(self) -> (AnswerHead, Bytes) {
         let headers = self.headers.into_iter();
         let head = AnswerHead {
--- a/lovagedock-gateway/src/relay/mod.rs
+++ b/lovagedock-gateway/src/relay/mod.rs
@@ -1,4 +1,4 @@
-//! Configuration relay: carries out what [`AdoptionState`] decides.
+//! Configuration relay: executes the decisions of [`AdoptionState`].
 
 mod role;
 mod store;
@@ -39,23 +39,23 @@
 /// Shortest sleep before a tick; timers have a resolution of a millisecond.
 const MIN_SLEEP: Duration = Duration::from_millis(1);
 
-/// What the relay works with.
+/// Dependencies of the relay.
 pub(crate) struct RelayParts {
     /// Configuration and fleet.
     pub(crate) context: GatewayContext,
-    /// Where configurations come into force.
+    /// Puts configurations in force.
     pub(crate) adopter: Arc<ConfigAdopter>,
     /// Sessions to other gateways.
     pub(crate) clients: Rc<PeerClients>,
-    /// Gateways to ask before there is a configuration.
+    /// Gateways to ask while no configuration is in force.
     pub(crate) seeds: Vec<SocketAddr>,
-    /// Takes store calls; their ends come as events.
+    /// Requests to the store; their results arrive as events.
     pub(crate) store_requests: UnboundedSender<StoreRequest>,
     /// Log.
     pub(crate) log: Logger,
 }
 
-/// The relay of one gateway; lives on the peers' thread.
+/// The relay of one gateway; runs on the peer thread.
 pub(crate) struct ConfigRelay {
     parts: RelayParts,
     state: RefCell<AdoptionState>,
@@ -65,7 +65,7 @@
 }
 
 impl ConfigRelay {
-    /// A relay with nothing in force.
+    /// Creates a relay without a configuration.
     pub(crate) fn new(parts: RelayParts) -> Self {
         let seed = parts.context.incarnation;
         Self {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Takes events and ticks; never ends.
+    /// Handles events and ticks; never returns.
     pub(crate) async fn run(self: Rc<Self>, mut events: UnboundedReceiver<AdoptionEvent>) {
         self.update_role();
         loop {
@@ -89,7 +89,8 @@
         }
     }
 
-    /// Takes what a peer pushed; returns what is here then.
+    /// Handles a configuration that a peer pushed; returns the generation that this gateway has
+    /// afterwards.
     pub(crate) fn handle_push(
         self: &Rc<Self>,
         from: ProcessId,
@@ -99,12 +100,12 @@
         self.state.borrow().generation()
     }
 
-    /// Takes note of what a peer has.
+    /// Records the generation that a peer has.
     pub(crate) fn record_peer_generation(self: &Rc<Self>, from: ProcessId, generation: Generation) {
         self.handle_event(AdoptionEvent::PeerReported { from, generation });
     }
 
-    /// Tells a peer at `above` what it lacks.
+    /// Answers the pull of a peer that has generation `above`.
     pub(crate) fn answer_pull(&self, above: Generation) -> PullAnswer {
         self.state.borrow().answer_pull(above)
     }
@@ -144,12 +145,12 @@
             AdoptionAction::Adopt {
                 generation, source, ..
             } => {
-                info!(self.parts.log, "newer configuration";
+                info!(self.parts.log, "newer configuration received";
                     "generation" => generation, "source" => format!("{source:?}"));
                 self.apply_config(generation);
             }
             AdoptionAction::Rejected { from, error } => {
-                warn!(self.parts.log, "configuration of a peer not taken";
+                warn!(self.parts.log, "configuration from a peer rejected";
                     "peer" => &*from, "error" => format!("{error:?}"));
             }
             AdoptionAction::WakeAt(at) => {
@@ -160,12 +161,15 @@
     }
 
     fn send_store_request(&self, request: StoreRequest) {
-        // The reader ends only with the gateway.
+        // The send fails only if the gateway is stopping.
         let _gone = self.parts.store_requests.send(request);
     }
 
-    /// A configuration that this gateway is too old to read is kept for the peers, since newer
-    /// ones below it in the tree depend on it; requests go on under the one in force.
+    /// Puts the received configuration in force.
+    ///
+    /// A configuration that this gateway is too old to parse is still kept for the peers, since
+    /// newer gateways below it in the relay tree depend on it. Requests continue under the
+    /// configuration in force.
     fn apply_config(&self, generation: Generation) {
         let Some(text) = self.state.borrow().text() else {
             return;
@@ -215,7 +219,7 @@
         let event = match self.parts.clients.call(&to, call).await {
             Ok(generation) => AdoptionEvent::PushAnswered { to, generation },
             Err(error) => {
-                debug!(self.parts.log, "no push to a peer"; "peer" => &*to, "error" => %error);
+                debug!(self.parts.log, "push to a peer failed"; "peer" => &*to, "error" => %error);
                 AdoptionEvent::PushFailed { to }
             }
         };
@@ -225,7 +229,7 @@
     async fn offer(self: Rc<Self>, to: ProcessId, generation: Generation) {
         let call = async |client: &PeerClient| client.offer(generation, CALL_TIMEOUT).await;
         if let Err(error) = self.parts.clients.call(&to, call).await {
-            debug!(self.parts.log, "no offer to a peer"; "peer" => &*to, "error" => %error);
+            debug!(self.parts.log, "offer to a peer failed"; "peer" => &*to, "error" => %error);
         }
     }
 
@@ -233,7 +237,7 @@
         let call = async |client: &PeerClient| client.pull(above, CALL_TIMEOUT).await;
         let answer = self.parts.clients.call(&from, call).await;
         if let Err(error) = &answer {
-            debug!(self.parts.log, "no answer from a peer"; "peer" => &*from, "error" => %error);
+            debug!(self.parts.log, "pull from a peer failed"; "peer" => &*from, "error" => %error);
         }
         let answer = answer.ok();
         self.handle_event(AdoptionEvent::Pulled { from, answer });
--- a/lovagedock-gateway/src/relay/role.rs
+++ b/lovagedock-gateway/src/relay/role.rs
@@ -1,4 +1,4 @@
-//! What the relay asks of this gateway under a configuration.
+//! Determines the relay role of this gateway under a configuration.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -8,18 +8,20 @@
 
 use crate::adopt::region_of;
 
-/// The role of a gateway; peers that the settings name count while no configuration names any.
+/// The role of a gateway. While no configuration names gateways, the seed peers of the settings are
+/// used.
 pub(crate) fn relay_role(config: &FleetConfig, own: &GatewayId, seeds: &[SocketAddr]) -> RelayRole {
     if config.gateways.is_empty() {
         return RelayRole {
-            // Without a peer to ask, the store is the only source.
+            // Without a seed peer the store is the only source.
             watches: seeds.is_empty(),
             peers: seeds.iter().map(seed_name).collect(),
             ..RelayRole::default()
         };
     }
     if config.gateways.iter().all(|gateway| gateway.id != *own) {
-        // Nobody pushes to a gateway that the configuration does not name; it compares itself.
+        // No peer pushes to a gateway that the configuration does not name. It has to compare
+        // generations with the peers itself.
         return RelayRole {
             peers: config.gateways.iter().map(|g| g.id.clone()).collect(),
             ..RelayRole::default()
@@ -36,7 +38,7 @@
     RelayPlan::new(&members, &RelayLimits::default()).role_of(own)
 }
 
-/// What a peer is called of which only the address is known.
+/// Name of a peer of which only the address is known.
 pub(crate) fn seed_name(address: &SocketAddr) -> ProcessId {
     Arc::from(address.to_string())
 }
--- a/lovagedock-gateway/src/relay/store.rs
+++ b/lovagedock-gateway/src/relay/store.rs
@@ -1,4 +1,4 @@
-//! Reads and watches of the accepted configuration in the store.
+//! Reads and watches the accepted configuration in the store.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,17 +12,17 @@
     task::JoinSet,
 };
 
-/// Time that a watch of the store waits for a change.
+/// Time that a watch request waits for a change.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What the relay wants from the store.
+/// A request of the relay to the store.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum StoreRequest {
     /// Read the root.
     ReadRoot,
-    /// Wait for a root above a generation.
+    /// Wait for a root with a newer generation.
     WatchRoot {
-        /// The generation.
+        /// The generation to exceed.
         above: Generation,
     },
     /// Read a chunk.
@@ -32,14 +32,14 @@
     },
 }
 
-/// Carries out the relay's store calls.
+/// Executes the relay's store requests.
 pub(crate) struct StoreReader {
     config: ConfigStore,
     last_read: Mutex<LastRead>,
     log: Logger,
 }
 
-/// The root that was read last.
+/// Revision and generation of the root that was read last.
 #[derive(Clone, Copy, Default)]
 struct LastRead {
     revision: Revision,
@@ -47,7 +47,7 @@
 }
 
 impl StoreReader {
-    /// A reader that has read nothing.
+    /// Creates a reader that has read nothing.
     pub(crate) fn new(config: ConfigStore, log: Logger) -> Self {
         Self {
             config,
@@ -56,7 +56,8 @@
         }
     }
 
-    /// Carries out orders until their sender is gone; calls under way end with the returned future.
+    /// Executes requests until their sender is dropped. Pending calls are aborted when the returned
+    /// future ends or is dropped.
     pub(crate) async fn run(
         self,
         mut requests: UnboundedReceiver<StoreRequest>,
@@ -70,7 +71,7 @@
             let events = events.clone();
             calls.spawn(async move {
                 let event = reader.execute(request).await;
-                // A relay that has gone needs no answer.
+                // The send fails only if the relay has ended; it then needs no result.
                 let _gone = events.send(event);
             });
         }
@@ -94,7 +95,7 @@
             Ok(Some(versioned)) => self.record_root(&versioned),
             Ok(None) => RootOutcome::Unchanged,
             Err(error) => {
-                debug!(self.log, "no configuration from the store"; "error" => %error);
+                debug!(self.log, "cannot read the configuration from the store"; "error" => %error);
                 RootOutcome::Unavailable
             }
         }
@@ -102,16 +103,18 @@
 
     async fn watch_root(&self, above: Generation) -> RootOutcome {
         let last_read = *self.last_read.lock();
-        // The chunks of this root could not be read at first: its next write may be hours away.
+        // The chunks of this root could not be read before. Its next write may be hours away, so it
+        // is read again instead of watched.
         if last_read.generation > above {
             return self.read_root().await;
         }
         let watch = self.config.watch_root(last_read.revision, WATCH_TIMEOUT);
         match watch.await {
             Ok(change) if change.revision < last_read.revision => {
-                // The store came back from an older copy and gives its revisions out again: a root that
-                // is written now would not be told as a change after the old one. What the root says is
-                // for the relay to judge, which never goes back a generation.
+                // The store was restored from an older copy and assigns the same revisions again.
+                // A watch from the old revision would not report a root that is written now. The
+                // relay decides about the content of the root; it never returns to an older
+                // generation.
                 warn!(self.log, "store came back from an older copy";
                     "revision" => change.revision, "before" => last_read.revision);
                 self.last_read.lock().revision = change.revision;
@@ -126,7 +129,7 @@
                 outcome
             }
             Err(error) => {
-                debug!(self.log, "no watch of the store"; "error" => %error);
+                debug!(self.log, "cannot watch the store"; "error" => %error);
                 RootOutcome::Unavailable
             }
         }
@@ -136,7 +139,7 @@
         let Some(manifest) = versioned.root.manifest() else {
             warn!(
                 self.log,
-                "the configuration's root names a chunk by no hash"
+                "the configuration root has a malformed chunk hash"
             );
             return RootOutcome::Unavailable;
         };
@@ -151,7 +154,7 @@
         match self.config.read_chunk_bytes(&chunk_name(hash)).await {
             Ok(bytes) => Some(bytes),
             Err(error) => {
-                debug!(self.log, "no chunk from the store"; "error" => %error);
+                debug!(self.log, "cannot read a chunk from the store"; "error" => %error);
                 None
             }
         }
--- a/lovagedock-gateway/src/settings.rs
+++ b/lovagedock-gateway/src/settings.rs
@@ -8,10 +8,10 @@
 
 use crate::link::LinkTimes;
 
-/// Below this, calls to the store take up the lease.
+/// Minimum duration of a lease; store calls would take up a shorter one.
 const MIN_LEASE_MS: u64 = 500;
 
-/// What a gateway is told when it starts; everything else is in the configuration.
+/// Settings that a gateway reads when it starts; everything else is in the configuration.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GatewaySettings {
@@ -19,23 +19,23 @@
     pub name: GatewayId,
     /// Failure domain of its host.
     pub failure_domain: DomainId,
-    /// Where callers connect.
+    /// Listener for callers.
     pub callers: ListenerSettings,
-    /// Where other gateways connect.
+    /// Listener for other gateways.
     pub peers: ListenerSettings,
-    /// How to reach sidecars and other gateways.
+    /// Sessions to sidecars and other gateways.
     pub links: LinkSettings,
-    /// Gateways to ask for a configuration while the platform's store is out of reach.
+    /// Gateways to ask for a configuration while the platform's store is unreachable.
     #[serde(default)]
     pub seed_peers: Vec<SocketAddr>,
-    /// Where operators connect.
+    /// Administration interface for operators.
     pub admin: AdminSettings,
-    /// The platform.
+    /// Connection to the platform.
     pub platform: PlatformSettings,
-    /// Log.
+    /// Logging.
     #[serde(default)]
     pub log: LogSettings,
-    /// Limits towards callers.
+    /// Limits for callers.
     #[serde(default)]
     pub limits: CallerLimits,
     /// Orders to engines.
@@ -75,17 +75,17 @@
     }
 }
 
-/// An address to listen on, and how.
+/// A listening address and its transport.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListenerSettings {
-    /// Address; port 0 takes any free port.
+    /// Address; port 0 selects any free port.
     pub address: SocketAddr,
     /// TLS, or plain TCP where that is asked for.
     pub transport: TransportSettings,
 }
 
-/// How sessions to sidecars and other gateways are kept.
+/// Settings of the sessions to sidecars and other gateways.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LinkSettings {
@@ -97,7 +97,7 @@
     /// Time between heartbeats, in milliseconds.
     #[serde(default = "default_heartbeat_ms")]
     pub heartbeat_ms: u64,
-    /// A session without an answer for this long is given up, in milliseconds.
+    /// A session without a response for this long is closed, in milliseconds.
     #[serde(default = "default_silence_ms")]
     pub silence_ms: u64,
     /// Time between attempts to connect, in milliseconds.
@@ -115,25 +115,25 @@
     }
 }
 
-/// Where the platform is.
+/// Location of the platform.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSettings {
-    /// Base of its HTTP API, such as `http://10.0.0.1:8080`.
+    /// Base URL of its HTTP API, such as `http://10.0.0.1:8080`.
     pub base: String,
 }
 
-/// How orders to engines are given.
+/// Settings of the orders to engines.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct OrderSettings {
-    /// How long the lease of a pool lasts without renewal, in milliseconds; the holder calls the
-    /// store three times in it. Orders can wait longer than requests, so it is long.
+    /// Duration of a pool's lease without renewal, in milliseconds. The holder calls the store
+    /// three times in it. The duration is long because orders can wait longer than requests.
     pub lease_ms: u64,
 }
 
 impl OrderSettings {
-    /// How long the lease of a pool lasts without renewal.
+    /// Duration of a pool's lease without renewal.
     pub fn lease(&self) -> Duration {
         Duration::from_millis(self.lease_ms)
     }
@@ -145,33 +145,33 @@
     }
 }
 
-/// Limits towards callers.
+/// Limits for callers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CallerLimits {
-    /// Open connections.
+    /// Maximum number of open connections.
     pub connections: usize,
-    /// Requests in flight.
+    /// Maximum number of requests in flight.
     pub streams: usize,
-    /// Bytes of all headers of a request.
+    /// Maximum size of all headers of a request, in bytes.
     pub header_bytes: usize,
-    /// Bytes of the body of a request.
+    /// Maximum size of the body of a request, in bytes.
     pub body_bytes: usize,
-    /// Time to read the headers of a request, in milliseconds.
+    /// Time limit for reading the headers of a request, in milliseconds.
     pub header_ms: u64,
-    /// Time to read the body of a request, in milliseconds.
+    /// Time limit for reading the body of a request, in milliseconds.
     pub body_ms: u64,
     /// Time that a shutdown waits for requests in flight, in milliseconds.
     pub drain_ms: u64,
 }
 
 impl CallerLimits {
-    /// Time to read the headers of a request.
+    /// Time limit for reading the headers of a request.
     pub fn header_time(&self) -> Duration {
         Duration::from_millis(self.header_ms)
     }
 
-    /// Time to read the body of a request.
+    /// Time limit for reading the body of a request.
     pub fn body_time(&self) -> Duration {
         Duration::from_millis(self.body_ms)
     }
--- a/lovagedock-gateway/src/shared.rs
+++ b/lovagedock-gateway/src/shared.rs
@@ -1,4 +1,4 @@
-//! What request drivers share beside the context.
+//! State that request drivers share in addition to the context.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -12,29 +12,29 @@
     suspects::SuspectTracker, trail::RequestTrails,
 };
 
-/// Shared by all drivers of a gateway; cheap to clone.
+/// State shared by all request drivers of a gateway; cheap to clone.
 ///
-/// Lock order: the retry budgets and the trail book are leaves.
+/// Lock order: the retry budgets and the request trails are leaves.
 #[derive(Clone)]
 pub(crate) struct GatewayShared {
     /// Configuration, fleet, clock.
     pub(crate) context: GatewayContext,
-    /// What was decided about recent requests.
+    /// Decisions about recent requests.
     pub(crate) trails: RequestTrails,
     /// Claims of idempotency keys.
     pub(crate) claims: ClaimCoordinator,
-    /// Limits of organisations.
+    /// Usage limits of organisations.
     pub(crate) limits: OrganisationLimiter,
-    /// Requests that end engines.
+    /// Requests under which engines ended.
     pub(crate) suspects: SuspectTracker,
-    /// Tells that the gateway drains.
+    /// Signals that the gateway drains.
     pub(crate) shutdown: ShutdownSignal,
     drain_time: Duration,
     budgets: Arc<Mutex<HashMap<ServiceId, RetryBudget>>>,
 }
 
 impl GatewayShared {
-    /// Shared state of a gateway that has served nothing yet.
+    /// Creates the shared state of a gateway that has not served any request.
     pub(crate) fn new(
         context: GatewayContext,
         claims: ClaimCoordinator,
@@ -53,26 +53,27 @@
         }
     }
 
-    /// Sets what tells that the gateway drains, and how long requests in flight get then.
+    /// Sets the drain signal and the time that requests in flight have after it.
     pub(crate) fn with_shutdown(mut self, shutdown: ShutdownSignal, drain_time: Duration) -> Self {
         self.shutdown = shutdown;
         self.drain_time = drain_time;
         self
     }
 
-    /// Time that requests in flight still get; all of the drain time while the gateway serves.
+    /// Remaining time for requests in flight; the full drain time while the gateway is not
+    /// draining.
     pub(crate) fn remaining_drain_time(&self) -> Duration {
         self.drain_time
             .saturating_sub(self.shutdown.time_since_trigger())
     }
 
-    /// Ends when the gateway drains and its requests have no time left.
+    /// Returns when the gateway drains and the drain time is over.
     pub(crate) async fn drain_expired(&self) {
         self.shutdown.wait().await;
         sleep(self.remaining_drain_time()).await;
     }
 
-    /// A deadline, or the end of the drain if the gateway drains and that comes first.
+    /// The deadline, or the end of the drain if the gateway drains and that is earlier.
     pub(crate) fn limit_to_drain(&self, deadline: Timestamp) -> Timestamp {
         if !self.shutdown.is_triggered() {
             return deadline;
@@ -81,9 +82,10 @@
         deadline.min(self.context.clock.now() + left)
     }
 
-    /// Whether a request that ends now, in vain and before its deadline, ends with the drain.
+    /// Whether a request that fails now, before its deadline, was cut by the end of the drain.
     ///
-    /// A sidecar gives up a little earlier than its gateway, so that its word arrives in time.
+    /// A sidecar ends a request a little earlier than its gateway, so that its result arrives in
+    /// time.
     pub(crate) fn is_cut_by_drain(&self, deadline: Timestamp) -> bool {
         let margin = RequestTiming::default().answer_margin;
         self.shutdown.is_triggered()
@@ -91,12 +93,12 @@
             && self.context.clock.now() + margin < deadline
     }
 
-    /// Takes a retry from the service's budget, if there is one.
+    /// Consumes a retry from the service's budget; false if none is left.
     pub(crate) fn consume_retry(&self, service: &ServiceId, now: Timestamp) -> bool {
         self.with_budget(service, now, |budget| budget.try_consume(now))
     }
 
-    /// Counts a request that completed.
+    /// Records a completed request in the service's retry budget.
     pub(crate) fn record_success(&self, service: &ServiceId, now: Timestamp) {
         self.with_budget(service, now, |budget| budget.record_success(now));
     }
--- a/lovagedock-gateway/src/sources.rs
+++ b/lovagedock-gateway/src/sources.rs
@@ -1,4 +1,4 @@
-//! Where configurations and the list of leaving hosts come from.
+//! Sources of configurations and of the list of leaving hosts.
 
 use std::{io, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -20,34 +20,34 @@
 
 /// Time between ticks of the outlier detectors.
 const OUTLIER_INTERVAL: Duration = Duration::from_millis(500);
-/// Time between readings of the platform's host list.
+/// Time between reads of the platform's host list.
 const HOSTS_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The platform as a gateway uses it.
+/// Clients for the platform's interfaces.
 pub(crate) struct PlatformClients {
-    /// The object store, within the process's budget.
+    /// The object store, limited by the process's budget.
     pub(crate) store: Arc<dyn ObjectStore>,
     /// The list of hosts.
     pub(crate) hosts: Arc<dyn HostDirectory>,
 }
 
-/// What the sources feed, and through what.
+/// Dependencies of the sources.
 pub(crate) struct SourceParts {
     /// The platform.
     pub(crate) platform: PlatformClients,
     /// Configuration and fleet.
     pub(crate) context: GatewayContext,
-    /// Where configurations come into force.
+    /// Puts configurations in force.
     pub(crate) adopter: Arc<ConfigAdopter>,
-    /// How to connect to peers.
+    /// Opens connections to peers.
     pub(crate) connectors: ConnectorFactory,
-    /// Limits of organisations.
+    /// Usage limits of organisations.
     pub(crate) limits: OrganisationLimiter,
-    /// Requests that end engines.
+    /// Requests under which engines ended.
     pub(crate) suspects: SuspectTracker,
 }
 
-/// Tasks that feed a gateway; they end when this is dropped.
+/// Tasks that receive configurations and host lists; they end when this is dropped.
 pub(crate) struct ConfigSources {
     peers: SocketAddr,
     tasks: Vec<JoinHandle<()>>,
@@ -55,7 +55,7 @@
 }
 
 impl ConfigSources {
-    /// Listens for peers and begins to watch the platform.
+    /// Listens for peers and starts to watch the platform.
     pub(crate) async fn start(
         settings: &GatewaySettings,
         parts: SourceParts,
@@ -124,7 +124,7 @@
 }
 
 impl HostWatcher {
-    /// Reads the list of hosts again and again; never ends.
+    /// Polls the list of hosts; never returns.
     async fn run(self) {
         loop {
             match self.directory.hosts().await {
@@ -134,19 +134,19 @@
                     let leaving = leaving.map(|entry| entry.host).collect();
                     self.context.fleet.set_leaving_hosts(leaving);
                 }
-                Err(error) => warn!(self.log, "no list of hosts"; "error" => %error),
+                Err(error) => warn!(self.log, "cannot read the list of hosts"; "error" => %error),
             }
             sleep(HOSTS_INTERVAL).await;
         }
     }
 }
 
-/// Tells the outlier detectors that time passes; never ends.
+/// Sends ticks to the outlier detectors; never returns.
 async fn run_outlier_ticks(context: GatewayContext, log: Logger) {
     loop {
         sleep(OUTLIER_INTERVAL).await;
         for action in context.fleet.tick_outliers(context.clock.now()) {
-            info!(log, "ejection changed";
+            info!(log, "endpoint ejection changed";
                 "endpoint" => &*action.endpoint,
                 "ejected" => action.ejected,
                 "cause" => format!("{:?}", action.cause));
--- a/lovagedock-gateway/src/store_calls.rs
+++ b/lovagedock-gateway/src/store_calls.rs
@@ -1,4 +1,4 @@
-//! Store calls that decisions ask for, and how they ended in the decisions' words.
+//! Executes store calls and converts their results into the outcome types of the state machines.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use lovagedock_platform::{CallPurpose, ObjectStore, PutCondition, StoreError};
 use tokio::time::timeout;
 
-/// Time for one store call.
+/// Timeout of one store call.
 const STORE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Reads an object.
@@ -65,7 +65,8 @@
     }
 }
 
-/// Only what certainly did not take effect counts as such; everything else is unknown.
+/// A failure counts as not applied only if the write certainly did not take effect; otherwise the
+/// outcome is unknown.
 fn write_failure(error: &StoreError) -> WriteOutcome {
     match error {
         StoreError::Conflict { .. } => WriteOutcome::Conflict,
--- a/lovagedock-gateway/src/suspects.rs
+++ b/lovagedock-gateway/src/suspects.rs
@@ -1,4 +1,4 @@
-//! Requests that end engines behind sidecars, at this gateway and at its peers.
+//! Tracks requests under which engines behind sidecars ended, at this gateway and at its peers.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,12 +12,12 @@
 
 use crate::call::CallerCall;
 
-/// Time between two tellings; gateways open no session for it while there is nothing to tell.
+/// Time between two rounds of updates to peers. No session is opened for a round without updates.
 pub(crate) const SUSPECT_SEND_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What is held against requests; cheap to clone.
+/// Evidence against requests and their quarantines; cheap to clone.
 ///
-/// Lock order: a leaf.
+/// Lock order: this lock is a leaf.
 #[derive(Clone)]
 pub(crate) struct SuspectTracker {
     state: Arc<Mutex<TrackerState>>,
@@ -31,7 +31,7 @@
 }
 
 impl SuspectTracker {
-    /// A desk that suspects nobody.
+    /// Creates a tracker without suspects.
     pub(crate) fn new(log: Logger) -> Self {
         Self {
             state: Arc::default(),
@@ -39,7 +39,7 @@
         }
     }
 
-    /// How much longer a request is not to be sent to engines.
+    /// Remaining quarantine of a request; `None` if it is not quarantined.
     pub(crate) fn quarantined_for(
         &self,
         now: Timestamp,
@@ -48,9 +48,10 @@
         self.state.lock().ledger.quarantined_for(now, fingerprint)
     }
 
-    /// Records that an engine ended under an attempt of a request, `streamed` after its first bytes.
+    /// Records that an engine ended during an attempt of a request, `streamed` after the attempt's
+    /// first bytes.
     ///
-    /// Which process of the engine it was is not told, so each attempt counts as one of its own.
+    /// The engine process is not identified, so each attempt counts as a separate process.
     pub(crate) fn record_end(
         &self,
         now: Timestamp,
@@ -64,7 +65,7 @@
         let process = EndpointProcess::new(endpoint.clone(), run);
         let end = ProcessEnd::new(&process, EndEvidence::new(true, streamed));
         let is_new = self.state.lock().ledger.record_end(now, fingerprint, end);
-        info!(self.log, "an engine ended under a request";
+        info!(self.log, "an engine ended during a request";
             "request" => format_request_id(call.id), "endpoint" => &**endpoint,
             "fingerprint" => format_fingerprint(fingerprint),
             "streamed_ms" => streamed.as_millis() as u64);
@@ -73,13 +74,13 @@
         }
     }
 
-    /// Records that a request was served whole.
+    /// Records that a request was served completely.
     pub(crate) fn record_served(&self, now: Timestamp, call: &CallerCall) {
         let fingerprint = request_fingerprint(call);
         self.state.lock().ledger.record_served(now, fingerprint);
     }
 
-    /// News for all peers.
+    /// The updates that are due to be sent to all peers.
     pub(crate) fn take_updates(&self, now: Timestamp) -> Vec<SuspectUpdate> {
         let TrackerState {
             ledger,
@@ -89,7 +90,7 @@
         update_queue.take_due(now, ledger)
     }
 
-    /// Takes in what a peer tells.
+    /// Applies the updates of a peer.
     pub(crate) fn apply_updates(&self, now: Timestamp, updates: Vec<SuspectUpdate>) {
         for update in updates {
             let is_new = self.state.lock().ledger.apply_update(now, update);
@@ -106,7 +107,7 @@
     }
 }
 
-/// What a call asks, whatever id it has.
+/// Fingerprint of the content of a call, independent of its id.
 pub(crate) fn request_fingerprint(call: &CallerCall) -> RequestFingerprint {
     let mut hasher = Xxh3Default::new();
     hasher.update(call.path.as_bytes());
--- a/lovagedock-gateway/src/trail.rs
+++ b/lovagedock-gateway/src/trail.rs
@@ -1,4 +1,4 @@
-//! What was decided about recent requests and why, for `explain` and dumps.
+//! Records the decisions about recent requests and their reasons, for `explain` and dumps.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -9,9 +9,9 @@
 use parking_lot::Mutex;
 use serde::Serialize;
 
-/// Requests that are remembered.
+/// Maximum number of requests that are kept.
 const MAX_REQUESTS: usize = 4_096;
-/// Steps that are remembered of one request.
+/// Maximum number of steps that are kept of one request.
 const MAX_STEPS: usize = 64;
 
 /// One decision about a request.
@@ -19,18 +19,18 @@
 pub(crate) struct TrailStep {
     /// Milliseconds since the gateway started.
     pub(crate) at_ms: u64,
-    /// What happened or was decided.
+    /// Description of the event or decision.
     pub(crate) step: String,
 }
 
 /// The decisions about one request.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct RequestTrail {
-    /// Id that the caller saw.
+    /// Id that was returned to the caller.
     pub(crate) request_id: String,
-    /// Service that it addressed.
+    /// Requested service.
     pub(crate) service: ServiceId,
-    /// Organisation that it belongs to.
+    /// Organisation of the caller.
     pub(crate) organisation: OrganisationId,
     /// Estimated prompt length.
     pub(crate) prompt_tokens: TokenCount,
@@ -44,16 +44,16 @@
     order: VecDeque<RequestId>,
 }
 
-/// Bounded memory of recent requests; cheap to clone.
+/// The trails of recent requests, limited in number; cheap to clone.
 ///
-/// Lock order: a leaf.
+/// Lock order: this lock is a leaf.
 #[derive(Clone, Default)]
 pub(crate) struct RequestTrails {
     state: Arc<Mutex<TrailState>>,
 }
 
 impl RequestTrails {
-    /// Begins the trail of a request and forgets the oldest one when there are too many.
+    /// Starts the trail of a request and removes the oldest one when there are too many.
     pub(crate) fn begin(&self, id: RequestId, trail: RequestTrail) {
         let mut state = self.state.lock();
         if state.order.len() >= MAX_REQUESTS
@@ -65,7 +65,7 @@
         state.trails.insert(id, trail);
     }
 
-    /// Adds a step.
+    /// Adds a step to the trail of a request.
     pub(crate) fn record_step(&self, id: RequestId, now: Timestamp, step: impl Into<String>) {
         let mut state = self.state.lock();
         let Some(trail) = state.trails.get_mut(&id) else {
@@ -79,7 +79,7 @@
         }
     }
 
-    /// The trail of a request, if it is still remembered.
+    /// The trail of a request, if it is still kept.
     pub(crate) fn get(&self, id: RequestId) -> Option<RequestTrail> {
         self.state.lock().trails.get(&id).cloned()
     }
--- a/lovagedock-gateway/src/workers.rs
+++ b/lovagedock-gateway/src/workers.rs
@@ -1,7 +1,7 @@
-//! The pool of workers that own sessions.
+//! Worker threads that own the sessions to sidecars.
 //!
-//! Sessions are not `Send`, so each lives on one worker: a thread with a single-threaded runtime.
-//! An endpoint belongs to the worker that its name hashes to.
+//! Sessions are not `Send`, so each session stays on one worker, a thread with a single-threaded
+//! runtime. An endpoint is assigned to a worker by the hash of its name.
 
 use std::{net::SocketAddr, rc::Rc, thread};
 
@@ -20,13 +20,13 @@
     link::{EndpointLink, LinkCommand, LinkTimes},
 };
 
-/// An endpoint for a worker to keep a session to.
+/// An endpoint to which a worker keeps a session.
 pub(crate) struct LinkSpec {
     /// The endpoint.
     pub(crate) endpoint: EndpointId,
     /// Address of its sidecar.
     pub(crate) address: SocketAddr,
-    /// Commands; when all senders are gone the link ends.
+    /// Commands; the link ends when all senders are dropped.
     pub(crate) commands: mpsc::UnboundedReceiver<LinkCommand>,
 }
 
@@ -61,11 +61,11 @@
         Ok(Self { link_specs })
     }
 
-    /// Gives an endpoint to its worker.
+    /// Assigns an endpoint to its worker.
     pub(crate) fn start_link(&self, spec: LinkSpec) {
         let hash = xxh3_64(spec.endpoint.as_bytes());
         let worker = (hash % self.link_specs.len() as u64) as usize;
-        // A worker ends only with the pool.
+        // The send fails only if the pool is being dropped.
         let _ended = self.link_specs[worker].send(spec);
     }
 }
@@ -82,7 +82,7 @@
         let runtime = match runtime::Builder::new_current_thread().enable_all().build() {
             Ok(runtime) => runtime,
             Err(error) => {
-                warn!(self.log, "a worker has no runtime"; "error" => %error);
+                warn!(self.log, "cannot create the runtime of a worker"; "error" => %error);
                 return;
             }
         };
