--- a/lovagedock-gateway/src/front/mod.rs
+++ b/lovagedock-gateway/src/front/mod.rs
@@ -3,12 +3,12 @@
 mod body;
 mod checks;
 mod in_flight;
-mod intake;
 mod problem;
 mod prompt;
 mod reply;
 mod router;
 mod server;
+mod validator;
 
 pub(crate) use body::{ResponseBody, full_body};
 pub(crate) use problem::{PROBLEM_TYPE, RequestProblem};
--- a/lovagedock-gateway/src/front/router.rs
+++ b/lovagedock-gateway/src/front/router.rs
@@ -15,9 +15,9 @@
 use super::{
     body::{ResponseBody, full_body},
     in_flight::{InFlightRequest, InFlightTable, in_flight_body},
-    intake::CallIntake,
     problem::{RequestProblem, set_request_id},
     reply::{CallerSink, response},
+    validator::CallValidator,
 };
 use crate::{
     call::CallerCall,
@@ -98,21 +98,21 @@
             return Err(RequestProblem::new(ResultCode::NotConfigured)
                 .with_retry_after(Duration::from_secs(1)));
         }
-        let intake = CallIntake {
+        let validator = CallValidator {
             id,
             config: &config,
             limits: &self.limits,
             since_epoch: since_epoch(),
         };
         if request.method() == Method::GET && is_models_path(request.uri().path()) {
-            return models(&intake, &request);
+            return models(&validator, &request);
         }
         if self.in_flight.is_closed() {
             return Err(stopping_problem());
         }
         let permit = self.acquire_stream()?;
         let call = tokio::select! {
-            call = intake.call(request) => call?,
+            call = validator.call(request) => call?,
             () = self.shared.drain_expired() => {
                 self.log_body_cut(id);
                 return Err(stopping_problem());
@@ -216,14 +216,14 @@
 
 /// The list of models that the organisation may use, or the entry of one of them.
 fn models(
-    intake: &CallIntake<'_>,
+    validator: &CallValidator<'_>,
     request: &Request<Incoming>,
 ) -> Result<Response<ResponseBody>, RequestProblem> {
-    let organisation = intake.check_caller(request.headers())?;
+    let organisation = validator.check_caller(request.headers())?;
     let allowed = |service: &ServiceId| {
         organisation.services.is_empty() || organisation.services.contains(service)
     };
-    let entries: Vec<ModelEntry<'_>> = intake
+    let entries: Vec<ModelEntry<'_>> = validator
         .config
         .fleet
         .services
@@ -234,8 +234,8 @@
             ServiceKind::Plain { .. } => None,
         })
         .collect();
-    let wanted = request.uri().path().strip_prefix("/v1/models/");
-    let document = match wanted {
+    let requested_model = request.uri().path().strip_prefix("/v1/models/");
+    let document = match requested_model {
         None => serde_json::to_vec(&ModelList {
             object: "list",
             data: entries,
@@ -249,7 +249,7 @@
     let mut response = Response::new(full_body(Bytes::from(document.unwrap_or_default())));
     let json = header::HeaderValue::from_static("application/json");
     response.headers_mut().insert(header::CONTENT_TYPE, json);
-    set_request_id(&mut response, intake.id);
+    set_request_id(&mut response, validator.id);
     Ok(response)
 }
 
--- a/lovagedock-gateway/src/front/intake.rs
+++ b/lovagedock-gateway/src/front/validator.rs
@@ -25,7 +25,7 @@
 const HOURS_PER_DAY: u64 = 24;
 
 /// Validates one request against one configuration.
-pub(super) struct CallIntake<'a> {
+pub(super) struct CallValidator<'a> {
     /// Id assigned to the request.
     pub(super) id: RequestId,
     /// Configuration that applies to the request.
@@ -36,7 +36,7 @@
     pub(super) since_epoch: Duration,
 }
 
-impl CallIntake<'_> {
+impl CallValidator<'_> {
     /// Validates a request and reads its body.
     pub(super) async fn call(
         &self,
