--- a/lovagedock-gateway/src/direct/caller_server.rs
+++ b/lovagedock-gateway/src/direct/caller_server.rs
@@ -35,7 +35,7 @@
     response::{ResponseSender, problem_response},
     state::GatewayState,
 };
-use crate::front::{ResponseBody, RequestProblem};
+use crate::front::{RequestProblem, ResponseBody};
 
 /// Delay after a failed accept. Such errors recur immediately until file descriptors are closed.
 pub(crate) const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
--- a/lovagedock-gateway/src/direct/response.rs
+++ b/lovagedock-gateway/src/direct/response.rs
@@ -13,7 +13,7 @@
 use lovagedock::prelude::*;
 use tokio::sync::{mpsc, oneshot};
 
-use crate::front::{ResponseBody, RequestProblem, full_body};
+use crate::front::{RequestProblem, ResponseBody, full_body};
 
 /// Number of events that are buffered for a caller that reads slowly. While the buffer is full,
 /// nothing is read from the engine.
