--- a/lovagedock-gateway/src/adopt.rs
+++ b/lovagedock-gateway/src/adopt.rs
@@ -112,7 +112,7 @@
         for (endpoint, entry) in fleet.entries() {
             let kept = wanted
                 .get(&endpoint)
-                .is_some_and(|(pool, spec)| is_same(&entry, pool, spec));
+                .is_some_and(|(pool, spec)| can_keep_link(&entry, pool, spec));
             if !kept {
                 fleet.remove(&endpoint);
             }
@@ -189,7 +189,7 @@
 }
 
 /// Whether a link can be kept under a new configuration.
-fn is_same(entry: &EndpointEntry, pool: &PoolSpec, spec: &EndpointSpec) -> bool {
+fn can_keep_link(entry: &EndpointEntry, pool: &PoolSpec, spec: &EndpointSpec) -> bool {
     entry.pool == pool.id
         && entry.address == spec.sidecar
         && entry.host == spec.host
--- a/lovagedock-gateway/src/call.rs
+++ b/lovagedock-gateway/src/call.rs
@@ -22,7 +22,7 @@
     /// Pool that serves the service.
     pub(crate) pool: PoolId,
     /// Time limit of the request.
-    pub(crate) deadline: Duration,
+    pub(crate) time_limit: Duration,
     /// Whether it must not run twice.
     pub(crate) non_idempotent: bool,
     /// The caller's idempotency key.
--- a/lovagedock-gateway/src/call_task.rs
+++ b/lovagedock-gateway/src/call_task.rs
@@ -38,7 +38,7 @@
         caller: CallerSink,
         log: Logger,
     ) -> Self {
-        let deadline = shared.context.clock.now() + call.deadline;
+        let deadline = shared.context.clock.now() + call.time_limit;
         Self {
             shared,
             call,
@@ -54,9 +54,9 @@
         let mut end = match &self.call.idempotency_key {
             None => {
                 let (outcome, _) = self.drive(false).await;
-                CallEnd::without_failure(final_event(&outcome))
+                CallEnd::without_failure_record(final_event(&outcome))
             }
-            Some(key) => self.run_keyed(key.clone()).await,
+            Some(key) => self.run_with_key(key.clone()).await,
         };
         let code = end.event.code();
         if let CallerEvent::Problem(problem) = &mut end.event
@@ -67,12 +67,12 @@
         self.shared.limits.finish(&self.call.organisation);
         self.caller.send(end.event).await;
         self.record_outcome(code, started);
-        if let Some(failure) = end.failure {
+        if let Some(failure) = end.failure_record {
             self.record_failure(failure).await;
         }
     }
 
-    async fn run_keyed(&self, key: String) -> CallEnd {
+    async fn run_with_key(&self, key: String) -> CallEnd {
         let key = ClaimKey {
             organisation: self.call.organisation.clone(),
             service: self.call.service.clone(),
@@ -82,13 +82,13 @@
         match self.claim(key).await {
             Some(ClaimOutcome::Granted) => self.run_granted(key).await,
             Some(ClaimOutcome::Replay(answer)) => {
-                CallEnd::without_failure(self.replay(&answer).await)
+                CallEnd::without_failure_record(self.replay(&answer).await)
             }
             Some(ClaimOutcome::Refused(code)) => {
                 self.record_step(format!("key refused with code {}", code.number()));
-                CallEnd::without_failure(CallerEvent::Problem(RequestProblem::new(code)))
+                CallEnd::without_failure_record(CallerEvent::Problem(RequestProblem::new(code)))
             }
-            None => CallEnd::without_failure(CallerEvent::Problem(
+            None => CallEnd::without_failure_record(CallerEvent::Problem(
                 RequestProblem::new(ResultCode::CallerGone).with_ran(RanState::No),
             )),
         }
@@ -123,11 +123,11 @@
             self.shared.claims.abandon(key, self.call.id);
         }
         if let (ResultCode::Complete, Some(buffered)) = (outcome.code, buffered) {
-            return CallEnd::without_failure(self.record(key, buffered).await);
+            return CallEnd::without_failure_record(self.record_answer(key, buffered).await);
         }
         CallEnd {
             event: final_event(&outcome),
-            failure: ClaimFailure::new(key, &outcome),
+            failure_record: FailureRecord::new(key, &outcome),
         }
     }
 
@@ -136,7 +136,7 @@
     /// The claim of a request that may have run stays until its deadline. Without the record, a
     /// retry with the same key would wait until then, although its result is known: the same
     /// failure.
-    async fn record_failure(&self, failure: ClaimFailure) {
+    async fn record_failure(&self, failure: FailureRecord) {
         let answer = RecordedAnswer::failure(&failure.problem, self.call.id);
         let Ok(bytes) = answer.encode() else { return };
         let deadline = self.shared.context.clock.now() + FAILURE_RECORD_TIMEOUT;
@@ -152,7 +152,7 @@
     ///
     /// A caller that received a clean end may repeat the request and rely on the same bytes. If the
     /// answer could not be stored, the request ends with a failure that reports it.
-    async fn record(&self, key: KeyHash, buffered: BufferedAnswer) -> CallerEvent {
+    async fn record_answer(&self, key: KeyHash, buffered: BufferedAnswer) -> CallerEvent {
         let answer = RecordedAnswer::new(&buffered.head, buffered.body);
         let recorded = match answer.encode() {
             Ok(bytes) => {
@@ -254,25 +254,25 @@
 /// Result of a call.
 struct CallEnd {
     event: CallerEvent,
-    failure: Option<ClaimFailure>,
+    failure_record: Option<FailureRecord>,
 }
 
 impl CallEnd {
-    fn without_failure(event: CallerEvent) -> Self {
+    fn without_failure_record(event: CallerEvent) -> Self {
         Self {
             event,
-            failure: None,
+            failure_record: None,
         }
     }
 }
 
 /// A failure to be recorded for retries with the same key.
-struct ClaimFailure {
+struct FailureRecord {
     key: KeyHash,
     problem: RequestProblem,
 }
 
-impl ClaimFailure {
+impl FailureRecord {
     /// `None` if the request did not run: a retry may then run.
     fn new(key: KeyHash, outcome: &RequestOutcome) -> Option<Self> {
         let code = match outcome.code {
--- a/lovagedock-gateway/src/claims.rs
+++ b/lovagedock-gateway/src/claims.rs
@@ -98,10 +98,10 @@
     /// Claims a key. Waits for the store, or for the answer of another request with the same key,
     /// until the claim's deadline.
     pub(crate) async fn claim(&self, claim: ClaimRequest) -> ClaimOutcome {
-        let (reply, answer) = oneshot::channel();
+        let (reply, outcome) = oneshot::channel();
         self.send(claim.key, PartitionCommand::Claim { claim, reply });
         let unavailable = ClaimOutcome::Refused(ResultCode::ClaimUnavailable);
-        answer.await.unwrap_or(unavailable)
+        outcome.await.unwrap_or(unavailable)
     }
 
     /// Records the answer of a granted request; returns whether it was stored.
@@ -113,14 +113,14 @@
         deadline: Timestamp,
     ) -> bool {
         let (reply, recorded) = oneshot::channel();
-        let call = PartitionCommand::Record {
+        let command = PartitionCommand::Record {
             key,
             request,
             answer,
             deadline,
             reply,
         };
-        self.send(key, call);
+        self.send(key, command);
         recorded.await.unwrap_or(false)
     }
 
@@ -134,10 +134,10 @@
         self.send(key, PartitionCommand::Withdraw { request });
     }
 
-    fn send(&self, key: KeyHash, call: PartitionCommand) {
+    fn send(&self, key: KeyHash, command: PartitionCommand) {
         let partition = self.map.partition_of(&key) as usize;
         // The task runs as long as its sender exists.
-        let _ended = self.partitions[partition].send(call);
+        let _ended = self.partitions[partition].send(command);
     }
 }
 
@@ -157,32 +157,32 @@
 }
 
 impl PartitionTask {
-    async fn run(mut self, mut calls: mpsc::UnboundedReceiver<PartitionCommand>) {
-        let (done, mut finished) = mpsc::unbounded_channel();
+    async fn run(mut self, mut commands: mpsc::UnboundedReceiver<PartitionCommand>) {
+        let (event_sender, mut store_events) = mpsc::unbounded_channel();
         loop {
             let wake = self.wake.next(self.clock.now(), MAX_SLEEP);
             let wake = self.clock.instant_at(wake);
             let event = tokio::select! {
-                call = calls.recv() => match call {
-                    Some(call) => self.claim_event(call),
+                command = commands.recv() => match command {
+                    Some(command) => self.claim_event(command),
                     None => return,
                 },
-                Some(event) = finished.recv() => event,
+                Some(event) = store_events.recv() => event,
                 () = sleep_until(wake.into()) => ClaimEvent::Tick,
             };
             for call in self.handle_event(event) {
                 let store = Arc::clone(&self.store);
-                let done = done.clone();
+                let event_sender = event_sender.clone();
                 tokio::spawn(async move {
                     // The send fails only if the partition task has ended.
-                    let _ended = done.send(execute(&*store, call).await);
+                    let _ended = event_sender.send(execute(&*store, call).await);
                 });
             }
         }
     }
 
-    fn claim_event(&mut self, call: PartitionCommand) -> ClaimEvent {
-        match call {
+    fn claim_event(&mut self, command: PartitionCommand) -> ClaimEvent {
+        match command {
             PartitionCommand::Claim { claim, reply } => {
                 self.claim_replies.insert(claim.request, reply);
                 ClaimEvent::Claim(claim)
@@ -244,9 +244,9 @@
         calls
     }
 
-    fn reply_to_claim(&mut self, request: RequestId, answer: ClaimOutcome) {
+    fn reply_to_claim(&mut self, request: RequestId, outcome: ClaimOutcome) {
         if let Some(reply) = self.claim_replies.remove(&request) {
-            let _caller_gone = reply.send(answer);
+            let _caller_gone = reply.send(outcome);
         }
     }
 
--- a/lovagedock-gateway/src/connect.rs
+++ b/lovagedock-gateway/src/connect.rs
@@ -9,7 +9,7 @@
 
 /// Opens connections to other processes of the system.
 #[async_trait(?Send)]
-pub(crate) trait PeerConnector {
+pub(crate) trait Connector {
     /// Opens a connection within a time limit.
     async fn connect(
         &self,
@@ -31,7 +31,7 @@
     }
 
     /// Creates a connector.
-    pub(crate) fn connector(&self) -> Rc<dyn PeerConnector> {
+    pub(crate) fn connector(&self) -> Rc<dyn Connector> {
         Rc::new(TransportConnector {
             transport: self.transport.clone(),
         })
@@ -43,7 +43,7 @@
 }
 
 #[async_trait(?Send)]
-impl PeerConnector for TransportConnector {
+impl Connector for TransportConnector {
     async fn connect(
         &self,
         address: SocketAddr,
--- a/lovagedock-gateway/src/cuts.rs
+++ b/lovagedock-gateway/src/cuts.rs
@@ -11,9 +11,9 @@
 
 /// Counts a request that a shutdown cut.
 pub(crate) fn count_cut(notice: CutNotice) {
-    let told = match notice {
+    let sent = match notice {
         CutNotice::Sent => "yes",
         CutNotice::NotSent => "no",
     };
-    metrics::counter!("lovagedock_requests_cut_total", "told" => told).increment(1);
+    metrics::counter!("lovagedock_requests_cut_total", "told" => sent).increment(1);
 }
--- a/lovagedock-gateway/src/driver/command.rs
+++ b/lovagedock-gateway/src/driver/command.rs
@@ -20,7 +20,7 @@
                 ..
             } => {
                 self.record_step(format!("attempt {attempt} submitted to {endpoint}"));
-                let key = self.key(attempt, incarnation);
+                let key = self.attempt_key(attempt, incarnation);
                 let holders = self.span.as_ref().map_or_else(Vec::new, SpanRun::holders);
                 let work = Box::new(self.work_message(key, remaining, holders));
                 let events = self.attempt_sender(attempt);
@@ -36,7 +36,7 @@
                     "attempt {attempt} resumed on {endpoint} at byte {offset}"
                 ));
                 let command = LinkCommand::Resume {
-                    key: self.key(attempt, incarnation),
+                    key: self.attempt_key(attempt, incarnation),
                     offset,
                     events: self.attempt_sender(attempt),
                 };
@@ -52,7 +52,7 @@
                 attempt,
                 incarnation,
             } => {
-                let key = self.key(attempt, incarnation);
+                let key = self.attempt_key(attempt, incarnation);
                 self.send_to_link(&endpoint, LinkCommand::Cancel { key });
             }
             RequestAction::Place { .. }
@@ -70,7 +70,7 @@
     fn revoke(&self, endpoint: &EndpointId, attempt: AttemptNumber, incarnation: Incarnation) {
         self.record_step(format!("attempt {attempt} on {endpoint} revoked"));
         let (reply, verdict) = oneshot::channel();
-        let key = self.key(attempt, incarnation);
+        let key = self.attempt_key(attempt, incarnation);
         self.send_to_link(endpoint, LinkCommand::Revoke { key, reply });
         let task_events = self.task_event_sender.clone();
         tokio::spawn(async move {
@@ -87,7 +87,11 @@
         });
     }
 
-    pub(crate) fn key(&self, attempt: AttemptNumber, incarnation: Incarnation) -> AttemptKey {
+    pub(crate) fn attempt_key(
+        &self,
+        attempt: AttemptNumber,
+        incarnation: Incarnation,
+    ) -> AttemptKey {
         AttemptKey {
             request: self.call.id,
             attempt,
@@ -124,7 +128,7 @@
     fn attempt_sender(&self, attempt: AttemptNumber) -> AttemptSender {
         AttemptSender {
             attempt,
-            sender: self.sender.clone(),
+            sender: self.attempt_event_sender.clone(),
         }
     }
 
--- a/lovagedock-gateway/src/driver/mod.rs
+++ b/lovagedock-gateway/src/driver/mod.rs
@@ -55,8 +55,8 @@
     pub(crate) call: Arc<CallerCall>,
     machine: RequestMachine,
     caller: CallerSink,
-    sender: mpsc::Sender<(AttemptNumber, AttemptEvent)>,
-    events: mpsc::Receiver<(AttemptNumber, AttemptEvent)>,
+    attempt_event_sender: mpsc::Sender<(AttemptNumber, AttemptEvent)>,
+    attempt_events: mpsc::Receiver<(AttemptNumber, AttemptEvent)>,
     task_events: mpsc::UnboundedReceiver<TaskEvent>,
     pub(crate) task_event_sender: mpsc::UnboundedSender<TaskEvent>,
     pub(crate) span: Option<SpanRun>,
@@ -93,7 +93,7 @@
             .with_organisation(call.organisation.clone())
             .with_tier(call.tier)
             .with_non_idempotent(call.non_idempotent);
-        let (sender, events) = mpsc::channel(EVENT_QUEUE);
+        let (attempt_event_sender, attempt_events) = mpsc::channel(EVENT_QUEUE);
         let (task_event_sender, task_events) = mpsc::unbounded_channel();
         Self {
             machine: RequestMachine::new(now, spec),
@@ -102,8 +102,8 @@
             shared,
             call,
             caller,
-            sender,
-            events,
+            attempt_event_sender,
+            attempt_events,
             task_events,
             task_event_sender,
             span: None,
@@ -163,7 +163,7 @@
                 self.span_event(SpanEvent::Tick)
             }
             Some(event) = self.task_events.recv() => self.handle_task_event(event),
-            Some((attempt, event)) = self.events.recv() => self.attempt_event(attempt, event),
+            Some((attempt, event)) = self.attempt_events.recv() => self.attempt_event(attempt, event),
         }
     }
 
--- a/lovagedock-gateway/src/driver/place.rs
+++ b/lovagedock-gateway/src/driver/place.rs
@@ -13,9 +13,9 @@
 
 impl RequestDriver {
     pub(super) fn place(&mut self, excluded: &[EndpointId]) -> PlacementOutcome {
-        if let Some(left) = self.quarantined_for() {
+        if let Some(remaining) = self.quarantined_for() {
             self.record_step("refused: engines end under it");
-            return refused(ResultCode::Quarantined, left);
+            return refused(ResultCode::Quarantined, remaining);
         }
         let choice = self.choose(excluded);
         self.placement_outcome(choice)
--- a/lovagedock-gateway/src/driver/span.rs
+++ b/lovagedock-gateway/src/driver/span.rs
@@ -213,12 +213,12 @@
                 round,
                 granted: true,
             };
-            let _own = task_events.send(TaskEvent::Span(granted));
+            let _infallible = task_events.send(TaskEvent::Span(granted));
             return;
         }
         let (reply, answer) = oneshot::channel();
         let command = LinkCommand::Reserve {
-            key: self.key(span.attempt, incarnation),
+            key: self.attempt_key(span.attempt, incarnation),
             tokens,
             hold,
             reply,
@@ -243,7 +243,7 @@
 
     fn release(&self, endpoint: &EndpointId, incarnation: Incarnation) {
         let Some(span) = &self.span else { return };
-        let key = self.key(span.attempt, incarnation);
+        let key = self.attempt_key(span.attempt, incarnation);
         self.send_to_link(endpoint, LinkCommand::Release { key });
     }
 
@@ -263,14 +263,14 @@
                 start,
                 end: AnswerEnd::new(ResultCode::Complete),
             };
-            let _own = task_events.send(TaskEvent::Span(done));
+            let _infallible = task_events.send(TaskEvent::Span(done));
             return;
         }
         self.record_step(format!(
             "{tokens} tokens from offset {start} sent to {endpoint}"
         ));
         let limit = self.remaining();
-        let key = self.key(span.attempt, incarnation);
+        let key = self.attempt_key(span.attempt, incarnation);
         let (reply, answer) = oneshot::channel();
         let command = LinkCommand::Segment {
             work: Box::new(self.work_message(key, limit, Vec::new())),
--- a/lovagedock-gateway/src/fleet.rs
+++ b/lovagedock-gateway/src/fleet.rs
@@ -189,7 +189,7 @@
         if let Some(entry) = state.endpoints.get_mut(endpoint) {
             entry.incarnation = Some(incarnation);
         }
-        state.refresh(endpoint);
+        state.update_usable(endpoint);
     }
 
     /// Records that the session was lost.
@@ -198,7 +198,7 @@
         if let Some(entry) = state.endpoints.get_mut(endpoint) {
             entry.incarnation = None;
         }
-        state.refresh(endpoint);
+        state.update_usable(endpoint);
     }
 
     /// Records that a heartbeat is sent. The response does not include work that is sent from now
@@ -210,7 +210,12 @@
     }
 
     /// Records the load report in the response to a heartbeat.
-    pub(crate) fn report(&self, endpoint: &EndpointId, now: Timestamp, load: &LoadMessage) {
+    pub(crate) fn record_load_report(
+        &self,
+        endpoint: &EndpointId,
+        now: Timestamp,
+        load: &LoadMessage,
+    ) {
         let mut state = self.state.write();
         let Some(entry) = state.endpoints.get_mut(endpoint) else {
             return;
@@ -225,7 +230,7 @@
                 .state
                 .record_report(now, endpoint, report, unreported);
         }
-        state.refresh(endpoint);
+        state.update_usable(endpoint);
     }
 
     /// Records a request that is sent to an endpoint.
@@ -287,13 +292,13 @@
         state.leaving_hosts = hosts;
         let names: Vec<EndpointId> = state.endpoints.keys().cloned().collect();
         for endpoint in names {
-            state.refresh(&endpoint);
+            state.update_usable(&endpoint);
         }
     }
 }
 
 impl FleetState {
-    fn refresh(&self, endpoint: &EndpointId) {
+    fn update_usable(&self, endpoint: &EndpointId) {
         let Some(entry) = self.endpoints.get(endpoint) else {
             return;
         };
--- a/lovagedock-gateway/src/front/checks.rs
+++ b/lovagedock-gateway/src/front/checks.rs
@@ -100,7 +100,7 @@
 }
 
 /// The deadline of a request: the requested one or the default, limited by the service's maximum.
-pub(super) fn deadline(
+pub(super) fn time_limit(
     headers: &HeaderMap,
     service: &ServiceSpec,
     rule: Option<&LengthRule>,
--- a/lovagedock-gateway/src/front/router.rs
+++ b/lovagedock-gateway/src/front/router.rs
@@ -112,7 +112,7 @@
         }
         let permit = self.acquire_stream()?;
         let call = tokio::select! {
-            call = validator.call(request) => call?,
+            call = validator.validate(request) => call?,
             () = self.shared.drain_expired() => {
                 self.log_body_cut(id);
                 return Err(stopping_problem());
@@ -137,14 +137,17 @@
         match self.shared.limits.admit(now, &call.organisation, tokens) {
             LimitDecision::Admitted => Ok(()),
             LimitDecision::Refused { limit, retry_after } => {
-                let what = match limit {
+                let limit_name = match limit {
                     LimitKind::Requests => "requests a second",
                     LimitKind::Tokens => "tokens a minute",
                     LimitKind::Concurrency => "requests in flight",
                 };
                 Err(RequestProblem::new(ResultCode::OverLimit)
                     .with_retry_after(retry_after)
-                    .with_detail(format!("the limit of {} for {what}", call.organisation)))
+                    .with_detail(format!(
+                        "the limit of {} for {limit_name}",
+                        call.organisation
+                    )))
             }
         }
     }
--- a/lovagedock-gateway/src/front/validator.rs
+++ b/lovagedock-gateway/src/front/validator.rs
@@ -38,7 +38,7 @@
 
 impl CallValidator<'_> {
     /// Validates a request and reads its body.
-    pub(super) async fn call(
+    pub(super) async fn validate(
         &self,
         request: Request<Incoming>,
     ) -> Result<CallerCall, RequestProblem> {
@@ -120,7 +120,7 @@
             weight: organisation.weight,
             service: service.id.clone(),
             pool: service.pool.clone(),
-            deadline: checks::deadline(&parts.headers, service, rule)?,
+            time_limit: checks::time_limit(&parts.headers, service, rule)?,
             // A caller that sends a key relies on a single execution, whatever the configuration
             // lists as non-idempotent.
             non_idempotent: listed || key.is_some(),
@@ -186,21 +186,21 @@
 
 fn check_length(
     prompt: &PromptSummary,
-    context: TokenCount,
+    max_context_tokens: TokenCount,
     organisation: &OrganisationSpec,
 ) -> Result<(), RequestProblem> {
-    let own = organisation.limits.max_prompt_tokens;
+    let max_prompt_tokens = organisation.limits.max_prompt_tokens;
     let too_long = |limit: TokenCount, owner: &str| {
         RequestProblem::new(ResultCode::PromptTooLong).with_detail(format!(
             "about {} tokens of prompt and {} of answer, {owner} limit is {limit}",
             prompt.tokens, prompt.answer_tokens
         ))
     };
-    if prompt.total_tokens() > context {
-        return Err(too_long(context, "the model's"));
+    if prompt.total_tokens() > max_context_tokens {
+        return Err(too_long(max_context_tokens, "the model's"));
     }
-    if own > 0 && prompt.tokens > own {
-        return Err(too_long(own, "the organisation's"));
+    if max_prompt_tokens > 0 && prompt.tokens > max_prompt_tokens {
+        return Err(too_long(max_prompt_tokens, "the organisation's"));
     }
     Ok(())
 }
--- a/lovagedock-gateway/src/gateway.rs
+++ b/lovagedock-gateway/src/gateway.rs
@@ -40,7 +40,7 @@
 
 /// A running gateway.
 pub struct Gateway {
-    callers: SocketAddr,
+    callers_address: SocketAddr,
     context: GatewayContext,
     admin: AdminServer,
     front: JoinHandle<()>,
@@ -112,7 +112,7 @@
         )
         .await
         .change_context(GatewayError)?;
-        let callers = front.address().change_context(GatewayError)?;
+        let callers_address = front.address().change_context(GatewayError)?;
         let admin_handler = Arc::new(GatewayAdmin::new(
             shared,
             orders.status_table(),
@@ -141,7 +141,7 @@
             .await
             .change_context(GatewayError)?;
         Ok(Self {
-            callers,
+            callers_address,
             context,
             admin,
             front: tokio::spawn(front.run()),
@@ -153,7 +153,7 @@
 
     /// Address that callers connect to.
     pub fn callers_address(&self) -> SocketAddr {
-        self.callers
+        self.callers_address
     }
 
     /// Address that other gateways connect to.
--- a/lovagedock-gateway/src/link/heartbeat.rs
+++ b/lovagedock-gateway/src/link/heartbeat.rs
@@ -30,7 +30,7 @@
             .heartbeat(sequence, generation, limit)
             .await?;
         let is_outdated = load.generation < generation;
-        fleet.report(&self.endpoint, self.context.clock.now(), &load);
+        fleet.record_load_report(&self.endpoint, self.context.clock.now(), &load);
         if is_outdated {
             self.send_config(session).await?;
         }
--- a/lovagedock-gateway/src/link/mod.rs
+++ b/lovagedock-gateway/src/link/mod.rs
@@ -25,7 +25,7 @@
 
 pub(crate) use self::message::{AttemptEvent, AttemptSender, LinkCommand};
 use self::{heartbeat::HeartbeatSender, receive::AttemptReceiver, resume::ResumedAnswer};
-use crate::{connect::PeerConnector, context::GatewayContext};
+use crate::{connect::Connector, context::GatewayContext};
 
 /// Intervals and timeouts of a link.
 #[derive(Clone, Copy, Debug)]
@@ -47,7 +47,7 @@
     /// Shared state of the gateway.
     pub(crate) context: Rc<GatewayContext>,
     /// Opens connections.
-    pub(crate) connector: Rc<dyn PeerConnector>,
+    pub(crate) connector: Rc<dyn Connector>,
     /// Commands of request drivers.
     pub(crate) commands: mpsc::UnboundedReceiver<LinkCommand>,
     /// Intervals and timeouts.
@@ -80,7 +80,7 @@
                 }
                 Err(error) => {
                     debug!(self.log, "cannot open a session"; "endpoint" => &*self.endpoint, "error" => %error);
-                    if self.reject_commands_for(self.times.reconnect).await {
+                    if self.run_without_session(self.times.reconnect).await {
                         return;
                     }
                 }
@@ -103,7 +103,7 @@
             .await?;
         let fleet = &self.context.fleet;
         fleet.session_opened(&self.endpoint, welcome.incarnation);
-        fleet.report(&self.endpoint, self.context.clock.now(), &load);
+        fleet.record_load_report(&self.endpoint, self.context.clock.now(), &load);
         info!(self.log, "session opened"; "endpoint" => &*self.endpoint, "incarnation" => welcome.incarnation);
         Ok(LinkSession {
             client,
@@ -264,7 +264,7 @@
 
     /// Rejects commands while there is no session; returns true when the gateway has dropped the
     /// link.
-    async fn reject_commands_for(&mut self, wait: Duration) -> bool {
+    async fn run_without_session(&mut self, wait: Duration) -> bool {
         let pause = sleep(wait);
         tokio::pin!(pause);
         loop {
@@ -272,13 +272,13 @@
                 () = &mut pause => return false,
                 command = self.commands.recv() => {
                     let Some(command) = command else { return true };
-                    self.reject(command);
+                    self.execute_without_session(command);
                 }
             }
         }
     }
 
-    fn reject(&self, command: LinkCommand) {
+    fn execute_without_session(&self, command: LinkCommand) {
         let no_session = || WireError::Disconnected("no session".to_owned());
         match command {
             LinkCommand::Submit { events, .. } => {
@@ -302,7 +302,7 @@
 }
 
 async fn open_client(
-    connector: &dyn PeerConnector,
+    connector: &dyn Connector,
     address: SocketAddr,
     limit: Duration,
 ) -> Result<EndpointClient, WireError> {
@@ -311,7 +311,7 @@
 }
 
 async fn revoke_on_new_connection(
-    connector: &dyn PeerConnector,
+    connector: &dyn Connector,
     address: SocketAddr,
     identity: &PeerIdentity,
     key: AttemptKey,
--- a/lovagedock-gateway/src/link/resume.rs
+++ b/lovagedock-gateway/src/link/resume.rs
@@ -12,12 +12,12 @@
     open_client,
     receive::AttemptReceiver,
 };
-use crate::connect::PeerConnector;
+use crate::connect::Connector;
 
 /// Receives the rest of one answer on its own connection.
 pub(super) struct ResumedAnswer {
     /// Opens connections.
-    pub(super) connector: Rc<dyn PeerConnector>,
+    pub(super) connector: Rc<dyn Connector>,
     /// How this gateway introduces itself.
     pub(super) identity: PeerIdentity,
     /// Address of the sidecar.
--- a/lovagedock-gateway/src/orders/call.rs
+++ b/lovagedock-gateway/src/orders/call.rs
@@ -8,7 +8,7 @@
 use slog::{Logger, info, warn};
 use tokio::time::sleep;
 
-use crate::{connect::PeerConnector, link::LinkTimes};
+use crate::{connect::Connector, link::LinkTimes};
 
 /// Time limit of an order, including the time that it waits behind others at the sidecar.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(30 * 60);
@@ -21,7 +21,7 @@
     pub(crate) endpoint: EndpointId,
     pub(crate) address: SocketAddr,
     pub(crate) message: OrderMessage,
-    pub(crate) connector: Rc<dyn PeerConnector>,
+    pub(crate) connector: Rc<dyn Connector>,
     pub(crate) identity: PeerIdentity,
     pub(crate) times: LinkTimes,
     pub(crate) holder: Rc<RefCell<LeaseHolder>>,
--- a/lovagedock-gateway/src/orders/pool.rs
+++ b/lovagedock-gateway/src/orders/pool.rs
@@ -18,8 +18,7 @@
     status_table::{OrderStatusTable, PoolOrderStatus},
 };
 use crate::{
-    active::ActiveConfig, connect::PeerConnector, context::GatewayContext, link::LinkTimes,
-    store_calls,
+    active::ActiveConfig, connect::Connector, context::GatewayContext, link::LinkTimes, store_calls,
 };
 
 /// Maximum sleep before the wake times are checked again.
@@ -32,7 +31,7 @@
     pub(super) store: Arc<dyn ObjectStore>,
     /// Runtime of the store's connections, which are shared with other parts of the gateway.
     pub(super) store_runtime: Handle,
-    pub(super) connector: Rc<dyn PeerConnector>,
+    pub(super) connector: Rc<dyn Connector>,
     pub(super) times: LinkTimes,
     pub(super) lease: Duration,
     pub(super) status_table: OrderStatusTable,
@@ -251,7 +250,7 @@
             if matches!(action, LeaseAction::Write { .. }) {
                 let calling = store_call(Arc::clone(&self.parts.store), action);
                 // If the write fails, the lease expires.
-                let _lapses = self.parts.store_runtime.spawn(calling).await;
+                let _expires = self.parts.store_runtime.spawn(calling).await;
             }
         }
     }
--- a/lovagedock-gateway/src/peers/clients.rs
+++ b/lovagedock-gateway/src/peers/clients.rs
@@ -7,7 +7,7 @@
 
 use super::CALL_TIMEOUT;
 use crate::{
-    connect::PeerConnector, context::GatewayContext, limits::OrganisationLimiter, relay::seed_name,
+    connect::Connector, context::GatewayContext, limits::OrganisationLimiter, relay::seed_name,
 };
 
 /// Age at which a session is replaced. The other end closes it at twice this age.
@@ -17,7 +17,7 @@
 pub(crate) struct PeerClients {
     context: GatewayContext,
     limits: OrganisationLimiter,
-    connector: Rc<dyn PeerConnector>,
+    connector: Rc<dyn Connector>,
     seeds: HashMap<ProcessId, SocketAddr>,
     open: RefCell<HashMap<ProcessId, OpenClient>>,
 }
@@ -34,7 +34,7 @@
     pub(crate) fn new(
         context: GatewayContext,
         limits: OrganisationLimiter,
-        connector: Rc<dyn PeerConnector>,
+        connector: Rc<dyn Connector>,
         seeds: &[SocketAddr],
     ) -> Self {
         let seeds = seeds.iter().map(|address| (seed_name(address), *address));
--- a/lovagedock-gateway/src/sources.rs
+++ b/lovagedock-gateway/src/sources.rs
@@ -49,7 +49,7 @@
 
 /// Tasks that receive configurations and host lists; they end when this is dropped.
 pub(crate) struct ConfigSources {
-    peers: SocketAddr,
+    peers_address: SocketAddr,
     tasks: Vec<JoinHandle<()>>,
     _stop: watch::Sender<()>,
 }
@@ -68,7 +68,7 @@
         let listener = std::net::TcpListener::bind(settings.peers.address)
             .map_err(Report::new)
             .attach_with(|| format!("peers' address {}", settings.peers.address))?;
-        let peers = listener.local_addr()?;
+        let peers_address = listener.local_addr()?;
         let (stop, stopped) = watch::channel(());
         let (store_requests, store_request_receiver) = mpsc::unbounded_channel();
         let (adoption_events, adoption_event_receiver) = mpsc::unbounded_channel();
@@ -84,7 +84,7 @@
             log: log.clone(),
         };
         worker.start(listener, adoption_event_receiver, stopped)?;
-        let outliers = parts.context.clone();
+        let outlier_context = parts.context.clone();
         let config = ConfigStore::new(parts.platform.store);
         let reader = StoreReader::new(config, log.clone());
         let hosts = HostWatcher {
@@ -93,11 +93,11 @@
             log: log.clone(),
         };
         Ok(Self {
-            peers,
+            peers_address,
             tasks: vec![
                 tokio::spawn(reader.run(store_request_receiver, adoption_events)),
                 tokio::spawn(hosts.run()),
-                tokio::spawn(run_outlier_ticks(outliers, log.clone())),
+                tokio::spawn(run_outlier_ticks(outlier_context, log.clone())),
             ],
             _stop: stop,
         })
@@ -105,7 +105,7 @@
 
     /// Address that peers connect to.
     pub(crate) fn peers_address(&self) -> SocketAddr {
-        self.peers
+        self.peers_address
     }
 }
 
--- a/lovagedock-gateway/src/suspects.rs
+++ b/lovagedock-gateway/src/suspects.rs
@@ -61,8 +61,8 @@
         streamed: Duration,
     ) {
         let fingerprint = request_fingerprint(call);
-        let run = call.id as u64 ^ u64::from(attempt);
-        let process = EndpointProcess::new(endpoint.clone(), run);
+        let process_number = call.id as u64 ^ u64::from(attempt);
+        let process = EndpointProcess::new(endpoint.clone(), process_number);
         let end = ProcessEnd::new(&process, EndEvidence::new(true, streamed));
         let is_new = self.state.lock().ledger.record_end(now, fingerprint, end);
         info!(self.log, "an engine ended during a request";
--- a/lovagedock-gateway/src/workers.rs
+++ b/lovagedock-gateway/src/workers.rs
@@ -86,10 +86,10 @@
                 return;
             }
         };
-        LocalSet::new().block_on(&runtime, self.accept(link_specs));
+        LocalSet::new().block_on(&runtime, self.run_links(link_specs));
     }
 
-    async fn accept(self, mut link_specs: mpsc::UnboundedReceiver<LinkSpec>) {
+    async fn run_links(self, mut link_specs: mpsc::UnboundedReceiver<LinkSpec>) {
         let context = Rc::new(self.context);
         while let Some(spec) = link_specs.recv().await {
             let link = EndpointLink {
