--- a/lovagedock-gateway/src/admin.rs
+++ b/lovagedock-gateway/src/admin.rs
@@ -1,4 +1,4 @@
-//! Administration endpoints of a gateway: status, explanations, dumps and drain.
+//! Administration interface of a gateway: status, explanations, dumps and drain.
 
 use async_trait::async_trait;
 use lovagedock::{AdoptionStatus, prelude::*};
--- a/lovagedock-gateway/src/call_task.rs
+++ b/lovagedock-gateway/src/call_task.rs
@@ -150,8 +150,9 @@
 
     /// Records the answer before the response ends cleanly.
     ///
-    /// A caller that received a clean end may repeat the request and rely on the same bytes. If the
-    /// answer could not be stored, the request ends with a failure that reports it.
+    /// A caller that received a clean end may retry with the same key and rely on receiving the
+    /// same bytes. If the answer could not be stored, the request ends with a failure that reports
+    /// it.
     async fn record_answer(&self, key: KeyHash, buffered: BufferedAnswer) -> CallerEvent {
         let answer = RecordedAnswer::new(&buffered.head, buffered.body);
         let recorded = match answer.encode() {
@@ -229,7 +230,7 @@
     }
 
     /// Logs and counts a request that the end of the drain cut. If the problem has no detail, the
-    /// drain is named there, since the result code may be the one of a deadline.
+    /// drain is named there, since the result code may be that of an expired deadline.
     fn log_cut(&self, problem: &mut RequestProblem, started: Timestamp) {
         if problem.detail.is_empty() {
             problem.detail = ResultCode::GatewayStopping.title().to_owned();
--- a/lovagedock-gateway/src/claims.rs
+++ b/lovagedock-gateway/src/claims.rs
@@ -2,6 +2,13 @@
 //!
 //! Each partition is its own task, which owns its state machine and starts the store calls that the
 //! machine asks for, so that a slow call of one partition does not delay another.
+//!
+//! The state machine starts a read or write of the partition's object only after the previous one
+//! has ended, with a time-out counted as an end. After a write with an unknown outcome it reads the
+//! object before it writes again. Writes are conditional on the version that they replace, so two
+//! concurrent writes of the same gateway would conflict; instead, operations that arrive during a
+//! call share the next write. Reads, writes and deletions of the parts of large answers, which are
+//! objects of their own, may run at the same time.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
--- a/lovagedock-gateway/src/connect.rs
+++ b/lovagedock-gateway/src/connect.rs
@@ -7,7 +7,7 @@
 use lovagedock_wire::{WireError, WireStream};
 use tokio::time::timeout;
 
-/// Opens connections to other processes of the system.
+/// Opens connections to sidecars and other gateways.
 #[async_trait(?Send)]
 pub(crate) trait Connector {
     /// Opens a connection within a time limit.
@@ -18,7 +18,7 @@
     ) -> Result<Box<dyn WireStream>, WireError>;
 }
 
-/// Creates connectors, one for each worker.
+/// Creates connectors. They are not `Send`, so each thread creates its own.
 #[derive(Clone)]
 pub(crate) struct ConnectorFactory {
     transport: Transport,
--- a/lovagedock-gateway/src/driver/mod.rs
+++ b/lovagedock-gateway/src/driver/mod.rs
@@ -40,11 +40,11 @@
     Prefilled {
         /// The engine's endpoint.
         endpoint: EndpointId,
-        /// First token of the part.
+        /// Offset of the part's first token in the prompt.
         start: TokenCount,
         /// Result, and the locator of the engine.
         reply: SegmentReply,
-        /// Tokens of the part.
+        /// Number of tokens in the part.
         tokens: TokenCount,
     },
 }
--- a/lovagedock-gateway/src/driver/place.rs
+++ b/lovagedock-gateway/src/driver/place.rs
@@ -147,7 +147,7 @@
         let granted = !is_quarantined && self.shared.consume_retry(&self.call.service, self.now());
         self.record_step(match granted {
             true => "retry granted",
-            false => "retry budget exhausted",
+            false => "retry denied: budget exhausted or request quarantined",
         });
         RequestEvent::RetryAnswered {
             granted,
--- a/lovagedock-gateway/src/driver/span.rs
+++ b/lovagedock-gateway/src/driver/span.rs
@@ -24,7 +24,8 @@
 }
 
 impl SpanRun {
-    /// The engines that hold parts of the prompt, in prompt order, without the lead's own part.
+    /// The engines that hold parts of the prompt, in prompt order. The lead, which is the first
+    /// member and decodes the answer, is not included.
     pub(crate) fn holders(&self) -> Vec<SpanHolder> {
         self.holders.clone()
     }
--- a/lovagedock-gateway/src/fleet.rs
+++ b/lovagedock-gateway/src/fleet.rs
@@ -40,7 +40,8 @@
     pub(crate) rejects_work: bool,
     /// Number of requests of this gateway in flight at the endpoint.
     pub(crate) in_flight: u32,
-    /// Work sent since the last heartbeat, which the response to it does not include.
+    /// Work sent since the last heartbeat was sent. The response to that heartbeat does not include
+    /// the work.
     pub(crate) sent_since_heartbeat: SentWork,
     /// Commands to the task that owns the session.
     pub(crate) commands: mpsc::UnboundedSender<LinkCommand>,
--- a/lovagedock-gateway/src/front/checks.rs
+++ b/lovagedock-gateway/src/front/checks.rs
@@ -99,7 +99,8 @@
     hour >= from || hour < to
 }
 
-/// The deadline of a request: the requested one or the default, limited by the service's maximum.
+/// The time limit of a request: the requested one, limited by the service's maximum, or the default
+/// if none is requested.
 pub(super) fn time_limit(
     headers: &HeaderMap,
     service: &ServiceSpec,
--- a/lovagedock-gateway/src/front/problem.rs
+++ b/lovagedock-gateway/src/front/problem.rs
@@ -23,7 +23,7 @@
     pub(crate) ran: RanState,
     /// Time after which a retry may succeed; zero for none.
     pub(crate) retry_after: Duration,
-    /// One line with the particulars of this request.
+    /// One-line description of this failure.
     pub(crate) detail: String,
 }
 
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Sets the line with the particulars.
+    /// Sets the description of this failure.
     pub(crate) fn with_detail(mut self, detail: impl Into<String>) -> Self {
         self.detail = detail.into();
         self
--- a/lovagedock-gateway/src/front/reply.rs
+++ b/lovagedock-gateway/src/front/reply.rs
@@ -149,7 +149,7 @@
 }
 
 impl EventBody {
-    /// Sends a streaming client the reason as one more event before the connection breaks.
+    /// Builds the event that reports the reason to a streaming client before the connection breaks.
     fn problem_frame(&mut self, problem: &RequestProblem) -> Frame<Bytes> {
         self.state = BodyState::ProblemSent;
         let document = serde_json::to_string(&problem.document(self.id)).unwrap_or_default();
--- a/lovagedock-gateway/src/front/validator.rs
+++ b/lovagedock-gateway/src/front/validator.rs
@@ -48,7 +48,7 @@
         }
     }
 
-    /// A chat or completion request.
+    /// Validates a chat or completion request.
     async fn model_call(&self, request: Request<Incoming>) -> Result<CallerCall, RequestProblem> {
         let (parts, body) = request.into_parts();
         let organisation = self.check_caller(&parts.headers)?;
@@ -76,7 +76,7 @@
         self.assemble(&parts, body, organisation, service, prompt, rule)
     }
 
-    /// A call of a plain service.
+    /// Validates a call of a plain service.
     async fn plain_call(&self, request: Request<Incoming>) -> Result<CallerCall, RequestProblem> {
         let (parts, body) = request.into_parts();
         let organisation = self.check_caller(&parts.headers)?;
--- a/lovagedock-gateway/src/link/message.rs
+++ b/lovagedock-gateway/src/link/message.rs
@@ -41,7 +41,7 @@
     },
     /// Reserve memory for one part of a span.
     Reserve {
-        /// Names the reservation.
+        /// Identifies the reservation.
         key: AttemptKey,
         /// Tokens to reserve.
         tokens: TokenCount,
@@ -52,7 +52,7 @@
     },
     /// Release a reservation.
     Release {
-        /// Names the reservation.
+        /// Identifies the reservation.
         key: AttemptKey,
     },
     /// Prefill one part of a span.
@@ -73,14 +73,14 @@
 pub(crate) enum AttemptEvent {
     /// The sidecar has queued or started the request.
     Accepted {
-        /// Life of the sidecar.
+        /// Incarnation of the sidecar.
         incarnation: Incarnation,
     },
     /// The sidecar rejected the request.
     Refused(AnswerEnd),
     /// The session was lost while the sidecar may have had the request.
     Lost {
-        /// Life of the sidecar.
+        /// Incarnation of the sidecar.
         incarnation: Incarnation,
     },
     /// The sidecar answered a resume.
--- a/lovagedock-gateway/src/link/mod.rs
+++ b/lovagedock-gateway/src/link/mod.rs
@@ -262,8 +262,9 @@
         tokio::task::spawn_local(answer.run(key, offset));
     }
 
-    /// Rejects commands while there is no session; returns true when the gateway has dropped the
-    /// link.
+    /// Handles commands for the time `wait` while there is no session. Commands that need the
+    /// session are rejected; resumes and revokes use new connections. Returns true when the gateway
+    /// has dropped the link.
     async fn run_without_session(&mut self, wait: Duration) -> bool {
         let pause = sleep(wait);
         tokio::pin!(pause);
--- a/lovagedock-gateway/src/peers/mod.rs
+++ b/lovagedock-gateway/src/peers/mod.rs
@@ -1,4 +1,5 @@
-//! Sessions between gateways, which exchange configurations, usage of limits and suspects.
+//! Sessions between gateways, which exchange configurations, usage of limits and suspected
+//! requests.
 
 mod clients;
 mod session;
@@ -53,7 +54,7 @@
     pub(crate) transport: Transport,
     /// Usage limits of organisations.
     pub(crate) limits: OrganisationLimiter,
-    /// Requests under which engines ended.
+    /// Requests that may have caused engines to exit.
     pub(crate) suspects: SuspectTracker,
     /// Gateways to ask while no configuration is in force.
     pub(crate) seeds: Vec<SocketAddr>,
@@ -71,8 +72,8 @@
 }
 
 impl PeerWorker {
-    /// Serves peers and exchanges configurations until `stop` is dropped; `events` are the results
-    /// of the store requests.
+    /// Serves peers and exchanges configurations until the sender of `stop` is dropped; `events`
+    /// are the results of the store requests.
     pub(crate) fn start(
         self,
         listener: std::net::TcpListener,
@@ -198,7 +199,8 @@
         }
     }
 
-    /// Sends suspects to the other gateways, so that every gateway quarantines them.
+    /// Sends updates about suspected requests to the other gateways, so that every gateway
+    /// quarantines them.
     async fn send_suspects(self: Rc<Self>) {
         let mut ticks = interval(SUSPECT_SEND_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
--- a/lovagedock-gateway/src/recorded.rs
+++ b/lovagedock-gateway/src/recorded.rs
@@ -64,7 +64,7 @@
         postcard::from_bytes(bytes)
     }
 
-    /// Head and body of a delivery.
+    /// Converts the record into the head and body of one delivery.
     pub(crate) fn into_parts(self) -> (AnswerHead, Bytes) {
         let headers = self.headers.into_iter();
         let head = AnswerHead {
--- a/lovagedock-gateway/src/settings.rs
+++ b/lovagedock-gateway/src/settings.rs
@@ -8,7 +8,7 @@
 
 use crate::link::LinkTimes;
 
-/// Minimum duration of a lease; store calls would take up a shorter one.
+/// Minimum duration of a lease. The time of the store calls would use up a shorter lease.
 const MIN_LEASE_MS: u64 = 500;
 
 /// Settings that a gateway reads when it starts; everything else is in the configuration.
@@ -81,7 +81,7 @@
 pub struct ListenerSettings {
     /// Address; port 0 selects any free port.
     pub address: SocketAddr,
-    /// TLS, or plain TCP where that is asked for.
+    /// TLS, or plain TCP if it is selected explicitly.
     pub transport: TransportSettings,
 }
 
@@ -89,7 +89,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LinkSettings {
-    /// TLS, or plain TCP where that is asked for.
+    /// TLS, or plain TCP if it is selected explicitly.
     pub transport: TransportSettings,
     /// Threads that own sessions.
     #[serde(default = "default_workers")]
@@ -97,7 +97,7 @@
     /// Time between heartbeats, in milliseconds.
     #[serde(default = "default_heartbeat_ms")]
     pub heartbeat_ms: u64,
-    /// A session without a response for this long is closed, in milliseconds.
+    /// Time without a response after which a session is closed, in milliseconds.
     #[serde(default = "default_silence_ms")]
     pub silence_ms: u64,
     /// Time between attempts to connect, in milliseconds.
@@ -128,7 +128,8 @@
 #[serde(deny_unknown_fields, default)]
 pub struct OrderSettings {
     /// Duration of a pool's lease without renewal, in milliseconds. The holder calls the store
-    /// three times in it. The duration is long because orders can wait longer than requests.
+    /// three times within this time. The duration is long because orders can wait longer than
+    /// requests.
     pub lease_ms: u64,
 }
 
--- a/lovagedock-gateway/src/shared.rs
+++ b/lovagedock-gateway/src/shared.rs
@@ -25,7 +25,7 @@
     pub(crate) claims: ClaimCoordinator,
     /// Usage limits of organisations.
     pub(crate) limits: OrganisationLimiter,
-    /// Requests under which engines ended.
+    /// Requests that may have caused engines to exit.
     pub(crate) suspects: SuspectTracker,
     /// Signals that the gateway drains.
     pub(crate) shutdown: ShutdownSignal,
--- a/lovagedock-gateway/src/sources.rs
+++ b/lovagedock-gateway/src/sources.rs
@@ -43,7 +43,7 @@
     pub(crate) connectors: ConnectorFactory,
     /// Usage limits of organisations.
     pub(crate) limits: OrganisationLimiter,
-    /// Requests under which engines ended.
+    /// Requests that may have caused engines to exit.
     pub(crate) suspects: SuspectTracker,
 }
 
--- a/lovagedock-gateway/src/suspects.rs
+++ b/lovagedock-gateway/src/suspects.rs
@@ -1,4 +1,5 @@
-//! Tracks requests under which engines behind sidecars ended, at this gateway and at its peers.
+//! Tracks requests that may have caused engines behind sidecars to exit, at this gateway and at its
+//! peers.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,7 +16,7 @@
 /// Time between two rounds of updates to peers. No session is opened for a round without updates.
 pub(crate) const SUSPECT_SEND_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Evidence against requests and their quarantines; cheap to clone.
+/// Recorded engine exits and quarantines of suspected requests; cheap to clone.
 ///
 /// Lock order: this lock is a leaf.
 #[derive(Clone)]
