--- a/lovagedock-gateway/src/driver/command.rs
+++ b/lovagedock-gateway/src/driver/command.rs
@@ -1,4 +1,4 @@
-//! Commands to the links of endpoints.
+//! Sends the commands of the request machine to the links of endpoints.
 
 use std::time::Duration;
 
@@ -6,11 +6,11 @@
 use lovagedock_wire::{SpanHolder, WorkMessage};
 use tokio::sync::oneshot;
 
-use super::{DriverNote, RequestDriver, span::SpanRun};
+use super::{RequestDriver, TaskEvent, span::SpanRun};
 use crate::link::{AttemptSender, LinkCommand};
 
 impl RequestDriver {
-    pub(super) fn command(&mut self, action: RequestAction) {
+    pub(super) fn send_command(&mut self, action: RequestAction) {
         match action {
             RequestAction::Submit {
                 endpoint,
@@ -19,12 +19,12 @@
                 remaining,
                 ..
             } => {
-                self.step(format!("attempt {attempt} submitted to {endpoint}"));
-                let key = self.key(attempt, incarnation);
+                self.record_step(format!("attempt {attempt} submitted to {endpoint}"));
+                let key = self.attempt_key(attempt, incarnation);
                 let holders = self.span.as_ref().map_or_else(Vec::new, SpanRun::holders);
-                let work = Box::new(self.work(key, remaining, holders));
+                let work = Box::new(self.work_message(key, remaining, holders));
                 let events = self.attempt_sender(attempt);
-                self.send(&endpoint, LinkCommand::Submit { work, events });
+                self.send_to_link(&endpoint, LinkCommand::Submit { work, events });
             }
             RequestAction::Resume {
                 endpoint,
@@ -32,15 +32,15 @@
                 incarnation,
                 offset,
             } => {
-                self.step(format!(
+                self.record_step(format!(
                     "attempt {attempt} resumed on {endpoint} at byte {offset}"
                 ));
                 let command = LinkCommand::Resume {
-                    key: self.key(attempt, incarnation),
+                    key: self.attempt_key(attempt, incarnation),
                     offset,
                     events: self.attempt_sender(attempt),
                 };
-                self.send(&endpoint, command);
+                self.send_to_link(&endpoint, command);
             }
             RequestAction::Revoke {
                 endpoint,
@@ -52,8 +52,8 @@
                 attempt,
                 incarnation,
             } => {
-                let key = self.key(attempt, incarnation);
-                self.send(&endpoint, LinkCommand::Cancel { key });
+                let key = self.attempt_key(attempt, incarnation);
+                self.send_to_link(&endpoint, LinkCommand::Cancel { key });
             }
             RequestAction::Place { .. }
             | RequestAction::AskRetry
@@ -63,16 +63,16 @@
             | RequestAction::Deliver { .. }
             | RequestAction::DeliverHead { .. }
             | RequestAction::WakeAt(_)
-            | RequestAction::Finish(_) => unreachable!("carry_out handles these"),
+            | RequestAction::Finish(_) => unreachable!("RequestDriver::execute handles these"),
         }
     }
 
     fn revoke(&self, endpoint: &EndpointId, attempt: AttemptNumber, incarnation: Incarnation) {
-        self.step(format!("attempt {attempt} on {endpoint} revoked"));
+        self.record_step(format!("attempt {attempt} on {endpoint} revoked"));
         let (reply, verdict) = oneshot::channel();
-        let key = self.key(attempt, incarnation);
-        self.send(endpoint, LinkCommand::Revoke { key, reply });
-        let notes = self.note_sender.clone();
+        let key = self.attempt_key(attempt, incarnation);
+        self.send_to_link(endpoint, LinkCommand::Revoke { key, reply });
+        let task_events = self.task_event_sender.clone();
         tokio::spawn(async move {
             let event = match verdict.await {
                 Ok(Ok(verdict)) => RequestEvent::RevokeAnswered {
@@ -82,12 +82,16 @@
                 },
                 Ok(Err(_)) | Err(_) => RequestEvent::RevokeFailed { attempt },
             };
-            // A driver that has finished does not need the verdict.
-            let _finished = notes.send(DriverNote::Request(event));
+            // The send fails only if the driver has finished; it then does not need the verdict.
+            let _finished = task_events.send(TaskEvent::Request(event));
         });
     }
 
-    pub(crate) fn key(&self, attempt: AttemptNumber, incarnation: Incarnation) -> AttemptKey {
+    pub(crate) fn attempt_key(
+        &self,
+        attempt: AttemptNumber,
+        incarnation: Incarnation,
+    ) -> AttemptKey {
         AttemptKey {
             request: self.call.id,
             attempt,
@@ -95,7 +99,7 @@
         }
     }
 
-    pub(crate) fn work(
+    pub(crate) fn work_message(
         &self,
         key: AttemptKey,
         remaining: Duration,
@@ -124,13 +128,15 @@
     fn attempt_sender(&self, attempt: AttemptNumber) -> AttemptSender {
         AttemptSender {
             attempt,
-            sender: self.sender.clone(),
+            sender: self.attempt_event_sender.clone(),
         }
     }
 
-    /// Gives a command to the endpoint's link; an endpoint that has left the configuration has
-    /// none, and the machine's own times end the wait.
-    pub(crate) fn send(&self, endpoint: &EndpointId, command: LinkCommand) {
+    /// Sends a command to the endpoint's link.
+    ///
+    /// An endpoint that was removed from the configuration has no link. The command is then
+    /// dropped, and the timeouts of the request machine end the wait.
+    pub(crate) fn send_to_link(&self, endpoint: &EndpointId, command: LinkCommand) {
         if let Some(entry) = self.shared.context.fleet.get(endpoint) {
             let _link_ended = entry.commands.send(command);
         }
--- a/lovagedock-gateway/src/driver/mod.rs
+++ b/lovagedock-gateway/src/driver/mod.rs
@@ -1,4 +1,4 @@
-//! Carries out what the request machine decides about one caller's request.
+//! Executes the decisions of the request machine for one caller's request.
 
 mod command;
 mod deliver;
@@ -18,47 +18,47 @@
 use self::span::SpanRun;
 use crate::{call::CallerCall, front::CallerSink, link::AttemptEvent, shared::GatewayShared};
 
-/// Events of attempts that may wait for the driver.
+/// Capacity of the queue of attempt events.
 const EVENT_QUEUE: usize = 64;
 
-/// The answer of a keyed request, to be recorded.
+/// The complete answer of a request with an idempotency key, buffered until it is recorded.
 #[derive(Clone, Debug)]
-pub(crate) struct KeptAnswer {
+pub(crate) struct BufferedAnswer {
     /// Status and headers.
     pub(crate) head: AnswerHead,
     /// The whole body.
     pub(crate) body: Vec<u8>,
 }
 
-/// What a task that the driver started tells it.
-pub(crate) enum DriverNote {
-    /// Something for the request machine.
+/// An event from a task that the driver started.
+pub(crate) enum TaskEvent {
+    /// An event for the request machine.
     Request(RequestEvent),
-    /// Something for the span coordinator.
+    /// An event for the span coordinator.
     Span(SpanEvent),
     /// An engine has prefilled its part of the span.
     Prefilled {
         /// The engine's endpoint.
         endpoint: EndpointId,
-        /// First token of the part.
+        /// Offset of the part's first token in the prompt.
         start: TokenCount,
-        /// How it ended, and what the engine calls itself.
+        /// Result, and the locator of the engine.
         reply: SegmentReply,
-        /// Tokens of the part.
+        /// Number of tokens in the part.
         tokens: TokenCount,
     },
 }
 
-/// One request on its way.
+/// Drives one request from placement to its final result.
 pub(crate) struct RequestDriver {
     pub(crate) shared: GatewayShared,
     pub(crate) call: Arc<CallerCall>,
     machine: RequestMachine,
     caller: CallerSink,
-    sender: mpsc::Sender<(AttemptNumber, AttemptEvent)>,
-    events: mpsc::Receiver<(AttemptNumber, AttemptEvent)>,
-    notes: mpsc::UnboundedReceiver<DriverNote>,
-    pub(crate) note_sender: mpsc::UnboundedSender<DriverNote>,
+    attempt_event_sender: mpsc::Sender<(AttemptNumber, AttemptEvent)>,
+    attempt_events: mpsc::Receiver<(AttemptNumber, AttemptEvent)>,
+    task_events: mpsc::UnboundedReceiver<TaskEvent>,
+    pub(crate) task_event_sender: mpsc::UnboundedSender<TaskEvent>,
     pub(crate) span: Option<SpanRun>,
     deadline: Timestamp,
     wake_at: Timestamp,
@@ -66,21 +66,21 @@
     chunk: Bytes,
     hasher: blake3::Hasher,
     sent_to: Vec<EndpointId>,
-    keep: bool,
-    kept: Option<KeptAnswer>,
-    /// When the first bytes of the present attempt came.
+    buffer_answer: bool,
+    buffered_answer: Option<BufferedAnswer>,
+    /// When the first bytes of the current attempt arrived.
     first_bytes_at: Option<Timestamp>,
 }
 
-/// What the machine has been told that stays true.
+/// Permanent conditions that were already reported to the request machine.
 #[derive(Default)]
-struct ToldOnce {
+struct ReportedConditions {
     caller_gone: bool,
     stopping: bool,
 }
 
 impl RequestDriver {
-    /// A driver for a request that passed all checks.
+    /// Creates a driver for a request that passed all checks.
     pub(crate) fn new(
         shared: GatewayShared,
         call: Arc<CallerCall>,
@@ -93,8 +93,8 @@
             .with_organisation(call.organisation.clone())
             .with_tier(call.tier)
             .with_non_idempotent(call.non_idempotent);
-        let (sender, events) = mpsc::channel(EVENT_QUEUE);
-        let (note_sender, notes) = mpsc::unbounded_channel();
+        let (attempt_event_sender, attempt_events) = mpsc::channel(EVENT_QUEUE);
+        let (task_event_sender, task_events) = mpsc::unbounded_channel();
         Self {
             machine: RequestMachine::new(now, spec),
             deadline,
@@ -102,76 +102,76 @@
             shared,
             call,
             caller,
-            sender,
-            events,
-            notes,
-            note_sender,
+            attempt_event_sender,
+            attempt_events,
+            task_events,
+            task_event_sender,
             span: None,
             head: None,
             chunk: Bytes::new(),
             hasher: blake3::Hasher::new(),
             sent_to: Vec::new(),
-            keep: false,
-            kept: None,
+            buffer_answer: false,
+            buffered_answer: None,
             first_bytes_at: None,
         }
     }
 
-    /// Sets whether the whole answer is returned at the end.
-    pub(crate) fn with_kept_answer(mut self, keep: bool) -> Self {
-        self.keep = keep;
+    /// Sets whether [`RequestDriver::run`] returns the complete answer.
+    pub(crate) fn with_answer_buffering(mut self, buffer_answer: bool) -> Self {
+        self.buffer_answer = buffer_answer;
         self
     }
 
-    /// Runs the request to its final answer.
-    pub(crate) async fn run(mut self) -> (RequestOutcome, Option<KeptAnswer>) {
+    /// Runs the request to its end and returns the outcome.
+    pub(crate) async fn run(mut self) -> (RequestOutcome, Option<BufferedAnswer>) {
         let actions = self.machine.start();
-        let mut finished = self.carry_out(actions).await;
-        let mut told = ToldOnce::default();
+        let mut finished = self.execute(actions).await;
+        let mut reported = ReportedConditions::default();
         let outcome = loop {
             if let Some(outcome) = finished {
                 break outcome;
             }
-            let event = self.next_event(&mut told).await;
+            let event = self.next_event(&mut reported).await;
             let Some(event) = event else { continue };
             let actions = self.machine.handle(self.now(), event);
-            finished = self.carry_out(actions).await;
+            finished = self.execute(actions).await;
         };
         for endpoint in &self.sent_to {
             self.shared.context.fleet.work_ended(endpoint);
         }
-        (outcome, self.kept)
+        (outcome, self.buffered_answer)
     }
 
-    async fn next_event(&mut self, told: &mut ToldOnce) -> Option<RequestEvent> {
+    async fn next_event(&mut self, reported: &mut ReportedConditions) -> Option<RequestEvent> {
         let wake = self.shared.context.clock.instant_at(self.wake_at);
         let span_wake = self.span.as_ref().map_or(self.wake_at, |span| span.wake_at);
         let span_wake = self.shared.context.clock.instant_at(span_wake);
         tokio::select! {
             biased;
             () = sleep_until(wake.into()) => Some(RequestEvent::Tick),
-            () = self.caller.closed(), if !told.caller_gone => {
-                told.caller_gone = true;
+            () = self.caller.closed(), if !reported.caller_gone => {
+                reported.caller_gone = true;
                 Some(RequestEvent::CallerGone)
             }
-            () = self.shared.shutdown.wait(), if !told.stopping => {
-                told.stopping = true;
-                let grace = self.shared.drain_left();
+            () = self.shared.shutdown.wait(), if !reported.stopping => {
+                reported.stopping = true;
+                let grace = self.shared.remaining_drain_time();
                 Some(RequestEvent::Stopping { grace })
             }
             () = sleep_until(span_wake.into()), if self.span.is_some() => {
                 self.span_event(SpanEvent::Tick)
             }
-            Some(note) = self.notes.recv() => self.note(note),
-            Some((attempt, event)) = self.events.recv() => self.attempt_event(attempt, event),
+            Some(event) = self.task_events.recv() => self.handle_task_event(event),
+            Some((attempt, event)) = self.attempt_events.recv() => self.attempt_event(attempt, event),
         }
     }
 
-    fn note(&mut self, note: DriverNote) -> Option<RequestEvent> {
-        match note {
-            DriverNote::Request(event) => Some(event),
-            DriverNote::Span(event) => self.span_event(event),
-            DriverNote::Prefilled {
+    fn handle_task_event(&mut self, event: TaskEvent) -> Option<RequestEvent> {
+        match event {
+            TaskEvent::Request(event) => Some(event),
+            TaskEvent::Span(event) => self.span_event(event),
+            TaskEvent::Prefilled {
                 endpoint,
                 start,
                 reply,
@@ -185,8 +185,8 @@
         attempt: AttemptNumber,
         event: AttemptEvent,
     ) -> Option<RequestEvent> {
-        self.watch_outlier(&event);
-        self.watch_engine(attempt, &event);
+        self.report_outlier_event(&event);
+        self.record_engine_end(attempt, &event);
         Some(match event {
             AttemptEvent::Accepted { incarnation } => RequestEvent::SubmitAccepted {
                 attempt,
@@ -216,8 +216,8 @@
         })
     }
 
-    /// Counts an engine that ended under the request.
-    fn watch_engine(&mut self, attempt: AttemptNumber, event: &AttemptEvent) {
+    /// Records with the suspect tracker that an engine process ended while it executed the request.
+    fn record_engine_end(&mut self, attempt: AttemptNumber, event: &AttemptEvent) {
         let now = self.now();
         match event {
             AttemptEvent::Accepted { .. } => self.first_bytes_at = None,
@@ -237,8 +237,8 @@
         }
     }
 
-    /// Tells the outlier detector what the endpoint of the current attempt did.
-    fn watch_outlier(&self, event: &AttemptEvent) {
+    /// Reports an event of the current attempt's endpoint to the outlier detector.
+    fn report_outlier_event(&self, event: &AttemptEvent) {
         let Some(endpoint) = self.machine.endpoint() else {
             return;
         };
@@ -246,26 +246,31 @@
             return;
         };
         let now = self.now();
-        for action in self.shared.context.fleet.watch(now, endpoint, event) {
-            self.step(format!("{}: {:?}", action.endpoint, action.cause));
+        for action in self
+            .shared
+            .context
+            .fleet
+            .record_outlier_event(now, endpoint, event)
+        {
+            self.record_step(format!("{}: {:?}", action.endpoint, action.cause));
         }
     }
 
-    async fn carry_out(&mut self, actions: Vec<RequestAction>) -> Option<RequestOutcome> {
+    async fn execute(&mut self, actions: Vec<RequestAction>) -> Option<RequestOutcome> {
         let mut queue = VecDeque::from(actions);
         while let Some(action) = queue.pop_front() {
             match action {
                 RequestAction::Place { excluded } => {
-                    let placed = self.place(&excluded);
-                    queue.extend(self.feed(RequestEvent::Placed(placed)));
+                    let outcome = self.place(&excluded);
+                    queue.extend(self.handle_event(RequestEvent::Placed(outcome)));
                 }
                 RequestAction::AskRetry => {
                     let answer = self.ask_retry();
-                    queue.extend(self.feed(answer));
+                    queue.extend(self.handle_event(answer));
                 }
                 RequestAction::CheckDigest { expected } => {
                     let matches = *self.hasher.finalize().as_bytes() == expected;
-                    queue.extend(self.feed(RequestEvent::DigestChecked { matches }));
+                    queue.extend(self.handle_event(RequestEvent::DigestChecked { matches }));
                 }
                 RequestAction::StartSpan {
                     attempt,
@@ -273,20 +278,20 @@
                     remaining,
                 } => {
                     let event = self.start_span(attempt, members, remaining);
-                    queue.extend(event.map_or_else(Vec::new, |event| self.feed(event)));
+                    queue.extend(event.map_or_else(Vec::new, |event| self.handle_event(event)));
                 }
                 RequestAction::ReleaseSpan { .. } => self.release_span(),
                 RequestAction::Deliver { skip, .. } => self.deliver(skip).await,
                 RequestAction::DeliverHead { .. } => self.deliver_head().await,
                 RequestAction::WakeAt(wake_at) => self.wake_at = wake_at,
                 RequestAction::Finish(outcome) => return Some(outcome),
-                other => self.command(other),
+                other => self.send_command(other),
             }
         }
         None
     }
 
-    fn feed(&mut self, event: RequestEvent) -> Vec<RequestAction> {
+    fn handle_event(&mut self, event: RequestEvent) -> Vec<RequestAction> {
         self.machine.handle(self.now(), event)
     }
 
@@ -299,12 +304,14 @@
         self.shared.context.clock.now()
     }
 
-    pub(crate) fn step(&self, step: impl Into<String>) {
-        self.shared.trails.step(self.call.id, self.now(), step);
+    pub(crate) fn record_step(&self, text: impl Into<String>) {
+        self.shared
+            .trails
+            .record_step(self.call.id, self.now(), text);
     }
 }
 
-/// What an event of an attempt says about the endpoint, if anything.
+/// The outlier event that an attempt's event implies for its endpoint, if any.
 fn outlier_event(endpoint: &EndpointId, event: &AttemptEvent) -> Option<OutlierEvent> {
     let endpoint = endpoint.clone();
     match event {
--- a/lovagedock-gateway/src/driver/span.rs
+++ b/lovagedock-gateway/src/driver/span.rs
@@ -1,4 +1,4 @@
-//! Carries out what the span coordinator decides about one prompt that needs several engines.
+//! Executes the decisions of the span coordinator for a prompt that needs several engines.
 
 use std::time::Duration;
 
@@ -9,14 +9,14 @@
 use lovagedock_wire::{SegmentRange, SegmentReply, SpanHolder};
 use tokio::sync::oneshot;
 
-use super::{DriverNote, RequestDriver};
+use super::{RequestDriver, TaskEvent};
 use crate::link::LinkCommand;
 
-/// A span of one request.
+/// State of the span that serves one request.
 pub(crate) struct SpanRun {
     attempt: AttemptNumber,
     coordinator: SpanCoordinator,
-    /// When the coordinator wants its next tick.
+    /// When the coordinator's next tick is due.
     pub(crate) wake_at: Timestamp,
     members: Vec<SpanPart>,
     holders: Vec<SpanHolder>,
@@ -24,7 +24,8 @@
 }
 
 impl SpanRun {
-    /// The engines that hold parts of the prompt, in its order; the lead's own part is not here.
+    /// The engines that hold parts of the prompt, in prompt order. The lead, which is the first
+    /// member and decodes the answer, is not included.
     pub(crate) fn holders(&self) -> Vec<SpanHolder> {
         self.holders.clone()
     }
@@ -36,9 +37,11 @@
     }
 }
 
-/// A part of a prompt is one segment: engines prefill in chunks of their own between other work,
-/// and a second cut would only add a round trip for each piece.
-fn timing() -> SpanTiming {
+/// Timing that makes each engine's part of a prompt a single segment.
+///
+/// Engines already split a prefill into chunks and interleave them with other work. Smaller
+/// segments would only add one round trip per segment.
+fn span_timing() -> SpanTiming {
     SpanTiming {
         segment_tokens: TokenCount::MAX,
         ..SpanTiming::default()
@@ -46,7 +49,7 @@
 }
 
 impl RequestDriver {
-    /// Begins to reserve the engines of a span.
+    /// Starts to reserve memory on the engines of a span.
     pub(crate) fn start_span(
         &mut self,
         attempt: AttemptNumber,
@@ -55,7 +58,8 @@
     ) -> Option<RequestEvent> {
         let now = self.now();
         let tokens = self.call.prompt.tokens;
-        let plan = SpanPlan::new(self.call.id, attempt, tokens, remaining).with_timing(timing());
+        let plan =
+            SpanPlan::new(self.call.id, attempt, tokens, remaining).with_timing(span_timing());
         let mut coordinator = SpanCoordinator::new(now, plan, rand::random());
         let actions = coordinator.start(now, members.clone());
         self.span = Some(SpanRun {
@@ -69,7 +73,7 @@
         self.span_actions(actions)
     }
 
-    /// Gives all engines of the span free.
+    /// Releases all engines of the span.
     pub(crate) fn release_span(&mut self) {
         let now = self.now();
         let Some(span) = &mut self.span else { return };
@@ -78,26 +82,26 @@
         self.span = None;
     }
 
-    /// Tells the coordinator; a tick also tells it which members' sessions came or went.
+    /// Passes an event to the coordinator. A tick also reports the session state of each member.
     pub(crate) fn span_event(&mut self, event: SpanEvent) -> Option<RequestEvent> {
         let now = self.now();
-        let mut told = None;
+        let mut request_event = None;
         if event == SpanEvent::Tick {
             for event in self.member_events() {
                 let span = self.span.as_mut()?;
                 let actions = span.coordinator.handle(now, event);
-                told = told.or(self.span_actions(actions));
+                request_event = request_event.or(self.span_actions(actions));
             }
         }
         let span = self.span.as_mut()?;
         if event == SpanEvent::Tick {
-            span.wake_at = now + LONGEST_PAUSE;
+            span.wake_at = now + MAX_TICK_INTERVAL;
         }
         let actions = span.coordinator.handle(now, event);
-        told.or(self.span_actions(actions))
+        request_event.or(self.span_actions(actions))
     }
 
-    /// Notes what an engine calls itself when it has prefilled its part.
+    /// Records the locator of an engine that has prefilled its part.
     pub(crate) fn prefilled(
         &mut self,
         endpoint: EndpointId,
@@ -142,10 +146,10 @@
     }
 
     fn span_actions(&mut self, actions: Vec<SpanAction>) -> Option<RequestEvent> {
-        let mut told = None;
+        let mut request_event = None;
         for action in actions {
             let event = match action {
-                SpanAction::ChooseEngines => self.choose_again(),
+                SpanAction::ChooseEngines => self.choose_engines_again(),
                 SpanAction::Reserve {
                     endpoint,
                     incarnation,
@@ -164,7 +168,7 @@
                     None
                 }
                 SpanAction::Segment(segment) => {
-                    self.segment(segment);
+                    self.prefill_segment(segment);
                     None
                 }
                 SpanAction::Decode { .. } => self.decode(),
@@ -176,12 +180,12 @@
                     None
                 }
             };
-            told = told.or(event);
+            request_event = request_event.or(event);
         }
-        told
+        request_event
     }
 
-    fn choose_again(&mut self) -> Option<RequestEvent> {
+    fn choose_engines_again(&mut self) -> Option<RequestEvent> {
         let parts = match self.choose(&[]) {
             Some(PlacementChoice::Span { members, .. }) => self.span_parts(members),
             Some(PlacementChoice::One { .. } | PlacementChoice::Refuse { .. }) | None => Vec::new(),
@@ -202,25 +206,25 @@
         hold: Duration,
     ) {
         let Some(span) = &self.span else { return };
-        let notes = self.note_sender.clone();
-        // From the submit on the lead's reservation lasts as long as the request.
+        let task_events = self.task_event_sender.clone();
+        // After the submit, the lead's reservation lasts until the request ends.
         if span.decoding && span.is_lead(&endpoint) {
             let granted = SpanEvent::ReserveAnswered {
                 endpoint,
                 round,
                 granted: true,
             };
-            let _own = notes.send(DriverNote::Span(granted));
+            let _infallible = task_events.send(TaskEvent::Span(granted));
             return;
         }
         let (reply, answer) = oneshot::channel();
         let command = LinkCommand::Reserve {
-            key: self.key(span.attempt, incarnation),
+            key: self.attempt_key(span.attempt, incarnation),
             tokens,
             hold,
             reply,
         };
-        self.send(&endpoint, command);
+        self.send_to_link(&endpoint, command);
         tokio::spawn(async move {
             let event = match answer.await {
                 Ok(Ok(reply)) => SpanEvent::ReserveAnswered {
@@ -233,18 +237,18 @@
                     incarnation,
                 },
             };
-            // A driver that has finished does not need it.
-            let _finished = notes.send(DriverNote::Span(event));
+            // The send fails only if the driver has finished; it then does not need the event.
+            let _finished = task_events.send(TaskEvent::Span(event));
         });
     }
 
     fn release(&self, endpoint: &EndpointId, incarnation: Incarnation) {
         let Some(span) = &self.span else { return };
-        let key = self.key(span.attempt, incarnation);
-        self.send(endpoint, LinkCommand::Release { key });
+        let key = self.attempt_key(span.attempt, incarnation);
+        self.send_to_link(endpoint, LinkCommand::Release { key });
     }
 
-    fn segment(&mut self, segment: SpanSegment) {
+    fn prefill_segment(&mut self, segment: SpanSegment) {
         let Some(span) = &self.span else { return };
         let SpanSegment {
             endpoint,
@@ -252,42 +256,44 @@
             start,
             tokens,
         } = segment;
-        let notes = self.note_sender.clone();
+        let task_events = self.task_event_sender.clone();
         if span.is_lead(&endpoint) {
-            // The lead prefills its own part when it decodes.
+            // The lead prefills its own part as the first step of decoding.
             let done = SpanEvent::SegmentDone {
                 endpoint,
                 start,
                 end: AnswerEnd::new(ResultCode::Complete),
             };
-            let _own = notes.send(DriverNote::Span(done));
+            let _infallible = task_events.send(TaskEvent::Span(done));
             return;
         }
-        self.step(format!("{tokens} tokens from {start} go to {endpoint}"));
+        self.record_step(format!(
+            "{tokens} tokens from offset {start} sent to {endpoint}"
+        ));
         let limit = self.remaining();
-        let key = self.key(span.attempt, incarnation);
+        let key = self.attempt_key(span.attempt, incarnation);
         let (reply, answer) = oneshot::channel();
         let command = LinkCommand::Segment {
-            work: Box::new(self.work(key, limit, Vec::new())),
+            work: Box::new(self.work_message(key, limit, Vec::new())),
             range: SegmentRange { start, tokens },
             limit,
             reply,
         };
-        self.send(&endpoint, command);
+        self.send_to_link(&endpoint, command);
         tokio::spawn(async move {
-            let note = match answer.await {
-                Ok(Ok(reply)) => DriverNote::Prefilled {
+            let event = match answer.await {
+                Ok(Ok(reply)) => TaskEvent::Prefilled {
                     endpoint,
                     start,
                     reply,
                     tokens,
                 },
-                Ok(Err(_)) | Err(_) => DriverNote::Span(SpanEvent::MemberLost {
+                Ok(Err(_)) | Err(_) => TaskEvent::Span(SpanEvent::MemberLost {
                     endpoint,
                     incarnation,
                 }),
             };
-            let _finished = notes.send(note);
+            let _finished = task_events.send(event);
         });
     }
 
@@ -301,7 +307,7 @@
 
     fn span_failed(&mut self, end: AnswerEnd) -> Option<RequestEvent> {
         let span = self.span.take()?;
-        self.step(format!("span ended with code {}", end.code.number()));
+        self.record_step(format!("span ended with code {}", end.code.number()));
         Some(RequestEvent::SpanFailed {
             attempt: span.attempt,
             end,
@@ -309,5 +315,5 @@
     }
 }
 
-/// Longest time between looks at the members' sessions.
-const LONGEST_PAUSE: Duration = Duration::from_secs(1);
+/// Maximum time between checks of the members' sessions.
+const MAX_TICK_INTERVAL: Duration = Duration::from_secs(1);
--- a/lovagedock-gateway/src/fleet.rs
+++ b/lovagedock-gateway/src/fleet.rs
@@ -1,7 +1,7 @@
-//! What this gateway knows of each endpoint, shared by all its workers.
+//! State of each endpoint as known to this gateway, shared by all its workers.
 //!
-//! Lock order: the endpoint table first, then one pool; never two pools. Nobody waits for
-//! anything else while holding either.
+//! Lock order: the endpoint table first, then one pool; never two pools. No code waits for anything
+//! else while it holds either lock.
 
 use std::{
     collections::{BTreeMap, HashSet},
@@ -21,7 +21,7 @@
 
 use crate::link::LinkCommand;
 
-/// One endpoint as this gateway reaches it.
+/// One endpoint and the state of the session to it.
 #[derive(Clone, Debug)]
 pub(crate) struct EndpointEntry {
     /// Pool that the endpoint is in.
@@ -32,22 +32,23 @@
     pub(crate) host: HostId,
     /// Address of its sidecar.
     pub(crate) address: SocketAddr,
-    /// Life of the sidecar, while there is a session to it.
+    /// Incarnation of the sidecar while there is a session to it.
     pub(crate) incarnation: Option<Incarnation>,
-    /// Configuration in force at the sidecar, by its last report.
+    /// Generation in force at the sidecar according to its last report.
     pub(crate) generation: Generation,
-    /// Whether it said that it takes no new work.
-    pub(crate) closed: bool,
-    /// Requests of this gateway in flight there.
+    /// Whether its last report said that it is leaving or that its engine is down.
+    pub(crate) rejects_work: bool,
+    /// Number of requests of this gateway in flight at the endpoint.
     pub(crate) in_flight: u32,
-    /// Sent after the heartbeat that is under way, so not in its answer.
-    pub(crate) since_beat: SentWork,
-    /// How to reach the task that owns the session.
+    /// Work sent since the last heartbeat was sent. The response to that heartbeat does not include
+    /// the work.
+    pub(crate) sent_since_heartbeat: SentWork,
+    /// Commands to the task that owns the session.
     pub(crate) commands: mpsc::UnboundedSender<LinkCommand>,
 }
 
 impl EndpointEntry {
-    /// An endpoint without a session.
+    /// Creates an entry without a session.
     pub(crate) fn new(
         pool: PoolId,
         spec: &EndpointSpec,
@@ -60,9 +61,9 @@
             address: spec.sidecar,
             incarnation: None,
             generation: 0,
-            closed: false,
+            rejects_work: false,
             in_flight: 0,
-            since_beat: SentWork::default(),
+            sent_since_heartbeat: SentWork::default(),
             commands,
         }
     }
@@ -75,8 +76,8 @@
 }
 
 impl PoolEntry {
-    /// Lets the detector decide and puts it into force for placement.
-    fn watch(&mut self, now: Timestamp, event: OutlierEvent) -> Vec<OutlierAction> {
+    /// Passes an event to the outlier detector and applies its decisions to placement.
+    fn handle_outlier_event(&mut self, now: Timestamp, event: OutlierEvent) -> Vec<OutlierAction> {
         let actions = self.outliers.handle(now, event);
         for action in &actions {
             self.state.set_ejected(&action.endpoint, action.ejected);
@@ -116,7 +117,7 @@
             .insert(pool.clone(), Arc::new(Mutex::new(entry)));
     }
 
-    /// Takes out the pools that `keep` does not name.
+    /// Removes the pools for which `keep` returns false.
     pub(crate) fn retain_pools(&self, keep: impl Fn(&PoolId) -> bool) {
         self.state.write().pools.retain(|pool, _| keep(pool));
     }
@@ -128,12 +129,12 @@
             let domain = entry.domain.clone();
             let mut pool = pool.lock();
             pool.state.insert(endpoint.clone(), domain);
-            pool.watch(Timestamp::ZERO, OutlierEvent::Joined(endpoint.clone()));
+            pool.handle_outlier_event(Timestamp::ZERO, OutlierEvent::Joined(endpoint.clone()));
         }
         state.endpoints.insert(endpoint, entry);
     }
 
-    /// Takes out an endpoint that the configuration no longer names; its link ends.
+    /// Removes an endpoint that the configuration no longer names; its link ends.
     pub(crate) fn remove(&self, endpoint: &EndpointId) {
         let mut state = self.state.write();
         let Some(entry) = state.endpoints.remove(endpoint) else {
@@ -142,7 +143,7 @@
         if let Some(pool) = state.pools.get(&entry.pool) {
             let mut pool = pool.lock();
             pool.state.remove(endpoint);
-            pool.watch(Timestamp::ZERO, OutlierEvent::Left(endpoint.clone()));
+            pool.handle_outlier_event(Timestamp::ZERO, OutlierEvent::Left(endpoint.clone()));
         }
     }
 
@@ -161,7 +162,7 @@
         self.state.read().endpoints.get(endpoint).cloned()
     }
 
-    /// What the policy of a pool sees of an endpoint.
+    /// The state of an endpoint that the placement policy of its pool uses.
     pub(crate) fn view(&self, endpoint: &EndpointId) -> Option<EndpointView> {
         let state = self.state.read();
         let entry = state.endpoints.get(endpoint)?;
@@ -169,7 +170,7 @@
         pool.state.endpoint(endpoint).cloned()
     }
 
-    /// Lets the policy of a pool choose; `None` if there is no such pool.
+    /// Places a request with the policy of a pool; `None` if there is no such pool.
     pub(crate) fn place(
         &self,
         now: Timestamp,
@@ -183,40 +184,46 @@
         Some(policy.place(now, request, &state.view(), rng))
     }
 
-    /// Notes a new session.
+    /// Records a new session.
     pub(crate) fn session_opened(&self, endpoint: &EndpointId, incarnation: Incarnation) {
         let mut state = self.state.write();
         if let Some(entry) = state.endpoints.get_mut(endpoint) {
             entry.incarnation = Some(incarnation);
         }
-        state.refresh(endpoint);
+        state.update_usable(endpoint);
     }
 
-    /// Notes that there is no session.
+    /// Records that the session was lost.
     pub(crate) fn session_lost(&self, endpoint: &EndpointId) {
         let mut state = self.state.write();
         if let Some(entry) = state.endpoints.get_mut(endpoint) {
             entry.incarnation = None;
         }
-        state.refresh(endpoint);
+        state.update_usable(endpoint);
     }
 
-    /// Notes that a heartbeat goes out: what is sent from now on is not in its answer.
+    /// Records that a heartbeat is sent. The response does not include work that is sent from now
+    /// on.
     pub(crate) fn heartbeat_sent(&self, endpoint: &EndpointId) {
         if let Some(entry) = self.state.write().endpoints.get_mut(endpoint) {
-            entry.since_beat = SentWork::default();
+            entry.sent_since_heartbeat = SentWork::default();
         }
     }
 
-    /// Takes the report that answers a heartbeat.
-    pub(crate) fn report(&self, endpoint: &EndpointId, now: Timestamp, load: &LoadMessage) {
+    /// Records the load report in the response to a heartbeat.
+    pub(crate) fn record_load_report(
+        &self,
+        endpoint: &EndpointId,
+        now: Timestamp,
+        load: &LoadMessage,
+    ) {
         let mut state = self.state.write();
         let Some(entry) = state.endpoints.get_mut(endpoint) else {
             return;
         };
         entry.generation = load.generation;
-        entry.closed = load.leaving || load.engine_down;
-        let unreported = entry.since_beat;
+        entry.rejects_work = load.leaving || load.engine_down;
+        let unreported = entry.sent_since_heartbeat;
         let pool = entry.pool.clone();
         if let Some(pool) = state.pools.get(&pool) {
             let report = Arc::new(endpoint_report(load));
@@ -224,34 +231,35 @@
                 .state
                 .record_report(now, endpoint, report, unreported);
         }
-        state.refresh(endpoint);
+        state.update_usable(endpoint);
     }
 
-    /// Counts a request that goes to an endpoint.
+    /// Records a request that is sent to an endpoint.
     pub(crate) fn work_sent(&self, now: Timestamp, endpoint: &EndpointId, work: SentWork) {
         let mut state = self.state.write();
         let Some(entry) = state.endpoints.get_mut(endpoint) else {
             return;
         };
         entry.in_flight += 1;
-        entry.since_beat.add(&work);
+        entry.sent_since_heartbeat.add(&work);
         let pool = entry.pool.clone();
         if let Some(pool) = state.pools.get(&pool) {
             let mut pool = pool.lock();
             pool.state.record_sent(endpoint, work);
-            pool.watch(now, OutlierEvent::ProbeSent(endpoint.clone()));
+            pool.handle_outlier_event(now, OutlierEvent::ProbeSent(endpoint.clone()));
         }
     }
 
-    /// Counts a request that has ended there.
+    /// Records that a request has ended at an endpoint.
     pub(crate) fn work_ended(&self, endpoint: &EndpointId) {
         if let Some(entry) = self.state.write().endpoints.get_mut(endpoint) {
             entry.in_flight = entry.in_flight.saturating_sub(1);
         }
     }
 
-    /// Tells the outlier detector of the endpoint's pool; returns whose admission changed.
-    pub(crate) fn watch(
+    /// Passes an event to the outlier detector of the endpoint's pool; returns the endpoints whose
+    /// ejection changed.
+    pub(crate) fn record_outlier_event(
         &self,
         now: Timestamp,
         endpoint: &EndpointId,
@@ -262,38 +270,40 @@
             .endpoints
             .get(endpoint)
             .and_then(|entry| state.pools.get(&entry.pool));
-        pool.map_or_else(Vec::new, |pool| pool.lock().watch(now, event))
+        pool.map_or_else(Vec::new, |pool| {
+            pool.lock().handle_outlier_event(now, event)
+        })
     }
 
-    /// Tells all outlier detectors that time passed; returns whose admission changed.
-    pub(crate) fn watch_tick(&self, now: Timestamp) -> Vec<OutlierAction> {
+    /// Sends a tick to all outlier detectors; returns the endpoints whose ejection changed.
+    pub(crate) fn tick_outliers(&self, now: Timestamp) -> Vec<OutlierAction> {
         let state = self.state.read();
         let pools = state.pools.values();
         pools
-            .flat_map(|pool| pool.lock().watch(now, OutlierEvent::Tick))
+            .flat_map(|pool| pool.lock().handle_outlier_event(now, OutlierEvent::Tick))
             .collect()
     }
 
-    /// Takes the platform's list of leaving hosts.
+    /// Sets the hosts that the platform lists as leaving.
     ///
-    /// The list is a backstop: a sidecar says itself that it is leaving. One that cannot, because
-    /// nobody told it, would go on to get work until its host is gone.
+    /// Normally a sidecar reports itself that it is leaving. The list covers sidecars that were not
+    /// notified and would otherwise receive work until their host is gone.
     pub(crate) fn set_leaving_hosts(&self, hosts: HashSet<HostId>) {
         let mut state = self.state.write();
         state.leaving_hosts = hosts;
         let names: Vec<EndpointId> = state.endpoints.keys().cloned().collect();
         for endpoint in names {
-            state.refresh(&endpoint);
+            state.update_usable(&endpoint);
         }
     }
 }
 
 impl FleetState {
-    fn refresh(&self, endpoint: &EndpointId) {
+    fn update_usable(&self, endpoint: &EndpointId) {
         let Some(entry) = self.endpoints.get(endpoint) else {
             return;
         };
-        let leaving = entry.closed || self.leaving_hosts.contains(&entry.host);
+        let leaving = entry.rejects_work || self.leaving_hosts.contains(&entry.host);
         let usable = entry.incarnation.is_some() && !leaving;
         if let Some(pool) = self.pools.get(&entry.pool) {
             pool.lock().state.set_usable(endpoint, usable);
--- a/lovagedock-gateway/src/front/checks.rs
+++ b/lovagedock-gateway/src/front/checks.rs
@@ -1,4 +1,4 @@
-//! Checks that a request passes before it is placed; each failure says that it did not run.
+//! Checks that a request passes before it is placed. Each failure reports that it did not run.
 
 use std::time::Duration;
 
@@ -10,17 +10,17 @@
 use super::problem::RequestProblem;
 use crate::active::ActiveConfig;
 
-/// Header by which a caller asks for a time, in milliseconds.
+/// Header in which a caller requests a deadline, in milliseconds from now.
 const DEADLINE_HEADER: &str = "x-lovagedock-deadline-ms";
-/// Header by which a caller asks for a tier.
+/// Header in which a caller requests a priority tier.
 const PRIORITY_HEADER: &str = "x-lovagedock-priority";
-/// Header by which a caller makes its retries of a call one call.
+/// Header by which a caller marks retries of the same call.
 const IDEMPOTENCY_HEADER: &str = "idempotency-key";
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 255;
 const BEARER: &str = "Bearer ";
 
-/// Headers that concern one connection only, or that the gateway sets itself.
-const NOT_PASSED_ON: &[header::HeaderName] = &[
+/// Headers that apply to one connection only, or that the gateway sets itself.
+const NOT_FORWARDED: &[header::HeaderName] = &[
     header::AUTHORIZATION,
     header::CONNECTION,
     header::CONTENT_LENGTH,
@@ -33,13 +33,13 @@
     header::UPGRADE,
 ];
 
-type Checked<T> = Result<T, RequestProblem>;
+type CheckResult<T> = Result<T, RequestProblem>;
 
-/// Finds the organisation of the API key.
+/// Finds the organisation that owns the API key.
 pub(super) fn authenticate<'a>(
     headers: &HeaderMap,
     config: &'a ActiveConfig,
-) -> Checked<&'a OrganisationSpec> {
+) -> CheckResult<&'a OrganisationSpec> {
     let key = headers
         .get(header::AUTHORIZATION)
         .and_then(|value| value.to_str().ok())
@@ -54,8 +54,8 @@
         .ok_or_else(|| RequestProblem::new(ResultCode::Unauthenticated))
 }
 
-/// Whether the organisation may use the service.
-pub(super) fn authorise(organisation: &OrganisationSpec, service: &ServiceSpec) -> Checked<()> {
+/// Checks that the organisation may use the service.
+pub(super) fn authorise(organisation: &OrganisationSpec, service: &ServiceSpec) -> CheckResult<()> {
     let services = &organisation.services;
     if services.is_empty() || services.contains(&service.id) {
         return Ok(());
@@ -64,8 +64,8 @@
         .with_detail(format!("{} may not use {}", organisation.id, service.id)))
 }
 
-/// Refuses headers that are too large together.
-pub(super) fn check_header_size(headers: &HeaderMap, limit: usize) -> Checked<()> {
+/// Checks the total size of all headers.
+pub(super) fn check_header_size(headers: &HeaderMap, limit: usize) -> CheckResult<()> {
     let size: usize = headers
         .iter()
         .map(|(name, value)| name.as_str().len() + value.len())
@@ -77,7 +77,7 @@
         .with_detail(format!("{size} bytes, at most {limit}")))
 }
 
-/// The first rule for prompts of this length at this hour.
+/// The first rule that applies to prompts of this length at this hour.
 pub(super) fn length_rule(
     rules: &[LengthRule],
     tokens: TokenCount,
@@ -99,25 +99,26 @@
     hour >= from || hour < to
 }
 
-/// The time that a request gets: what it asks for, within what the service allows.
-pub(super) fn deadline(
+/// The time limit of a request: the requested one, limited by the service's maximum, or the default
+/// if none is requested.
+pub(super) fn time_limit(
     headers: &HeaderMap,
     service: &ServiceSpec,
     rule: Option<&LengthRule>,
-) -> Checked<Duration> {
-    let ruled = rule.map_or(0, |rule| rule.default_deadline_ms);
-    let default = match ruled {
+) -> CheckResult<Duration> {
+    let rule_deadline_ms = rule.map_or(0, |rule| rule.default_deadline_ms);
+    let default = match rule_deadline_ms {
         0 => service.default_deadline(),
         milliseconds => Duration::from_millis(milliseconds),
     };
     let Some(value) = headers.get(DEADLINE_HEADER) else {
         return Ok(default);
     };
-    let asked = value
+    let requested = value
         .to_str()
         .ok()
         .and_then(|text| text.parse::<u64>().ok());
-    match asked {
+    match requested {
         Some(milliseconds) if milliseconds > 0 => {
             Ok(Duration::from_millis(milliseconds).min(service.max_deadline()))
         }
@@ -125,28 +126,28 @@
     }
 }
 
-/// The tier that a request gets: what it asks for, within what the organisation may.
+/// The tier of a request: the requested one, limited by the organisation's and the rule's cap.
 pub(super) fn tier(
     headers: &HeaderMap,
     organisation: &OrganisationSpec,
     rule: Option<&LengthRule>,
-) -> Checked<PriorityTier> {
+) -> CheckResult<PriorityTier> {
     let cap = rule.and_then(|rule| rule.priority_cap);
     let highest = cap.map_or(organisation.priority, |cap| cap.min(organisation.priority));
     let Some(value) = headers.get(PRIORITY_HEADER) else {
         return Ok(highest);
     };
-    let asked = match value.as_bytes() {
+    let requested = match value.as_bytes() {
         b"batch" => PriorityTier::Batch,
         b"standard" => PriorityTier::Standard,
         b"interactive" => PriorityTier::Interactive,
         _ => return Err(malformed(PRIORITY_HEADER, "batch, standard or interactive")),
     };
-    Ok(asked.min(highest))
+    Ok(requested.min(highest))
 }
 
 /// The caller's idempotency key.
-pub(super) fn idempotency_key(headers: &HeaderMap) -> Checked<Option<String>> {
+pub(super) fn idempotency_key(headers: &HeaderMap) -> CheckResult<Option<String>> {
     let Some(value) = headers.get(IDEMPOTENCY_HEADER) else {
         return Ok(None);
     };
@@ -158,7 +159,7 @@
     }
 }
 
-/// Whether one of the rules names the call.
+/// Whether one of the rules matches the call.
 pub(super) fn is_listed(rules: &[CallRule], method: &str, path: &str) -> bool {
     rules.iter().any(|rule| {
         let method_fits = rule.method == "*" || rule.method.eq_ignore_ascii_case(method);
@@ -170,11 +171,11 @@
     })
 }
 
-/// Headers that go on to the endpoint.
-pub(super) fn passed_headers(headers: &HeaderMap) -> Vec<HeaderField> {
+/// Headers that are forwarded to the endpoint.
+pub(super) fn forwarded_headers(headers: &HeaderMap) -> Vec<HeaderField> {
     headers
         .iter()
-        .filter(|(name, _)| !NOT_PASSED_ON.contains(name))
+        .filter(|(name, _)| !NOT_FORWARDED.contains(name))
         .map(|(name, value)| HeaderField {
             name: name.as_str().to_owned(),
             value: bytes::Bytes::copy_from_slice(value.as_bytes()),
--- a/lovagedock-gateway/src/front/reply.rs
+++ b/lovagedock-gateway/src/front/reply.rs
@@ -1,4 +1,4 @@
-//! Answers on their way to callers.
+//! Builds responses to callers from the events of request drivers.
 
 use std::{
     io,
@@ -18,28 +18,28 @@
 use tokio::sync::mpsc;
 
 use super::{
-    body::{AnswerBody, whole_body},
+    body::{ResponseBody, full_body},
     problem::{RequestProblem, set_request_id, status},
 };
 
-/// Events that may wait between a driver and its caller's connection.
+/// Capacity of the event queue between a driver and its caller's connection.
 const CALLER_QUEUE: usize = 32;
 
-/// What a driver tells the caller's connection, in order.
+/// Events that a driver sends to the caller's connection, in order.
 #[derive(Debug)]
 pub(crate) enum CallerEvent {
-    /// Status and headers; at most one, first.
+    /// Status and headers; sent at most once, as the first event.
     Head(AnswerHead),
     /// Bytes of the answer.
     Bytes(Bytes),
-    /// The whole answer was sent and checked.
+    /// The complete answer was sent and verified.
     Complete,
-    /// The request ended without a whole answer.
+    /// The request ended without a complete answer.
     Problem(RequestProblem),
 }
 
 impl CallerEvent {
-    /// The code that the caller sees at the end.
+    /// The result code that the caller receives.
     pub(crate) fn code(&self) -> ResultCode {
         match self {
             Self::Problem(problem) => problem.code,
@@ -48,65 +48,67 @@
     }
 }
 
-/// A driver's end of the way to its caller.
+/// The sending end of a driver's event channel to its caller.
 #[derive(Clone, Debug)]
 pub(crate) struct CallerSink {
     sender: mpsc::Sender<CallerEvent>,
 }
 
 impl CallerSink {
-    /// Both ends.
+    /// Creates the channel to a caller.
     pub(crate) fn channel() -> (Self, mpsc::Receiver<CallerEvent>) {
         let (sender, receiver) = mpsc::channel(CALLER_QUEUE);
         (Self { sender }, receiver)
     }
 
-    /// Sends an event; waits while the caller is slow. False if the caller has gone.
+    /// Sends an event and waits while the caller is slow. Returns false if the caller has
+    /// disconnected.
     pub(crate) async fn send(&self, event: CallerEvent) -> bool {
         self.sender.send(event).await.is_ok()
     }
 
-    /// Ends when the caller has gone.
+    /// Returns when the caller has disconnected.
     pub(crate) async fn closed(&self) {
         self.sender.closed().await;
     }
 }
 
-/// Waits for the first event and makes the response of it and what follows.
+/// Waits for the first event and builds the response from it and the events that follow.
 pub(crate) async fn response(
     id: RequestId,
     stream: bool,
     mut events: mpsc::Receiver<CallerEvent>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     match events.recv().await {
-        Some(CallerEvent::Head(head)) => streaming(id, head, stream, events),
+        Some(CallerEvent::Head(head)) => streaming_response(id, head, stream, events),
         Some(CallerEvent::Problem(problem)) => problem.response(id),
-        Some(CallerEvent::Complete) => empty(id),
-        Some(CallerEvent::Bytes(_)) | None => lost().response(id),
+        Some(CallerEvent::Complete) => empty_response(id),
+        Some(CallerEvent::Bytes(_)) | None => driver_ended().response(id),
     }
 }
 
-fn empty(id: RequestId) -> Response<AnswerBody> {
-    let mut response = Response::new(whole_body(Bytes::new()));
+fn empty_response(id: RequestId) -> Response<ResponseBody> {
+    let mut response = Response::new(full_body(Bytes::new()));
     set_request_id(&mut response, id);
     response
 }
 
-fn lost() -> RequestProblem {
-    RequestProblem::new(ResultCode::EndpointLost).with_detail("the request's driver ended early")
+fn driver_ended() -> RequestProblem {
+    RequestProblem::new(ResultCode::EndpointLost)
+        .with_detail("the request's driver ended without a response head")
 }
 
-fn streaming(
+fn streaming_response(
     id: RequestId,
     head: AnswerHead,
     stream: bool,
     events: mpsc::Receiver<CallerEvent>,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let body = EventBody {
         id,
         stream,
         events,
-        ending: BodyEnding::Open,
+        state: BodyState::Open,
     };
     let mut response = Response::new(body.boxed_unsync());
     *response.status_mut() = status(head.status);
@@ -117,7 +119,7 @@
     response
 }
 
-fn copy_header(response: &mut Response<AnswerBody>, field: &HeaderField) {
+fn copy_header(response: &mut Response<ResponseBody>, field: &HeaderField) {
     let Ok(name) = HeaderName::from_bytes(field.name.as_bytes()) else {
         return;
     };
@@ -129,27 +131,27 @@
 
 /// A body that ends cleanly only after [`CallerEvent::Complete`].
 ///
-/// An answer that was cut would otherwise look whole to a client that reads until the end: any
-/// other end is an error of the body, so that the connection breaks without the last chunk.
+/// Any other end is a body error, so that the connection breaks without the last chunk. Otherwise
+/// a truncated answer would look complete to a client that reads until the end of the body.
 struct EventBody {
     id: RequestId,
     stream: bool,
     events: mpsc::Receiver<CallerEvent>,
-    ending: BodyEnding,
+    state: BodyState,
 }
 
 #[derive(Clone, Copy)]
-enum BodyEnding {
+enum BodyState {
     Open,
-    /// The problem was handed over and is to be written before the break.
-    Told,
+    /// The problem was passed to the connection, which still has to write it before the error.
+    ProblemSent,
     Broken,
 }
 
 impl EventBody {
-    /// Tells a streaming client why its stream breaks, as one more event before the break.
+    /// Builds the event that reports the reason to a streaming client before the connection breaks.
     fn problem_frame(&mut self, problem: &RequestProblem) -> Frame<Bytes> {
-        self.ending = BodyEnding::Told;
+        self.state = BodyState::ProblemSent;
         let document = serde_json::to_string(&problem.document(self.id)).unwrap_or_default();
         Frame::data(Bytes::from(format!("event: error\ndata: {document}\n\n")))
     }
@@ -163,16 +165,17 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
-        match self.ending {
-            BodyEnding::Open => {}
-            // The error of a body drops what the connection has not written yet, and the caller
-            // would see a break without its reason. A pause lets the connection write first.
-            BodyEnding::Told => {
-                self.ending = BodyEnding::Broken;
+        match self.state {
+            BodyState::Open => {}
+            // A body error discards data that the connection has not written yet, so the caller
+            // would see the connection break without the reason. Returning `Pending` once lets the
+            // connection write the problem first.
+            BodyState::ProblemSent => {
+                self.state = BodyState::Broken;
                 context.waker().wake_by_ref();
                 return Poll::Pending;
             }
-            BodyEnding::Broken => return Poll::Ready(Some(Err(cut()))),
+            BodyState::Broken => return Poll::Ready(Some(Err(truncated_body()))),
         }
         match self.events.poll_recv(context) {
             Poll::Pending => Poll::Pending,
@@ -184,12 +187,15 @@
                 Poll::Ready(Some(Ok(self.problem_frame(&problem))))
             }
             Poll::Ready(Some(CallerEvent::Problem(_) | CallerEvent::Head(_)) | None) => {
-                Poll::Ready(Some(Err(cut())))
+                Poll::Ready(Some(Err(truncated_body())))
             }
         }
     }
 }
 
-fn cut() -> io::Error {
-    io::Error::new(io::ErrorKind::ConnectionAborted, "the answer is not whole")
+fn truncated_body() -> io::Error {
+    io::Error::new(
+        io::ErrorKind::ConnectionAborted,
+        "answer truncated: the request ended before the answer was complete",
+    )
 }
--- a/lovagedock-gateway/src/front/intake.rs
+++ b/lovagedock-gateway/src/front/validator.rs
@@ -1,4 +1,4 @@
-//! Turns a caller's HTTP request into a checked call.
+//! Validates a caller's HTTP request and converts it into a [`CallerCall`].
 
 use std::time::Duration;
 
@@ -19,26 +19,26 @@
     settings::CallerLimits,
 };
 
-/// Header by which a plain service learns whose call it is.
+/// Header that names the calling organisation to a plain service.
 const ORGANISATION_HEADER: &str = "x-lovagedock-organisation";
 const SECONDS_PER_HOUR: u64 = 3_600;
 const HOURS_PER_DAY: u64 = 24;
 
-/// Checks one request against one configuration.
-pub(super) struct CallIntake<'a> {
-    /// Id that the request got.
+/// Validates one request against one configuration.
+pub(super) struct CallValidator<'a> {
+    /// Id assigned to the request.
     pub(super) id: RequestId,
-    /// Configuration that decides about it.
+    /// Configuration that applies to the request.
     pub(super) config: &'a ActiveConfig,
     /// Limits of the gateway.
     pub(super) limits: &'a CallerLimits,
-    /// Wall-clock time since the epoch, for rules by the hour.
+    /// Wall-clock time since the epoch, for rules that depend on the hour.
     pub(super) since_epoch: Duration,
 }
 
-impl CallIntake<'_> {
-    /// The call that a request asks for; waits for the body.
-    pub(super) async fn call(
+impl CallValidator<'_> {
+    /// Validates a request and reads its body.
+    pub(super) async fn validate(
         &self,
         request: Request<Incoming>,
     ) -> Result<CallerCall, RequestProblem> {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// A chat or completion request.
+    /// Validates a chat or completion request.
     async fn model_call(&self, request: Request<Incoming>) -> Result<CallerCall, RequestProblem> {
         let (parts, body) = request.into_parts();
         let organisation = self.check_caller(&parts.headers)?;
@@ -76,7 +76,7 @@
         self.assemble(&parts, body, organisation, service, prompt, rule)
     }
 
-    /// A call of a plain service.
+    /// Validates a call of a plain service.
     async fn plain_call(&self, request: Request<Incoming>) -> Result<CallerCall, RequestProblem> {
         let (parts, body) = request.into_parts();
         let organisation = self.check_caller(&parts.headers)?;
@@ -91,7 +91,7 @@
         self.assemble(&parts, body, organisation, service, prompt, None)
     }
 
-    /// The organisation, after the checks that need no body.
+    /// Runs the checks that need no body and returns the organisation.
     pub(super) fn check_caller(
         &self,
         headers: &HeaderMap,
@@ -120,8 +120,9 @@
             weight: organisation.weight,
             service: service.id.clone(),
             pool: service.pool.clone(),
-            deadline: checks::deadline(&parts.headers, service, rule)?,
-            // A caller that sends a key counts on one run, whatever the configuration lists.
+            time_limit: checks::time_limit(&parts.headers, service, rule)?,
+            // A caller that sends a key relies on a single execution, whatever the configuration
+            // lists as non-idempotent.
             non_idempotent: listed || key.is_some(),
             idempotency_key: key,
             prompt,
@@ -137,17 +138,18 @@
         headers: &HeaderMap,
         organisation: &OrganisationSpec,
     ) -> Vec<lovagedock_wire::HeaderField> {
-        let mut passed = checks::passed_headers(headers);
-        passed.retain(|field| field.name != REQUEST_ID_HEADER && field.name != ORGANISATION_HEADER);
+        let mut forwarded = checks::forwarded_headers(headers);
+        forwarded
+            .retain(|field| field.name != REQUEST_ID_HEADER && field.name != ORGANISATION_HEADER);
         let mut add = |name: &str, value: &str| {
-            passed.push(lovagedock_wire::HeaderField {
+            forwarded.push(lovagedock_wire::HeaderField {
                 name: name.to_owned(),
                 value: Bytes::copy_from_slice(value.as_bytes()),
             });
         };
         add(REQUEST_ID_HEADER, &format_request_id(self.id));
         add(ORGANISATION_HEADER, &organisation.id);
-        passed
+        forwarded
     }
 
     async fn read_body(&self, body: Incoming) -> Result<Bytes, RequestProblem> {
@@ -184,21 +186,21 @@
 
 fn check_length(
     prompt: &PromptSummary,
-    context: TokenCount,
+    max_context_tokens: TokenCount,
     organisation: &OrganisationSpec,
 ) -> Result<(), RequestProblem> {
-    let own = organisation.limits.max_prompt_tokens;
-    let too_long = |limit: TokenCount, whose: &str| {
+    let max_prompt_tokens = organisation.limits.max_prompt_tokens;
+    let too_long = |limit: TokenCount, owner: &str| {
         RequestProblem::new(ResultCode::PromptTooLong).with_detail(format!(
-            "about {} tokens of prompt and {} of answer, {whose} limit is {limit}",
+            "about {} tokens of prompt and {} of answer, {owner} limit is {limit}",
             prompt.tokens, prompt.answer_tokens
         ))
     };
-    if prompt.all_tokens() > context {
-        return Err(too_long(context, "the model's"));
+    if prompt.total_tokens() > max_context_tokens {
+        return Err(too_long(max_context_tokens, "the model's"));
     }
-    if own > 0 && prompt.tokens > own {
-        return Err(too_long(own, "the organisation's"));
+    if max_prompt_tokens > 0 && prompt.tokens > max_prompt_tokens {
+        return Err(too_long(max_prompt_tokens, "the organisation's"));
     }
     Ok(())
 }
--- a/lovagedock-gateway/src/link/beat.rs
+++ b/lovagedock-gateway/src/link/heartbeat.rs
@@ -8,19 +8,19 @@
 use super::LinkSession;
 use crate::context::GatewayContext;
 
-/// Sends heartbeats and feeds configuration on one session.
-pub(super) struct SessionBeater {
+/// Sends heartbeats and configurations on one session.
+pub(super) struct HeartbeatSender {
     /// Endpoint at the other end.
     pub(super) endpoint: EndpointId,
-    /// What all parts of the gateway share.
+    /// Shared state of the gateway.
     pub(super) context: Rc<GatewayContext>,
-    /// Time without an answer after which the session is lost.
+    /// Time without a response after which the session is lost.
     pub(super) silence: Duration,
 }
 
-impl SessionBeater {
-    /// Sends one heartbeat.
-    pub(super) async fn beat(&self, session: &LinkSession, sequence: u64) -> Result<(), WireError> {
+impl HeartbeatSender {
+    /// Sends one heartbeat, and the configuration if the sidecar has an older one.
+    pub(super) async fn send(&self, session: &LinkSession, sequence: u64) -> Result<(), WireError> {
         let generation = self.context.generation();
         let limit = self.silence;
         let fleet = &self.context.fleet;
@@ -29,16 +29,16 @@
             .client
             .heartbeat(sequence, generation, limit)
             .await?;
-        let lacking = load.generation < generation;
-        fleet.report(&self.endpoint, self.context.clock.now(), &load);
-        if lacking {
-            self.feed(session).await?;
+        let is_outdated = load.generation < generation;
+        fleet.record_load_report(&self.endpoint, self.context.clock.now(), &load);
+        if is_outdated {
+            self.send_config(session).await?;
         }
         Ok(())
     }
 
-    /// Hands the configuration in force to a sidecar that has an older one.
-    async fn feed(&self, session: &LinkSession) -> Result<(), WireError> {
+    /// Sends the configuration in force.
+    async fn send_config(&self, session: &LinkSession) -> Result<(), WireError> {
         let active = self.context.config.load_full();
         let message = ConfigMessage {
             generation: active.generation,
--- a/lovagedock-gateway/src/link/mod.rs
+++ b/lovagedock-gateway/src/link/mod.rs
@@ -1,10 +1,11 @@
 //! The task that owns the session to one endpoint.
 //!
-//! It connects, introduces itself, sends heartbeats, feeds configuration to a sidecar that lacks
-//! it, and carries commands of request drivers out. A session without a heartbeat's answer within
-//! [`LinkTimes::silence`] is given up, and each request on it is told.
+//! The task connects, introduces itself, sends heartbeats, sends newer configurations to the
+//! sidecar and executes the commands of request drivers. A session is closed if no response to a
+//! heartbeat arrives within [`LinkTimes::silence`], and the driver of each request on it is
+//! notified.
 
-mod beat;
+mod heartbeat;
 mod message;
 mod receive;
 mod resume;
@@ -23,17 +24,17 @@
 };
 
 pub(crate) use self::message::{AttemptEvent, AttemptSender, LinkCommand};
-use self::{beat::SessionBeater, receive::AttemptReceiver, resume::ResumedAnswer};
-use crate::{connect::PeerConnector, context::GatewayContext};
+use self::{heartbeat::HeartbeatSender, receive::AttemptReceiver, resume::ResumedAnswer};
+use crate::{connect::Connector, context::GatewayContext};
 
-/// Times that a link keeps.
+/// Intervals and timeouts of a link.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LinkTimes {
-    /// Between heartbeats.
+    /// Time between heartbeats.
     pub(crate) heartbeat: Duration,
-    /// Without an answer for this long a session is lost.
+    /// Time without a response after which a session is lost.
     pub(crate) silence: Duration,
-    /// Between attempts to connect.
+    /// Time between attempts to connect.
     pub(crate) reconnect: Duration,
 }
 
@@ -43,13 +44,13 @@
     pub(crate) endpoint: EndpointId,
     /// Address of its sidecar.
     pub(crate) address: SocketAddr,
-    /// What all parts of the gateway share.
+    /// Shared state of the gateway.
     pub(crate) context: Rc<GatewayContext>,
-    /// How to connect.
-    pub(crate) connector: Rc<dyn PeerConnector>,
+    /// Opens connections.
+    pub(crate) connector: Rc<dyn Connector>,
     /// Commands of request drivers.
     pub(crate) commands: mpsc::UnboundedReceiver<LinkCommand>,
-    /// Times to keep.
+    /// Intervals and timeouts.
     pub(crate) times: LinkTimes,
     /// Log.
     pub(crate) log: Logger,
@@ -71,15 +72,15 @@
     /// Runs until the gateway drops the link's command sender.
     pub(crate) async fn run(mut self) {
         loop {
-            match self.open().await {
+            match self.open_session().await {
                 Ok(session) => {
                     if self.run_session(session).await {
                         return;
                     }
                 }
                 Err(error) => {
-                    debug!(self.log, "no session"; "endpoint" => &*self.endpoint, "error" => %error);
-                    if self.refuse_for(self.times.reconnect).await {
+                    debug!(self.log, "cannot open a session"; "endpoint" => &*self.endpoint, "error" => %error);
+                    if self.run_without_session(self.times.reconnect).await {
                         return;
                     }
                 }
@@ -87,13 +88,13 @@
         }
     }
 
-    async fn open(&self) -> Result<LinkSession, WireError> {
+    async fn open_session(&self) -> Result<LinkSession, WireError> {
         let limit = self.times.silence;
         let client = open_client(&*self.connector, self.address, limit).await?;
         let welcome = client.hello(&self.identity(), limit).await?;
         if welcome.name != *self.endpoint {
             return Err(WireError::Malformed(format!(
-                "{} answers at the address of {}",
+                "sidecar of {} responded at the address of {}",
                 welcome.name, self.endpoint
             )));
         }
@@ -102,8 +103,8 @@
             .await?;
         let fleet = &self.context.fleet;
         fleet.session_opened(&self.endpoint, welcome.incarnation);
-        fleet.report(&self.endpoint, self.context.clock.now(), &load);
-        info!(self.log, "session open"; "endpoint" => &*self.endpoint, "incarnation" => welcome.incarnation);
+        fleet.record_load_report(&self.endpoint, self.context.clock.now(), &load);
+        info!(self.log, "session opened"; "endpoint" => &*self.endpoint, "incarnation" => welcome.incarnation);
         Ok(LinkSession {
             client,
             incarnation: welcome.incarnation,
@@ -119,18 +120,18 @@
         }
     }
 
-    /// Serves one session; true when the gateway has dropped the link.
+    /// Serves one session; returns true when the gateway has dropped the link.
     async fn run_session(&mut self, session: LinkSession) -> bool {
         let session = Rc::new(session);
         let mut in_flight = InFlight::new();
         let end = self.serve(&session, &mut in_flight).await;
-        // Calls under way hold the session; without the close they would wait on a connection
-        // that may be silent for good.
+        // Pending calls keep the session alive. Without the close they would wait on a connection
+        // that may never respond again.
         session.client.close();
         self.context.fleet.session_lost(&self.endpoint);
         for events in in_flight.into_values() {
             let incarnation = session.incarnation;
-            // Its own task, so that one slow caller does not keep the others from the news.
+            // Each event is sent in its own task, so that a slow caller does not delay the others.
             tokio::task::spawn_local(async move {
                 events.send(AttemptEvent::Lost { incarnation }).await;
             });
@@ -148,24 +149,29 @@
         let mut ticks = interval(self.times.heartbeat);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut sequence = 0;
-        let beater = Rc::new(self.beater());
-        // Beside the commands, not before them: a submit must not wait for a heartbeat's answer.
-        let mut beat: Option<LocalBoxFuture<'static, Result<(), WireError>>> = None;
+        let heartbeat_sender = Rc::new(self.heartbeat_sender());
+        // Heartbeats are awaited concurrently with commands: a submit must not wait for the
+        // response to a heartbeat.
+        let mut pending_heartbeat: Option<LocalBoxFuture<'static, Result<(), WireError>>> = None;
         loop {
             tokio::select! {
                 command = self.commands.recv() => {
                     let Some(command) = command else { return SessionEnd::Closed };
                     in_flight.retain(|_, events| !events.sender.is_closed());
-                    self.carry_out(command, session, in_flight);
+                    self.execute(command, session, in_flight);
                 }
-                _ = ticks.tick(), if beat.is_none() => {
+                _ = ticks.tick(), if pending_heartbeat.is_none() => {
                     sequence += 1;
-                    let beater = Rc::clone(&beater);
+                    let heartbeat_sender = Rc::clone(&heartbeat_sender);
                     let session = Rc::clone(session);
-                    beat = Some(async move { beater.beat(&session, sequence).await }.boxed_local());
+                    pending_heartbeat = Some(
+                        async move { heartbeat_sender.send(&session, sequence).await }.boxed_local()
+                    );
                 }
-                ended = async { beat.as_mut().expect("guarded by is_some").await }, if beat.is_some() => {
-                    beat = None;
+                ended = async {
+                    pending_heartbeat.as_mut().expect("guarded by is_some").await
+                }, if pending_heartbeat.is_some() => {
+                    pending_heartbeat = None;
                     if let Err(error) = ended {
                         return SessionEnd::Lost(error.to_string());
                     }
@@ -174,22 +180,22 @@
         }
     }
 
-    fn beater(&self) -> SessionBeater {
-        SessionBeater {
+    fn heartbeat_sender(&self) -> HeartbeatSender {
+        HeartbeatSender {
             endpoint: self.endpoint.clone(),
             context: Rc::clone(&self.context),
             silence: self.times.silence,
         }
     }
 
-    /// Carries a command out in a task of its own, so that heartbeats are not held up.
-    fn carry_out(&self, command: LinkCommand, session: &Rc<LinkSession>, in_flight: &mut InFlight) {
+    /// Executes a command in its own task, so that heartbeats are not delayed.
+    fn execute(&self, command: LinkCommand, session: &Rc<LinkSession>, in_flight: &mut InFlight) {
         let session = Rc::clone(session);
         let limit = self.times.silence;
         match command {
             LinkCommand::Submit { work, events } => {
                 if work.key.incarnation != session.incarnation {
-                    refuse_submit(events, ResultCode::StaleIncarnation);
+                    reject_submit(events, ResultCode::StaleIncarnation);
                     return;
                 }
                 in_flight.insert(work.key, events.clone());
@@ -231,19 +237,20 @@
         }
     }
 
-    /// Revokes on a new connection: the old one may be silent for good while new ones work.
+    /// Revokes on a new connection: the old one may never respond again while new ones work.
     fn revoke(&self, key: AttemptKey, reply: oneshot::Sender<Result<RevokeVerdict, WireError>>) {
         let connector = Rc::clone(&self.connector);
         let identity = self.identity();
         let address = self.address;
         let limit = self.times.silence;
         tokio::task::spawn_local(async move {
-            let verdict = revoke_anew(&*connector, address, &identity, key, limit).await;
+            let verdict =
+                revoke_on_new_connection(&*connector, address, &identity, key, limit).await;
             let _gone = reply.send(verdict);
         });
     }
 
-    /// Resumes on a new connection, which lives until the answer ends.
+    /// Resumes on a new connection, which stays open until the answer ends.
     fn resume(&self, key: AttemptKey, offset: u64, events: AttemptSender) {
         let answer = ResumedAnswer {
             connector: Rc::clone(&self.connector),
@@ -255,8 +262,10 @@
         tokio::task::spawn_local(answer.run(key, offset));
     }
 
-    /// Answers commands while there is no session; true when the gateway has dropped the link.
-    async fn refuse_for(&mut self, wait: Duration) -> bool {
+    /// Handles commands for the time `wait` while there is no session. Commands that need the
+    /// session are rejected; resumes and revokes use new connections. Returns true when the gateway
+    /// has dropped the link.
+    async fn run_without_session(&mut self, wait: Duration) -> bool {
         let pause = sleep(wait);
         tokio::pin!(pause);
         loop {
@@ -264,17 +273,17 @@
                 () = &mut pause => return false,
                 command = self.commands.recv() => {
                     let Some(command) = command else { return true };
-                    self.refuse(command);
+                    self.execute_without_session(command);
                 }
             }
         }
     }
 
-    fn refuse(&self, command: LinkCommand) {
-        let gone = || WireError::Disconnected("no session".to_owned());
+    fn execute_without_session(&self, command: LinkCommand) {
+        let no_session = || WireError::Disconnected("no session".to_owned());
         match command {
             LinkCommand::Submit { events, .. } => {
-                refuse_submit(events, ResultCode::EndpointUnreachable);
+                reject_submit(events, ResultCode::EndpointUnreachable);
             }
             LinkCommand::Resume {
                 key,
@@ -284,17 +293,17 @@
             LinkCommand::Revoke { key, reply } => self.revoke(key, reply),
             LinkCommand::Cancel { .. } | LinkCommand::Release { .. } => {}
             LinkCommand::Reserve { reply, .. } => {
-                let _gone = reply.send(Err(gone()));
+                let _gone = reply.send(Err(no_session()));
             }
             LinkCommand::Segment { reply, .. } => {
-                let _gone = reply.send(Err(gone()));
+                let _gone = reply.send(Err(no_session()));
             }
         }
     }
 }
 
 async fn open_client(
-    connector: &dyn PeerConnector,
+    connector: &dyn Connector,
     address: SocketAddr,
     limit: Duration,
 ) -> Result<EndpointClient, WireError> {
@@ -302,8 +311,8 @@
     Ok(EndpointClient::new(stream))
 }
 
-async fn revoke_anew(
-    connector: &dyn PeerConnector,
+async fn revoke_on_new_connection(
+    connector: &dyn Connector,
     address: SocketAddr,
     identity: &PeerIdentity,
     key: AttemptKey,
@@ -314,8 +323,8 @@
     client.revoke(key, limit).await
 }
 
-/// Tells a driver that its submit was never sent, so that it certainly did not run.
-fn refuse_submit(events: AttemptSender, code: ResultCode) {
+/// Notifies a driver that its submit was never sent, so that the request certainly did not run.
+fn reject_submit(events: AttemptSender, code: ResultCode) {
     tokio::task::spawn_local(async move {
         events
             .send(AttemptEvent::Refused(AnswerEnd::new(code)))
--- a/lovagedock-gateway/src/link/resume.rs
+++ b/lovagedock-gateway/src/link/resume.rs
@@ -1,4 +1,4 @@
-//! The rest of an answer whose session was lost.
+//! Receives the rest of an answer after its session was lost.
 
 use std::{cell::Cell, net::SocketAddr, rc::Rc};
 
@@ -12,24 +12,24 @@
     open_client,
     receive::AttemptReceiver,
 };
-use crate::connect::PeerConnector;
+use crate::connect::Connector;
 
-/// The rest of one answer, on a connection of its own.
+/// Receives the rest of one answer on its own connection.
 pub(super) struct ResumedAnswer {
-    /// How to connect.
-    pub(super) connector: Rc<dyn PeerConnector>,
+    /// Opens connections.
+    pub(super) connector: Rc<dyn Connector>,
     /// How this gateway introduces itself.
     pub(super) identity: PeerIdentity,
     /// Address of the sidecar.
     pub(super) address: SocketAddr,
-    /// Times to keep.
+    /// Intervals and timeouts.
     pub(super) times: LinkTimes,
-    /// Where the answer goes.
+    /// Destination of the answer.
     pub(super) events: AttemptSender,
 }
 
 impl ResumedAnswer {
-    /// Resumes and follows the answer to its end.
+    /// Resumes the answer and receives it until its end.
     pub(super) async fn run(self, key: AttemptKey, offset: u64) {
         let receiver = AttemptReceiver::new(self.events.clone());
         let ended = Rc::clone(&receiver.ended);
@@ -43,7 +43,7 @@
                 self.events
                     .send(AttemptEvent::Resumed { found: true })
                     .await;
-                self.watch(&client, key, &ended).await;
+                self.send_heartbeats(&client, key, &ended).await;
             }
             Err(_) => self.events.send(AttemptEvent::ResumeFailed).await,
         }
@@ -65,14 +65,15 @@
         Ok(found.then_some(client))
     }
 
-    /// Sends heartbeats until the answer ends: this connection may go silent like any other.
-    async fn watch(&self, client: &EndpointClient, key: AttemptKey, ended: &Cell<bool>) {
+    /// Sends heartbeats until the answer ends: this connection, too, may stop responding.
+    async fn send_heartbeats(&self, client: &EndpointClient, key: AttemptKey, ended: &Cell<bool>) {
         let mut sequence = 0;
         while !ended.get() && !self.events.sender.is_closed() {
             sleep(self.times.heartbeat).await;
             sequence += 1;
-            let beat = client.heartbeat(sequence, self.identity.generation, self.times.silence);
-            if beat.await.is_err() && !ended.get() {
+            let heartbeat =
+                client.heartbeat(sequence, self.identity.generation, self.times.silence);
+            if heartbeat.await.is_err() && !ended.get() {
                 let incarnation = key.incarnation;
                 self.events.send(AttemptEvent::Lost { incarnation }).await;
                 return;
--- a/lovagedock-gateway/src/orders/pool.rs
+++ b/lovagedock-gateway/src/orders/pool.rs
@@ -1,4 +1,4 @@
-//! The task that holds one pool's lease and gives its orders.
+//! The task that holds one pool's lease and sends its orders.
 
 use std::{
     cell::RefCell, collections::HashMap, net::SocketAddr, rc::Rc, sync::Arc, time::Duration,
@@ -14,28 +14,27 @@
 use tokio::{runtime::Handle, sync::mpsc, task::spawn_local, time::sleep_until};
 
 use super::{
-    board::{OrderBoard, PoolOrders},
     call::SidecarCall,
+    status_table::{OrderStatusTable, PoolOrderStatus},
 };
 use crate::{
-    active::ActiveConfig, connect::PeerConnector, context::GatewayContext, link::LinkTimes,
-    store_calls,
+    active::ActiveConfig, connect::Connector, context::GatewayContext, link::LinkTimes, store_calls,
 };
 
-/// Longest sleep between looks at the wake times.
-const LONGEST_SLEEP: Duration = Duration::from_secs(3_600);
+/// Maximum sleep before the wake times are checked again.
+const MAX_SLEEP: Duration = Duration::from_secs(3_600);
 
-/// What a pool's task needs.
+/// Dependencies of a pool's task.
 pub(super) struct PoolParts {
     pub(super) pool: PoolId,
     pub(super) context: GatewayContext,
     pub(super) store: Arc<dyn ObjectStore>,
-    /// Runtime of the store's connections, which other parts of the gateway share.
+    /// Runtime of the store's connections, which are shared with other parts of the gateway.
     pub(super) store_runtime: Handle,
-    pub(super) connector: Rc<dyn PeerConnector>,
+    pub(super) connector: Rc<dyn Connector>,
     pub(super) times: LinkTimes,
     pub(super) lease: Duration,
-    pub(super) board: OrderBoard,
+    pub(super) status_table: OrderStatusTable,
     pub(super) log: Logger,
 }
 
@@ -57,7 +56,7 @@
 }
 
 impl PoolTask {
-    /// A task that has no configuration yet.
+    /// Creates a task without a configuration.
     pub(super) fn new(parts: PoolParts) -> Self {
         let limits = LeaseLimits {
             duration: parts.lease,
@@ -79,11 +78,11 @@
         }
     }
 
-    /// Runs until the sender of configurations is dropped, then gives the lease back.
+    /// Runs until the sender of configurations is dropped, then releases the lease.
     pub(super) async fn run(mut self, mut configs: mpsc::UnboundedReceiver<Arc<ActiveConfig>>) {
-        self.lease(LeaseEvent::Want);
+        self.handle_lease_event(LeaseEvent::Want);
         loop {
-            let latest = self.parts.context.clock.now() + LONGEST_SLEEP;
+            let latest = self.parts.context.clock.now() + MAX_SLEEP;
             let wake = self.lease_wake.min(self.order_wake).min(latest);
             let wake = self.parts.context.clock.instant_at(wake);
             tokio::select! {
@@ -91,35 +90,35 @@
                     Some(active) => self.configure(&active),
                     None => break,
                 },
-                Some(event) = self.events.recv() => self.take(event),
+                Some(event) = self.events.recv() => self.handle_event(event),
                 () = sleep_until(wake.into()) => self.tick(),
             }
-            self.show();
+            self.publish_status();
         }
-        self.give_back().await;
-        self.parts.board.remove(&self.parts.pool);
+        self.release_lease().await;
+        self.parts.status_table.remove(&self.parts.pool);
     }
 
-    fn take(&mut self, event: PoolEvent) {
+    fn handle_event(&mut self, event: PoolEvent) {
         match event {
-            PoolEvent::Lease(event) => self.lease(event),
-            PoolEvent::Order(event) => self.order(event),
+            PoolEvent::Lease(event) => self.handle_lease_event(event),
+            PoolEvent::Order(event) => self.handle_order_event(event),
         }
     }
 
     fn tick(&mut self) {
         self.lease_wake = Timestamp::MAX;
         self.order_wake = Timestamp::MAX;
-        self.lease(LeaseEvent::Tick);
-        self.order(OrderEvent::Tick);
+        self.handle_lease_event(LeaseEvent::Tick);
+        self.handle_order_event(OrderEvent::Tick);
     }
 
-    fn show(&self) {
+    fn publish_status(&self) {
         let lease = self.holder.borrow().status(self.parts.context.clock.now());
         let orders = self.planner.status();
         self.parts
-            .board
-            .set(&self.parts.pool, PoolOrders { lease, orders });
+            .status_table
+            .set(&self.parts.pool, PoolOrderStatus { lease, orders });
     }
 
     fn configure(&mut self, active: &ActiveConfig) {
@@ -139,41 +138,41 @@
         self.addresses = endpoints
             .map(|spec| (spec.id.clone(), spec.sidecar))
             .collect();
-        self.order(OrderEvent::Configure {
+        self.handle_order_event(OrderEvent::Configure {
             wanted: ArtifactSet::wanted(model),
             endpoints: pool.endpoints.iter().map(|spec| spec.id.clone()).collect(),
         });
     }
 
-    fn lease(&mut self, event: LeaseEvent) {
+    fn handle_lease_event(&mut self, event: LeaseEvent) {
         let now = self.parts.context.clock.now();
         let actions = self.holder.borrow_mut().handle(now, event);
         for action in actions {
-            self.carry_out_lease(action);
+            self.execute_lease_action(action);
         }
     }
 
-    fn carry_out_lease(&mut self, action: LeaseAction) {
+    fn execute_lease_action(&mut self, action: LeaseAction) {
         let pool = &*self.parts.pool;
         match action {
             LeaseAction::WakeAt(at) => self.lease_wake = at,
             LeaseAction::Acquired { epoch, expires_at } => {
                 info!(self.parts.log, "lease acquired"; "pool" => pool, "epoch" => epoch);
-                self.order(OrderEvent::Lease { epoch, expires_at });
+                self.handle_order_event(OrderEvent::Lease { epoch, expires_at });
             }
             LeaseAction::Renewed { epoch, expires_at } => {
-                self.order(OrderEvent::Lease { epoch, expires_at });
+                self.handle_order_event(OrderEvent::Lease { epoch, expires_at });
             }
             LeaseAction::Lost { epoch } => {
                 info!(self.parts.log, "lease lost"; "pool" => pool, "epoch" => epoch);
-                self.order(OrderEvent::LeaseLost);
+                self.handle_order_event(OrderEvent::LeaseLost);
             }
             call @ (LeaseAction::Read { .. } | LeaseAction::Write { .. }) => {
                 let sender = self.sender.clone();
                 let calling = store_call(Arc::clone(&self.parts.store), call);
                 self.parts.store_runtime.spawn(async move {
                     if let Some(event) = calling.await {
-                        // The task has ended when nobody hears this.
+                        // The send fails only if the task has ended.
                         let _ended = sender.send(PoolEvent::Lease(event));
                     }
                 });
@@ -181,7 +180,7 @@
         }
     }
 
-    fn order(&mut self, event: OrderEvent) {
+    fn handle_order_event(&mut self, event: OrderEvent) {
         let now = self.parts.context.clock.now();
         for action in self.planner.handle(now, event) {
             match action {
@@ -191,14 +190,21 @@
                     epoch,
                     sequence,
                     order,
-                } => self.call(endpoint, epoch, sequence, order),
+                } => self.call_sidecar(endpoint, epoch, sequence, order),
             }
         }
     }
 
-    fn call(&self, endpoint: EndpointId, epoch: Epoch, sequence: u64, order: Option<LoadOrder>) {
+    fn call_sidecar(
+        &self,
+        endpoint: EndpointId,
+        epoch: Epoch,
+        sequence: u64,
+        order: Option<LoadOrder>,
+    ) {
         let Some(address) = self.addresses.get(&endpoint).copied() else {
-            // The planner knows the endpoints of the configuration that the addresses are from.
+            // Cannot happen: the planner's endpoints and the addresses come from the same
+            // configuration.
             return;
         };
         let context = &self.parts.context;
@@ -235,21 +241,22 @@
         });
     }
 
-    /// The other contender's next look finds the lease free, instead of a renewal to wait out.
-    async fn give_back(&mut self) {
+    /// Releases the lease, so that the other contender finds it free at its next read and does not
+    /// have to wait for it to expire.
+    async fn release_lease(&mut self) {
         let now = self.parts.context.clock.now();
         let actions = self.holder.borrow_mut().handle(now, LeaseEvent::Release);
         for action in actions {
             if matches!(action, LeaseAction::Write { .. }) {
                 let calling = store_call(Arc::clone(&self.parts.store), action);
-                // If it fails the lease lapses.
-                let _lapses = self.parts.store_runtime.spawn(calling).await;
+                // If the write fails, the lease expires.
+                let _expires = self.parts.store_runtime.spawn(calling).await;
             }
         }
     }
 }
 
-/// Carries a store call out; `None` for other actions.
+/// Executes a store call; `None` for other actions.
 async fn store_call(store: Arc<dyn ObjectStore>, action: LeaseAction) -> Option<LeaseEvent> {
     let purpose = CallPurpose::Lease;
     match action {
--- a/lovagedock-gateway/src/trail.rs
+++ b/lovagedock-gateway/src/trail.rs
@@ -1,4 +1,4 @@
-//! What was decided about recent requests and why, for `explain` and dumps.
+//! Records the decisions about recent requests and their reasons, for `explain` and dumps.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -9,28 +9,28 @@
 use parking_lot::Mutex;
 use serde::Serialize;
 
-/// Requests that are remembered.
-const REMEMBERED_REQUESTS: usize = 4_096;
-/// Steps that are remembered of one request.
-const REMEMBERED_STEPS: usize = 64;
+/// Maximum number of requests that are kept.
+const MAX_REQUESTS: usize = 4_096;
+/// Maximum number of steps that are kept of one request.
+const MAX_STEPS: usize = 64;
 
 /// One decision about a request.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct TrailStep {
     /// Milliseconds since the gateway started.
     pub(crate) at_ms: u64,
-    /// What happened or was decided.
+    /// Description of the event or decision.
     pub(crate) step: String,
 }
 
 /// The decisions about one request.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct RequestTrail {
-    /// Id that the caller saw.
+    /// Id that was returned to the caller.
     pub(crate) request_id: String,
-    /// Service that it addressed.
+    /// Requested service.
     pub(crate) service: ServiceId,
-    /// Organisation that it belongs to.
+    /// Organisation of the caller.
     pub(crate) organisation: OrganisationId,
     /// Estimated prompt length.
     pub(crate) prompt_tokens: TokenCount,
@@ -44,19 +44,19 @@
     order: VecDeque<RequestId>,
 }
 
-/// Bounded memory of recent requests; cheap to clone.
+/// The trails of recent requests, limited in number; cheap to clone.
 ///
-/// Lock order: a leaf.
+/// Lock order: this lock is a leaf.
 #[derive(Clone, Default)]
-pub(crate) struct TrailBook {
+pub(crate) struct RequestTrails {
     state: Arc<Mutex<TrailState>>,
 }
 
-impl TrailBook {
-    /// Begins the trail of a request and forgets the oldest one when there are too many.
+impl RequestTrails {
+    /// Starts the trail of a request and removes the oldest one when there are too many.
     pub(crate) fn begin(&self, id: RequestId, trail: RequestTrail) {
         let mut state = self.state.lock();
-        if state.order.len() >= REMEMBERED_REQUESTS
+        if state.order.len() >= MAX_REQUESTS
             && let Some(oldest) = state.order.pop_front()
         {
             state.trails.remove(&oldest);
@@ -65,13 +65,13 @@
         state.trails.insert(id, trail);
     }
 
-    /// Adds a step.
-    pub(crate) fn step(&self, id: RequestId, now: Timestamp, step: impl Into<String>) {
+    /// Adds a step to the trail of a request.
+    pub(crate) fn record_step(&self, id: RequestId, now: Timestamp, step: impl Into<String>) {
         let mut state = self.state.lock();
         let Some(trail) = state.trails.get_mut(&id) else {
             return;
         };
-        if trail.steps.len() < REMEMBERED_STEPS {
+        if trail.steps.len() < MAX_STEPS {
             trail.steps.push(TrailStep {
                 at_ms: u64::try_from(now.as_millis()).unwrap_or(u64::MAX),
                 step: step.into(),
@@ -79,7 +79,7 @@
         }
     }
 
-    /// The trail of a request, if it is still remembered.
+    /// The trail of a request, if it is still kept.
     pub(crate) fn get(&self, id: RequestId) -> Option<RequestTrail> {
         self.state.lock().trails.get(&id).cloned()
     }
--- a/lovagedock-gateway/src/workers.rs
+++ b/lovagedock-gateway/src/workers.rs
@@ -1,7 +1,7 @@
-//! The pool of workers that own sessions.
+//! Worker threads that own the sessions to sidecars.
 //!
-//! Sessions are not `Send`, so each lives on one worker: a thread with a single-threaded runtime.
-//! An endpoint belongs to the worker that its name hashes to.
+//! Sessions are not `Send`, so each session stays on one worker, a thread with a single-threaded
+//! runtime. An endpoint is assigned to a worker by the hash of its name.
 
 use std::{net::SocketAddr, rc::Rc, thread};
 
@@ -20,19 +20,19 @@
     link::{EndpointLink, LinkCommand, LinkTimes},
 };
 
-/// An endpoint for a worker to keep a session to.
-pub(crate) struct LinkSeed {
+/// An endpoint to which a worker keeps a session.
+pub(crate) struct LinkSpec {
     /// The endpoint.
     pub(crate) endpoint: EndpointId,
     /// Address of its sidecar.
     pub(crate) address: SocketAddr,
-    /// Commands; when all senders are gone the link ends.
+    /// Commands; the link ends when all senders are dropped.
     pub(crate) commands: mpsc::UnboundedReceiver<LinkCommand>,
 }
 
 /// Threads that run links; they end when the pool is dropped.
 pub(crate) struct WorkerPool {
-    seeds: Vec<mpsc::UnboundedSender<LinkSeed>>,
+    link_specs: Vec<mpsc::UnboundedSender<LinkSpec>>,
 }
 
 impl WorkerPool {
@@ -44,7 +44,7 @@
         times: LinkTimes,
         log: &Logger,
     ) -> std::io::Result<Self> {
-        let mut seeds = Vec::with_capacity(workers);
+        let mut link_specs = Vec::with_capacity(workers);
         for number in 0..workers.max(1) {
             let (sender, receiver) = mpsc::unbounded_channel();
             let worker = LinkWorker {
@@ -56,17 +56,17 @@
             thread::Builder::new()
                 .name(format!("links-{number}"))
                 .spawn(move || worker.run(receiver))?;
-            seeds.push(sender);
+            link_specs.push(sender);
         }
-        Ok(Self { seeds })
+        Ok(Self { link_specs })
     }
 
-    /// Gives an endpoint to its worker.
-    pub(crate) fn start_link(&self, seed: LinkSeed) {
-        let hash = xxh3_64(seed.endpoint.as_bytes());
-        let worker = (hash % self.seeds.len() as u64) as usize;
-        // A worker ends only with the pool.
-        let _ended = self.seeds[worker].send(seed);
+    /// Assigns an endpoint to its worker.
+    pub(crate) fn start_link(&self, spec: LinkSpec) {
+        let hash = xxh3_64(spec.endpoint.as_bytes());
+        let worker = (hash % self.link_specs.len() as u64) as usize;
+        // The send fails only if the pool is being dropped.
+        let _ended = self.link_specs[worker].send(spec);
     }
 }
 
@@ -78,26 +78,26 @@
 }
 
 impl LinkWorker {
-    fn run(self, seeds: mpsc::UnboundedReceiver<LinkSeed>) {
+    fn run(self, link_specs: mpsc::UnboundedReceiver<LinkSpec>) {
         let runtime = match runtime::Builder::new_current_thread().enable_all().build() {
             Ok(runtime) => runtime,
             Err(error) => {
-                warn!(self.log, "a worker has no runtime"; "error" => %error);
+                warn!(self.log, "cannot create the runtime of a worker"; "error" => %error);
                 return;
             }
         };
-        LocalSet::new().block_on(&runtime, self.accept(seeds));
+        LocalSet::new().block_on(&runtime, self.run_links(link_specs));
     }
 
-    async fn accept(self, mut seeds: mpsc::UnboundedReceiver<LinkSeed>) {
+    async fn run_links(self, mut link_specs: mpsc::UnboundedReceiver<LinkSpec>) {
         let context = Rc::new(self.context);
-        while let Some(seed) = seeds.recv().await {
+        while let Some(spec) = link_specs.recv().await {
             let link = EndpointLink {
-                endpoint: seed.endpoint,
-                address: seed.address,
+                endpoint: spec.endpoint,
+                address: spec.address,
                 context: Rc::clone(&context),
                 connector: self.connectors.connector(),
-                commands: seed.commands,
+                commands: spec.commands,
                 times: self.times,
                 log: self.log.clone(),
             };
--- a/lovagedock-platform/src/lib.rs
+++ b/lovagedock-platform/src/lib.rs
@@ -1,9 +1,10 @@
-//! Port to the platform: its object store and its list of hosts, and what lovagedock keeps there.
+//! Interface to the platform: its object store, its list of hosts, and the data that lovagedock
+//! stores there.
 //!
-//! [`ObjectStore`] is the border: [`HttpObjectStore`] speaks the platform's HTTP API and
-//! [`MemoryStore`] stands in for it in tests, with scripted faults. A write whose answer was lost
-//! is [`StoreError::OutcomeUnknown`], and only what certainly did not take effect is
-//! [`StoreError::Unavailable`].
+//! [`ObjectStore`] is the interface. [`HttpObjectStore`] uses the platform's HTTP API;
+//! [`MemoryStore`] replaces it in tests, with scripted faults. A write whose response was lost
+//! fails with [`StoreError::OutcomeUnknown`]; [`StoreError::Unavailable`] is returned only if the
+//! write certainly did not take effect.
 //!
 //! # Example
 //!
@@ -39,13 +40,13 @@
 mod table;
 
 pub use bucket::TokenBucket;
-pub use budget::{BudgetDecision, BudgetLimits, CallResult, SpendRate, StoreBudget};
+pub use budget::{BudgetDecision, BudgetLimits, CallRate, CallResult, StoreBudget};
 pub use budgeted::BudgetedStore;
-pub use client::{CallFailure, StoreAnswer, StoreClient, StoreTimeouts};
+pub use client::{CallFailure, StoreClient, StoreResponse, StoreTimeouts};
 pub use config::{
-    AcceptedRecord, ApplyNonce, ApplyOutcome, ApplyRequest, CHUNK_PREFIX, ChunkCache, ChunkName,
-    ConfigChunk, ConfigRoot, ConfigStore, LoadError, LoadedConfig, NotAcceptedReason, ROOT_KEY,
-    RetiredChunk, Settlement, VersionedRoot, canonical_json, chunk_name, split_chunks,
+    AcceptedRecord, ApplyNonce, ApplyOutcome, ApplyRequest, ApplyStatus, CHUNK_PREFIX, ChunkCache,
+    ChunkName, ConfigChunk, ConfigRoot, ConfigStore, LoadError, LoadedConfig, NotAcceptedReason,
+    ROOT_KEY, RetiredChunk, VersionedRoot, canonical_json, chunk_name, split_chunks,
 };
 pub use feed::{
     FeedChange, FeedError, FeedSnapshot, FeedStep, FeedSubject, FleetFeed, GatewayEntry,
--- a/lovagedock-platform/src/memory.rs
+++ b/lovagedock-platform/src/memory.rs
@@ -1,4 +1,4 @@
-//! A store in memory for tests, with faults that a test scripts call by call.
+//! An in-memory store for tests, with faults that a test scripts call by call.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -15,24 +15,25 @@
     table::ObjectTable,
 };
 
-/// A store in memory.
+/// An in-memory object store.
 pub struct MemoryStore {
     shared: Mutex<MemoryState>,
     changed: watch::Sender<Revision>,
 }
 
-/// A fault that hits calls of one kind.
+/// A fault that affects calls of one kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemoryFault {
     /// The call does not reach the store.
     Down,
-    /// The call takes effect and its answer is lost.
-    LoseAnswer,
-    /// The call is lost on its way, and the caller cannot tell.
-    LoseCall,
-    /// The answer is lost, and the call takes effect when [`MemoryStore::release_late`] is called.
-    LateEffect,
-    /// The call is refused because of a rate.
+    /// The call takes effect and its response is lost.
+    LoseResponse,
+    /// The call is lost in transit, and the caller cannot tell.
+    LoseRequest,
+    /// The response is lost, and the call takes effect when [`MemoryStore::apply_delayed`] is
+    /// called.
+    DelayWrite,
+    /// The call is rejected because of a rate limit.
     RateLimited,
 }
 
@@ -45,7 +46,7 @@
     Write,
 }
 
-/// Calls that reached [`MemoryStore`], failed ones included.
+/// Number of calls that reached a [`MemoryStore`], including failed ones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CallCounts {
     /// Gets, lists and watches.
@@ -60,7 +61,7 @@
 struct MemoryState {
     table: ObjectTable,
     script: VecDeque<ScriptedFault>,
-    late: Vec<WriteCall>,
+    delayed: Vec<WriteCall>,
     counts: CallCounts,
 }
 
@@ -79,7 +80,7 @@
 }
 
 impl MemoryStore {
-    /// An empty store without faults.
+    /// Creates an empty store without faults.
     pub fn new() -> Self {
         Self {
             shared: Mutex::default(),
@@ -87,8 +88,8 @@
         }
     }
 
-    /// Lets `fault` hit the next `times` calls of `kind` whose key or prefix begins with
-    /// `key_prefix`, after `skip` such calls went through.
+    /// Applies `fault` to the next `times` calls of `kind` whose key or prefix begins with
+    /// `key_prefix`, after `skip` such calls have succeeded.
     pub fn script_fault(
         &self,
         kind: CallKind,
@@ -106,16 +107,16 @@
         });
     }
 
-    /// Ends all scripted faults.
+    /// Removes all scripted faults.
     pub fn clear_faults(&self) {
         self.shared.lock().script.clear();
     }
 
-    /// Carries out the writes that [`MemoryFault::LateEffect`] held back, as far as their
-    /// conditions still hold; returns how many took effect.
-    pub fn release_late(&self) -> usize {
+    /// Executes the writes delayed by [`MemoryFault::DelayWrite`] whose conditions still hold;
+    /// returns how many took effect.
+    pub fn apply_delayed(&self) -> usize {
         let mut state = self.shared.lock();
-        let calls = std::mem::take(&mut state.late);
+        let calls = std::mem::take(&mut state.delayed);
         let applied = calls
             .into_iter()
             .filter(|call| state.table.apply(call).is_ok())
@@ -124,19 +125,20 @@
         applied
     }
 
-    /// What it holds now.
+    /// Returns a copy of the current contents.
     pub fn copy(&self) -> ObjectTable {
         self.shared.lock().table.clone()
     }
 
-    /// Comes back from a copy: what was written since is gone and its revisions are given out again.
+    /// Restores the store from a copy: later writes are lost and their revisions are assigned
+    /// again.
     pub fn restore(&self, copy: ObjectTable) {
         let mut state = self.shared.lock();
         state.table = copy;
         self.changed.send_replace(state.table.revision());
     }
 
-    /// Calls so far.
+    /// Returns the call counts so far.
     pub fn counts(&self) -> CallCounts {
         self.shared.lock().counts
     }
@@ -145,18 +147,18 @@
         let mut state = self.shared.lock();
         state.counts.writes += 1;
         state.counts.bytes_written += call.value.as_ref().map_or(0, Bytes::len) as u64;
-        let fault = state.take_fault(CallKind::Write, &call.key);
+        let fault = state.next_fault(CallKind::Write, &call.key);
         let result = match fault {
             None => state.table.apply(&call),
             Some(MemoryFault::Down) => Err(StoreError::Unavailable),
             Some(MemoryFault::RateLimited) => Err(StoreError::RateLimited),
-            Some(MemoryFault::LoseCall) => Err(StoreError::OutcomeUnknown),
-            Some(MemoryFault::LoseAnswer) => {
-                let _answer = state.table.apply(&call);
+            Some(MemoryFault::LoseRequest) => Err(StoreError::OutcomeUnknown),
+            Some(MemoryFault::LoseResponse) => {
+                let _response = state.table.apply(&call);
                 Err(StoreError::OutcomeUnknown)
             }
-            Some(MemoryFault::LateEffect) => {
-                state.late.push(call);
+            Some(MemoryFault::DelayWrite) => {
+                state.delayed.push(call);
                 Err(StoreError::OutcomeUnknown)
             }
         };
@@ -167,7 +169,7 @@
     fn read<T>(&self, key: &str, read: impl FnOnce(&ObjectTable) -> T) -> Result<T, StoreError> {
         let mut state = self.shared.lock();
         state.counts.reads += 1;
-        match state.take_fault(CallKind::Read, key) {
+        match state.next_fault(CallKind::Read, key) {
             None => Ok(read(&state.table)),
             Some(MemoryFault::RateLimited) => Err(StoreError::RateLimited),
             Some(_) => Err(StoreError::Unavailable),
@@ -257,7 +259,7 @@
 }
 
 impl MemoryState {
-    fn take_fault(&mut self, kind: CallKind, key: &str) -> Option<MemoryFault> {
+    fn next_fault(&mut self, kind: CallKind, key: &str) -> Option<MemoryFault> {
         let at = self
             .script
             .iter()
--- a/lovagedock/tests/config_language.rs
+++ b/lovagedock/tests/config_format.rs
@@ -1,4 +1,4 @@
-//! The configuration as a language: its schema, its round trip, differences, and bad text.
+//! Tests of the configuration format: schema, round trip, differences and invalid text.
 
 use expect_test::{expect, expect_file};
 use lovagedock::{
@@ -17,7 +17,7 @@
 const FIELDS_START: &str = "<!-- fields -->\n";
 const FIELDS_END: &str = "<!-- end of fields -->\n";
 
-fn bounded(cases: u32) -> ProptestConfig {
+fn property_config(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
         failure_persistence: None,
@@ -39,7 +39,7 @@
     expect_file!["../../docs/schema/config.schema.json"].assert_eq(&config_schema());
 }
 
-/// The page is written by hand but for its list of fields, which is generated.
+/// The page is written by hand, except for its generated list of fields.
 #[test]
 fn configuration_page_lists_the_current_fields() {
     let page = include_str!("../../docs/CONFIGURATION.md");
@@ -92,12 +92,12 @@
 }
 
 proptest! {
-    #![proptest_config(bounded(96))]
+    #![proptest_config(property_config(96))]
 
-    /// What a configuration is written as reads back as the same configuration, and a difference
-    /// is found exactly when there is one.
+    /// A serialised configuration parses to an equal configuration, and a difference is reported
+    /// exactly when the configurations differ.
     #[test]
-    fn written_configurations_read_back(
+    fn configurations_survive_a_round_trip(
         index in 0..EXAMPLES.len(),
         memory in 1u64..u64::MAX,
         bytes_per_token in 0.01f64..64.0,
@@ -121,9 +121,10 @@
         prop_assert_eq!(diff_config(&old, &config).is_empty(), old == config);
     }
 
-    /// Text that was damaged anywhere is read or refused, with each problem inside the file.
+    /// Text that is corrupted at any position is either parsed or rejected, with every problem
+    /// positioned inside the file.
     #[test]
-    fn damaged_text_never_panics(
+    fn corrupted_text_never_panics(
         index in 0..EXAMPLES.len(),
         start in 0.0f64..1.0,
         length in 0usize..40,
@@ -133,10 +134,10 @@
         let floor = |at: usize| (0..=at).rev().find(|at| text.is_char_boundary(*at)).unwrap_or(0);
         let from = floor((text.len() as f64 * start) as usize);
         let to = floor((from + length).min(text.len())).max(from);
-        let damaged = format!("{}{patch}{}", &text[..from], &text[to..]);
-        if let Err(problems) = parse_config("damaged", &damaged) {
+        let corrupted = format!("{}{patch}{}", &text[..from], &text[to..]);
+        if let Err(problems) = parse_config("damaged", &corrupted) {
             prop_assert!(!problems.is_empty());
-            let lines = damaged.split('\n').count();
+            let lines = corrupted.split('\n').count();
             for problem in problems {
                 prop_assert!(problem.line >= 1 && problem.line <= lines, "{}", problem);
             }
@@ -144,7 +145,7 @@
     }
 }
 
-/// A reordered list is one line, however long the list is.
+/// A reordered list is reported as one change, however long the list is.
 #[test]
 fn reordering_is_one_change() {
     let old = example(1);
