--- a/lovagedock-platform/src/budget.rs
+++ b/lovagedock-platform/src/budget.rs
@@ -116,7 +116,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallResult {
     /// The store responded, possibly with a conflict.
-    Answered,
+    Responded,
     /// The store rejected the call because of its rate limit.
     RateLimited,
     /// No response arrived.
@@ -160,10 +160,10 @@
             return BudgetDecision::Proceed;
         }
         let max_wait = self.limits.max_wait;
-        let Some(turn) = self.buckets[purpose as usize].reserve(now, max_wait) else {
+        let Some(token_wait) = self.buckets[purpose as usize].reserve(now, max_wait) else {
             return BudgetDecision::Refuse(StoreError::RateLimited);
         };
-        let wait = turn.max(self.resume_at.saturating_sub(now));
+        let wait = token_wait.max(self.resume_at.saturating_sub(now));
         match wait.is_zero() {
             true => BudgetDecision::Proceed,
             false => BudgetDecision::Wait(wait),
@@ -179,9 +179,9 @@
         jitter: f64,
     ) {
         match result {
-            CallResult::Answered => self.record_answer(now, jitter),
+            CallResult::Responded => self.record_response(now, jitter),
             CallResult::RateLimited => {
-                self.record_answer(now, jitter);
+                self.record_response(now, jitter);
                 self.buckets[purpose as usize].empty_until(now);
             }
             CallResult::Failed => self.record_failure(now, jitter),
@@ -193,7 +193,7 @@
         self.probe.is_some()
     }
 
-    fn record_answer(&mut self, now: Timestamp, jitter: f64) {
+    fn record_response(&mut self, now: Timestamp, jitter: f64) {
         self.failures = 0;
         if self.probe.take().is_none() {
             return;
--- a/lovagedock-platform/src/budgeted.rs
+++ b/lovagedock-platform/src/budgeted.rs
@@ -76,8 +76,8 @@
         let mut state = self.state.lock();
         let jitter = state.rng.random();
         let now = self.started.elapsed();
-        let ended = call_result(&result);
-        state.budget.record(purpose, ended, now, jitter);
+        let outcome = call_result(&result);
+        state.budget.record(purpose, outcome, now, jitter);
         result
     }
 }
@@ -142,7 +142,7 @@
         Err(StoreError::Unavailable | StoreError::OutcomeUnknown) => CallResult::Failed,
         Err(StoreError::RateLimited) => CallResult::RateLimited,
         Ok(_) | Err(StoreError::Conflict { .. } | StoreError::TooLarge | StoreError::Malformed) => {
-            CallResult::Answered
+            CallResult::Responded
         }
     }
 }
--- a/lovagedock-platform/src/config/root.rs
+++ b/lovagedock-platform/src/config/root.rs
@@ -110,12 +110,12 @@
     fn retired_after(&self, base: &ConfigRoot) -> Vec<RetiredChunk> {
         let generation = self.generation();
         let mut seen: HashSet<&ChunkName> = self.chunks.iter().collect();
-        let newly = base.chunks.iter().map(|hash| RetiredChunk {
+        let newly_retired = base.chunks.iter().map(|hash| RetiredChunk {
             hash: hash.clone(),
             generation,
         });
-        let before = base.retired.iter().cloned();
-        let mut retired: Vec<RetiredChunk> = newly.chain(before).collect();
+        let previously_retired = base.retired.iter().cloned();
+        let mut retired: Vec<RetiredChunk> = newly_retired.chain(previously_retired).collect();
         retired.retain(|chunk| chunk.generation + RETAINED_GENERATIONS > generation);
         let mut kept = Vec::new();
         for chunk in &retired {
--- a/lovagedock-platform/src/lib.rs
+++ b/lovagedock-platform/src/lib.rs
@@ -19,10 +19,10 @@
 //! let version = store
 //!     .put("leases/a", "holder".into(), PutCondition::Absent, CallPurpose::Lease)
 //!     .await?;
-//! let late = store
+//! let second = store
 //!     .put("leases/a", "other".into(), PutCondition::Absent, CallPurpose::Lease)
 //!     .await;
-//! assert_eq!(late, Err(StoreError::Conflict { current: Some(version) }));
+//! assert_eq!(second, Err(StoreError::Conflict { current: Some(version) }));
 //! # Ok(())
 //! # }
 //! ```
--- a/lovagedock-platform/src/table.rs
+++ b/lovagedock-platform/src/table.rs
@@ -58,7 +58,7 @@
         if value.len() > MAX_VALUE_BYTES {
             return Err(StoreError::TooLarge);
         }
-        self.check(key, condition)?;
+        self.check_condition(key, condition)?;
         Ok(self.change(key, Some(value)))
     }
 
@@ -67,7 +67,7 @@
         if !is_valid_key(key) {
             return Err(StoreError::Malformed);
         }
-        self.check(key, condition)?;
+        self.check_condition(key, condition)?;
         if self.version(key).is_some() {
             self.change(key, None);
         }
@@ -76,7 +76,7 @@
 
     /// Lists the objects whose keys begin with `prefix`.
     pub fn list(&self, prefix: &str) -> Vec<ObjectEntry> {
-        self.under(prefix)
+        self.slots_with_prefix(prefix)
             .filter_map(|(key, slot)| {
                 let value = slot.value.as_ref()?;
                 Some(ObjectEntry {
@@ -91,7 +91,7 @@
     /// Keys under `prefix` that changed after a revision.
     pub fn changes(&self, prefix: &str, after: Revision) -> ChangeBatch {
         let keys = self
-            .under(prefix)
+            .slots_with_prefix(prefix)
             .filter(|(_, slot)| slot.changed > after)
             .map(|(key, _)| key.clone())
             .collect();
@@ -101,7 +101,10 @@
         }
     }
 
-    fn under<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a String, &'a ObjectSlot)> {
+    fn slots_with_prefix<'a>(
+        &'a self,
+        prefix: &'a str,
+    ) -> impl Iterator<Item = (&'a String, &'a ObjectSlot)> {
         self.objects
             .range(prefix.to_owned()..)
             .take_while(move |(key, _)| key.starts_with(prefix))
@@ -112,7 +115,7 @@
         slot.value.as_ref().map(|_| slot.changed)
     }
 
-    fn check(&self, key: &str, condition: PutCondition) -> Result<(), StoreError> {
+    fn check_condition(&self, key: &str, condition: PutCondition) -> Result<(), StoreError> {
         let current = self.version(key);
         let holds = match condition {
             PutCondition::Any => true,
--- a/lovagedock-platform/tests/config_property.rs
+++ b/lovagedock-platform/tests/config_property.rs
@@ -29,7 +29,7 @@
     faults: Vec<PlannedFault>,
     /// Number of generations that each operator is behind the newest.
     behind: [u64; 2],
-    release: bool,
+    apply_delayed: bool,
     collect: bool,
 }
 
@@ -61,10 +61,10 @@
         any::<bool>(),
         any::<bool>(),
     )
-        .prop_map(|(faults, behind, release, collect)| PlannedRound {
+        .prop_map(|(faults, behind, apply_delayed, collect)| PlannedRound {
             faults,
             behind,
-            release,
+            apply_delayed,
             collect,
         })
 }
@@ -84,7 +84,7 @@
     memory: Arc<MemoryStore>,
     config: ConfigStore,
     /// Nonce of each generation, as read from the store while no fault was active.
-    seen: HashMap<u64, String>,
+    accepted_nonces: HashMap<u64, String>,
     newest: u64,
     reported: Vec<(String, ApplyOutcome)>,
 }
@@ -95,16 +95,21 @@
         Self {
             config: ConfigStore::new(memory.clone()),
             memory,
-            seen: HashMap::new(),
+            accepted_nonces: HashMap::new(),
             newest: 0,
             reported: Vec::new(),
         }
     }
 
     async fn run_round(&mut self, at: usize, round: &PlannedRound) {
-        for plan in &round.faults {
-            self.memory
-                .script_fault(plan.kind, plan.key, plan.skip, plan.times, plan.fault);
+        for planned in &round.faults {
+            self.memory.script_fault(
+                planned.kind,
+                planned.key,
+                planned.skip,
+                planned.times,
+                planned.fault,
+            );
         }
         let request = |operator: usize| {
             let nonce = format!("{at}-{operator}");
@@ -123,7 +128,7 @@
                 .await
                 .expect("collect");
         }
-        if round.release {
+        if round.apply_delayed {
             self.memory.apply_delayed();
         }
         self.verify_state().await;
@@ -147,20 +152,23 @@
         );
         for record in root.history.iter().chain([&root.accepted]) {
             let known = self
-                .seen
+                .accepted_nonces
                 .entry(record.generation)
                 .or_insert(record.nonce.clone());
             assert_eq!(*known, record.nonce, "a generation changed its nonce");
         }
     }
 
-    async fn check(&mut self) {
+    async fn check_outcomes(&mut self) {
         self.memory.apply_delayed();
         self.verify_state().await;
         for (nonce, outcome) in &self.reported {
-            let mut made = self.seen.iter().filter(|(_, by)| *by == nonce);
-            let generation = made.next().map(|(generation, _)| *generation);
-            assert_eq!(made.next(), None, "{nonce} was accepted twice");
+            let mut generations = self
+                .accepted_nonces
+                .iter()
+                .filter(|(_, accepted)| *accepted == nonce);
+            let generation = generations.next().map(|(generation, _)| *generation);
+            assert_eq!(generations.next(), None, "{nonce} was accepted twice");
             match outcome {
                 ApplyOutcome::Accepted {
                     generation: reported,
@@ -169,7 +177,7 @@
                 }
                 ApplyOutcome::Conflict { winner, .. } => {
                     assert_eq!(generation, None, "{nonce}");
-                    assert!(self.seen.contains_key(winner), "{nonce}");
+                    assert!(self.accepted_nonces.contains_key(winner), "{nonce}");
                 }
                 ApplyOutcome::NotAccepted { .. } => assert_eq!(generation, None, "{nonce}"),
                 ApplyOutcome::Unknown => {}
@@ -204,7 +212,7 @@
             for (at, round) in rounds.iter().enumerate() {
                 schedule.run_round(at, round).await;
             }
-            schedule.check().await;
+            schedule.check_outcomes().await;
         });
     }
 }
--- a/lovagedock-platform/tests/config_store.rs
+++ b/lovagedock-platform/tests/config_store.rs
@@ -138,14 +138,14 @@
         FaultCase {
             kind: CallKind::Read,
             times: 3,
-            ..base("outage before, shorter than the time limit")
+            ..base("outage before the apply, shorter than the time limit")
         },
         FaultCase {
             kind: CallKind::Read,
             times: ALWAYS,
             expected: down(),
             after: (1, 1),
-            ..base("outage before, longer than the time limit")
+            ..base("outage before the apply, longer than the time limit")
         },
         FaultCase {
             key: CHUNK_PREFIX,
@@ -405,7 +405,7 @@
 }
 
 #[test]
-fn chunks_join_to_the_same_bytes_and_depend_on_nothing_else() {
+fn chunks_depend_only_on_the_bytes_and_join_to_them() {
     for organisations in [0, 1, 100, 3_000] {
         let bytes = bytes_of(&fleet(organisations));
         let chunks = split_chunks(&bytes);
--- a/lovagedock-platform/tests/http_responses.rs
+++ b/lovagedock-platform/tests/http_responses.rs
@@ -95,11 +95,11 @@
 }
 
 /// Responds to one request and then keeps the connection open without sending anything.
-async fn respond_once(mut stream: TcpStream, both: Option<Arc<Barrier>>) {
+async fn respond_once(mut stream: TcpStream, barrier: Option<Arc<Barrier>>) {
     let mut request = [0; 4096];
     let _length = stream.read(&mut request).await;
-    if let Some(both) = both {
-        both.wait().await;
+    if let Some(barrier) = barrier {
+        barrier.wait().await;
     }
     let _best_effort = stream.write_all(OK_RESPONSE.as_bytes()).await;
     while stream
@@ -110,12 +110,12 @@
 }
 
 async fn serve_then_go_silent(listener: TcpListener) {
-    let both = Arc::new(Barrier::new(2));
+    let barrier = Arc::new(Barrier::new(2));
     let mut accepted = 0;
     while let Ok((stream, _)) = listener.accept().await {
         accepted += 1;
-        let wait_for_both = (accepted <= 2).then(|| Arc::clone(&both));
-        tokio::spawn(respond_once(stream, wait_for_both));
+        let shared_barrier = (accepted <= 2).then(|| Arc::clone(&barrier));
+        tokio::spawn(respond_once(stream, shared_barrier));
     }
 }
 
--- a/lovagedock-platform/tests/store_budget.rs
+++ b/lovagedock-platform/tests/store_budget.rs
@@ -62,7 +62,7 @@
     assert_eq!(admit(&mut budget, at(499)), refused);
     assert_eq!(admit(&mut budget, at(500)), BudgetDecision::Proceed);
     assert_eq!(admit(&mut budget, at(999)), refused);
-    budget.record(CallPurpose::Claim, CallResult::Answered, at(999), 0.5);
+    budget.record(CallPurpose::Claim, CallResult::Responded, at(999), 0.5);
     // Half of the recovery spread of one second, plus the wait for the first token at 30 claims per
     // second.
     assert_eq!(
@@ -91,7 +91,7 @@
             max_per_second: 1_900,
         },
         DemandCase {
-            name: "return",
+            name: "recovery",
             outage: true,
             max_per_second: 700,
         },
@@ -111,10 +111,15 @@
                 {
                     now += TICK;
                 }
-                budget.record(CallPurpose::Config, CallResult::Answered, now, rng.random());
+                budget.record(
+                    CallPurpose::Config,
+                    CallResult::Responded,
+                    now,
+                    rng.random(),
+                );
             }
-            let mut left = CALLS;
-            while left > 0 {
+            let mut remaining = CALLS;
+            while remaining > 0 {
                 match budget.admit(CallPurpose::Config, now, rng.random()) {
                     BudgetDecision::Proceed => sent_at.push(now),
                     BudgetDecision::Wait(wait) => sent_at.push(now + wait),
@@ -123,7 +128,7 @@
                         continue;
                     }
                 }
-                left -= 1;
+                remaining -= 1;
             }
         }
         assert_eq!(sent_at.len(), PROCESSES * CALLS);
--- a/lovagedock-wire/src/stream.rs
+++ b/lovagedock-wire/src/stream.rs
@@ -16,7 +16,7 @@
 
 /// Largest message in words of 8 bytes. 64 MiB is several times the size of a prompt of a million
 /// tokens.
-const MESSAGE_WORDS: usize = 8 * 1024 * 1024;
+const MAX_MESSAGE_WORDS: usize = 8 * 1024 * 1024;
 
 pub(crate) type SessionSystem = RpcSystem<Side>;
 
@@ -42,7 +42,7 @@
 ) -> Box<VatNetwork<BufReader<impl futures::AsyncRead + Unpin>>> {
     let (reader, writer) = stream.compat().split();
     let mut options = ReaderOptions::new();
-    options.traversal_limit_in_words(Some(MESSAGE_WORDS));
+    options.traversal_limit_in_words(Some(MAX_MESSAGE_WORDS));
     Box::new(VatNetwork::new(
         BufReader::new(reader),
         BufWriter::new(writer),
--- a/lovagedock/src/config/check.rs
+++ b/lovagedock/src/config/check.rs
@@ -89,15 +89,15 @@
 
     /// Checks that a value is not used yet.
     pub(crate) fn check_unique(&mut self, names: &mut UniqueNames, name: &str, path: String) {
-        if let Some(first) = names.first.get(name) {
-            let place = self.sources.position(first);
-            let hint = format!("the first is at {}:{}", place.file, place.line);
+        if let Some(first_path) = names.first_paths.get(name) {
+            let position = self.sources.position(first_path);
+            let hint = format!("the first is at {}:{}", position.file, position.line);
             let found = format!("`{name}` a second time");
             let expected = format!("each {} once", names.kind);
             self.reject_with_hint(&path, found, expected, Some(hint));
             return;
         }
-        names.first.insert(name.to_owned(), path);
+        names.first_paths.insert(name.to_owned(), path);
     }
 
     /// Checks that a reference names an entry that the configuration defines.
@@ -115,14 +115,14 @@
 /// Names used so far, each with the path of its first use.
 pub(crate) struct UniqueNames {
     kind: &'static str,
-    first: HashMap<String, String>,
+    first_paths: HashMap<String, String>,
 }
 
 impl UniqueNames {
     pub(crate) fn new(kind: &'static str) -> Self {
         Self {
             kind,
-            first: HashMap::new(),
+            first_paths: HashMap::new(),
         }
     }
 }
--- a/lovagedock/tests/config_format.rs
+++ b/lovagedock/tests/config_format.rs
@@ -102,13 +102,13 @@
         memory in 1u64..u64::MAX,
         bytes_per_token in 0.01f64..64.0,
         weight in 1u32..1000,
-        dropped in 0usize..3,
+        rotation in 0usize..3,
         hours in (0u8..24, 0u8..24),
     ) {
         let old = example(index);
         let mut config = old.clone();
-        config.pools[0].endpoints[dropped % 2].memory_tokens = memory;
-        config.pools[0].endpoints.rotate_left(dropped);
+        config.pools[0].endpoints[rotation % 2].memory_tokens = memory;
+        config.pools[0].endpoints.rotate_left(rotation);
         config.models[0].bytes_per_token = bytes_per_token;
         config.organisations[0].weight = weight;
         for rule in &mut config.rules {
