--- a/fuzz/fuzz_targets/entries.rs
+++ b/fuzz/fuzz_targets/entries.rs
@@ -1,5 +1,5 @@
-//! Any JSON is either decoded as an engine's entry and as a configuration, or rejected without a
-//! panic. A decoded entry of an engine has slots, a port and a service.
+//! Any JSON is decoded as an engine's entry and as a configuration; each decoder accepts or rejects
+//! it without a panic. A decoded entry of an engine has slots, a port and a service.
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
--- a/lovagedock-platform/src/budget.rs
+++ b/lovagedock-platform/src/budget.rs
@@ -198,7 +198,7 @@
         if self.probe.take().is_none() {
             return;
         }
-        // All processes notice the store's recovery within one probe interval. Discarding the
+        // All processes detect the store's recovery within one probe interval. Discarding the
         // bursts accumulated during the outage and spreading the calls keeps them within the
         // store's rate limits.
         self.resume_at = now + self.limits.recovery_spread.mul_f64(jitter);
--- a/lovagedock-platform/src/client.rs
+++ b/lovagedock-platform/src/client.rs
@@ -25,7 +25,7 @@
 
 type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
-/// Sends calls to a store; shared by all clients of a store.
+/// Sends calls to a store over HTTP; shared by the clients of the different platform APIs.
 pub struct StoreClient {
     timeouts: StoreTimeouts,
     client: Mutex<HttpClient>,
@@ -99,9 +99,9 @@
         {
             Ok(result) => result,
             Err(_) => {
-                // A dead connection looks alive, and other connections to the same host may be dead
-                // too: every call on them would run into its timeout. New connections work, so the
-                // whole connection pool is replaced.
+                // A dead connection appears open, and other connections to the same host may be
+                // dead too: every call on them would run into its timeout. New connections work, so
+                // the whole connection pool is replaced.
                 *self.client.lock() = new_client(self.timeouts);
                 Err(CallFailure::MayHaveReached)
             }
--- a/lovagedock-platform/src/config/apply.rs
+++ b/lovagedock-platform/src/config/apply.rs
@@ -142,8 +142,8 @@
         root.with_base(base)
     }
 
-    /// Returns the outcome if `root` determines it; `None` while the expected next generation is
-    /// open.
+    /// Returns the outcome if `root` determines it; `None` while the generation after the expected
+    /// one does not exist.
     fn outcome(&self, root: Option<&ConfigRoot>, may_have_written: bool) -> Option<ApplyOutcome> {
         match apply_status(root, &self.nonce, self.expected) {
             ApplyStatus::Accepted(generation) => Some(ApplyOutcome::Accepted { generation }),
--- a/lovagedock-platform/src/config/load.rs
+++ b/lovagedock-platform/src/config/load.rs
@@ -1,4 +1,4 @@
-//! Reads the configuration from the store and collects chunks that are no longer needed.
+//! Reads the configuration from the store and deletes chunks that are no longer needed.
 
 use std::{fmt, sync::Arc, time::Duration};
 
@@ -84,7 +84,7 @@
 }
 
 impl ConfigStore {
-    /// Creates access to the configuration in `store`.
+    /// Creates a configuration store on top of `store`.
     pub fn new(store: Arc<dyn ObjectStore>) -> Self {
         Self { store }
     }
@@ -138,8 +138,8 @@
     ///
     /// A chunk is deleted if the root neither names nor retains it and it was written before the
     /// root. An apply in progress writes its chunks after reading the root that it builds on. If
-    /// that root is still the newest, the chunks are newer than it; otherwise the apply will be
-    /// refused. The delete is conditional on the listed version, so a chunk that was written again
+    /// that root is still the newest, the chunks are newer than it; otherwise the apply will not be
+    /// accepted. The delete is conditional on the listed version, so a chunk that was written again
     /// in between is kept.
     pub async fn collect_chunks(&self, limit: usize) -> Result<usize, LoadError> {
         let Some(versioned) = self.read_root().await? else {
--- a/lovagedock-platform/src/feed.rs
+++ b/lovagedock-platform/src/feed.rs
@@ -12,7 +12,8 @@
 /// Implementations decode the platform's objects and return lovagedock's own types.
 #[async_trait]
 pub trait FleetFeed: Send + Sync {
-    /// Reads a complete subject. The result is at least as new as anything acknowledged before.
+    /// Reads the complete state of a subject. The result is at least as new as anything
+    /// acknowledged before.
     async fn snapshot(&self, subject: FeedSubject) -> Result<FeedSnapshot, FeedError>;
 
     /// Waits up to `wait` for changes of a subject after `after`. A step of another era than that
@@ -24,12 +25,14 @@
         wait: Duration,
     ) -> Result<FeedStep, FeedError>;
 
-    /// Publishes this gateway's address for other gateways; returns the era that contains it. A
-    /// store restored from an older copy loses the entry, although it was acknowledged.
+    /// Publishes this gateway's address for other gateways; returns the era of the store in which
+    /// the entry was written. A store restored from an older copy loses the entry, although it was
+    /// acknowledged.
     async fn announce(&self, gateway: &GatewayEntry) -> Result<StoreEra, FeedError>;
 
-    /// Stores a gateway's observations of requests under which processes ended, replacing its
-    /// previous sheet. Returns the era that contains it, as [`announce`](Self::announce) does.
+    /// Stores a gateway's observations of requests that were running on an engine when its process
+    /// ended, replacing the gateway's previous sheet. Returns the era of the store in which the
+    /// sheet was written, as [`announce`](Self::announce) does.
     async fn store_suspects(&self, sheet: &SuspectSheet) -> Result<StoreEra, FeedError>;
 }
 
@@ -42,7 +45,8 @@
     Endpoints,
     /// Gateways.
     Gateways,
-    /// Observations of gateways about requests under which processes ended.
+    /// Observations of gateways about requests that were running on an engine when its process
+    /// ended.
     Suspects,
 }
 
@@ -93,12 +97,13 @@
     Suspects(SuspectSheet),
 }
 
-/// Observations of one gateway about requests under which processes ended.
+/// Observations of one gateway about requests that were running on an engine when its process
+/// ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SuspectSheet {
     /// Gateway that wrote the sheet.
     pub gateway: GatewayId,
-    /// Time of writing since 1970, by the gateway's clock.
+    /// Time of writing since the Unix epoch, by the gateway's clock.
     pub written_at: Duration,
     /// Reports on the requests, with times relative to the time of writing.
     pub reports: Vec<SuspectReport>,
--- a/lovagedock-platform/src/hosts.rs
+++ b/lovagedock-platform/src/hosts.rs
@@ -13,7 +13,7 @@
     async fn hosts(&self) -> Result<HostList, StoreError>;
 }
 
-/// Live and leaving hosts, as the platform knew them some time ago.
+/// Live and leaving hosts as recorded by the platform; the list may be out of date.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostList {
     /// One entry per host; a host that no longer exists has none.
--- a/lovagedock-platform/src/memory.rs
+++ b/lovagedock-platform/src/memory.rs
@@ -28,7 +28,7 @@
     Down,
     /// The call takes effect and its response is lost.
     LoseResponse,
-    /// The call is lost in transit, and the caller cannot tell.
+    /// The call is lost in transit; for the caller its outcome is unknown.
     LoseRequest,
     /// The response is lost, and the call takes effect when [`MemoryStore::apply_delayed`] is
     /// called.
--- a/lovagedock-platform/src/table.rs
+++ b/lovagedock-platform/src/table.rs
@@ -1,4 +1,4 @@
-//! Versioned object table without I/O, shared by the in-memory store and the stand-in.
+//! Versioned object table without I/O, shared by the in-memory store and the simulated platform.
 
 use std::collections::BTreeMap;
 
--- a/lovagedock-platform/tests/config_property.rs
+++ b/lovagedock-platform/tests/config_property.rs
@@ -203,8 +203,8 @@
     })]
 
     /// Operators apply concurrently under lost responses, delayed writes, outages and rejections.
-    /// Every reported outcome stays true: an accepted apply is in the history exactly once, a
-    /// refused one never, and the newest configuration can always be read completely.
+    /// Every reported outcome stays true: an accepted apply is in the history exactly once, one
+    /// that was not accepted never is, and the newest configuration can always be read completely.
     #[test]
     fn reported_outcomes_match_the_store(rounds in vec(planned_round(), 1..12)) {
         paused_runtime().block_on(async {
--- a/lovagedock-platform/tests/config_store.rs
+++ b/lovagedock-platform/tests/config_store.rs
@@ -279,8 +279,8 @@
     assert_eq!(fixture.config.apply(&ahead).await, wrong);
 }
 
-/// The second write is refused and the store becomes unavailable before the winner can be read: the
-/// file was certainly not accepted, but the winner is not known.
+/// The second write fails with a conflict and the store becomes unavailable before the winner can
+/// be read: the file was certainly not accepted, but the winner is not known.
 #[tokio::test(start_paused = true)]
 async fn conflict_without_read_back_is_not_accepted() {
     let fixture = Fixture::with_first().await;
--- a/lovagedock-wire/src/endpoint_client.rs
+++ b/lovagedock-wire/src/endpoint_client.rs
@@ -67,7 +67,8 @@
 
     /// Submits a request; the answer goes to `receiver`.
     ///
-    /// After an error it is not known whether the sidecar has the request; only a revoke can tell.
+    /// After an error it is not known whether the sidecar has the request; only a revoke can
+    /// determine it.
     pub async fn submit<R: AnswerReceiver>(
         &self,
         work: &WorkMessage,
@@ -114,7 +115,10 @@
         let verdict = response.get()?.get_verdict();
         match verdict {
             Ok(verdict) => Ok(codec::read_verdict(verdict)),
-            Err(unknown) => Err(WireError::Malformed(format!("verdict {}", unknown.0))),
+            Err(unknown) => Err(WireError::Malformed(format!(
+                "unknown verdict {}",
+                unknown.0
+            ))),
         }
     }
 
@@ -202,7 +206,7 @@
         })
     }
 
-    /// Marks the endpoint as leaving, or undoes that; returns the requests still in flight.
+    /// Starts or ends draining of the endpoint; returns the number of requests still in flight.
     pub async fn drain(&self, leaving: bool, limit: Duration) -> Result<u32, WireError> {
         let mut request = self.session.drain_request();
         request.get().set_leaving(leaving);
@@ -234,8 +238,8 @@
 
 /// Runs a call with a timeout.
 ///
-/// A connection that a device between the two sides has dropped loses calls without an error, so a
-/// call may never return. The limit turns this into a [`WireError::TimedOut`].
+/// If a device between the two sides silently drops the connection, calls are lost without an error
+/// and may never return. After `limit` such a call fails with [`WireError::TimedOut`].
 pub(crate) async fn with_timeout<T>(
     limit: Duration,
     call: impl Future<Output = Result<T, capnp::Error>>,
--- a/lovagedock-wire/src/endpoint_server.rs
+++ b/lovagedock-wire/src/endpoint_server.rs
@@ -52,7 +52,7 @@
         work: WorkMessage,
         range: SegmentRange,
     ) -> impl Future<Output = SegmentReply> + 'static;
-    /// Marks the endpoint as leaving, or undoes that; returns the requests in flight.
+    /// Starts or ends draining of the endpoint; returns the number of requests in flight.
     fn drain(&self, leaving: bool) -> u32;
     /// Passes an order of a lease holder to the engine, or reports what the engine has loaded.
     fn order(&self, message: OrderMessage) -> impl Future<Output = OrderReply> + 'static;
--- a/lovagedock-wire/src/messages.rs
+++ b/lovagedock-wire/src/messages.rs
@@ -25,7 +25,7 @@
 pub struct HeaderField {
     /// Name in lower case.
     pub name: String,
-    /// Value, which may not be valid text.
+    /// Value, which is not necessarily valid text.
     pub value: Bytes,
 }
 
@@ -52,7 +52,8 @@
     pub non_idempotent: bool,
     /// Time to the first token as predicted by the gateway.
     pub predicted: Duration,
-    /// Engines that hold parts of the prompt, in prompt order; empty unless the request is a span.
+    /// Engines that hold parts of the prompt, in prompt order; empty unless the prompt is split
+    /// over several engines.
     pub span: Vec<SpanHolder>,
     /// HTTP method.
     pub method: String,
@@ -123,7 +124,7 @@
 pub struct LoadMessage {
     /// Sequence number; increases with each report of one incarnation.
     pub sequence: u64,
-    /// Whether the endpoint is leaving and accepts no new work.
+    /// Whether the endpoint is draining and accepts no new work.
     pub leaving: bool,
     /// Whether the engine does not respond.
     pub engine_down: bool,
@@ -186,9 +187,10 @@
     pub report: LoadedReport,
 }
 
-/// Error of a call that got no response over a session.
+/// Error of a call that got no valid response over a session.
 ///
-/// The call may still have taken effect at the other side; only a verdict of the other side tells.
+/// The call may still have taken effect at the other side; only the other side can report whether
+/// it did.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WireError {
     /// The connection was lost or could not be opened.
--- a/lovagedock-wire/src/peer.rs
+++ b/lovagedock-wire/src/peer.rs
@@ -29,7 +29,8 @@
     /// Receives the usage of organisations at the other gateway; returns a confirmation, or `None`
     /// if the report is outdated.
     fn usage(&self, report: UsageReport) -> Option<UsageAck>;
-    /// Receives updates from the other gateway about requests under which engines ended.
+    /// Receives updates from the other gateway about requests that were running on an engine when
+    /// its process ended.
     fn suspects(&self, updates: Vec<SuspectUpdate>);
 }
 
@@ -82,7 +83,7 @@
         Ok(())
     }
 
-    /// Requests what the peer has above a generation.
+    /// Requests the peer's generation and the chunks that a gateway at generation `above` lacks.
     pub async fn pull(&self, above: Generation, limit: Duration) -> Result<PullAnswer, WireError> {
         let mut request = self.session.pull_request();
         request.get().set_above(above);
@@ -104,7 +105,7 @@
 }
 
 impl PeerClient {
-    /// Sends updates about requests under which engines ended.
+    /// Sends updates about requests that were running on an engine when its process ended.
     pub async fn suspects(
         &self,
         updates: &[SuspectUpdate],
--- a/lovagedock-wire/src/suspect_codec.rs
+++ b/lovagedock-wire/src/suspect_codec.rs
@@ -1,4 +1,4 @@
-//! Encoding of updates about requests under which engines ended.
+//! Encoding of updates about requests that were running on an engine when its process ended.
 
 use std::time::Duration;
 
--- a/lovagedock/src/codes.rs
+++ b/lovagedock/src/codes.rs
@@ -1,6 +1,6 @@
 //! Numbered result codes.
 //!
-//! The thousands digit tells who has to act: 1 the caller, 2 nobody (retry later), 3 the operator
+//! The thousands digit states who has to act: 1 the caller, 2 nobody (retry later), 3 the operator
 //! of an endpoint, 4 the operator of the configuration. `docs/CODES.md` lists all codes; a test
 //! compares it with this table.
 
@@ -10,11 +10,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RanState {
-    /// It did not run and never will under this request id.
+    /// The work did not run and never will under this request id.
     No,
-    /// It ran, completely or partly.
+    /// The work ran, completely or partly.
     Yes,
-    /// It may have run; no process that knows the outcome is left.
+    /// The work may have run; no remaining process has a record of the outcome.
     Unknown,
 }
 
@@ -94,7 +94,7 @@
     ExpiredWaiting = 2002, 504, No, "the deadline passed before the request started";
     /// The deadline of the request passed while it ran.
     ExpiredRunning = 2003, 504, Yes, "the deadline passed while the request ran";
-    /// The endpoint is leaving and accepts no new work.
+    /// The endpoint is draining and accepts no new work.
     Draining = 2004, 503, No, "the endpoint is leaving";
     /// Shed under overload to protect higher tiers.
     Shed = 2005, 503, No, "refused to protect requests of higher priority";
--- a/lovagedock/src/config/check.rs
+++ b/lovagedock/src/config/check.rs
@@ -87,7 +87,7 @@
         self.check_unique(names, name, path);
     }
 
-    /// Checks that a value is not used yet.
+    /// Checks that no earlier entry uses the same value.
     pub(crate) fn check_unique(&mut self, names: &mut UniqueNames, name: &str, path: String) {
         if let Some(first_path) = names.first_paths.get(name) {
             let position = self.sources.position(first_path);
--- a/lovagedock/src/config/types.rs
+++ b/lovagedock/src/config/types.rs
@@ -55,7 +55,7 @@
     pub region: String,
 }
 
-/// A gateway on an entry host.
+/// A gateway on an entry host, a host that callers connect to.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct GatewaySpec {
@@ -296,7 +296,8 @@
     /// Deadline of a request that sets none, in milliseconds; 0 keeps the deadline of the service.
     #[serde(default)]
     pub default_deadline_ms: u64,
-    /// Highest tier of such requests; without a value the tier of the organisation applies.
+    /// Highest tier of requests that match the rule; without a value the tier of the organisation
+    /// applies.
     #[serde(default)]
     pub priority_cap: Option<PriorityTier>,
 }
--- a/lovagedock/src/lib.rs
+++ b/lovagedock/src/lib.rs
@@ -1,9 +1,9 @@
 //! Core of lovagedock, a serving layer for fleets of language-model engines.
 //!
-//! This crate makes all decisions of lovagedock and performs no I/O. Each decision is a state
-//! machine that takes the time and an event and returns actions. It uses no sockets, reads no clock
-//! and draws no ambient randomness, so every failure can be tested without waiting for it to occur.
-//! The daemons in the other crates execute the actions and turn network traffic into events.
+//! This crate makes all decisions of lovagedock and performs no I/O. Each decision is made by a
+//! state machine that takes the time and an event and returns actions. It uses no sockets, reads no
+//! clock and draws no ambient randomness, so every failure can be tested without waiting for it to
+//! occur. The daemons in the other crates execute the actions and turn network traffic into events.
 //!
 //! # Example
 //!
--- a/lovagedock/src/outcome.rs
+++ b/lovagedock/src/outcome.rs
@@ -104,7 +104,7 @@
     Running,
     /// The request ran and ended.
     Ended,
-    /// The named incarnation of the sidecar no longer exists, and no other process knows the
-    /// outcome.
+    /// The named incarnation of the sidecar no longer exists, and no other process has a record of
+    /// the outcome.
     OtherIncarnation,
 }
--- a/lovagedock/tests/support/mod.rs
+++ b/lovagedock/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Fakes shared by the tests of claims, leases and adoption.
+//! Simulations and a fake store shared by the tests of claims, leases and adoption.
 #![allow(dead_code)]
 
 pub(crate) mod claim_simulation;
