--- a/lovagedock-platform/tests/config_store.rs
+++ b/lovagedock-platform/tests/config_store.rs
@@ -138,14 +138,14 @@
         FaultCase {
             kind: CallKind::Read,
             times: 3,
-            ..base("outage before, shorter than the time limit")
+            ..base("outage before the apply, shorter than the time limit")
         },
         FaultCase {
             kind: CallKind::Read,
             times: ALWAYS,
             expected: down(),
             after: (1, 1),
-            ..base("outage before, longer than the time limit")
+            ..base("outage before the apply, longer than the time limit")
         },
         FaultCase {
             key: CHUNK_PREFIX,
@@ -279,8 +279,8 @@
     assert_eq!(fixture.config.apply(&ahead).await, wrong);
 }
 
-/// The second write is refused and the store becomes unavailable before the winner can be read: the
-/// file was certainly not accepted, but the winner is not known.
+/// The second write fails with a conflict and the store becomes unavailable before the winner can
+/// be read: the file was certainly not accepted, but the winner is not known.
 #[tokio::test(start_paused = true)]
 async fn conflict_without_read_back_is_not_accepted() {
     let fixture = Fixture::with_first().await;
@@ -405,7 +405,7 @@
 }
 
 #[test]
-fn chunks_join_to_the_same_bytes_and_depend_on_nothing_else() {
+fn chunks_depend_only_on_the_bytes_and_join_to_them() {
     for organisations in [0, 1, 100, 3_000] {
         let bytes = bytes_of(&fleet(organisations));
         let chunks = split_chunks(&bytes);
