--- a/lovagedock-gateway/src/adopt.rs
+++ b/lovagedock-gateway/src/adopt.rs
@@ -107,7 +107,7 @@
     }
 
     fn set_links(&self, config: &FleetConfig) {
-        let wanted = self.subset(config);
+        let wanted = self.linked_endpoints(config);
         let fleet = &self.context.fleet;
         for (endpoint, entry) in fleet.entries() {
             let kept = wanted
@@ -126,7 +126,7 @@
     }
 
     /// The endpoints to which this gateway keeps a session, with their pools.
-    fn subset<'a>(
+    fn linked_endpoints<'a>(
         &self,
         config: &'a FleetConfig,
     ) -> HashMap<&'a EndpointId, (&'a PoolSpec, &'a EndpointSpec)> {
--- a/lovagedock-gateway/src/call_task.rs
+++ b/lovagedock-gateway/src/call_task.rs
@@ -62,9 +62,9 @@
         if let CallerEvent::Problem(problem) = &mut end.event
             && self.shared.is_cut_by_drain(self.deadline)
         {
-            self.log_cut(problem, started);
+            self.log_cut_by_drain(problem, started);
         }
-        self.shared.limits.finish(&self.call.organisation);
+        self.shared.limits.finish_request(&self.call.organisation);
         self.caller.send(end.event).await;
         self.record_outcome(code, started);
         if let Some(failure) = end.failure_record {
@@ -106,11 +106,11 @@
         tokio::select! {
             answer = self.shared.claims.claim(claim) => Some(answer),
             () = self.caller.closed() => {
-                self.shared.claims.withdraw(key, call.id);
+                self.shared.claims.withdraw_claim(key, call.id);
                 None
             }
-            () = self.shared.drain_expired() => {
-                self.shared.claims.withdraw(key, call.id);
+            () = self.shared.wait_for_drain_end() => {
+                self.shared.claims.withdraw_claim(key, call.id);
                 Some(ClaimOutcome::Refused(ResultCode::GatewayStopping))
             }
         }
@@ -120,7 +120,7 @@
         self.record_step("key claimed");
         let (outcome, buffered) = self.drive(true).await;
         if outcome.ran == RanState::No {
-            self.shared.claims.abandon(key, self.call.id);
+            self.shared.claims.abandon_claim(key, self.call.id);
         }
         if let (ResultCode::Complete, Some(buffered)) = (outcome.code, buffered) {
             return CallEnd::without_failure_record(self.record_answer(key, buffered).await);
@@ -141,7 +141,7 @@
         let Ok(bytes) = answer.encode() else { return };
         let deadline = self.shared.context.clock.now() + FAILURE_RECORD_TIMEOUT;
         let claims = &self.shared.claims;
-        let recorded = claims.record(failure.key, self.call.id, bytes, deadline);
+        let recorded = claims.record_answer(failure.key, self.call.id, bytes, deadline);
         self.record_step(match recorded.await {
             true => "failure recorded",
             false => "failure not recorded",
@@ -159,8 +159,10 @@
             Ok(bytes) => {
                 let claims = &self.shared.claims;
                 tokio::select! {
-                    recorded = claims.record(key, self.call.id, bytes, self.deadline) => recorded,
-                    () = self.shared.drain_expired() => false,
+                    recorded = claims.record_answer(
+                        key, self.call.id, bytes, self.deadline,
+                    ) => recorded,
+                    () = self.shared.wait_for_drain_end() => false,
                 }
             }
             Err(_) => false,
@@ -231,7 +233,7 @@
 
     /// Logs and counts a request that the end of the drain cut. If the problem has no detail, the
     /// drain is named there, since the result code may be that of an expired deadline.
-    fn log_cut(&self, problem: &mut RequestProblem, started: Timestamp) {
+    fn log_cut_by_drain(&self, problem: &mut RequestProblem, started: Timestamp) {
         if problem.detail.is_empty() {
             problem.detail = ResultCode::GatewayStopping.title().to_owned();
         }
--- a/lovagedock-gateway/src/claims.rs
+++ b/lovagedock-gateway/src/claims.rs
@@ -112,7 +112,7 @@
     }
 
     /// Records the answer of a granted request; returns whether it was stored.
-    pub(crate) async fn record(
+    pub(crate) async fn record_answer(
         &self,
         key: KeyHash,
         request: RequestId,
@@ -132,12 +132,12 @@
     }
 
     /// Releases a claim whose request certainly did not run.
-    pub(crate) fn abandon(&self, key: KeyHash, request: RequestId) {
+    pub(crate) fn abandon_claim(&self, key: KeyHash, request: RequestId) {
         self.send(key, PartitionCommand::Abandon { key, request });
     }
 
     /// Withdraws a claim that was not granted yet.
-    pub(crate) fn withdraw(&self, key: KeyHash, request: RequestId) {
+    pub(crate) fn withdraw_claim(&self, key: KeyHash, request: RequestId) {
         self.send(key, PartitionCommand::Withdraw { request });
     }
 
--- a/lovagedock-gateway/src/direct/call/log.rs
+++ b/lovagedock-gateway/src/direct/call/log.rs
@@ -27,7 +27,7 @@
             "answer_limit" => self.parts.head.answer_limit,
             "occupied" => placed.occupied,
             "backlog_ms" => placed.backlog.as_millis() as u64,
-            "first_event_ms" => placed.first_event.as_millis() as u64,
+            "first_event_ms" => placed.first_event_delay.as_millis() as u64,
             "loss" => placed.loss,
             "waited_ms" => now.saturating_sub(self.parts.arrived).as_millis() as u64,
             "config" => self.parts.config.version,
@@ -78,7 +78,7 @@
         }
     }
 
-    pub(super) fn log_attempt(
+    pub(super) fn log_attempt_end(
         &self,
         endpoint: &EndpointProcess,
         end: AttemptEnd,
@@ -92,12 +92,12 @@
                 "request" => &self.parts.head.request, "endpoint" => %endpoint,
                 "fingerprint" => format_fingerprint(self.fingerprint),
                 "sent" => self.machine.sent(), "end" => ?end, "next" => ?step,
-                "events" => self.stream.events(), "left_out" => left_out);
+                "events" => self.stream.event_count(), "left_out" => left_out);
         }
     }
 
     /// Logs that the stop of the gateway cuts the request, and how its time was spent until then.
-    pub(super) fn log_cut(&self) {
+    pub(super) fn log_cut_by_stop(&self) {
         let now = self.state.clock.now();
         let stage = match (self.sender.has_begun(), self.machine.is_in_flight()) {
             (true, _) => "answering",
@@ -123,7 +123,7 @@
             "answer" => self.parts.head.expected_answer(),
             "answer_limit" => self.parts.head.answer_limit,
             "sent" => self.machine.sent(),
-            "events" => self.stream.events(),
+            "events" => self.stream.event_count(),
             "first_event_ms" => self.first_event_time().map(|first| first.as_millis() as u64),
             "longest_gap_ms" => self.stream.longest_gap().as_millis() as u64,
             "silent_ms" => self.silent_time().as_millis() as u64,
@@ -132,7 +132,7 @@
             "left_out" => left_out);
     }
 
-    pub(super) fn log_end(&self, code: ResultCode) {
+    pub(super) fn log_request_end(&self, code: ResultCode) {
         let now = self.state.clock.now();
         let took = now.saturating_sub(self.parts.arrived);
         crate::call_task::count_outcome(code);
@@ -147,7 +147,7 @@
                 "code" => code.number(),
                 "ran" => self.machine.ran().as_str(),
                 "sent" => self.machine.sent(),
-                "events" => self.stream.events(),
+                "events" => self.stream.event_count(),
                 "first_event_ms" => self.first_event_time().map(|first| first.as_millis() as u64),
                 "longest_gap_ms" => self.stream.longest_gap().as_millis() as u64,
                 "ms" => took.as_millis() as u64,
@@ -158,8 +158,8 @@
 
     /// Returns the time from the arrival of the request to its first event.
     fn first_event_time(&self) -> Option<Duration> {
-        let first_at = self.stream.first_at()?;
-        Some(first_at.saturating_duration_since(self.instant(self.parts.arrived)))
+        let first_event_at = self.stream.first_event_at()?;
+        Some(first_event_at.saturating_duration_since(self.instant(self.parts.arrived)))
     }
 }
 
--- a/lovagedock-gateway/src/direct/call/mod.rs
+++ b/lovagedock-gateway/src/direct/call/mod.rs
@@ -124,10 +124,10 @@
         let ended = tokio::select! {
             biased;
             code = self.run_steps() => Some(code),
-            () = state.stop_ended() => None,
+            () = state.wait_for_stop_end() => None,
         };
         let code = ended.unwrap_or_else(|| self.end_at_stop());
-        self.log_end(code);
+        self.log_request_end(code);
     }
 
     async fn run_steps(&mut self) -> ResultCode {
@@ -180,10 +180,11 @@
         let state = Arc::clone(&self.state);
         let service = self.parts.service.clone();
         let fingerprint = self.fingerprint;
-        let retry =
-            move || state.quarantined_for(fingerprint).is_none() && state.try_take_retry(&service);
+        let retry = move || {
+            state.quarantined_for(fingerprint).is_none() && state.try_consume_retry(&service)
+        };
         let step = self.machine.attempt_ended(now, &endpoint, end, retry);
-        self.log_attempt(&endpoint, end, step);
+        self.log_attempt_end(&endpoint, end, step);
         step
     }
 
@@ -221,11 +222,11 @@
         self.sent_at = Instant::now();
         let sent_at = self.state.clock.now();
         let request = self.build_request(&placed, &reservations);
-        let (first_probe_at, limit) = self.timeouts(&placed);
+        let (first_probe_at, silent_until) = self.timeouts(&placed);
         let response = match connection
             .send(
                 request,
-                watch.wait_until_unresponsive(first_probe_at, limit),
+                watch.wait_until_unresponsive(first_probe_at, silent_until),
             )
             .await
         {
@@ -263,9 +264,9 @@
         if is_stream {
             let timeouts = StreamTimeouts {
                 first_probe_at,
-                gap: EVENT_GAP_TIMEOUT,
+                probe_gap: EVENT_GAP_TIMEOUT,
                 may_resume: self.parts.route.mode.may_repeat() && self.machine.has_attempt_left(),
-                limit,
+                silent_until,
                 deadline: self.instant(self.deadline),
             };
             let work = &mut placed.work;
@@ -278,9 +279,9 @@
                     &mut self.sender,
                     timeouts,
                     &watch,
-                    |first_at, longest| {
+                    |first_event_at, longest| {
                         work.finish_prefill();
-                        if longest > gap || first_at > late_at {
+                        if longest > gap || first_event_at > late_at {
                             work.record_missed_objective();
                         }
                     },
@@ -299,7 +300,7 @@
                 }
             };
         }
-        let Some(buffered) = collect_response(response.message, limit).await else {
+        let Some(buffered) = collect_response(response.message, silent_until).await else {
             self.log_failure(&endpoint, "incomplete response body");
             self.record_outlier_event(&endpoint, OutlierEvent::Failed);
             return Some(AttemptEnd::Lost);
@@ -353,7 +354,7 @@
             deadline: self.deadline.saturating_sub(now),
             endpoint: &placed.lead.process.id,
             organisation: self.parts.organisation.as_ref(),
-            resume_after: self.stream.last_id(),
+            resume_after: self.stream.last_event_id(),
             helpers: &helpers,
             urgency: UNIFORM_URGENCY,
         };
@@ -369,7 +370,7 @@
 
     /// Returns the time since the last byte of the current attempt arrived.
     fn silent_time(&self) -> Duration {
-        let last_activity = self.stream.last_at().unwrap_or(self.sent_at);
+        let last_activity = self.stream.last_event_at().unwrap_or(self.sent_at);
         last_activity.max(self.sent_at).elapsed()
     }
 
@@ -391,7 +392,7 @@
             let half = self.instant(now + half);
             return (half, half);
         }
-        let timeout = placed.first_event * 2 + FIRST_EVENT_SLACK;
+        let timeout = placed.first_event_delay * 2 + FIRST_EVENT_SLACK;
         let first_probe_at = self.instant(now + timeout).min(deadline);
         if is_last {
             // No further attempt is allowed, so a live engine may use the time up to the deadline.
@@ -405,7 +406,7 @@
     /// Ends the request because the gateway stops. If the caller has received no part of the
     /// response, it gets one that states whether the request may have run.
     fn end_at_stop(&mut self) -> ResultCode {
-        self.log_cut();
+        self.log_cut_by_stop();
         let code = self.machine.stopped();
         self.respond(code)
     }
--- a/lovagedock-gateway/src/direct/call/placement.rs
+++ b/lovagedock-gateway/src/direct/call/placement.rs
@@ -47,7 +47,7 @@
             if now >= self.deadline {
                 return Err(self.machine.expired());
             }
-            if !self.may_send(now) {
+            if !self.may_send_before_stop(now) {
                 self.log_refused("the gateway stops");
                 return Err(DirectStep::Answer(self.machine.stopped()));
             }
@@ -56,27 +56,27 @@
                 self.log_refused("engines end under it");
                 return Err(self.machine.quarantined(now));
             }
-            let is_last_search = queued.as_ref().is_some_and(|entry| now >= entry.until);
+            let is_last_search = queued.as_ref().is_some_and(|entry| now >= entry.wait_until);
             let may_search = queued.as_ref().is_none_or(QueueEntry::is_first) || is_last_search;
             let mut available_at = None;
             if may_search {
                 let waited_fraction = queued
                     .as_ref()
                     .map_or(0.0, |entry| entry.waited_fraction(now));
-                match self.search(now, self.threshold(waited_fraction)) {
+                match self.search_placement(now, self.placement_threshold(waited_fraction)) {
                     PlacementResult::Placed(placed) => return Ok(*placed),
                     PlacementResult::Full | PlacementResult::NoEndpoint if is_last_search => {
-                        return Err(self.refuse_full(now));
+                        return Err(self.refuse_after_wait(now));
                     }
                     PlacementResult::Full | PlacementResult::NoEndpoint => {}
                     PlacementResult::Unavailable { until } => available_at = Some(until),
                 }
             }
             let until = match &queued {
-                Some(entry) => entry.until,
+                Some(entry) => entry.wait_until,
                 None => {
                     let entry = self.join_queue(now)?;
-                    queued.insert(entry).until
+                    queued.insert(entry).wait_until
                 }
             };
             if let Some(available_at) = available_at.filter(|at| is_last_search || *at > until) {
@@ -118,7 +118,7 @@
 
     /// Returns how good a placement has to be, given the fraction of the waiting time that has
     /// passed.
-    fn threshold(&self, waited_fraction: f64) -> PlacementThreshold {
+    fn placement_threshold(&self, waited_fraction: f64) -> PlacementThreshold {
         if self.machine.sent() > 0 {
             return PlacementThreshold::Any;
         }
@@ -130,7 +130,7 @@
 
     /// Returns whether the gateway runs for long enough to send the request if it is stopping. A
     /// response that has begun is always resumed.
-    fn may_send(&self, now: Timestamp) -> bool {
+    fn may_send_before_stop(&self, now: Timestamp) -> bool {
         if self.sender.has_begun() {
             return true;
         }
@@ -138,7 +138,7 @@
         plan.is_none_or(|plan| plan.may_send(now, &self.parts.outlook()))
     }
 
-    fn search(&self, now: Timestamp, threshold: PlacementThreshold) -> PlacementResult {
+    fn search_placement(&self, now: Timestamp, threshold: PlacementThreshold) -> PlacementResult {
         let head = &self.parts.head;
         let is_return = self.queue.is_return();
         let gap = self.parts.route.gap_objective;
@@ -178,16 +178,16 @@
             service: self.parts.service.clone(),
             queue: self.queue,
             position,
-            joined: now,
-            until: now,
+            joined_at: now,
+            wait_until: now,
         };
         if self.machine.sent() > 0 {
-            entry.until = (now + RESUME_WAIT_LIMIT).min(self.deadline);
+            entry.wait_until = (now + RESUME_WAIT_LIMIT).min(self.deadline);
             return Ok(entry);
         }
         match decision {
             QueueDecision::Wait { until } => {
-                entry.until = until;
+                entry.wait_until = until;
                 Ok(entry)
             }
             QueueDecision::Refuse { retry_after } => {
@@ -213,7 +213,7 @@
         self.machine.no_place(now)
     }
 
-    fn refuse_full(&mut self, now: Timestamp) -> DirectStep {
+    fn refuse_after_wait(&mut self, now: Timestamp) -> DirectStep {
         let time_left = self.deadline.saturating_sub(now);
         let retry_after = self
             .state
@@ -232,15 +232,15 @@
     service: ServiceId,
     queue: QueueKind,
     position: (Timestamp, u64),
-    joined: Timestamp,
-    until: Timestamp,
+    joined_at: Timestamp,
+    wait_until: Timestamp,
 }
 
 impl QueueEntry {
     /// Returns the fraction of the waiting time that has passed; 1 at its end.
     fn waited_fraction(&self, now: Timestamp) -> f64 {
-        let wait_limit = self.until.saturating_sub(self.joined).as_secs_f64();
-        let waited = now.saturating_sub(self.joined).as_secs_f64();
+        let wait_limit = self.wait_until.saturating_sub(self.joined_at).as_secs_f64();
+        let waited = now.saturating_sub(self.joined_at).as_secs_f64();
         (waited / wait_limit.max(f64::MIN_POSITIVE)).min(1.0)
     }
 
--- a/lovagedock-gateway/src/direct/caller_server.rs
+++ b/lovagedock-gateway/src/direct/caller_server.rs
@@ -159,7 +159,7 @@
                 // were closed earlier, the request would get no response.
                 std::future::pending::<()>().await;
             }
-            let plan = self.state.stop_requested().await;
+            let plan = self.state.wait_for_stop_request().await;
             sleep_until(self.instant(plan.notice_ends_at())).await;
         };
         let ended = tokio::select! {
@@ -205,7 +205,7 @@
         let (parts, body) = request.into_parts();
         let collected = tokio::select! {
             collected = Limited::new(body, limit).collect() => collected,
-            () = self.state.stop_ended() => {
+            () = self.state.wait_for_stop_end() => {
                 metrics::counter!("lovagedock_requests_cut_by_stop_total", "stage" => "body")
                     .increment(1);
                 return self.reject(&id, ResultCode::GatewayStopping);
@@ -220,7 +220,7 @@
         };
         // A body may take seconds to arrive, and the configuration may have changed meanwhile.
         let config = self.state.config().unwrap_or(config);
-        let call = match check(&config, &head, &parts, body, arrived) {
+        let call = match check_request(&config, &head, &parts, body, arrived) {
             Ok(call) => call,
             Err(code) => return self.reject(&id, code),
         };
@@ -285,7 +285,7 @@
 }
 
 /// Checks a request against the current configuration.
-fn check(
+fn check_request(
     config: &Arc<TrafficConfig>,
     head: &CallerHead,
     parts: &hyper::http::request::Parts,
--- a/lovagedock-gateway/src/direct/delivery.rs
+++ b/lovagedock-gateway/src/direct/delivery.rs
@@ -84,13 +84,13 @@
 /// Delivers a stream from one or more endpoints to the caller.
 pub(crate) struct StreamDelivery {
     splitter: EventSplitter,
-    last_id: Option<String>,
-    events: u64,
-    first_at: Option<Instant>,
-    last_at: Option<Instant>,
+    last_event_id: Option<String>,
+    event_count: u64,
+    first_event_at: Option<Instant>,
+    last_event_at: Option<Instant>,
     longest_gap: Duration,
     /// When the first event of the current attempt arrived.
-    attempt_first_at: Option<Instant>,
+    attempt_first_event_at: Option<Instant>,
 }
 
 /// Result of reading from a stream.
@@ -115,12 +115,12 @@
     /// Time of the first probe if no event arrives.
     pub(crate) first_probe_at: Instant,
     /// Silence between two events after which the endpoint is probed.
-    pub(crate) gap: Duration,
+    pub(crate) probe_gap: Duration,
     /// Whether another endpoint may resume the response. If none may, abandoning a live endpoint
     /// only cuts the response.
     pub(crate) may_resume: bool,
     /// Time until which a live endpoint may stay silent.
-    pub(crate) limit: Instant,
+    pub(crate) silent_until: Instant,
     /// Deadline of the request.
     pub(crate) deadline: Instant,
 }
@@ -130,44 +130,44 @@
     pub(crate) fn new(resume_after: Option<String>) -> Self {
         Self {
             splitter: EventSplitter::new(),
-            last_id: resume_after,
-            events: 0,
-            first_at: None,
-            last_at: None,
+            last_event_id: resume_after,
+            event_count: 0,
+            first_event_at: None,
+            last_event_at: None,
             longest_gap: Duration::ZERO,
-            attempt_first_at: None,
+            attempt_first_event_at: None,
         }
     }
 
     /// Resets the state of the previous attempt.
     pub(crate) fn begin_attempt(&mut self) {
-        self.attempt_first_at = None;
+        self.attempt_first_event_at = None;
     }
 
     /// Returns the time since the first event of the current attempt.
     pub(crate) fn attempt_stream_time(&self) -> Duration {
-        let first_at = self.attempt_first_at;
-        first_at.map_or(Duration::ZERO, |first_at| first_at.elapsed())
+        let first_event_at = self.attempt_first_event_at;
+        first_event_at.map_or(Duration::ZERO, |first_event_at| first_event_at.elapsed())
     }
 
     /// Returns the id of the last event that the caller has.
-    pub(crate) fn last_id(&self) -> Option<&str> {
-        self.last_id.as_deref()
+    pub(crate) fn last_event_id(&self) -> Option<&str> {
+        self.last_event_id.as_deref()
     }
 
     /// Returns the number of delivered events.
-    pub(crate) fn events(&self) -> u64 {
-        self.events
+    pub(crate) fn event_count(&self) -> u64 {
+        self.event_count
     }
 
     /// Returns when the first event was delivered.
-    pub(crate) fn first_at(&self) -> Option<Instant> {
-        self.first_at
+    pub(crate) fn first_event_at(&self) -> Option<Instant> {
+        self.first_event_at
     }
 
     /// Returns when the last event was delivered.
-    pub(crate) fn last_at(&self) -> Option<Instant> {
-        self.last_at
+    pub(crate) fn last_event_at(&self) -> Option<Instant> {
+        self.last_event_at
     }
 
     /// Returns the longest time between two delivered events.
@@ -188,7 +188,7 @@
         let (head, mut body) = response.into_parts();
         self.splitter = EventSplitter::new();
         let mut until = timeouts.first_probe_at;
-        let mut limit = timeouts.limit.min(timeouts.deadline);
+        let mut limit = timeouts.silent_until.min(timeouts.deadline);
         let mut read_at: Option<Instant> = None;
         loop {
             let piece = tokio::select! {
@@ -211,8 +211,8 @@
                 if let Some(before) = read_at.replace(now) {
                     watch.record_event_gap(now - before);
                 }
-                self.attempt_first_at.get_or_insert(now);
-                on_event(self.first_at.unwrap_or(now), self.longest_gap);
+                self.attempt_first_event_at.get_or_insert(now);
+                on_event(self.first_event_at.unwrap_or(now), self.longest_gap);
                 if self.is_repeated(event.id.as_deref()) {
                     continue;
                 }
@@ -225,14 +225,14 @@
                 if sender.send_chunk(event.bytes).await.is_err() {
                     return StreamEnd::CallerDisconnected;
                 }
-                self.events += 1;
+                self.event_count += 1;
                 self.record_delivery(Instant::now());
                 if event.id.is_some() {
-                    self.last_id = event.id;
+                    self.last_event_id = event.id;
                 }
-                until = Instant::now() + timeouts.gap;
+                until = Instant::now() + timeouts.probe_gap;
                 limit = match timeouts.may_resume {
-                    true => (until + timeouts.gap * 2).min(timeouts.deadline),
+                    true => (until + timeouts.probe_gap * 2).min(timeouts.deadline),
                     false => timeouts.deadline,
                 };
             }
@@ -240,8 +240,8 @@
     }
 
     fn record_delivery(&mut self, now: Instant) {
-        self.first_at.get_or_insert(now);
-        if let Some(last) = self.last_at.replace(now) {
+        self.first_event_at.get_or_insert(now);
+        if let Some(last) = self.last_event_at.replace(now) {
             self.longest_gap = self.longest_gap.max(now - last);
         }
     }
@@ -250,7 +250,7 @@
     /// events.
     fn is_repeated(&self, id: Option<&str>) -> bool {
         let number = |id: &str| id.parse::<u64>().ok();
-        let last = self.last_id.as_deref().and_then(number);
+        let last = self.last_event_id.as_deref().and_then(number);
         match (last, id.and_then(number)) {
             (Some(last), Some(id)) => id <= last,
             _ => false,
--- a/lovagedock-gateway/src/direct/gateway.rs
+++ b/lovagedock-gateway/src/direct/gateway.rs
@@ -50,7 +50,7 @@
             .new(o!("gateway" => settings.name.to_string()));
         let state = Arc::new(GatewayState::new(
             settings.name.clone(),
-            settings.fleet(),
+            settings.fleet_tag(),
             daemon.clock,
             settings.bounds.retries(),
             log.clone(),
--- a/lovagedock-gateway/src/direct/liveness.rs
+++ b/lovagedock-gateway/src/direct/liveness.rs
@@ -102,7 +102,7 @@
 
     async fn wait_until_quarantined(&self) {
         loop {
-            let mut quarantined = std::pin::pin!(self.state.quarantined());
+            let mut quarantined = std::pin::pin!(self.state.request_quarantined());
             quarantined.as_mut().enable();
             if self.state.quarantined_for(self.fingerprint).is_some() {
                 return;
@@ -113,7 +113,7 @@
 
     async fn wait_until_replaced(&self) {
         loop {
-            let mut restarted = std::pin::pin!(self.state.restarted());
+            let mut restarted = std::pin::pin!(self.state.endpoint_restarted());
             restarted.as_mut().enable();
             if self.state.is_replaced(&self.endpoint) {
                 return;
--- a/lovagedock-gateway/src/direct/peer_sync.rs
+++ b/lovagedock-gateway/src/direct/peer_sync.rs
@@ -69,7 +69,7 @@
 }
 
 fn respond(state: &GatewayState, path: &str) -> Response<Full<Bytes>> {
-    let bytes = match path.strip_prefix(&path_for(state, "")) {
+    let bytes = match path.strip_prefix(&snapshot_path(state, "")) {
         Some(TRAFFIC) => state.config().map(|config| postcard::to_stdvec(&*config)),
         Some(ENDPOINTS) => Some(postcard::to_stdvec(&state.endpoints_snapshot())),
         _ => None,
@@ -86,7 +86,7 @@
 
 /// Requests a newer configuration from a peer and applies it.
 pub(crate) async fn pull_traffic(state: &GatewayState, peer: SocketAddr) {
-    let Some(bytes) = pull(state, peer, TRAFFIC).await else {
+    let Some(bytes) = pull_snapshot(state, peer, TRAFFIC).await else {
         return;
     };
     match postcard::from_bytes::<TrafficConfig>(&bytes) {
@@ -100,7 +100,7 @@
 
 /// Requests newer endpoints from a peer and applies them.
 pub(crate) async fn pull_endpoints(state: &GatewayState, peer: SocketAddr) {
-    let Some(bytes) = pull(state, peer, ENDPOINTS).await else {
+    let Some(bytes) = pull_snapshot(state, peer, ENDPOINTS).await else {
         return;
     };
     match postcard::from_bytes::<EndpointsSnapshot>(&bytes) {
@@ -110,13 +110,17 @@
     }
 }
 
-fn path_for(state: &GatewayState, name: &str) -> String {
+fn snapshot_path(state: &GatewayState, name: &str) -> String {
     format!("/{}/{PROTOCOL_VERSION}/{name}", state.fleet_tag)
 }
 
-async fn pull(state: &GatewayState, peer: SocketAddr, name: &'static str) -> Option<Bytes> {
+async fn pull_snapshot(
+    state: &GatewayState,
+    peer: SocketAddr,
+    name: &'static str,
+) -> Option<Bytes> {
     let mut request = Request::new(Full::<Bytes>::default());
-    *request.uri_mut() = path_for(state, name).parse().ok()?;
+    *request.uri_mut() = snapshot_path(state, name).parse().ok()?;
     let host = peer.to_string().parse().ok()?;
     request.headers_mut().insert(HOST, host);
     let connection = EndpointConnection::open(peer).await.ok()?;
--- a/lovagedock-gateway/src/direct/settings.rs
+++ b/lovagedock-gateway/src/direct/settings.rs
@@ -69,7 +69,7 @@
 
 impl DirectSettings {
     /// Returns the tag of the fleet to which the gateway belongs.
-    pub(crate) fn fleet(&self) -> FleetTag {
+    pub(crate) fn fleet_tag(&self) -> FleetTag {
         match &self.fleet {
             Some(name) => FleetTag::new(name),
             None => FleetTag::new(&self.store.to_string()),
--- a/lovagedock-gateway/src/direct/state/listing.rs
+++ b/lovagedock-gateway/src/direct/state/listing.rs
@@ -44,7 +44,7 @@
             EntryChange::Restarted(former) => {
                 info!(self.log, "endpoint started again";
                     "endpoint" => endpoint_text(endpoint), "former" => %former.process);
-                self.restarted.notify_waiters();
+                self.endpoint_restarted.notify_waiters();
             }
             EntryChange::Outdated => {
                 metrics::counter!("lovagedock_outdated_entries_total").increment(1);
@@ -65,8 +65,8 @@
     }
 
     /// Waits until an endpoint has restarted.
-    pub(crate) fn restarted(&self) -> Notified<'_> {
-        self.restarted.notified()
+    pub(crate) fn endpoint_restarted(&self) -> Notified<'_> {
+        self.endpoint_restarted.notified()
     }
 
     /// Removes an endpoint whose entry was deleted.
--- a/lovagedock-gateway/src/direct/state/mod.rs
+++ b/lovagedock-gateway/src/direct/state/mod.rs
@@ -74,9 +74,9 @@
     /// Wakes requests that wait behind others in a queue.
     queue_advanced: Notify,
     /// Wakes requests whose endpoint may have restarted.
-    restarted: Notify,
+    endpoint_restarted: Notify,
     /// Wakes requests that may be in quarantine now.
-    quarantined: Notify,
+    request_quarantined: Notify,
     /// Wakes the tasks that have to write this gateway's objects to the store again.
     store_restored: Notify,
     /// Wakes the task that writes suspects to the store.
@@ -136,8 +136,8 @@
             urgent_update: Notify::new(),
             deferred_update: Notify::new(),
             queue_advanced: Notify::new(),
-            restarted: Notify::new(),
-            quarantined: Notify::new(),
+            endpoint_restarted: Notify::new(),
+            request_quarantined: Notify::new(),
             store_restored: Notify::new(),
             suspects_changed: Notify::new(),
             suspects_read_requested: Notify::new(),
@@ -228,7 +228,7 @@
     }
 
     /// Waits until the gateway has been asked to stop.
-    pub(crate) async fn stop_requested(&self) -> StopPlan {
+    pub(crate) async fn wait_for_stop_request(&self) -> StopPlan {
         let mut plans = self.stopping.subscribe();
         loop {
             if let Some(plan) = *plans.borrow_and_update() {
@@ -240,8 +240,8 @@
     }
 
     /// Waits until the gateway has been asked to stop and the time for its requests has passed.
-    pub(crate) async fn stop_ended(&self) {
-        let plan = self.stop_requested().await;
+    pub(crate) async fn wait_for_stop_end(&self) {
+        let plan = self.wait_for_stop_request().await;
         sleep_until(self.clock.instant_at(plan.ends_at()).into()).await;
     }
 
@@ -358,7 +358,7 @@
     }
 
     /// Consumes a retry of a service's share. Returns whether one was available.
-    pub(crate) fn try_take_retry(&self, service: &ServiceId) -> bool {
+    pub(crate) fn try_consume_retry(&self, service: &ServiceId) -> bool {
         let now = self.clock.now();
         self.fleet
             .lock()
--- a/lovagedock-gateway/src/direct/state/placement.rs
+++ b/lovagedock-gateway/src/direct/state/placement.rs
@@ -20,7 +20,7 @@
     /// Endpoints that prefill parts of the prompt.
     pub(crate) helpers: Vec<PlacedHelper>,
     /// Predicted time to the first event.
-    pub(crate) first_event: Duration,
+    pub(crate) first_event_delay: Duration,
     /// Expected loss of the placement.
     pub(crate) loss: f64,
     /// Requests that were on the endpoint before, from all gateways.
@@ -246,7 +246,7 @@
         PlacementResult::Placed(Box::new(PlacedRequest {
             lead: placed.lead,
             helpers: placed.helpers,
-            first_event: choice.first_event,
+            first_event_delay: choice.first_event,
             loss: choice.lost_value,
             occupied: placed.occupied,
             backlog: placed.backlog,
--- a/lovagedock-gateway/src/direct/state/suspects.rs
+++ b/lovagedock-gateway/src/direct/state/suspects.rs
@@ -45,8 +45,8 @@
     }
 
     /// Waits until some request is put into quarantine.
-    pub(crate) fn quarantined(&self) -> Notified<'_> {
-        self.quarantined.notified()
+    pub(crate) fn request_quarantined(&self) -> Notified<'_> {
+        self.request_quarantined.notified()
     }
 
     /// Records that a process ended while it had a request.
@@ -141,6 +141,6 @@
         info!(self.log, "request in quarantine";
             "fingerprint" => format_fingerprint(fingerprint), "source" => source.as_str(),
             "ended_processes" => ends, "for_s" => remaining.map(|remaining| remaining.as_secs()));
-        self.quarantined.notify_waiters();
+        self.request_quarantined.notify_waiters();
     }
 }
--- a/lovagedock-gateway/src/direct/suspect_sync.rs
+++ b/lovagedock-gateway/src/direct/suspect_sync.rs
@@ -58,7 +58,7 @@
 
     /// Reads and writes for the lifetime of the gateway.
     pub(crate) async fn run(mut self) {
-        let mut is_read = timeout(FIRST_READ_TIMEOUT, self.read())
+        let mut is_read = timeout(FIRST_READ_TIMEOUT, self.read_sheets())
             .await
             .unwrap_or(false);
         self.state.set_suspects_requested();
@@ -66,7 +66,7 @@
         // incarnation.
         while !is_read {
             self.back_off().await;
-            is_read = self.read().await;
+            is_read = self.read_sheets().await;
         }
         loop {
             let is_read_requested = tokio::select! {
@@ -80,7 +80,8 @@
             };
             // The write comes before the read, so that of two gateways that do both at the same
             // time, at least one reads the sheet of the other.
-            let is_done = self.write().await && (!is_read_requested || self.read().await);
+            let is_done =
+                self.write_sheet().await && (!is_read_requested || self.read_sheets().await);
             if is_done {
                 sleep(MIN_BACKOFF).await;
             } else {
@@ -89,7 +90,7 @@
         }
     }
 
-    async fn read(&mut self) -> bool {
+    async fn read_sheets(&mut self) -> bool {
         let snapshot = self.feed.snapshot(FeedSubject::Suspects).await;
         let is_read = match snapshot {
             Ok(snapshot) => {
@@ -97,7 +98,7 @@
                 self.state.update_era(snapshot.position.era, subject);
                 for change in snapshot.changes {
                     if let FeedChange::Suspects(sheet) = change {
-                        self.restore(sheet);
+                        self.restore_sheet(sheet);
                     }
                 }
                 self.record_success();
@@ -110,7 +111,7 @@
     }
 
     /// Applies a sheet. Its quarantine times are relative to the time at which it was written.
-    fn restore(&self, sheet: SuspectSheet) {
+    fn restore_sheet(&self, sheet: SuspectSheet) {
         // A sheet may appear to come from the future if a clock was set back.
         let age = unix_time().saturating_sub(sheet.written_at);
         let reports = sheet.reports.into_iter().filter_map(|report| {
@@ -125,13 +126,13 @@
             .restore_suspects(&sheet.gateway, reports.collect());
     }
 
-    async fn write(&mut self) -> bool {
+    async fn write_sheet(&mut self) -> bool {
         let reports = self.state.suspect_reports();
         // A store that was restored from an earlier copy lacks the sheet or has an outdated one.
         let is_lost = self
             .stored_era
             .is_some_and(|era| era < self.state.store_era());
-        if is_same(&reports, &self.stored) && !is_lost {
+        if are_equal_except_times(&reports, &self.stored) && !is_lost {
             return true;
         }
         let sheet = SuspectSheet {
@@ -179,7 +180,7 @@
 const EVIDENCE_RETENTION: Duration = Duration::from_secs(600);
 
 /// Returns whether two lists of reports are equal apart from the remaining times.
-fn is_same(reports: &[SuspectReport], stored: &[SuspectReport]) -> bool {
+fn are_equal_except_times(reports: &[SuspectReport], stored: &[SuspectReport]) -> bool {
     let is_equal = |(report, stored): (&SuspectReport, &SuspectReport)| {
         report.fingerprint == stored.fingerprint
             && report.ends == stored.ends
--- a/lovagedock-gateway/src/driver/deliver.rs
+++ b/lovagedock-gateway/src/driver/deliver.rs
@@ -30,7 +30,7 @@
         self.buffer_answer && !self.call.prompt.stream
     }
 
-    pub(super) async fn deliver(&mut self, skip: u64) {
+    pub(super) async fn deliver_chunk(&mut self, skip: u64) {
         let skip = usize::try_from(skip).unwrap_or(usize::MAX);
         let bytes = self.chunk.slice(skip.min(self.chunk.len())..);
         self.hasher.update(&bytes);
--- a/lovagedock-gateway/src/driver/mod.rs
+++ b/lovagedock-gateway/src/driver/mod.rs
@@ -138,7 +138,7 @@
             finished = self.execute(actions).await;
         };
         for endpoint in &self.sent_to {
-            self.shared.context.fleet.work_ended(endpoint);
+            self.shared.context.fleet.record_work_ended(endpoint);
         }
         (outcome, self.buffered_answer)
     }
@@ -281,7 +281,7 @@
                     queue.extend(event.map_or_else(Vec::new, |event| self.handle_event(event)));
                 }
                 RequestAction::ReleaseSpan { .. } => self.release_span(),
-                RequestAction::Deliver { skip, .. } => self.deliver(skip).await,
+                RequestAction::Deliver { skip, .. } => self.deliver_chunk(skip).await,
                 RequestAction::DeliverHead { .. } => self.deliver_head().await,
                 RequestAction::WakeAt(wake_at) => self.wake_at = wake_at,
                 RequestAction::Finish(outcome) => return Some(outcome),
--- a/lovagedock-gateway/src/driver/place.rs
+++ b/lovagedock-gateway/src/driver/place.rs
@@ -15,7 +15,7 @@
     pub(super) fn place(&mut self, excluded: &[EndpointId]) -> PlacementOutcome {
         if let Some(remaining) = self.quarantined_for() {
             self.record_step("refused: engines end under it");
-            return refused(ResultCode::Quarantined, remaining);
+            return refused_placement(ResultCode::Quarantined, remaining);
         }
         let choice = self.choose(excluded);
         self.placement_outcome(choice)
@@ -40,14 +40,14 @@
 
     fn placement_outcome(&mut self, choice: Option<PlacementChoice>) -> PlacementOutcome {
         match choice {
-            None => refused(ResultCode::NotConfigured, Duration::ZERO),
+            None => refused_placement(ResultCode::NotConfigured, Duration::ZERO),
             Some(PlacementChoice::Refuse {
                 code,
                 retry_after,
                 reason,
             }) => {
                 self.record_step(format!("refused with code {}: {reason}", code.number()));
-                refused(code, retry_after)
+                refused_placement(code, retry_after)
             }
             Some(PlacementChoice::One {
                 endpoint,
@@ -65,7 +65,7 @@
                         endpoint,
                         incarnation,
                     },
-                    None => refused(ResultCode::EndpointUnreachable, Duration::ZERO),
+                    None => refused_placement(ResultCode::EndpointUnreachable, Duration::ZERO),
                 }
             }
             Some(PlacementChoice::Span {
@@ -73,7 +73,7 @@
             }) => {
                 let parts = self.span_parts(members);
                 if parts.is_empty() {
-                    return refused(ResultCode::EndpointUnreachable, Duration::ZERO);
+                    return refused_placement(ResultCode::EndpointUnreachable, Duration::ZERO);
                 }
                 self.record_step(format!("placed on {} engines: {reason}", parts.len()));
                 PlacementOutcome::Span(parts)
@@ -126,7 +126,7 @@
         self.shared
             .context
             .fleet
-            .work_sent(self.now(), endpoint, work);
+            .record_work_sent(self.now(), endpoint, work);
         self.sent_to.push(endpoint.clone());
     }
 
@@ -156,6 +156,6 @@
     }
 }
 
-fn refused(code: ResultCode, retry_after: Duration) -> PlacementOutcome {
+fn refused_placement(code: ResultCode, retry_after: Duration) -> PlacementOutcome {
     PlacementOutcome::Refused { code, retry_after }
 }
--- a/lovagedock-gateway/src/driver/span.rs
+++ b/lovagedock-gateway/src/driver/span.rs
@@ -157,21 +157,21 @@
                     tokens,
                     hold,
                 } => {
-                    self.reserve(endpoint, incarnation, round, tokens, hold);
+                    self.reserve_memory(endpoint, incarnation, round, tokens, hold);
                     None
                 }
                 SpanAction::Release {
                     endpoint,
                     incarnation,
                 } => {
-                    self.release(&endpoint, incarnation);
+                    self.release_memory(&endpoint, incarnation);
                     None
                 }
                 SpanAction::Segment(segment) => {
                     self.prefill_segment(segment);
                     None
                 }
-                SpanAction::Decode { .. } => self.decode(),
+                SpanAction::Decode { .. } => self.start_decoding(),
                 SpanAction::Fail(end) => self.span_failed(end),
                 SpanAction::WakeAt(at) => {
                     if let Some(span) = &mut self.span {
@@ -197,7 +197,7 @@
         self.span_event(SpanEvent::EnginesChosen(parts))
     }
 
-    fn reserve(
+    fn reserve_memory(
         &self,
         endpoint: EndpointId,
         incarnation: Incarnation,
@@ -242,7 +242,7 @@
         });
     }
 
-    fn release(&self, endpoint: &EndpointId, incarnation: Incarnation) {
+    fn release_memory(&self, endpoint: &EndpointId, incarnation: Incarnation) {
         let Some(span) = &self.span else { return };
         let key = self.attempt_key(span.attempt, incarnation);
         self.send_to_link(endpoint, LinkCommand::Release { key });
@@ -297,7 +297,7 @@
         });
     }
 
-    fn decode(&mut self) -> Option<RequestEvent> {
+    fn start_decoding(&mut self) -> Option<RequestEvent> {
         let span = self.span.as_mut()?;
         span.decoding = true;
         Some(RequestEvent::SpanReady {
--- a/lovagedock-gateway/src/fleet.rs
+++ b/lovagedock-gateway/src/fleet.rs
@@ -185,7 +185,7 @@
     }
 
     /// Records a new session.
-    pub(crate) fn session_opened(&self, endpoint: &EndpointId, incarnation: Incarnation) {
+    pub(crate) fn record_session_opened(&self, endpoint: &EndpointId, incarnation: Incarnation) {
         let mut state = self.state.write();
         if let Some(entry) = state.endpoints.get_mut(endpoint) {
             entry.incarnation = Some(incarnation);
@@ -194,7 +194,7 @@
     }
 
     /// Records that the session was lost.
-    pub(crate) fn session_lost(&self, endpoint: &EndpointId) {
+    pub(crate) fn record_session_lost(&self, endpoint: &EndpointId) {
         let mut state = self.state.write();
         if let Some(entry) = state.endpoints.get_mut(endpoint) {
             entry.incarnation = None;
@@ -204,7 +204,7 @@
 
     /// Records that a heartbeat is sent. The response does not include work that is sent from now
     /// on.
-    pub(crate) fn heartbeat_sent(&self, endpoint: &EndpointId) {
+    pub(crate) fn record_heartbeat_sent(&self, endpoint: &EndpointId) {
         if let Some(entry) = self.state.write().endpoints.get_mut(endpoint) {
             entry.sent_since_heartbeat = SentWork::default();
         }
@@ -235,7 +235,7 @@
     }
 
     /// Records a request that is sent to an endpoint.
-    pub(crate) fn work_sent(&self, now: Timestamp, endpoint: &EndpointId, work: SentWork) {
+    pub(crate) fn record_work_sent(&self, now: Timestamp, endpoint: &EndpointId, work: SentWork) {
         let mut state = self.state.write();
         let Some(entry) = state.endpoints.get_mut(endpoint) else {
             return;
@@ -251,7 +251,7 @@
     }
 
     /// Records that a request has ended at an endpoint.
-    pub(crate) fn work_ended(&self, endpoint: &EndpointId) {
+    pub(crate) fn record_work_ended(&self, endpoint: &EndpointId) {
         if let Some(entry) = self.state.write().endpoints.get_mut(endpoint) {
             entry.in_flight = entry.in_flight.saturating_sub(1);
         }
--- a/lovagedock-gateway/src/front/checks.rs
+++ b/lovagedock-gateway/src/front/checks.rs
@@ -127,7 +127,7 @@
 }
 
 /// The tier of a request: the requested one, limited by the organisation's and the rule's cap.
-pub(super) fn tier(
+pub(super) fn request_tier(
     headers: &HeaderMap,
     organisation: &OrganisationSpec,
     rule: Option<&LengthRule>,
--- a/lovagedock-gateway/src/front/problem.rs
+++ b/lovagedock-gateway/src/front/problem.rs
@@ -83,7 +83,7 @@
     /// The complete HTTP response.
     pub(crate) fn response(&self, id: RequestId) -> Response<ResponseBody> {
         let mut response = Response::new(full_body(Bytes::from(self.bytes(id))));
-        *response.status_mut() = status(self.code.http_status());
+        *response.status_mut() = to_status_code(self.code.http_status());
         let headers = response.headers_mut();
         headers.insert(
             header::CONTENT_TYPE,
@@ -116,7 +116,7 @@
 }
 
 /// Converts a status number; 502 for a number that is not a valid HTTP status.
-pub(crate) fn status(number: u16) -> StatusCode {
+pub(crate) fn to_status_code(number: u16) -> StatusCode {
     StatusCode::from_u16(number).unwrap_or(StatusCode::BAD_GATEWAY)
 }
 
--- a/lovagedock-gateway/src/front/reply.rs
+++ b/lovagedock-gateway/src/front/reply.rs
@@ -19,7 +19,7 @@
 
 use super::{
     body::{ResponseBody, full_body},
-    problem::{RequestProblem, set_request_id, status},
+    problem::{RequestProblem, set_request_id, to_status_code},
 };
 
 /// Capacity of the event queue between a driver and its caller's connection.
@@ -111,7 +111,7 @@
         state: BodyState::Open,
     };
     let mut response = Response::new(body.boxed_unsync());
-    *response.status_mut() = status(head.status);
+    *response.status_mut() = to_status_code(head.status);
     for field in &head.headers {
         copy_header(&mut response, field);
     }
--- a/lovagedock-gateway/src/front/router.rs
+++ b/lovagedock-gateway/src/front/router.rs
@@ -102,10 +102,10 @@
             id,
             config: &config,
             limits: &self.limits,
-            since_epoch: since_epoch(),
+            time_since_epoch: time_since_epoch(),
         };
         if request.method() == Method::GET && is_models_path(request.uri().path()) {
-            return models(&validator, &request);
+            return models_response(&validator, &request);
         }
         if self.in_flight.is_closed() {
             return Err(stopping_problem());
@@ -113,7 +113,7 @@
         let permit = self.acquire_stream()?;
         let call = tokio::select! {
             call = validator.validate(request) => call?,
-            () = self.shared.drain_expired() => {
+            () = self.shared.wait_for_drain_end() => {
                 self.log_body_cut(id);
                 return Err(stopping_problem());
             }
@@ -134,7 +134,11 @@
     fn check_limits(&self, call: &CallerCall) -> Result<(), RequestProblem> {
         let now = self.now();
         let tokens = call.prompt.total_tokens();
-        match self.shared.limits.admit(now, &call.organisation, tokens) {
+        match self
+            .shared
+            .limits
+            .admit_request(now, &call.organisation, tokens)
+        {
             LimitDecision::Admitted => Ok(()),
             LimitDecision::Refused { limit, retry_after } => {
                 let limit_name = match limit {
@@ -192,7 +196,7 @@
     }
 }
 
-fn since_epoch() -> Duration {
+fn time_since_epoch() -> Duration {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
@@ -218,7 +222,7 @@
 }
 
 /// The list of models that the organisation may use, or the entry of one of them.
-fn models(
+fn models_response(
     validator: &CallValidator<'_>,
     request: &Request<Incoming>,
 ) -> Result<Response<ResponseBody>, RequestProblem> {
--- a/lovagedock-gateway/src/front/validator.rs
+++ b/lovagedock-gateway/src/front/validator.rs
@@ -33,7 +33,7 @@
     /// Limits of the gateway.
     pub(super) limits: &'a CallerLimits,
     /// Wall-clock time since the epoch, for rules that depend on the hour.
-    pub(super) since_epoch: Duration,
+    pub(super) time_since_epoch: Duration,
 }
 
 impl CallValidator<'_> {
@@ -116,7 +116,7 @@
         Ok(CallerCall {
             id: self.id,
             organisation: organisation.id.clone(),
-            tier: checks::tier(&parts.headers, organisation, rule)?,
+            tier: checks::request_tier(&parts.headers, organisation, rule)?,
             weight: organisation.weight,
             service: service.id.clone(),
             pool: service.pool.clone(),
@@ -175,7 +175,7 @@
     }
 
     fn hour(&self) -> u8 {
-        (self.since_epoch.as_secs() / SECONDS_PER_HOUR % HOURS_PER_DAY) as u8
+        (self.time_since_epoch.as_secs() / SECONDS_PER_HOUR % HOURS_PER_DAY) as u8
     }
 }
 
--- a/lovagedock-gateway/src/gateway.rs
+++ b/lovagedock-gateway/src/gateway.rs
@@ -72,7 +72,7 @@
         let limits = OrganisationLimiter::new(settings.name.clone(), daemon.clock.now());
         let links = open_transport(&settings.links.transport, &daemon)?;
         let connectors = ConnectorFactory::new(links);
-        let times = settings.links.times();
+        let times = settings.links.link_times();
         let workers = WorkerPool::new(settings.links.workers, &context, &connectors, times, &log)
             .change_context(GatewayError)?;
         let adopter = Arc::new(ConfigAdopter::new(
--- a/lovagedock-gateway/src/limits.rs
+++ b/lovagedock-gateway/src/limits.rs
@@ -61,7 +61,7 @@
     }
 
     /// Decides whether a request is admitted, and counts it if it is.
-    pub(crate) fn admit(
+    pub(crate) fn admit_request(
         &self,
         now: Timestamp,
         organisation: &OrganisationId,
@@ -71,18 +71,18 @@
     }
 
     /// Records that an admitted request has ended.
-    pub(crate) fn finish(&self, organisation: &OrganisationId) {
+    pub(crate) fn finish_request(&self, organisation: &OrganisationId) {
         self.state.lock().limiter.finish(organisation, 0);
     }
 
     /// The usage reports that are due to be sent to peers.
-    pub(crate) fn due_reports(&self, now: Timestamp) -> Vec<PeerReport> {
+    pub(crate) fn due_usage_reports(&self, now: Timestamp) -> Vec<PeerReport> {
         let actions = self.state.lock().limiter.handle(now, LimitEvent::Tick);
-        let due_reports = actions.into_iter().filter_map(|action| match action {
+        let due_usage_reports = actions.into_iter().filter_map(|action| match action {
             LimitAction::Report { peer, report } => Some(PeerReport { peer, report }),
             LimitAction::Acknowledge { .. } => None,
         });
-        due_reports.collect()
+        due_usage_reports.collect()
     }
 
     /// Records a connection to a peer and the peer's incarnation.
@@ -119,6 +119,6 @@
 }
 
 /// Time between two exchanges of usage reports.
-pub(crate) fn exchange_interval() -> std::time::Duration {
+pub(crate) fn usage_exchange_interval() -> std::time::Duration {
     LimitTiming::default().interval
 }
--- a/lovagedock-gateway/src/link/heartbeat.rs
+++ b/lovagedock-gateway/src/link/heartbeat.rs
@@ -24,7 +24,7 @@
         let generation = self.context.generation();
         let limit = self.silence;
         let fleet = &self.context.fleet;
-        fleet.heartbeat_sent(&self.endpoint);
+        fleet.record_heartbeat_sent(&self.endpoint);
         let load = session
             .client
             .heartbeat(sequence, generation, limit)
--- a/lovagedock-gateway/src/link/mod.rs
+++ b/lovagedock-gateway/src/link/mod.rs
@@ -102,7 +102,7 @@
             .heartbeat(0, self.context.generation(), limit)
             .await?;
         let fleet = &self.context.fleet;
-        fleet.session_opened(&self.endpoint, welcome.incarnation);
+        fleet.record_session_opened(&self.endpoint, welcome.incarnation);
         fleet.record_load_report(&self.endpoint, self.context.clock.now(), &load);
         info!(self.log, "session opened"; "endpoint" => &*self.endpoint, "incarnation" => welcome.incarnation);
         Ok(LinkSession {
@@ -128,7 +128,7 @@
         // Pending calls keep the session alive. Without the close they would wait on a connection
         // that may never respond again.
         session.client.close();
-        self.context.fleet.session_lost(&self.endpoint);
+        self.context.fleet.record_session_lost(&self.endpoint);
         for events in in_flight.into_values() {
             let incarnation = session.incarnation;
             // Each event is sent in its own task, so that a slow caller does not delay the others.
--- a/lovagedock-gateway/src/orders/call.rs
+++ b/lovagedock-gateway/src/orders/call.rs
@@ -37,7 +37,7 @@
             Err(error) => {
                 info!(self.log, "cannot connect to a sidecar for an order";
                     "endpoint" => &*self.endpoint, "error" => %error);
-                return unanswered(ResultCode::EndpointUnreachable);
+                return answer_without_report(ResultCode::EndpointUnreachable);
             }
         };
         // The fence is checked only after this incarnation of the sidecar has responded. Connecting
@@ -45,7 +45,7 @@
         // epoch that it receives.
         let fence = self.holder.borrow().fence(self.clock.now());
         if fence != Some(self.message.epoch) {
-            return unanswered(ResultCode::StoreUnavailable);
+            return answer_without_report(ResultCode::StoreUnavailable);
         }
         let reply = match self.message.order {
             None => client.order(&self.message, self.times.silence).await,
@@ -56,7 +56,7 @@
             Err(error) => {
                 warn!(self.log, "result of an order is unknown";
                     "endpoint" => &*self.endpoint, "error" => %error);
-                unanswered(ResultCode::EndpointLost)
+                answer_without_report(ResultCode::EndpointLost)
             }
         }
     }
@@ -107,6 +107,6 @@
     }
 }
 
-fn unanswered(code: ResultCode) -> OrderAnswer {
+fn answer_without_report(code: ResultCode) -> OrderAnswer {
     OrderAnswer { code, report: None }
 }
--- a/lovagedock-gateway/src/orders/mod.rs
+++ b/lovagedock-gateway/src/orders/mod.rs
@@ -118,7 +118,7 @@
         let shutdown = self.parts.shutdown.clone();
         let mut adopted = self.parts.adopted.clone();
         loop {
-            self.assign();
+            self.update_pool_tasks();
             tokio::select! {
                 changed = adopted.changed() => if changed.is_err() { return },
                 () = shutdown.wait() => return,
@@ -138,13 +138,13 @@
     }
 
     /// Starts and stops tasks so that each pool that this gateway competes for has one.
-    fn assign(&mut self) {
+    fn update_pool_tasks(&mut self) {
         let active = self.parts.context.config.load_full();
         let own_pools: Vec<&PoolSpec> = active
             .fleet
             .pools
             .iter()
-            .filter(|pool| self.competes(&active.fleet, pool))
+            .filter(|pool| self.competes_for_pool(&active.fleet, pool))
             .collect();
         self.pools
             .retain(|id, _| own_pools.iter().any(|pool| pool.id == *id));
@@ -158,7 +158,7 @@
         }
     }
 
-    fn competes(&self, fleet: &FleetConfig, pool: &PoolSpec) -> bool {
+    fn competes_for_pool(&self, fleet: &FleetConfig, pool: &PoolSpec) -> bool {
         let PoolKind::Engines { .. } = pool.kind else {
             return false;
         };
--- a/lovagedock-gateway/src/orders/pool.rs
+++ b/lovagedock-gateway/src/orders/pool.rs
@@ -169,7 +169,7 @@
             }
             call @ (LeaseAction::Read { .. } | LeaseAction::Write { .. }) => {
                 let sender = self.sender.clone();
-                let calling = store_call(Arc::clone(&self.parts.store), call);
+                let calling = execute_store_call(Arc::clone(&self.parts.store), call);
                 self.parts.store_runtime.spawn(async move {
                     if let Some(event) = calling.await {
                         // The send fails only if the task has ended.
@@ -248,7 +248,7 @@
         let actions = self.holder.borrow_mut().handle(now, LeaseEvent::Release);
         for action in actions {
             if matches!(action, LeaseAction::Write { .. }) {
-                let calling = store_call(Arc::clone(&self.parts.store), action);
+                let calling = execute_store_call(Arc::clone(&self.parts.store), action);
                 // If the write fails, the lease expires.
                 let _expires = self.parts.store_runtime.spawn(calling).await;
             }
@@ -257,7 +257,10 @@
 }
 
 /// Executes a store call; `None` for other actions.
-async fn store_call(store: Arc<dyn ObjectStore>, action: LeaseAction) -> Option<LeaseEvent> {
+async fn execute_store_call(
+    store: Arc<dyn ObjectStore>,
+    action: LeaseAction,
+) -> Option<LeaseEvent> {
     let purpose = CallPurpose::Lease;
     match action {
         LeaseAction::Read { object } => {
--- a/lovagedock-gateway/src/peers/mod.rs
+++ b/lovagedock-gateway/src/peers/mod.rs
@@ -27,7 +27,7 @@
     adopt::ConfigAdopter,
     connect::ConnectorFactory,
     context::GatewayContext,
-    limits::{OrganisationLimiter, PeerReport, exchange_interval},
+    limits::{OrganisationLimiter, PeerReport, usage_exchange_interval},
     relay::{ConfigRelay, RelayParts, StoreRequest},
     suspects::{SUSPECT_SEND_INTERVAL, SuspectTracker},
 };
@@ -181,12 +181,12 @@
     /// Sends the usage of organisations at this gateway to the others, so that limits apply across
     /// all gateways.
     async fn exchange_usage(self: Rc<Self>) {
-        let mut ticks = interval(exchange_interval());
+        let mut ticks = interval(usage_exchange_interval());
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
             let now = self.worker.context.clock.now();
-            for report in self.worker.limits.due_reports(now) {
+            for report in self.worker.limits.due_usage_reports(now) {
                 let exchange = Rc::clone(&self);
                 spawn_local(async move {
                     let peer = report.peer.clone();
--- a/lovagedock-gateway/src/settings.rs
+++ b/lovagedock-gateway/src/settings.rs
@@ -106,7 +106,7 @@
 }
 
 impl LinkSettings {
-    pub(crate) fn times(&self) -> LinkTimes {
+    pub(crate) fn link_times(&self) -> LinkTimes {
         LinkTimes {
             heartbeat: Duration::from_millis(self.heartbeat_ms),
             silence: Duration::from_millis(self.silence_ms),
--- a/lovagedock-gateway/src/shared.rs
+++ b/lovagedock-gateway/src/shared.rs
@@ -68,7 +68,7 @@
     }
 
     /// Returns when the gateway drains and the drain time is over.
-    pub(crate) async fn drain_expired(&self) {
+    pub(crate) async fn wait_for_drain_end(&self) {
         self.shutdown.wait().await;
         sleep(self.remaining_drain_time()).await;
     }
@@ -95,15 +95,15 @@
 
     /// Consumes a retry from the service's budget; false if none is left.
     pub(crate) fn consume_retry(&self, service: &ServiceId, now: Timestamp) -> bool {
-        self.with_budget(service, now, |budget| budget.try_consume(now))
+        self.with_retry_budget(service, now, |budget| budget.try_consume(now))
     }
 
     /// Records a completed request in the service's retry budget.
     pub(crate) fn record_success(&self, service: &ServiceId, now: Timestamp) {
-        self.with_budget(service, now, |budget| budget.record_success(now));
+        self.with_retry_budget(service, now, |budget| budget.record_success(now));
     }
 
-    fn with_budget<T>(
+    fn with_retry_budget<T>(
         &self,
         service: &ServiceId,
         now: Timestamp,
