--- a/lovagedock-gateway/src/adopt.rs
+++ b/lovagedock-gateway/src/adopt.rs
@@ -21,7 +21,7 @@
 pub(crate) enum AdoptError {
     /// The same or a newer configuration is in force.
     NotNewer,
-    /// It cannot be parsed.
+    /// The configuration cannot be parsed.
     Malformed(String),
 }
 
--- a/lovagedock-gateway/src/call.rs
+++ b/lovagedock-gateway/src/call.rs
@@ -23,7 +23,7 @@
     pub(crate) pool: PoolId,
     /// Time limit of the request.
     pub(crate) time_limit: Duration,
-    /// Whether it must not run twice.
+    /// Whether the request must not run twice.
     pub(crate) non_idempotent: bool,
     /// The caller's idempotency key.
     pub(crate) idempotency_key: Option<String>,
@@ -46,7 +46,7 @@
     pub(crate) tokens: TokenCount,
     /// Upper bound of the answer's length.
     pub(crate) answer_tokens: TokenCount,
-    /// Hashes of its prefixes.
+    /// Hashes of the prompt's prefixes.
     pub(crate) prefix_hashes: Arc<[u64]>,
     /// Whether the caller wants the answer as a stream.
     pub(crate) stream: bool,
--- a/lovagedock-gateway/src/context.rs
+++ b/lovagedock-gateway/src/context.rs
@@ -16,7 +16,7 @@
 pub(crate) struct GatewayContext {
     /// Name of this gateway.
     pub(crate) name: GatewayId,
-    /// Failure domain of its host.
+    /// Failure domain of the gateway's host.
     pub(crate) domain: DomainId,
     /// Incarnation of this process.
     pub(crate) incarnation: Incarnation,
--- a/lovagedock-gateway/src/direct/call/parts.rs
+++ b/lovagedock-gateway/src/direct/call/parts.rs
@@ -18,11 +18,11 @@
 
 /// A request that passed all checks.
 pub(crate) struct CallParts {
-    /// Configuration that it was checked against.
+    /// Configuration that the request was checked against.
     pub(crate) config: Arc<TrafficConfig>,
-    /// Its route.
+    /// Route that the request matched.
     pub(crate) route: RouteRule,
-    /// Its service.
+    /// Service that was picked from the route.
     pub(crate) service: ServiceId,
     /// Organisation that is billed, unless the route needs no key.
     pub(crate) organisation: Option<OrganisationId>,
@@ -38,7 +38,7 @@
     pub(crate) headers: HeaderMap,
     /// Body.
     pub(crate) body: Bytes,
-    /// When its head was read.
+    /// When the head of the request was read.
     pub(crate) arrived: Timestamp,
 }
 
--- a/lovagedock-gateway/src/direct/exchange.rs
+++ b/lovagedock-gateway/src/direct/exchange.rs
@@ -20,9 +20,9 @@
 /// seconds.
 ///
 /// Probes detect a host that loses power and returns with another process under the same address.
-/// It accepts new connections, and it rejects the old one only when it is probed. Without probes a
-/// caller would wait for the former process until the deadline. If the host does not respond to
-/// probes, the connection ends after [`TCP_USER_TIMEOUT`].
+/// That process accepts new connections, and it rejects the old one only when it is probed. Without
+/// probes a caller would wait for the former process until the deadline. If the host does not
+/// respond to probes, the connection ends after [`TCP_USER_TIMEOUT`].
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// An endpoint's response and its connection.
--- a/lovagedock-gateway/src/direct/liveness.rs
+++ b/lovagedock-gateway/src/direct/liveness.rs
@@ -23,9 +23,9 @@
 /// State of the process at an endpoint's address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ProcessState {
-    /// It accepts connections.
+    /// The process accepts connections.
     Running,
-    /// Its host responds, but no process listens at the address.
+    /// The endpoint's host responds, but no process listens at the address.
     Ended,
     /// There is no response; the host or the path may be at fault.
     Unreachable,
--- a/lovagedock-gateway/src/direct/peer_message.rs
+++ b/lovagedock-gateway/src/direct/peer_message.rs
@@ -24,11 +24,11 @@
 /// Why a datagram was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DatagramError {
-    /// It could not be decoded.
+    /// The datagram could not be decoded.
     Malformed,
-    /// Its sender uses another protocol version.
+    /// The sender of the datagram uses another protocol version.
     Protocol,
-    /// Its sender belongs to another fleet.
+    /// The sender of the datagram belongs to another fleet.
     Fleet,
 }
 
--- a/lovagedock-gateway/src/direct/reservations.rs
+++ b/lovagedock-gateway/src/direct/reservations.rs
@@ -57,9 +57,9 @@
 /// A requested reservation.
 #[derive(Clone, Debug)]
 pub(crate) struct ReservationRequest {
-    /// The engine.
+    /// Process of the engine that reserves the memory.
     pub(crate) endpoint: EndpointProcess,
-    /// Its address.
+    /// Address of the engine.
     pub(crate) address: SocketAddr,
     /// Number of tokens to reserve memory for.
     pub(crate) tokens: TokenCount,
--- a/lovagedock-gateway/src/direct/settings.rs
+++ b/lovagedock-gateway/src/direct/settings.rs
@@ -14,11 +14,11 @@
 pub struct DirectSettings {
     /// Name of the gateway, unique in the fleet.
     pub name: GatewayId,
-    /// Name of the fleet; the address of its store is used if there is none. Messages from gateways
+    /// Name of the fleet; the address of the store is used if there is none. Messages from gateways
     /// of other fleets are ignored.
     #[serde(default)]
     pub fleet: Option<String>,
-    /// Failure domain of its host.
+    /// Failure domain of the gateway's host.
     pub failure_domain: DomainId,
     /// Address for connections of callers.
     pub callers: SocketAddr,
--- a/lovagedock-gateway/src/direct/state/mod.rs
+++ b/lovagedock-gateway/src/direct/state/mod.rs
@@ -58,7 +58,7 @@
 pub(crate) struct GatewayState {
     /// Name of the gateway.
     pub(crate) name: GatewayId,
-    /// The fleet to which it belongs.
+    /// Tag of the fleet to which the gateway belongs.
     pub(crate) fleet_tag: FleetTag,
     /// Clock of the process.
     pub(crate) clock: ProcessClock,
--- a/lovagedock-gateway/src/direct/state/placement.rs
+++ b/lovagedock-gateway/src/direct/state/placement.rs
@@ -38,7 +38,7 @@
 pub(crate) struct PlacedHelper {
     /// The endpoint.
     pub(crate) endpoint: DirectEndpoint,
-    /// Tokens that it stores and that have to be reserved.
+    /// Tokens that the helper stores and that have to be reserved.
     pub(crate) reserved_tokens: TokenCount,
 }
 
--- a/lovagedock-gateway/src/fleet.rs
+++ b/lovagedock-gateway/src/fleet.rs
@@ -26,17 +26,17 @@
 pub(crate) struct EndpointEntry {
     /// Pool that the endpoint is in.
     pub(crate) pool: PoolId,
-    /// Failure domain of its host.
+    /// Failure domain of the endpoint's host.
     pub(crate) domain: DomainId,
-    /// Host that it runs on.
+    /// Host that the endpoint runs on.
     pub(crate) host: HostId,
-    /// Address of its sidecar.
+    /// Address of the endpoint's sidecar.
     pub(crate) address: SocketAddr,
     /// Incarnation of the sidecar while there is a session to it.
     pub(crate) incarnation: Option<Incarnation>,
-    /// Generation in force at the sidecar according to its last report.
+    /// Generation in force at the sidecar according to the sidecar's last report.
     pub(crate) generation: Generation,
-    /// Whether its last report said that it is leaving or that its engine is down.
+    /// Whether the sidecar's last report said that the endpoint is leaving or its engine is down.
     pub(crate) rejects_work: bool,
     /// Number of requests of this gateway in flight at the endpoint.
     pub(crate) in_flight: u32,
--- a/lovagedock-gateway/src/link/message.rs
+++ b/lovagedock-gateway/src/link/message.rs
@@ -15,7 +15,7 @@
     Submit {
         /// The request.
         work: Box<WorkMessage>,
-        /// Where its events go.
+        /// Where the attempt's events go.
         events: AttemptSender,
     },
     /// Resume an answer from an offset, on a new connection.
@@ -24,7 +24,7 @@
         key: AttemptKey,
         /// Bytes that the driver already has.
         offset: u64,
-        /// Where its events go.
+        /// Where the attempt's events go.
         events: AttemptSender,
     },
     /// Revoke an attempt on a new connection, so that it never runs.
--- a/lovagedock-gateway/src/link/mod.rs
+++ b/lovagedock-gateway/src/link/mod.rs
@@ -42,7 +42,7 @@
 pub(crate) struct EndpointLink {
     /// Endpoint at the other end.
     pub(crate) endpoint: EndpointId,
-    /// Address of its sidecar.
+    /// Address of the endpoint's sidecar.
     pub(crate) address: SocketAddr,
     /// Shared state of the gateway.
     pub(crate) context: Rc<GatewayContext>,
--- a/lovagedock-gateway/src/orders/call.rs
+++ b/lovagedock-gateway/src/orders/call.rs
@@ -15,8 +15,8 @@
 
 /// One call to a sidecar.
 ///
-/// It does not use the gateway's session to the endpoint. In a large fleet the holder of a pool's
-/// lease has sessions to only a part of the pool.
+/// The call does not use the gateway's session to the endpoint. In a large fleet the holder of a
+/// pool's lease has sessions to only a part of the pool.
 pub(crate) struct SidecarCall {
     pub(crate) endpoint: EndpointId,
     pub(crate) address: SocketAddr,
--- a/lovagedock-gateway/src/relay/store.rs
+++ b/lovagedock-gateway/src/relay/store.rs
@@ -27,7 +27,7 @@
     },
     /// Read a chunk.
     ReadChunk {
-        /// Its hash.
+        /// Hash of the chunk.
         hash: ChunkHash,
     },
 }
--- a/lovagedock-gateway/src/settings.rs
+++ b/lovagedock-gateway/src/settings.rs
@@ -17,7 +17,7 @@
 pub struct GatewaySettings {
     /// Name of the gateway, as in the configuration.
     pub name: GatewayId,
-    /// Failure domain of its host.
+    /// Failure domain of the gateway's host.
     pub failure_domain: DomainId,
     /// Listener for callers.
     pub callers: ListenerSettings,
@@ -119,7 +119,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSettings {
-    /// Base URL of its HTTP API, such as `http://10.0.0.1:8080`.
+    /// Base URL of the platform's HTTP API, such as `http://10.0.0.1:8080`.
     pub base: String,
 }
 
--- a/lovagedock-gateway/src/workers.rs
+++ b/lovagedock-gateway/src/workers.rs
@@ -24,7 +24,7 @@
 pub(crate) struct LinkSpec {
     /// The endpoint.
     pub(crate) endpoint: EndpointId,
-    /// Address of its sidecar.
+    /// Address of the endpoint's sidecar.
     pub(crate) address: SocketAddr,
     /// Commands; the link ends when all senders are dropped.
     pub(crate) commands: mpsc::UnboundedReceiver<LinkCommand>,
