--- a/lovagedock-gateway/src/fleet.rs
+++ b/lovagedock-gateway/src/fleet.rs
@@ -26,17 +26,17 @@
 pub(crate) struct EndpointEntry {
     /// Pool that the endpoint is in.
     pub(crate) pool: PoolId,
-    /// Failure domain of its host.
+    /// Failure domain of the endpoint's host.
     pub(crate) domain: DomainId,
-    /// Host that it runs on.
+    /// Host that the endpoint runs on.
     pub(crate) host: HostId,
-    /// Address of its sidecar.
+    /// Address of the endpoint's sidecar.
     pub(crate) address: SocketAddr,
     /// Incarnation of the sidecar while there is a session to it.
     pub(crate) incarnation: Option<Incarnation>,
-    /// Generation in force at the sidecar according to its last report.
+    /// Generation in force at the sidecar according to the sidecar's last report.
     pub(crate) generation: Generation,
-    /// Whether its last report said that it is leaving or that its engine is down.
+    /// Whether the sidecar's last report said that the endpoint is leaving or its engine is down.
     pub(crate) rejects_work: bool,
     /// Number of requests of this gateway in flight at the endpoint.
     pub(crate) in_flight: u32,
@@ -185,7 +185,7 @@
     }
 
     /// Records a new session.
-    pub(crate) fn session_opened(&self, endpoint: &EndpointId, incarnation: Incarnation) {
+    pub(crate) fn record_session_opened(&self, endpoint: &EndpointId, incarnation: Incarnation) {
         let mut state = self.state.write();
         if let Some(entry) = state.endpoints.get_mut(endpoint) {
             entry.incarnation = Some(incarnation);
@@ -194,7 +194,7 @@
     }
 
     /// Records that the session was lost.
-    pub(crate) fn session_lost(&self, endpoint: &EndpointId) {
+    pub(crate) fn record_session_lost(&self, endpoint: &EndpointId) {
         let mut state = self.state.write();
         if let Some(entry) = state.endpoints.get_mut(endpoint) {
             entry.incarnation = None;
@@ -204,7 +204,7 @@
 
     /// Records that a heartbeat is sent. The response does not include work that is sent from now
     /// on.
-    pub(crate) fn heartbeat_sent(&self, endpoint: &EndpointId) {
+    pub(crate) fn record_heartbeat_sent(&self, endpoint: &EndpointId) {
         if let Some(entry) = self.state.write().endpoints.get_mut(endpoint) {
             entry.sent_since_heartbeat = SentWork::default();
         }
@@ -235,7 +235,7 @@
     }
 
     /// Records a request that is sent to an endpoint.
-    pub(crate) fn work_sent(&self, now: Timestamp, endpoint: &EndpointId, work: SentWork) {
+    pub(crate) fn record_work_sent(&self, now: Timestamp, endpoint: &EndpointId, work: SentWork) {
         let mut state = self.state.write();
         let Some(entry) = state.endpoints.get_mut(endpoint) else {
             return;
@@ -251,7 +251,7 @@
     }
 
     /// Records that a request has ended at an endpoint.
-    pub(crate) fn work_ended(&self, endpoint: &EndpointId) {
+    pub(crate) fn record_work_ended(&self, endpoint: &EndpointId) {
         if let Some(entry) = self.state.write().endpoints.get_mut(endpoint) {
             entry.in_flight = entry.in_flight.saturating_sub(1);
         }
