--- a/lovagedock-gateway/src/direct/call/log.rs
+++ b/lovagedock-gateway/src/direct/call/log.rs
@@ -91,7 +91,7 @@
             info!(self.state.log, "attempt ended";
                 "request" => &self.parts.head.request, "endpoint" => %endpoint,
                 "fingerprint" => format_fingerprint(self.fingerprint),
-                "sent" => self.machine.sent(), "end" => ?end, "next" => ?step,
+                "sent" => self.machine.sent_count(), "end" => ?end, "next" => ?step,
                 "events" => self.stream.event_count(), "left_out" => left_out);
         }
     }
@@ -122,7 +122,7 @@
             "prompt" => self.parts.head.prompt,
             "answer" => self.parts.head.expected_answer(),
             "answer_limit" => self.parts.head.answer_limit,
-            "sent" => self.machine.sent(),
+            "sent" => self.machine.sent_count(),
             "events" => self.stream.event_count(),
             "first_event_ms" => self.first_event_time().map(|first| first.as_millis() as u64),
             "longest_gap_ms" => self.stream.longest_gap().as_millis() as u64,
@@ -146,7 +146,7 @@
                 "prompt" => self.parts.head.prompt,
                 "code" => code.number(),
                 "ran" => self.machine.ran().as_str(),
-                "sent" => self.machine.sent(),
+                "sent" => self.machine.sent_count(),
                 "events" => self.stream.event_count(),
                 "first_event_ms" => self.first_event_time().map(|first| first.as_millis() as u64),
                 "longest_gap_ms" => self.stream.longest_gap().as_millis() as u64,
--- a/lovagedock-gateway/src/direct/call/mod.rs
+++ b/lovagedock-gateway/src/direct/call/mod.rs
@@ -174,7 +174,7 @@
         if now >= self.deadline && end != AttemptEnd::Complete && end != AttemptEnd::Failed {
             return match self.sender.has_begun() {
                 true => DirectStep::Cut,
-                false => self.machine.expired_after(end),
+                false => self.machine.expired_attempt_step(end),
             };
         }
         let state = Arc::clone(&self.state);
@@ -407,7 +407,7 @@
     /// response, it gets one that states whether the request may have run.
     fn end_at_stop(&mut self) -> ResultCode {
         self.log_cut_by_stop();
-        let code = self.machine.stopped();
+        let code = self.machine.stopped_code();
         self.respond(code)
     }
 
--- a/lovagedock-gateway/src/direct/call/placement.rs
+++ b/lovagedock-gateway/src/direct/call/placement.rs
@@ -45,16 +45,16 @@
             queue_advanced.as_mut().enable();
             let now = self.state.clock.now();
             if now >= self.deadline {
-                return Err(self.machine.expired());
+                return Err(self.machine.expired_step());
             }
             if !self.may_send_before_stop(now) {
                 self.log_refused("the gateway stops");
-                return Err(DirectStep::Answer(self.machine.stopped()));
+                return Err(DirectStep::Answer(self.machine.stopped_code()));
             }
             if let Some(remaining) = self.state.quarantined_for(self.fingerprint) {
                 self.retry_after = Some(remaining);
                 self.log_refused("engines end under it");
-                return Err(self.machine.quarantined(now));
+                return Err(self.machine.quarantined_step(now));
             }
             let is_last_search = queued.as_ref().is_some_and(|entry| now >= entry.wait_until);
             let may_search = queued.as_ref().is_none_or(QueueEntry::is_first) || is_last_search;
@@ -119,7 +119,7 @@
     /// Returns how good a placement has to be, given the fraction of the waiting time that has
     /// passed.
     fn placement_threshold(&self, waited_fraction: f64) -> PlacementThreshold {
-        if self.machine.sent() > 0 {
+        if self.machine.sent_count() > 0 {
             return PlacementThreshold::Any;
         }
         match waited_fraction < 1.0 {
@@ -150,7 +150,7 @@
                 true => gap.map(|gap| gap.max(RELAXED_GAP)),
                 false => gap,
             },
-            returned: is_return && self.machine.sent() == 0,
+            returned: is_return && self.machine.sent_count() == 0,
             suspect: self.state.is_suspect(self.fingerprint),
         };
         self.state.place(
@@ -181,7 +181,7 @@
             joined_at: now,
             wait_until: now,
         };
-        if self.machine.sent() > 0 {
+        if self.machine.sent_count() > 0 {
             entry.wait_until = (now + RESUME_WAIT_LIMIT).min(self.deadline);
             return Ok(entry);
         }
@@ -193,7 +193,7 @@
             QueueDecision::Refuse { retry_after } => {
                 self.retry_after = Some(retry_after);
                 self.log_refused("it would wait too long");
-                Err(self.machine.no_place(now))
+                Err(self.machine.no_place_step(now))
             }
         }
     }
@@ -210,7 +210,7 @@
             });
         self.retry_after = Some(retry_after.max(wait));
         self.log_refused("all endpoints are rate limited or in backoff");
-        self.machine.no_place(now)
+        self.machine.no_place_step(now)
     }
 
     fn refuse_after_wait(&mut self, now: Timestamp) -> DirectStep {
@@ -222,7 +222,7 @@
             });
         self.retry_after = Some(retry_after);
         self.log_refused("no place came free in time");
-        self.machine.no_place(now)
+        self.machine.no_place_step(now)
     }
 }
 
--- a/lovagedock-gateway/src/direct/state/fleet_state.rs
+++ b/lovagedock-gateway/src/direct/state/fleet_state.rs
@@ -207,7 +207,10 @@
                 RateVerdict::RateLimited { until } => Some(until),
                 RateVerdict::Unlimited | RateVerdict::Admitted => None,
             };
-            let available_at = self.backoffs.end(now, &endpoint.process).max(limited_until);
+            let available_at = self
+                .backoffs
+                .backoff_end(now, &endpoint.process)
+                .max(limited_until);
             if let Some(at) = available_at {
                 next_available_at = Some(next_available_at.map_or(at, |next| next.min(at)));
                 continue;
--- a/lovagedock-gateway/src/direct/state/listing.rs
+++ b/lovagedock-gateway/src/direct/state/listing.rs
@@ -84,7 +84,7 @@
         EndpointsSnapshot {
             version: fleet.listing.version(),
             endpoints: fleet.endpoints.all().cloned().collect(),
-            missing: fleet.listing.missing().cloned().collect(),
+            missing: fleet.listing.missing_endpoints().cloned().collect(),
             deferred: fleet.endpoints.deferred().cloned().collect(),
         }
     }
--- a/lovagedock-gateway/src/direct/state/placement.rs
+++ b/lovagedock-gateway/src/direct/state/placement.rs
@@ -172,7 +172,7 @@
         for endpoint in fleet.endpoints.ready(service) {
             let occupied = fleet.ledger.load(now, &endpoint.process).occupied;
             summary.ready += 1;
-            if fleet.backoffs.end(now, &endpoint.process).is_some() {
+            if fleet.backoffs.backoff_end(now, &endpoint.process).is_some() {
                 summary.in_backoff += 1;
                 continue;
             }
@@ -230,7 +230,7 @@
         if !acceptable {
             return PlacementResult::Full;
         }
-        let works = placer.works(request, &choice, &candidates);
+        let works = placer.placed_work(request, &choice, &candidates);
         let placed = PlacementDetails::new(&choice, &candidates);
         drop(candidates);
         let is_admitted =
@@ -265,7 +265,7 @@
         if fleet.endpoints.is_leaving(process) {
             return Some(WithholdReason::Leaving);
         }
-        if fleet.backoffs.end(now, process).is_some() {
+        if fleet.backoffs.backoff_end(now, process).is_some() {
             return Some(WithholdReason::Backoff);
         }
         if placed.is_admitted {
--- a/lovagedock-gateway/src/direct/state/suspects.rs
+++ b/lovagedock-gateway/src/direct/state/suspects.rs
@@ -133,7 +133,7 @@
         let now = self.clock.now();
         let fleet = self.fleet.lock();
         let remaining = fleet.suspects.quarantined_for(now, fingerprint);
-        let ends = fleet.suspects.ends(fingerprint);
+        let ends = fleet.suspects.end_count(fingerprint);
         let count = fleet.suspects.quarantines(now).count();
         drop(fleet);
         metrics::counter!("lovagedock_quarantines_total", "source" => source.as_str()).increment(1);
--- a/lovagedock/src/adoption/bundle.rs
+++ b/lovagedock/src/adoption/bundle.rs
@@ -79,9 +79,9 @@
         let none: Arc<[ChunkHash]> = Arc::new([]);
         let old = base.map_or(&none, |base| &base.chunks);
         let new = &self.manifest.chunks;
-        let prefix = common_length(old.iter(), new.iter());
+        let prefix = common_prefix_length(old.iter(), new.iter());
         let rest = old.len().min(new.len()) - prefix;
-        let suffix = common_length(old.iter().rev(), new.iter().rev()).min(rest);
+        let suffix = common_prefix_length(old.iter().rev(), new.iter().rev()).min(rest);
         let middle = new[prefix..new.len() - suffix].to_vec();
         let mut seen: BTreeSet<&ChunkHash> = old.iter().collect();
         let lacking = middle.iter().filter(|hash| seen.insert(*hash));
@@ -108,7 +108,7 @@
         if base_generation != bundle.base {
             return Err(BundleError::OtherBase);
         }
-        let chunks = splice(base, bundle)?;
+        let chunks = splice_hashes(base, bundle)?;
         let manifest = ConfigManifest {
             generation: bundle.generation,
             chunks,
@@ -143,7 +143,7 @@
     }
 }
 
-fn splice(
+fn splice_hashes(
     base: Option<&ConfigSnapshot>,
     bundle: &ConfigBundle,
 ) -> Result<Arc<[ChunkHash]>, BundleError> {
@@ -159,7 +159,7 @@
     Ok(head.chain(&bundle.middle).chain(tail).copied().collect())
 }
 
-fn common_length<'a>(
+fn common_prefix_length<'a>(
     left: impl Iterator<Item = &'a ChunkHash>,
     right: impl Iterator<Item = &'a ChunkHash>,
 ) -> usize {
--- a/lovagedock/src/adoption/plan.rs
+++ b/lovagedock/src/adoption/plan.rs
@@ -74,7 +74,7 @@
         let ranked = rank_watchers(&relays, wanted + limits.standbys_per_region);
         let watchers: MemberList<'_> = ranked.iter().take(wanted).copied().collect();
         for watcher in &watchers {
-            self.role(watcher).watches = true;
+            self.role_mut(watcher).watches = true;
             self.watchers.push(watcher.process.clone());
         }
         self.add_tree(&relays, &watchers, limits, PUSH_SEED);
@@ -95,7 +95,7 @@
                 .iter()
                 .filter(|child| **child != member.process);
             let others = others.cloned().collect();
-            let role = self.role(member);
+            let role = self.role_mut(member);
             role.higher_ranked = higher_ranked;
             role.required_watchers = wanted;
             role.standby_children = others;
@@ -116,7 +116,7 @@
         }
         let mut upper = watchers.clone();
         for domain in domains.values_mut() {
-            domain.sort_by_key(|member| Reverse(score(&member.process, seed)));
+            domain.sort_by_key(|member| Reverse(process_score(&member.process, seed)));
             upper.push(domain[0]);
         }
         self.add_heap(&upper, watchers.len(), limits.fanout, seed);
@@ -130,7 +130,7 @@
         let fanout = fanout.max(1);
         for (index, member) in members.iter().enumerate().skip(roots) {
             let parent = members[heap_parent(index, roots, fanout)];
-            let role = self.role(parent);
+            let role = self.role_mut(parent);
             match seed {
                 PUSH_SEED => role.children.push(member.process.clone()),
                 _ => role.offers.push(member.process.clone()),
@@ -141,13 +141,13 @@
     /// Assigns each relay random peers in its region, on other hosts.
     fn add_peers(&mut self, relays: &MemberList<'_>, limits: &RelayLimits) {
         let mut ring = relays.clone();
-        ring.sort_by_key(|member| score(&member.process, PEER_SEED));
-        let steps = spread_steps(ring.len(), limits.peers);
+        ring.sort_by_key(|member| process_score(&member.process, PEER_SEED));
+        let steps = peer_distances(ring.len(), limits.peers);
         for (index, member) in ring.iter().enumerate() {
             let at = |step: &usize| ring[(index + step) % ring.len()];
             let others = steps.iter().map(at).filter(|peer| peer.host != member.host);
             let others: Vec<ProcessId> = others.map(|peer| peer.process.clone()).collect();
-            self.role(member).peers.extend(others);
+            self.role_mut(member).peers.extend(others);
         }
     }
 
@@ -174,7 +174,7 @@
         let bound = (edges * (100 + LEAF_SLACK_PERCENT)).div_ceil(100 * parents.len().max(1));
         for leaf in leaves {
             let mut ranked = parents.clone();
-            ranked.sort_by_cached_key(|r| Reverse(pair_score(&r.process, &leaf.process)));
+            ranked.sort_by_cached_key(|r| Reverse(leaf_score(&r.process, &leaf.process)));
             let has_room = |relay: &&RelayMember| {
                 let role = self.roles.get(&relay.process);
                 role.is_some_and(|role| role.children.len() < bound)
@@ -185,9 +185,11 @@
             };
             let backup = ranked.get((first + 1) % ranked.len());
             let backup = backup.filter(|_| ranked.len() > 1).copied();
-            self.role(ranked[first]).children.push(leaf.process.clone());
+            self.role_mut(ranked[first])
+                .children
+                .push(leaf.process.clone());
             if let Some(backup) = backup {
-                self.role(backup).offers.push(leaf.process.clone());
+                self.role_mut(backup).offers.push(leaf.process.clone());
             }
         }
     }
@@ -204,16 +206,16 @@
         }
     }
 
-    fn role(&mut self, member: &RelayMember) -> &mut RelayRole {
+    fn role_mut(&mut self, member: &RelayMember) -> &mut RelayRole {
         self.roles.entry(member.process.clone()).or_default()
     }
 }
 
-fn score(process: &str, seed: u64) -> u64 {
+fn process_score(process: &str, seed: u64) -> u64 {
     xxh3_64_with_seed(process.as_bytes(), seed)
 }
 
-fn pair_score(relay: &str, leaf: &str) -> u64 {
+fn leaf_score(relay: &str, leaf: &str) -> u64 {
     xxh3_64_with_seed(
         relay.as_bytes(),
         xxh3_64_with_seed(leaf.as_bytes(), LEAF_SEED),
@@ -227,7 +229,7 @@
 /// Ranks relays by score, taking the best of each failure domain first.
 fn rank_watchers<'a>(relays: &MemberList<'a>, count: usize) -> MemberList<'a> {
     let mut ranked = relays.clone();
-    ranked.sort_by_key(|member| Reverse(score(&member.process, WATCH_SEED)));
+    ranked.sort_by_key(|member| Reverse(process_score(&member.process, WATCH_SEED)));
     let mut seen = BTreeSet::new();
     let (first, rest): (MemberList<'a>, MemberList<'a>) = ranked
         .into_iter()
@@ -237,7 +239,7 @@
 
 /// Returns distances to peers on a ring. They double, so that comparisons reach across the whole
 /// ring. If more are needed, the smallest unused distances follow.
-fn spread_steps(length: usize, count: usize) -> Vec<usize> {
+fn peer_distances(length: usize, count: usize) -> Vec<usize> {
     let mut steps: Vec<usize> = (0..count as u32)
         .map(|power| 1usize << power.min(30))
         .take_while(|step| *step < length)
--- a/lovagedock/src/adoption/push.rs
+++ b/lovagedock/src/adoption/push.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct PushProgress {
     /// Generation that it last reported.
-    pub(super) reported: Option<Generation>,
+    pub(super) reported_generation: Option<Generation>,
     /// Number of pushes sent for the generation in force.
     sent: u32,
     in_flight: bool,
@@ -30,7 +30,7 @@
             AdoptionSource::Store => None,
             AdoptionSource::Push(peer) | AdoptionSource::Pull(peer) => Some(peer.clone()),
         };
-        for child in self.receivers() {
+        for child in self.push_receivers() {
             let progress = self.pushes.entry(child.clone()).or_default();
             progress.sent = 0;
             progress.due = (sender.as_ref() != Some(&child)).then_some(now);
@@ -44,7 +44,7 @@
 
     /// Returns the children in the plan and, if this process is an active standby, those of the
     /// watchers.
-    fn receivers(&self) -> Vec<ProcessId> {
+    fn push_receivers(&self) -> Vec<ProcessId> {
         let is_active_standby = self.upstream.watching && !self.role.watches;
         let others = self
             .role
@@ -70,7 +70,7 @@
         for to in due {
             let progress = self.pushes.entry(to.clone()).or_default();
             progress.due = None;
-            let reported = progress.reported.unwrap_or(guess);
+            let reported = progress.reported_generation.unwrap_or(guess);
             if reported >= generation || progress.sent >= max_pushes {
                 continue;
             }
@@ -91,7 +91,7 @@
             return;
         };
         progress.in_flight = false;
-        progress.reported = Some(reported);
+        progress.reported_generation = Some(reported);
         if reported < generation {
             progress.due = Some(now);
         }
@@ -121,14 +121,14 @@
         let Some(progress) = self.pushes.get_mut(peer) else {
             return;
         };
-        progress.reported = Some(reported);
+        progress.reported_generation = Some(reported);
         if reported < generation && !progress.in_flight && progress.due.is_none() {
             progress.sent = 0;
             progress.due = Some(now + retry);
         }
     }
 
-    pub(super) fn next_push(&self) -> Option<Timestamp> {
+    pub(super) fn next_push_at(&self) -> Option<Timestamp> {
         let idle = self.pushes.values().filter(|progress| !progress.in_flight);
         idle.filter_map(|progress| progress.due).min()
     }
--- a/lovagedock/src/adoption/state.rs
+++ b/lovagedock/src/adoption/state.rs
@@ -242,7 +242,7 @@
             self.upstream.next_wake(),
             self.repair.next_wake(),
             self.startup.next_wake(),
-            self.next_push(),
+            self.next_push_at(),
             self.standby.next_wake(),
         ];
         let wake_at = times.into_iter().flatten().min().map(|at| at.max(now));
--- a/lovagedock/src/adoption/upstream.rs
+++ b/lovagedock/src/adoption/upstream.rs
@@ -133,7 +133,7 @@
         };
         self.record_generation(manifest.generation);
         if self.is_newer(manifest.generation) {
-            self.fetch(now, manifest, actions);
+            self.fetch_missing_chunks(now, manifest, actions);
         }
     }
 
@@ -168,7 +168,7 @@
         self.upstream.next_at = Some(now + pause);
     }
 
-    fn fetch(
+    fn fetch_missing_chunks(
         &mut self,
         now: Timestamp,
         manifest: ConfigManifest,
--- a/lovagedock/src/claim/batch.rs
+++ b/lovagedock/src/claim/batch.rs
@@ -43,7 +43,7 @@
     }
 
     /// Removes entries whose window is over. This alone does not cause a write.
-    pub(crate) fn sweep(&mut self, input: &BatchInput<'_>) {
+    pub(crate) fn sweep_entries(&mut self, input: &BatchInput<'_>) {
         let window_ms = whole_ms(input.limits.window);
         let max_parts = input.limits.max_parts;
         let mut strays = Vec::new();
@@ -67,7 +67,7 @@
         self.bytes = self.object.bytes();
     }
 
-    pub(crate) fn abandon(&mut self, input: &BatchInput<'_>, abandon: &PendingAbandon) {
+    pub(crate) fn abandon_claim(&mut self, input: &BatchInput<'_>, abandon: &PendingAbandon) {
         let Some(entry) = self.object.entries.get(&abandon.key) else {
             return;
         };
@@ -80,7 +80,7 @@
     }
 
     /// Records an answer inline, or by reference to objects that are already written.
-    pub(crate) fn record(&mut self, input: &BatchInput<'_>, record: &mut PendingRecord) {
+    pub(crate) fn record_answer(&mut self, input: &BatchInput<'_>, record: &mut PendingRecord) {
         if !record.is_ready() {
             return;
         }
@@ -111,7 +111,7 @@
     }
 
     /// Claims a free key. Returns `false` if the partition is full.
-    pub(crate) fn claim(&mut self, input: &BatchInput<'_>, waiting: &mut WaitingClaim) -> bool {
+    pub(crate) fn claim_key(&mut self, input: &BatchInput<'_>, waiting: &mut WaitingClaim) -> bool {
         let claim = &waiting.claim;
         if !self.is_free(input, waiting) {
             return true;
--- a/lovagedock/src/claim/partition.rs
+++ b/lovagedock/src/claim/partition.rs
@@ -221,7 +221,7 @@
     }
 
     fn advance(&mut self, now: Timestamp, scope: SettleScope, actions: &mut Vec<ClaimAction>) {
-        self.expire(now, actions);
+        self.expire_operations(now, actions);
         self.settle(now, scope, actions);
         self.drive(now, actions);
         let wake_at = self.next_wake(now);
--- a/lovagedock/src/claim/pending.rs
+++ b/lovagedock/src/claim/pending.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct WaitingClaim {
     pub(crate) claim: ClaimRequest,
-    pub(crate) arrived: Timestamp,
+    pub(crate) arrived_at: Timestamp,
     /// A write that contains the claim was sent.
     pub(crate) sent: bool,
     /// [`super::ClaimAction::InProgress`] was returned for it.
@@ -24,10 +24,10 @@
 }
 
 impl WaitingClaim {
-    pub(crate) fn new(claim: ClaimRequest, arrived: Timestamp) -> Self {
+    pub(crate) fn new(claim: ClaimRequest, arrived_at: Timestamp) -> Self {
         Self {
             claim,
-            arrived,
+            arrived_at,
             sent: false,
             in_progress_reported: false,
             free: false,
--- a/lovagedock/src/claim/settle.rs
+++ b/lovagedock/src/claim/settle.rs
@@ -40,7 +40,7 @@
 
 impl ClaimPartition {
     /// Ends all operations whose deadline has passed.
-    pub(super) fn expire(&mut self, now: Timestamp, actions: &mut Vec<ClaimAction>) {
+    pub(super) fn expire_operations(&mut self, now: Timestamp, actions: &mut Vec<ClaimAction>) {
         let is_expired = |waiting: &mut WaitingClaim| waiting.claim.deadline <= now;
         let over: Vec<WaitingClaim> = self.claims.extract_if(.., is_expired).collect();
         for waiting in over {
@@ -49,7 +49,7 @@
                 true => ResultCode::KeyInProgress,
                 false => ResultCode::ClaimUnavailable,
             };
-            actions.push(refuse(&waiting, code));
+            actions.push(refuse_claim(&waiting, code));
         }
         self.replays.retain(|replay| {
             let over = replay.deadline <= now;
@@ -102,7 +102,7 @@
         let request = waiting.claim.request;
         waiting.read_due = None;
         waiting.free = false;
-        match self.verdict(now, &waiting) {
+        match self.claim_verdict(now, &waiting) {
             ClaimVerdict::Free => {
                 waiting.free = true;
                 self.claims.push(waiting);
@@ -110,7 +110,7 @@
             ClaimVerdict::Granted => actions.push(ClaimAction::Grant { request }),
             ClaimVerdict::Answer(answer) => actions.push(ClaimAction::Replay { request, answer }),
             ClaimVerdict::Split(replay) => self.replays.push(*replay),
-            ClaimVerdict::Refused(code) => actions.push(refuse(&waiting, code)),
+            ClaimVerdict::Refused(code) => actions.push(refuse_claim(&waiting, code)),
             ClaimVerdict::Reread => {
                 waiting.read_due = Some(now);
                 self.claims.push(waiting);
@@ -123,7 +123,7 @@
         }
     }
 
-    fn verdict(&self, now: Timestamp, waiting: &WaitingClaim) -> ClaimVerdict {
+    fn claim_verdict(&self, now: Timestamp, waiting: &WaitingClaim) -> ClaimVerdict {
         let claim = &waiting.claim;
         let Some((known, entry)) = self.live_entry(now, &claim.key) else {
             return ClaimVerdict::Free;
@@ -131,7 +131,7 @@
         if entry.is_held_by(self.owner, claim.request) {
             return ClaimVerdict::Granted;
         }
-        let is_current = known.as_of >= waiting.arrived || entry.owner == self.owner;
+        let is_current = known.as_of >= waiting.arrived_at || entry.owner == self.owner;
         if !is_current && !entry.is_answered() {
             return ClaimVerdict::Reread;
         }
@@ -240,7 +240,7 @@
     }
 }
 
-fn refuse(waiting: &WaitingClaim, code: ResultCode) -> ClaimAction {
+fn refuse_claim(waiting: &WaitingClaim, code: ResultCode) -> ClaimAction {
     ClaimAction::Refuse {
         request: waiting.claim.request,
         code,
--- a/lovagedock/src/claim/store.rs
+++ b/lovagedock/src/claim/store.rs
@@ -82,19 +82,19 @@
         };
         let version = known.version;
         let mut draft = BatchDraft::new(&known.value, &input);
-        draft.sweep(&input);
+        draft.sweep_entries(&input);
         for abandon in &self.abandons {
-            draft.abandon(&input, abandon);
+            draft.abandon_claim(&input, abandon);
         }
         for record in &mut self.records {
-            draft.record(&input, record);
+            draft.record_answer(&input, record);
         }
         let mut refused = Vec::new();
         let mut granted = Vec::new();
         self.claims.retain_mut(|waiting| {
             let request = waiting.claim.request;
             let was_sent = waiting.sent;
-            let fits = draft.claim(&input, waiting);
+            let fits = draft.claim_key(&input, waiting);
             if !fits && !was_sent {
                 refused.push(request);
                 return false;
@@ -117,11 +117,11 @@
         // Another write on the same version settles this, because one of the two is refused.
         let settles = self.unsettled.is_some() && !self.abandons.is_empty();
         if draft.changed || settles {
-            self.send(now, version, draft.object, actions);
+            self.send_write(now, version, draft.object, actions);
         }
     }
 
-    fn send(
+    fn send_write(
         &mut self,
         now: Timestamp,
         version: Option<ObjectVersion>,
@@ -168,25 +168,30 @@
             return;
         };
         match outcome {
-            WriteOutcome::Applied(version) => self.on_applied(sent_at, version, value),
+            WriteOutcome::Applied(version) => self.on_write_applied(sent_at, version, value),
             WriteOutcome::Conflict => self.on_conflict(now),
-            WriteOutcome::Unknown => self.on_unknown(now),
+            WriteOutcome::Unknown => self.on_write_unknown(now),
             WriteOutcome::Unavailable | WriteOutcome::RateLimited => self.back_off(now),
         }
     }
 
-    fn on_applied(&mut self, sent_at: Timestamp, version: ObjectVersion, value: PartitionObject) {
+    fn on_write_applied(
+        &mut self,
+        sent_at: Timestamp,
+        version: ObjectVersion,
+        value: PartitionObject,
+    ) {
         self.conflicts = 0;
         self.unsettled = None;
         let is_removed = |request: &RequestId| !value.strays.iter().any(|s| s.request == *request);
         self.deleted.retain(|request| !is_removed(request));
         self.record_own_strays(&value);
-        self.install(sent_at, sent_at, Some(version), value);
+        self.install_object(sent_at, sent_at, Some(version), value);
     }
 
     /// Handles a lost confirmation by reading the value back. The owner and the request of an entry
     /// are unique to this write, so they show whether the claims are in the store.
-    fn on_unknown(&mut self, now: Timestamp) {
+    fn on_write_unknown(&mut self, now: Timestamp) {
         self.stale = true;
         let version = self.known.as_ref().and_then(|known| known.version);
         self.unsettled.get_or_insert(version);
@@ -215,14 +220,14 @@
             }
             ReadOutcome::Found { version, bytes } => match PartitionObject::decode(&bytes) {
                 Ok(value) => self.install_read(sent_at, now, Some(version), value),
-                Err(_) => self.on_damaged(now),
+                Err(_) => self.on_damaged_object(now),
             },
         }
     }
 
     /// Handles a value that cannot be decoded. No claim is granted, since the value may contain any
     /// key.
-    fn on_damaged(&mut self, now: Timestamp) {
+    fn on_damaged_object(&mut self, now: Timestamp) {
         self.damaged = true;
         self.known = None;
         self.back_off(now);
@@ -247,10 +252,10 @@
             known.as_of = sent_at;
             return;
         }
-        self.install(sent_at, now, version, value);
+        self.install_object(sent_at, now, version, value);
     }
 
-    fn install(
+    fn install_object(
         &mut self,
         as_of: Timestamp,
         clock_since: Timestamp,
--- a/lovagedock/src/cost/decode.rs
+++ b/lovagedock/src/cost/decode.rs
@@ -27,7 +27,7 @@
     }
 
     /// Returns the interval at a batch size, interpolated between the nearest observed sizes.
-    pub(super) fn seconds(&self, batch: u32) -> Option<f64> {
+    pub(super) fn interval_seconds(&self, batch: u32) -> Option<f64> {
         let at = slot_of(batch);
         let below = (0..=at).rev().find(|slot| self.is_observed(*slot));
         let above = (at..DECODE_SLOTS).find(|slot| self.is_observed(*slot));
--- a/lovagedock/src/cost/model.rs
+++ b/lovagedock/src/cost/model.rs
@@ -96,12 +96,14 @@
     /// Returns the interval between tokens when `batch` requests run; `None` before the first
     /// observation.
     pub fn decode_interval(&self, batch: u32) -> Option<Duration> {
-        self.decode.seconds(batch).map(Duration::from_secs_f64)
+        self.decode
+            .interval_seconds(batch)
+            .map(Duration::from_secs_f64)
     }
 
     /// Returns the parameters sent in reports. Unknown parameters are zero.
     pub fn parameters(&self) -> CostParameters {
-        let decode_ns = self.decode.seconds(self.batch).unwrap_or(0.0) * NS_PER_SECOND;
+        let decode_ns = self.decode.interval_seconds(self.batch).unwrap_or(0.0) * NS_PER_SECOND;
         if self.prefill.observations() == 0 {
             return CostParameters {
                 decode_ns,
--- a/lovagedock/src/cost/prefill.rs
+++ b/lovagedock/src/cost/prefill.rs
@@ -57,7 +57,7 @@
         let scaled = [features[0] / scale, features[1] / scale];
         let residual = (seconds - predicted) / scale;
         let weight = self.huber_weight(residual);
-        self.update(scaled, residual, weight);
+        self.update_coefficients(scaled, residual, weight);
     }
 
     /// Scales the prior to the first observation. Engines differ far more in speed than in the
@@ -110,7 +110,7 @@
     /// observed, such as that of the squared term while there are only short prompts. Noise then
     /// moves the coefficient far from its true value, and the first long prompt is mispredicted.
     /// Directional forgetting maintains the variance only in the direction of the observation.
-    fn update(&mut self, x: [f64; 2], residual: f64, weight: f64) {
+    fn update_coefficients(&mut self, x: [f64; 2], residual: f64, weight: f64) {
         let p = self.covariance;
         let px = [dot(p[0], x), dot(p[1], x)];
         let spread = dot(x, px);
--- a/lovagedock/src/direct/backoff.rs
+++ b/lovagedock/src/direct/backoff.rs
@@ -87,7 +87,7 @@
     }
 
     /// Returns the end of an endpoint's current backoff period, if any.
-    pub fn end(&self, now: Timestamp, endpoint: &EndpointProcess) -> Option<Timestamp> {
+    pub fn backoff_end(&self, now: Timestamp, endpoint: &EndpointProcess) -> Option<Timestamp> {
         let end = self.ends.get(endpoint).copied();
         end.filter(|end| *end > now)
     }
--- a/lovagedock/src/direct/endpoints.rs
+++ b/lovagedock/src/direct/endpoints.rs
@@ -99,7 +99,7 @@
     /// process under the same name.
     pub fn insert(&mut self, now: Timestamp, mut endpoint: DirectEndpoint) -> EntryChange {
         let id = endpoint.process.id.clone();
-        let known = self.latest(&id);
+        let known = self.latest_process(&id);
         if known.is_some_and(|known| endpoint.process.started < known.started) {
             self.defer(now, endpoint);
             return EntryChange::Outdated;
@@ -141,7 +141,7 @@
             .collect();
         let apply = |mut endpoint: DirectEndpoint| {
             self.deferred.remove(&endpoint.process.id);
-            let known = self.latest(&endpoint.process.id);
+            let known = self.latest_process(&endpoint.process.id);
             if let Some(known) = known.filter(|known| known.started == endpoint.process.started) {
                 endpoint.state = known.state.or(endpoint.state);
             }
@@ -240,7 +240,7 @@
         self.endpoints.values()
     }
 
-    fn latest(&self, id: &EndpointId) -> Option<FormerProcess> {
+    fn latest_process(&self, id: &EndpointId) -> Option<FormerProcess> {
         let listed = self.endpoints.get(id).map(FormerProcess::new);
         listed.or_else(|| self.former.processes.get(id).copied())
     }
--- a/lovagedock/src/direct/listing.rs
+++ b/lovagedock/src/direct/listing.rs
@@ -72,7 +72,7 @@
     }
 
     /// Returns the endpoints that are kept although the store does not list them.
-    pub fn missing(&self) -> impl Iterator<Item = &EndpointId> {
+    pub fn missing_endpoints(&self) -> impl Iterator<Item = &EndpointId> {
         self.missing.iter()
     }
 
--- a/lovagedock/src/direct/machine.rs
+++ b/lovagedock/src/direct/machine.rs
@@ -111,7 +111,7 @@
     }
 
     /// Returns the number of times that the request was sent.
-    pub fn sent(&self) -> u32 {
+    pub fn sent_count(&self) -> u32 {
         self.sent
     }
 
@@ -163,16 +163,16 @@
             self.excluded.push(endpoint.clone());
         }
         match end {
-            AttemptEnd::Withheld if self.has_time(now) => DirectStep::Place {
+            AttemptEnd::Withheld if self.has_time_left(now) => DirectStep::Place {
                 resume: self.resuming,
             },
             AttemptEnd::Withheld if self.resuming => DirectStep::Cut,
-            AttemptEnd::Withheld => self.expired(),
+            AttemptEnd::Withheld => self.expired_step(),
             AttemptEnd::Complete => DirectStep::Done,
             AttemptEnd::Unreachable => {
                 self.unreachable += 1;
-                if self.unreachable > MAX_UNREACHABLE || !self.has_time(now) {
-                    return self.give_up(now, ResultCode::EndpointUnreachable);
+                if self.unreachable > MAX_UNREACHABLE || !self.has_time_left(now) {
+                    return self.final_step(now, ResultCode::EndpointUnreachable);
                 }
                 DirectStep::Place { resume: false }
             }
@@ -180,7 +180,7 @@
                 if self.may_send_again(now) && consume_retry() {
                     return DirectStep::Place { resume: false };
                 }
-                self.give_up(now, ResultCode::EngineRefused)
+                self.final_step(now, ResultCode::EngineRefused)
             }
             AttemptEnd::Failed => {
                 self.may_have_run = true;
@@ -194,7 +194,7 @@
                 if self.mode.may_repeat() && self.may_send_again(now) && consume_retry() {
                     return DirectStep::Place { resume: false };
                 }
-                self.give_up(now, ResultCode::EndpointLost)
+                self.final_step(now, ResultCode::EndpointLost)
             }
             AttemptEnd::Broken => {
                 self.may_have_run = true;
@@ -209,19 +209,19 @@
     }
 
     /// Returns the result for a request that no endpoint can accept now.
-    pub fn no_place(&self, now: Timestamp) -> DirectStep {
-        self.give_up(now, ResultCode::NoCapacity)
+    pub fn no_place_step(&self, now: Timestamp) -> DirectStep {
+        self.final_step(now, ResultCode::NoCapacity)
     }
 
     /// Returns the result for a request that must not be sent to engines, see [`SuspectLedger`].
     ///
     /// [`SuspectLedger`]: super::SuspectLedger
-    pub fn quarantined(&self, now: Timestamp) -> DirectStep {
-        self.give_up(now, ResultCode::Quarantined)
+    pub fn quarantined_step(&self, now: Timestamp) -> DirectStep {
+        self.final_step(now, ResultCode::Quarantined)
     }
 
     /// Returns the result for a request whose deadline passed in an attempt that ended as `end`.
-    pub fn expired_after(&mut self, end: AttemptEnd) -> DirectStep {
+    pub fn expired_attempt_step(&mut self, end: AttemptEnd) -> DirectStep {
         let not_run = matches!(
             end,
             AttemptEnd::Unreachable
@@ -231,11 +231,11 @@
         );
         self.in_flight = false;
         self.may_have_run |= !not_run;
-        self.expired()
+        self.expired_step()
     }
 
     /// Returns the result code for a request that is cut because its gateway stops.
-    pub fn stopped(&mut self) -> ResultCode {
+    pub fn stopped_code(&mut self) -> ResultCode {
         self.may_have_run |= std::mem::take(&mut self.in_flight);
         match self.ran() {
             RanState::No => ResultCode::GatewayStopping,
@@ -244,7 +244,7 @@
     }
 
     /// Returns the result for a request whose deadline has passed.
-    pub fn expired(&self) -> DirectStep {
+    pub fn expired_step(&self) -> DirectStep {
         DirectStep::Answer(match self.ran() {
             RanState::No => ResultCode::ExpiredWaiting,
             RanState::Yes | RanState::Unknown => ResultCode::ExpiredUnknown,
@@ -252,20 +252,20 @@
     }
 
     fn may_send_again(&self, now: Timestamp) -> bool {
-        self.has_attempt_left() && self.has_time(now)
+        self.has_attempt_left() && self.has_time_left(now)
     }
 
-    fn has_time(&self, now: Timestamp) -> bool {
+    fn has_time_left(&self, now: Timestamp) -> bool {
         now + MIN_ATTEMPT_TIME < self.deadline
     }
 
     /// Ends the request. A code that states "not run" must be true for all attempts, not only for
     /// the last one.
-    fn give_up(&self, now: Timestamp, code: ResultCode) -> DirectStep {
+    fn final_step(&self, now: Timestamp, code: ResultCode) -> DirectStep {
         if !self.may_have_run {
             return DirectStep::Answer(code);
         }
-        if !self.has_time(now) {
+        if !self.has_time_left(now) {
             return DirectStep::Answer(ResultCode::ExpiredUnknown);
         }
         DirectStep::Answer(ResultCode::EndpointLost)
--- a/lovagedock/src/direct/placer.rs
+++ b/lovagedock/src/direct/placer.rs
@@ -151,7 +151,7 @@
     }
 
     /// Returns the work that the choice places on its endpoints, lead first.
-    pub fn works(
+    pub fn placed_work(
         &self,
         request: &DirectRequest,
         choice: &DirectChoice,
--- a/lovagedock/src/direct/suspects.rs
+++ b/lovagedock/src/direct/suspects.rs
@@ -164,7 +164,7 @@
     }
 
     /// Returns the number of processes that ended during a request.
-    pub fn ends(&self, fingerprint: RequestFingerprint) -> usize {
+    pub fn end_count(&self, fingerprint: RequestFingerprint) -> usize {
         let record = self.suspects.get(&fingerprint);
         record.map_or(0, |record| record.ends.len())
     }
--- a/lovagedock/src/endpoint/attempt_control.rs
+++ b/lovagedock/src/endpoint/attempt_control.rs
@@ -77,7 +77,7 @@
             return self.actions.push(EndpointAction::NotFound(key));
         };
         if let Some(entry) = self.requests.get_mut(&key.request) {
-            entry.sink_lost = None;
+            entry.sink_lost_at = None;
             self.schedule_due(key.request);
         }
         self.actions
@@ -100,7 +100,7 @@
         if entry.key != key {
             return;
         }
-        entry.sink_lost = Some(now);
+        entry.sink_lost_at = Some(now);
         self.schedule_due(key.request);
     }
 }
--- a/lovagedock/src/endpoint/core.rs
+++ b/lovagedock/src/endpoint/core.rs
@@ -41,7 +41,7 @@
     pub(super) shares: BTreeMap<OrganisationId, OrganisationShare>,
     pub(super) requests: BTreeMap<RequestId, RequestEntry>,
     /// Requests that have started and not ended.
-    pub(super) started: BTreeSet<RequestId>,
+    pub(super) started_requests: BTreeSet<RequestId>,
     pub(super) queue: AdmissionQueue,
     pub(super) ledger: MemoryLedger,
     pub(super) answers: AnswerTable,
@@ -51,7 +51,7 @@
     pub(super) batch_size: usize,
     pub(super) engine_up: bool,
     pub(super) draining: bool,
-    pub(super) allocations_due: Timestamp,
+    pub(super) allocations_due_at: Timestamp,
     pub(super) actions: Vec<EndpointAction>,
     pub(super) due: BTreeSet<DueRequest>,
     drained_reported: bool,
@@ -74,7 +74,7 @@
             safeguards: EndpointSafeguards::default(),
             shares: BTreeMap::new(),
             requests: BTreeMap::new(),
-            started: BTreeSet::new(),
+            started_requests: BTreeSet::new(),
             queue: AdmissionQueue::default(),
             ledger: MemoryLedger::new(limits.memory_tokens),
             answers: AnswerTable::new(
@@ -88,7 +88,7 @@
             batch_size: 0,
             engine_up: true,
             draining: false,
-            allocations_due: limits.allocations_wait,
+            allocations_due_at: limits.allocations_wait,
             actions: Vec::new(),
             due: BTreeSet::new(),
             drained_reported: false,
@@ -123,28 +123,32 @@
             EndpointEvent::Cancel(key) => self.cancel(now, key),
             EndpointEvent::Resume { key, offset } => self.resume(key, offset),
             EndpointEvent::SinkLost(key) => self.record_sink_loss(now, key),
-            EndpointEvent::EngineStarted(key) => self.engine_started(key),
-            EndpointEvent::EngineBytes { key, length } => self.engine_bytes(now, key, length),
-            EndpointEvent::EngineEnded { key, result } => self.engine_ended(now, key, result),
+            EndpointEvent::EngineStarted(key) => self.on_engine_started(key),
+            EndpointEvent::EngineBytes { key, length } => self.on_engine_bytes(now, key, length),
+            EndpointEvent::EngineEnded { key, result } => self.on_engine_ended(now, key, result),
             EndpointEvent::EngineAllocations(allocations) => {
-                self.engine_allocations(now, &allocations)
+                self.on_engine_allocations(now, &allocations)
             }
-            EndpointEvent::EngineReport(report) => self.engine_report(now, report),
-            EndpointEvent::EngineDown => self.engine_down(now),
+            EndpointEvent::EngineReport(report) => self.on_engine_report(now, report),
+            EndpointEvent::EngineDown => self.on_engine_down(now),
             EndpointEvent::EngineUp => self.record_engine_up(now),
             EndpointEvent::Reserve { key, tokens, hold } => self.reserve(now, key, tokens, hold),
             EndpointEvent::Renew { key, hold } => self.renew(now, key, hold),
             EndpointEvent::Release(key) => self.release(now, key),
-            EndpointEvent::Drain(draining) => self.drain(now, draining),
+            EndpointEvent::Drain(draining) => self.set_draining(now, draining),
             EndpointEvent::Configure { limits, shares } => self.configure(now, limits, shares),
             EndpointEvent::Tick => {}
         }
     }
 
     fn start_next(&mut self, now: Timestamp) {
-        while self.may_start(now) && self.started.len() < self.concurrency() {
-            let running = || self.started.iter().filter_map(|id| self.requests.get(id));
-            let free_at = |need| predict_free(now, need, running(), &self.ledger);
+        while self.may_start(now) && self.started_requests.len() < self.concurrency() {
+            let running = || {
+                self.started_requests
+                    .iter()
+                    .filter_map(|id| self.requests.get(id))
+            };
+            let free_at = |need| predict_free_at(now, need, running(), &self.ledger);
             let capacity = EngineCapacity {
                 memory: self.ledger.memory(),
                 free: self.ledger.free(),
@@ -160,9 +164,9 @@
             self.ledger
                 .grant(work.request, work.need, LeaseState::Running);
             entry.phase = RequestPhase::Starting;
-            entry.started = Some(entry.key);
+            entry.started_attempt = Some(entry.key);
             entry.started_at = now;
-            self.started.insert(work.request);
+            self.started_requests.insert(work.request);
             self.actions.push(EndpointAction::Start(entry.key));
             self.schedule_due(work.request);
         }
@@ -170,20 +174,24 @@
 
     fn may_start(&self, now: Timestamp) -> bool {
         let draining = self.draining && self.safeguards.drain_queue;
-        self.engine_up && !draining && self.engine_state_known(now)
+        self.engine_up && !draining && self.is_engine_state_known(now)
     }
 
     /// Whether the engine has reported its allocations, or the time to wait for them is over.
     ///
     /// After a restart of this sidecar, earlier work may still run on the engine. A start before
     /// the first report could run a request twice or exceed the memory.
-    pub(super) fn engine_state_known(&self, now: Timestamp) -> bool {
-        self.ledger.memory() == 0 || self.ledger.allocations_known() || self.allocations_due <= now
+    pub(super) fn is_engine_state_known(&self, now: Timestamp) -> bool {
+        self.ledger.memory() == 0
+            || self.ledger.allocations_known()
+            || self.allocations_due_at <= now
     }
 
     /// Returns the requests that have started and not ended.
     pub(super) fn running(&self) -> impl Iterator<Item = &RequestEntry> {
-        self.started.iter().filter_map(|id| self.requests.get(id))
+        self.started_requests
+            .iter()
+            .filter_map(|id| self.requests.get(id))
     }
 
     /// Returns the maximum number of running requests.
@@ -194,7 +202,7 @@
         self.limits.concurrency
     }
 
-    fn drain(&mut self, now: Timestamp, draining: bool) {
+    fn set_draining(&mut self, now: Timestamp, draining: bool) {
         self.draining = draining;
         self.drained_reported = false;
         if !draining || !self.safeguards.drain_queue {
@@ -221,7 +229,7 @@
 }
 
 /// Predicts when this much memory is free, assuming that each running request ends as predicted.
-fn predict_free<'a>(
+fn predict_free_at<'a>(
     now: Timestamp,
     need: TokenCount,
     running: impl Iterator<Item = &'a RequestEntry>,
--- a/lovagedock/src/endpoint/engine.rs
+++ b/lovagedock/src/endpoint/engine.rs
@@ -14,13 +14,13 @@
 };
 
 impl EndpointCore {
-    pub(super) fn engine_started(&mut self, key: AttemptKey) {
+    pub(super) fn on_engine_started(&mut self, key: AttemptKey) {
         if let Some(entry) = self.started_entry(key) {
             entry.phase = RequestPhase::Running;
         }
     }
 
-    pub(super) fn engine_bytes(&mut self, now: Timestamp, key: AttemptKey, length: u64) {
+    pub(super) fn on_engine_bytes(&mut self, now: Timestamp, key: AttemptKey, length: u64) {
         let Some(entry) = self.started_entry(key) else {
             return;
         };
@@ -36,7 +36,12 @@
         });
     }
 
-    pub(super) fn engine_ended(&mut self, now: Timestamp, key: AttemptKey, result: EngineResult) {
+    pub(super) fn on_engine_ended(
+        &mut self,
+        now: Timestamp,
+        key: AttemptKey,
+        result: EngineResult,
+    ) {
         let Some(entry) = self.started_entry(key) else {
             return self.release_after_late_end(key);
         };
@@ -70,7 +75,7 @@
             EngineResult::Ended { detail } => {
                 let end = connection_lost_end(entry)
                     .with_detail(detail)
-                    .with_engine_ended();
+                    .mark_engine_ended();
                 return self.finish(now, key.request, end, false);
             }
             EngineResult::Cancelled => AnswerEnd::new(ResultCode::EngineFailed)
@@ -89,7 +94,11 @@
         }
     }
 
-    pub(super) fn engine_allocations(&mut self, now: Timestamp, allocations: &[EngineAllocation]) {
+    pub(super) fn on_engine_allocations(
+        &mut self,
+        now: Timestamp,
+        allocations: &[EngineAllocation],
+    ) {
         let grace = self.limits.orphan_grace;
         let lost = self.ledger.reconcile(now, allocations, grace);
         for request in lost {
@@ -120,7 +129,7 @@
         }
     }
 
-    pub(super) fn engine_report(&mut self, now: Timestamp, report: EngineReport) {
+    pub(super) fn on_engine_report(&mut self, now: Timestamp, report: EngineReport) {
         self.speed.set_reported(report.cost);
         self.batch_size = report.batch_size;
         if report.memory_tokens > 0 {
@@ -132,11 +141,11 @@
     pub(super) fn record_engine_up(&mut self, now: Timestamp) {
         if !self.engine_up {
             self.engine_up = true;
-            self.allocations_due = now + self.limits.allocations_wait;
+            self.allocations_due_at = now + self.limits.allocations_wait;
         }
     }
 
-    pub(super) fn engine_down(&mut self, now: Timestamp) {
+    pub(super) fn on_engine_down(&mut self, now: Timestamp) {
         self.engine_up = false;
         self.ledger.orphan_all(now);
         let running = self.running();
@@ -177,7 +186,7 @@
     /// Ends queued requests that need more memory than the engine has, since they would never
     /// start.
     fn refuse_too_large(&mut self, now: Timestamp) {
-        for request in self.queue.too_large(self.ledger.memory()) {
+        for request in self.queue.requests_too_large(self.ledger.memory()) {
             let end = AnswerEnd::new(ResultCode::NoCapacity)
                 .with_detail("the request no longer fits into the memory of this engine");
             self.finish(now, request, end, false);
@@ -215,7 +224,7 @@
     /// that have already ended, never reach a caller.
     fn started_entry(&mut self, key: AttemptKey) -> Option<&mut RequestEntry> {
         let entry = self.requests.get_mut(&key.request)?;
-        (entry.started == Some(key)).then_some(entry)
+        (entry.started_attempt == Some(key)).then_some(entry)
     }
 
     fn learn_speed(&mut self, now: Timestamp, request: RequestId, answer: &EngineAnswer) {
@@ -229,7 +238,7 @@
         if !entry.order.span.is_empty() {
             return;
         }
-        let batch = u32::try_from(self.started.len()).unwrap_or(u32::MAX);
+        let batch = u32::try_from(self.started_requests.len()).unwrap_or(u32::MAX);
         self.speed.observe(RunSample {
             prompt: answer.prompt_tokens,
             cached: answer.cached_tokens,
--- a/lovagedock/src/endpoint/entry.rs
+++ b/lovagedock/src/endpoint/entry.rs
@@ -25,7 +25,7 @@
     /// The newest attempt. Its sink receives the answer.
     pub(crate) key: AttemptKey,
     /// The attempt that was started on the engine.
-    pub(crate) started: Option<AttemptKey>,
+    pub(crate) started_attempt: Option<AttemptKey>,
     /// The submitted request.
     pub(crate) order: WorkOrder,
     /// Current phase.
@@ -39,7 +39,7 @@
     /// Time of the next decision about the request.
     pub(crate) due: Timestamp,
     /// Time since which the answer has no sink.
-    pub(crate) sink_lost: Option<Timestamp>,
+    pub(crate) sink_lost_at: Option<Timestamp>,
     /// Time at which the start was sent to the engine.
     pub(crate) started_at: Timestamp,
     /// Time at which the first bytes of the answer were received.
@@ -59,14 +59,14 @@
     ) -> Self {
         Self {
             key: order.key,
-            started: None,
+            started_attempt: None,
             order,
             phase: RequestPhase::Queued,
             need,
             cost,
             deadline,
             due: deadline,
-            sink_lost: None,
+            sink_lost_at: None,
             started_at: now,
             first_bytes_at: None,
             delivered: 0,
--- a/lovagedock/src/endpoint/expiry.rs
+++ b/lovagedock/src/endpoint/expiry.rs
@@ -44,7 +44,7 @@
             let end = AnswerEnd::new(code).with_retry_after(self.retry_after());
             return self.finish(now, request, end, false);
         }
-        if entry.ends_without_sink() && entry.sink_lost.is_some_and(|at| at + grace <= now) {
+        if entry.ends_without_sink() && entry.sink_lost_at.is_some_and(|at| at + grace <= now) {
             let end = self.abandoned_end(
                 request,
                 "the answer had no receiver until the grace period ended",
@@ -70,7 +70,7 @@
             request,
         });
         let grace = self.limits.resume_grace;
-        let lost = entry.sink_lost.filter(|_| entry.ends_without_sink());
+        let lost = entry.sink_lost_at.filter(|_| entry.ends_without_sink());
         let lost = lost.map(|at| at + grace);
         let times = [Some(entry.deadline), lost, entry.latest_start()];
         entry.due = times.into_iter().flatten().min().unwrap_or(entry.deadline);
@@ -82,8 +82,8 @@
 
     pub(super) fn schedule_wake(&mut self) {
         let request = self.due.first().map(|due| due.at);
-        let waits_for_allocations = self.queue.len() > 0 && !self.engine_state_known(self.now);
-        let allocations = waits_for_allocations.then_some(self.allocations_due);
+        let waits_for_allocations = self.queue.len() > 0 && !self.is_engine_state_known(self.now);
+        let allocations = waits_for_allocations.then_some(self.allocations_due_at);
         let answer = self.answers.next_due();
         let collects = self.engine_up && self.safeguards.orphan_collection;
         let memory = self.ledger.next_due().filter(|_| collects);
--- a/lovagedock/src/endpoint/finish.rs
+++ b/lovagedock/src/endpoint/finish.rs
@@ -34,7 +34,7 @@
         });
         self.queue.remove(request);
         if !entry.is_queued() {
-            self.started.remove(&request);
+            self.started_requests.remove(&request);
             end.length = entry.delivered;
         }
         if engine_done {
--- a/lovagedock/src/endpoint/queue.rs
+++ b/lovagedock/src/endpoint/queue.rs
@@ -88,7 +88,7 @@
         limits: &EndpointLimits,
         reserve: bool,
     ) -> Option<QueuedWork> {
-        let (request, aged) = self.choose(now, capacity, limits, reserve)?;
+        let (request, aged) = self.choose_request(now, capacity, limits, reserve)?;
         let tag = self.slots.get(&request)?.tag;
         let was_head = self.head.is_head(request);
         let work = self.remove(request)?;
@@ -196,7 +196,7 @@
     }
 
     /// Returns the requests that need more than this much memory.
-    pub(crate) fn too_large(&self, memory: TokenCount) -> Vec<RequestId> {
+    pub(crate) fn requests_too_large(&self, memory: TokenCount) -> Vec<RequestId> {
         let slots = self.slots.values();
         let slots = slots.filter(|slot| slot.work.need > memory);
         slots.map(|slot| slot.work.request).collect()
@@ -217,7 +217,7 @@
         self.head.request()
     }
 
-    fn choose(
+    fn choose_request(
         &mut self,
         now: Timestamp,
         capacity: EngineCapacity<'_>,
@@ -225,7 +225,7 @@
         reserve: bool,
     ) -> Option<(RequestId, bool)> {
         if let Some(head) = self.head.request()
-            && self.need(head) <= capacity.free
+            && self.memory_need(head) <= capacity.free
         {
             return Some((head, false));
         }
@@ -249,7 +249,7 @@
 
     /// Returns the requests in the order in which they are tried.
     fn candidates(&self, now: Timestamp, limits: &EndpointLimits) -> Vec<(RequestId, bool)> {
-        let aged = self.aged(now, limits);
+        let aged = self.aged_request(now, limits);
         let by_tier = self.tiers.iter().rev().flat_map(|tier| tier.by_tag.iter());
         let by_tier = by_tier.map(|entry| (entry.request, false));
         let aged = aged.map(|request| (request, true));
@@ -260,7 +260,7 @@
     /// alone, a steady stream of short interactive requests would starve a long batch prompt until
     /// its deadline. Only one of `aged_interval` starts goes to the oldest request, so that the
     /// tiers do not collapse into a single queue under overload.
-    fn aged(&self, now: Timestamp, limits: &EndpointLimits) -> Option<RequestId> {
+    fn aged_request(&self, now: Timestamp, limits: &EndpointLimits) -> Option<RequestId> {
         if limits.aged_interval == 0 || self.starts_since_aged + 1 < limits.aged_interval {
             return None;
         }
@@ -269,7 +269,7 @@
         (slot.queued_at + limits.ageing <= now).then_some(*request)
     }
 
-    fn need(&self, request: RequestId) -> TokenCount {
+    fn memory_need(&self, request: RequestId) -> TokenCount {
         self.slots.get(&request).map_or(0, |slot| slot.work.need)
     }
 }
--- a/lovagedock/src/endpoint/reserve.rs
+++ b/lovagedock/src/endpoint/reserve.rs
@@ -55,7 +55,7 @@
             || self.ledger.lease(key.request).is_some()
             || self.ledger.is_orphan(key.request)
             || self.tombstone_refusal(key).is_some();
-        let serving = self.engine_up && !self.draining && self.engine_state_known(now);
+        let serving = self.engine_up && !self.draining && self.is_engine_state_known(now);
         let fits = tokens <= self.ledger.free();
         let percent = TokenCount::from(self.limits.span_share_percent);
         let share = self.ledger.memory() * percent / 100;
--- a/lovagedock/src/endpoint/snapshot.rs
+++ b/lovagedock/src/endpoint/snapshot.rs
@@ -107,7 +107,7 @@
             reserved_tokens: self.ledger.reserved(),
             queued: self.queue.len(),
             queued_tokens: self.queue.tokens(),
-            running: self.started.len(),
+            running: self.started_requests.len(),
             prefill_tokens_left: prefilling.map(|entry| entry.order.prompt_tokens).sum(),
             answers_kept: self.answers.len(),
             tombstones: self.revoked.len() + self.refused.len(),
@@ -205,6 +205,6 @@
         need_tokens: entry.need,
         delivered: entry.delivered,
         deadline_ms: entry.deadline.as_millis(),
-        sink_lost: entry.sink_lost.is_some(),
+        sink_lost: entry.sink_lost_at.is_some(),
     }
 }
--- a/lovagedock/src/endpoint/speed.rs
+++ b/lovagedock/src/endpoint/speed.rs
@@ -92,7 +92,7 @@
                 first_token: sample.prefill,
                 batch: sample.batch,
             });
-            if let Some(interval) = interval(sample) {
+            if let Some(interval) = decode_interval(sample) {
                 self.model.observe_decode(sample.batch, interval);
             }
         }
@@ -137,7 +137,7 @@
     }
 }
 
-fn interval(sample: RunSample) -> Option<Duration> {
+fn decode_interval(sample: RunSample) -> Option<Duration> {
     let gaps = u32::try_from(sample.answer_tokens.checked_sub(1)?).ok()?;
     sample.decode.checked_div(gaps)
 }
--- a/lovagedock/src/endpoint/submit.rs
+++ b/lovagedock/src/endpoint/submit.rs
@@ -62,9 +62,9 @@
                 return true;
             }
             entry.key = key;
-            entry.sink_lost = None;
+            entry.sink_lost_at = None;
             self.schedule_due(key.request);
-            self.attach(key, 0, None);
+            self.accept_attached(key, 0, None);
             return true;
         }
         let Some(answer) = self.answers.get(key.request) else {
@@ -77,11 +77,11 @@
         }
         let end = answer.end.clone();
         self.answers.attach(key);
-        self.attach(key, 0, Some(end));
+        self.accept_attached(key, 0, Some(end));
         true
     }
 
-    fn attach(&mut self, key: AttemptKey, offset: u64, end: Option<AnswerEnd>) {
+    fn accept_attached(&mut self, key: AttemptKey, offset: u64, end: Option<AnswerEnd>) {
         self.actions.push(EndpointAction::Accept(key));
         self.actions
             .push(EndpointAction::ResumeFrom { key, offset, end });
@@ -144,7 +144,7 @@
                 no_capacity.with_detail("an earlier attempt of the request still holds memory");
             return Some(end.with_retry_after(self.limits.cancel_retry));
         }
-        let too_large = self.need(order) > self.ledger.memory();
+        let too_large = self.memory_need(order) > self.ledger.memory();
         too_large.then(|| {
             no_capacity.with_detail("the request does not fit into the memory of this engine")
         })
@@ -154,7 +154,7 @@
     /// while running, and would take capacity from requests that can still finish. Since it is
     /// refused immediately as not run, it can still be sent to another endpoint in time.
     fn time_error(&self, now: Timestamp, order: &WorkOrder) -> Option<AnswerEnd> {
-        let cost = self.cost(order);
+        let cost = self.predicted_cost(order);
         let wait = self.predicted_wait(now, order);
         if cost.total().is_zero() || wait + cost.total() <= order.remaining {
             return None;
@@ -171,7 +171,7 @@
 
     /// Predicts the time until a new request would start.
     fn predicted_wait(&self, now: Timestamp, order: &WorkOrder) -> Duration {
-        if self.queue.len() == 0 && self.started.len() < self.concurrency() {
+        if self.queue.len() == 0 && self.started_requests.len() < self.concurrency() {
             return Duration::ZERO;
         }
         let ahead = self.queue.ahead_of(order.tier, &order.organisation);
@@ -190,8 +190,8 @@
             self.record_refusal(now, key, &end);
             return self.refuse(key, end);
         }
-        let need = self.need(&order);
-        let cost = self.cost(&order);
+        let need = self.memory_need(&order);
+        let cost = self.predicted_cost(&order);
         let deadline = now + order.remaining;
         if !order.span.is_empty() {
             // From now on the lease lasts as long as the request.
@@ -225,7 +225,7 @@
     }
 
     /// Returns the memory that must be free for a request. A span has already reserved its memory.
-    fn need(&self, order: &WorkOrder) -> TokenCount {
+    fn memory_need(&self, order: &WorkOrder) -> TokenCount {
         if self.ledger.memory() == 0 || !order.span.is_empty() {
             return 0;
         }
@@ -233,7 +233,7 @@
     }
 
     /// Returns the predicted run time of a request. For a span this is the time of the answer only.
-    fn cost(&self, order: &WorkOrder) -> RunCost {
+    fn predicted_cost(&self, order: &WorkOrder) -> RunCost {
         // The engines of a span, including this one, have prefilled the prompt before the submit.
         // If the prefill were counted again, a span would be refused as late although only its
         // answer remains.
--- a/lovagedock/src/lease/holder.rs
+++ b/lovagedock/src/lease/holder.rs
@@ -145,7 +145,7 @@
             false => now,
         };
         let margin = self.limits.clock_margin_percent.min(90);
-        let expires_at = from + percent(self.limits.duration, 100 - margin);
+        let expires_at = from + percent_of(self.limits.duration, 100 - margin);
         let epoch = sent.epoch;
         if expires_at <= now || !self.wanted {
             return;
@@ -154,7 +154,7 @@
         self.held = Some(HeldLease {
             epoch,
             expires_at,
-            renew_at: from + percent(self.limits.duration, self.limits.renew_percent),
+            renew_at: from + percent_of(self.limits.duration, self.limits.renew_percent),
         });
         actions.push(match renewed {
             true => LeaseAction::Renewed { epoch, expires_at },
@@ -173,17 +173,17 @@
     pub(super) fn expiry_of(&self, known: &KnownRecord, record: &LeaseRecord) -> Timestamp {
         let is_free = record.holder.is_none_or(|holder| holder == self.owner);
         if !self.safeguards.wait_for_lease_expiry || is_free {
-            return known.first_seen;
+            return known.first_seen_at;
         }
         let margin = self.limits.clock_margin_percent;
-        known.first_seen + percent(record.duration(), 100 + margin)
+        known.first_seen_at + percent_of(record.duration(), 100 + margin)
     }
 
     fn schedule_wake(&mut self, now: Timestamp, actions: &mut Vec<LeaseAction>) {
         let held = self.held.as_ref();
         let expires_at = held.map(|held| held.expires_at);
         let idle = matches!(self.call, LeaseCall::Idle) && self.wanted;
-        let next = self.next_call(now).filter(|_| idle);
+        let next = self.next_call_at(now).filter(|_| idle);
         let wake_at = expires_at.into_iter().chain(next).min();
         if wake_at != self.wake_at {
             self.wake_at = wake_at;
@@ -198,6 +198,6 @@
     }
 }
 
-pub(super) fn percent(duration: Duration, percent: u32) -> Duration {
+pub(super) fn percent_of(duration: Duration, percent: u32) -> Duration {
     duration * percent / 100
 }
--- a/lovagedock/src/lease/store.rs
+++ b/lovagedock/src/lease/store.rs
@@ -30,20 +30,20 @@
     pub(super) version: Option<ObjectVersion>,
     pub(super) record: Option<LeaseRecord>,
     /// When this process first saw this version.
-    pub(super) first_seen: Timestamp,
+    pub(super) first_seen_at: Timestamp,
     /// When this version was last confirmed by a read or write.
-    pub(super) checked: Timestamp,
+    pub(super) confirmed_at: Timestamp,
 }
 
 impl LeaseHolder {
     /// Returns when the next call is due.
-    pub(super) fn next_call(&self, now: Timestamp) -> Option<Timestamp> {
+    pub(super) fn next_call_at(&self, now: Timestamp) -> Option<Timestamp> {
         let Some(known) = self.known.as_ref().filter(|_| !self.stale) else {
             return Some(self.retry_at.max(now));
         };
         let due = match (&self.held, &known.record) {
             (Some(held), _) => held.renew_at,
-            (None, None) => known.first_seen,
+            (None, None) => known.first_seen_at,
             (None, Some(record)) => self.expiry_of(known, record),
         };
         Some(due.max(self.retry_at))
@@ -51,11 +51,11 @@
 
     pub(super) fn drive(&mut self, now: Timestamp, actions: &mut Vec<LeaseAction>) {
         let idle = matches!(self.call, LeaseCall::Idle);
-        if !idle || !self.wanted || self.next_call(now).is_none_or(|at| at > now) {
+        if !idle || !self.wanted || self.next_call_at(now).is_none_or(|at| at > now) {
             return;
         }
         let known = self.known.as_ref().filter(|_| !self.stale);
-        let Some(known) = known.filter(|known| self.is_checked(known)) else {
+        let Some(known) = known.filter(|known| self.is_expiry_checked(known)) else {
             self.call = LeaseCall::Reading;
             let object = self.object.clone();
             actions.push(LeaseAction::Read { object });
@@ -68,11 +68,11 @@
 
     /// Whether a read after the expiry of another holder's lease has shown that it was not renewed.
     /// Such a read is cheaper than a refused write.
-    fn is_checked(&self, known: &KnownRecord) -> bool {
+    fn is_expiry_checked(&self, known: &KnownRecord) -> bool {
         let Some(record) = known.record.as_ref().filter(|_| self.held.is_none()) else {
             return true;
         };
-        known.checked >= self.expiry_of(known, record)
+        known.confirmed_at >= self.expiry_of(known, record)
     }
 
     pub(super) fn write(
@@ -124,7 +124,7 @@
         }
         self.call = LeaseCall::Idle;
         match outcome {
-            WriteOutcome::Applied(version) => self.on_applied(now, sent, version, actions),
+            WriteOutcome::Applied(version) => self.on_write_applied(now, sent, version, actions),
             // Another process wrote, or an earlier write of this process took effect late.
             WriteOutcome::Conflict => self.stale = true,
             WriteOutcome::Unknown => {
@@ -138,7 +138,7 @@
         }
     }
 
-    fn on_applied(
+    fn on_write_applied(
         &mut self,
         now: Timestamp,
         sent: SentWrite,
@@ -154,8 +154,8 @@
                 duration_ms: self.limits.duration.as_millis() as u64,
                 nonce: sent.nonce,
             }),
-            first_seen: now,
-            checked: now,
+            first_seen_at: now,
+            confirmed_at: now,
         });
         if sent.holder.is_some() {
             self.hold_lease(now, sent, actions);
@@ -176,9 +176,9 @@
             ReadOutcome::Unavailable | ReadOutcome::RateLimited => {
                 self.retry_at = now + self.jitter(self.limits.retry);
             }
-            ReadOutcome::Absent => self.install(now, None, None, actions),
+            ReadOutcome::Absent => self.install_record(now, None, None, actions),
             ReadOutcome::Found { version, bytes } => match LeaseRecord::decode(&bytes) {
-                Some(record) => self.install(now, Some(version), Some(record), actions),
+                Some(record) => self.install_record(now, Some(version), Some(record), actions),
                 None => {
                     // The epoch is unknown, so a successor cannot choose a higher one.
                     self.damaged = true;
@@ -188,7 +188,7 @@
         }
     }
 
-    fn install(
+    fn install_record(
         &mut self,
         now: Timestamp,
         version: Option<ObjectVersion>,
@@ -198,7 +198,7 @@
         self.stale = false;
         self.damaged = false;
         let known = self.known.as_ref().filter(|known| known.version == version);
-        let first_seen = known.map_or(now, |known| known.first_seen);
+        let first_seen_at = known.map_or(now, |known| known.first_seen_at);
         let is_unchanged = known.is_some();
         let nonce = record.as_ref().map(|record| record.nonce);
         let is_own = record
@@ -207,8 +207,8 @@
         self.known = Some(KnownRecord {
             version,
             record,
-            first_seen,
-            checked: now,
+            first_seen_at,
+            confirmed_at: now,
         });
         if is_unchanged {
             return;
--- a/lovagedock/src/limits/limiter.rs
+++ b/lovagedock/src/limits/limiter.rs
@@ -82,7 +82,7 @@
         organisation: &OrganisationId,
         tokens: TokenCount,
     ) -> LimitDecision {
-        self.peers.advance(now);
+        self.peers.advance_stage(now);
         let shares = self.shares(organisation);
         let Some(usage) = self.organisations.get_mut(organisation) else {
             return LimitDecision::Admitted;
@@ -100,22 +100,23 @@
 
     /// Handles an event and returns the resulting actions.
     pub fn handle(&mut self, now: Timestamp, event: LimitEvent) -> Vec<LimitAction> {
-        self.peers.advance(now);
+        self.peers.advance_stage(now);
         let actions = match event {
             LimitEvent::PeerConnected { peer, incarnation } => {
                 self.peers.connect(&peer, incarnation);
                 Vec::new()
             }
-            LimitEvent::ReportReceived { peer, report } => self.receive(now, peer, &report),
+            LimitEvent::ReportReceived { peer, report } => self.receive_report(now, peer, &report),
             LimitEvent::AckReceived { peer, ack } => {
                 if ack.sequence <= self.sequence {
-                    self.peers.confirm(&peer, ack.sequence, ack.stage);
+                    self.peers
+                        .record_confirmation(&peer, ack.sequence, ack.stage);
                 }
                 Vec::new()
             }
-            LimitEvent::Tick => self.exchange(now),
+            LimitEvent::Tick => self.report_usage(now),
         };
-        self.peers.advance(now);
+        self.peers.advance_stage(now);
         self.apply_all_shares(now);
         actions
     }
@@ -127,7 +128,7 @@
 
     /// Returns this gateway's current share of a limit, `0.0..=1.0`.
     pub fn share(&mut self, now: Timestamp, organisation: &OrganisationId, kind: LimitKind) -> f64 {
-        self.peers.advance(now);
+        self.peers.advance_stage(now);
         let shares = self.shares(organisation);
         match kind {
             LimitKind::Requests => shares.requests,
@@ -143,17 +144,17 @@
             .map_or(0, |usage| usage.in_flight)
     }
 
-    fn receive(
+    fn receive_report(
         &mut self,
         now: Timestamp,
         peer: GatewayId,
         report: &UsageReport,
     ) -> Vec<LimitAction> {
-        if !self.peers.receive(now, &peer, report) || !self.peers.may_send() {
+        if !self.peers.store_report(now, &peer, report) || !self.peers.may_send() {
             return Vec::new();
         }
         // This gateway's shares must shrink before the confirmation allows the peer's to grow.
-        self.peers.advance(now);
+        self.peers.advance_stage(now);
         self.apply_all_shares(now);
         let ack = UsageAck {
             sequence: report.sequence,
@@ -162,7 +163,7 @@
         vec![LimitAction::Acknowledge { peer, ack }]
     }
 
-    fn exchange(&mut self, now: Timestamp) -> Vec<LimitAction> {
+    fn report_usage(&mut self, now: Timestamp) -> Vec<LimitAction> {
         self.sequence += 1;
         for usage in self.organisations.values_mut() {
             usage.close_exchange(self.sequence);
--- a/lovagedock/src/limits/peers.rs
+++ b/lovagedock/src/limits/peers.rs
@@ -143,7 +143,7 @@
     }
 
     /// Stores a report. Returns whether it is new, applicable and from a known peer.
-    pub(super) fn receive(
+    pub(super) fn store_report(
         &mut self,
         now: Timestamp,
         peer: &GatewayId,
@@ -172,7 +172,12 @@
         true
     }
 
-    pub(super) fn confirm(&mut self, peer: &GatewayId, sequence: u64, stage: ShareStage) {
+    pub(super) fn record_confirmation(
+        &mut self,
+        peer: &GatewayId,
+        sequence: u64,
+        stage: ShareStage,
+    ) {
         let sent_at = self.sent_at.get(&sequence).copied();
         let Some(state) = self.peers.get_mut(peer) else {
             return;
@@ -188,7 +193,7 @@
     }
 
     /// Switches to the stage that is safe now. Must be called before any share is used.
-    pub(super) fn advance(&mut self, now: Timestamp) {
+    pub(super) fn advance_stage(&mut self, now: Timestamp) {
         let next = match self.stage {
             ShareStage::ByDemand if !self.all_leases_valid(now) => ShareStage::Minimum,
             ShareStage::Minimum if self.all_leases_valid(now) => ShareStage::ByDemand,
--- a/lovagedock/src/orders/endpoint.rs
+++ b/lovagedock/src/orders/endpoint.rs
@@ -91,11 +91,11 @@
             self.failures = 0;
             return;
         }
-        self.retry_at = now + self.pause(limits);
+        self.retry_at = now + self.retry_pause(limits);
         self.failures += 1;
     }
 
-    fn pause(&self, limits: &OrderLimits) -> std::time::Duration {
+    fn retry_pause(&self, limits: &OrderLimits) -> std::time::Duration {
         let doubled = 1 << self.failures.min(MAX_RETRY_DOUBLINGS);
         (limits.retry * doubled).min(limits.max_retry)
     }
--- a/lovagedock/src/orders/planner.rs
+++ b/lovagedock/src/orders/planner.rs
@@ -74,12 +74,12 @@
     pub fn status(&self) -> Option<OrderStatus> {
         let wanted = self.wanted.clone()?;
         let endpoints = self.endpoints.values();
-        let met = endpoints.filter(|endpoint| self.missing(endpoint).is_none());
+        let met = endpoints.filter(|endpoint| self.next_load_order(endpoint).is_none());
         let met = met.filter(|endpoint| endpoint.loaded.is_some()).count();
         let failed = self.endpoints.iter().filter(|(_, it)| self.has_failed(it));
         Some(OrderStatus {
             met,
-            loading: self.loading(),
+            loading: self.loading_count(),
             failed: failed.map(|(id, _)| id.clone()).collect(),
             wanted,
         })
@@ -149,7 +149,7 @@
                 continue;
             }
             let needs_poll = endpoint.loaded.is_none() || now >= endpoint.poll_at;
-            let order = self.missing(endpoint).filter(|_| !needs_poll);
+            let order = self.next_load_order(endpoint).filter(|_| !needs_poll);
             let may_load = order
                 .as_ref()
                 .is_some_and(|order| self.within_limits(&name, order));
@@ -180,18 +180,18 @@
         });
     }
 
-    fn missing(&self, endpoint: &PoolEndpoint) -> Option<LoadOrder> {
+    fn next_load_order(&self, endpoint: &PoolEndpoint) -> Option<LoadOrder> {
         let loaded = endpoint.loaded.as_ref()?;
         self.wanted.as_ref()?.first_missing(loaded)
     }
 
-    fn loading(&self) -> usize {
+    fn loading_count(&self) -> usize {
         let endpoints = self.endpoints.values();
         endpoints.filter(|endpoint| endpoint.is_loading()).count()
     }
 
     fn has_failed(&self, endpoint: &PoolEndpoint) -> bool {
-        let is_met = endpoint.loaded.is_some() && self.missing(endpoint).is_none();
+        let is_met = endpoint.loaded.is_some() && self.next_load_order(endpoint).is_none();
         endpoint.model_failed && !is_met
     }
 
@@ -207,7 +207,7 @@
     /// would take down the whole pool. A failed engine counts as out of service until it has loaded
     /// its model, so a bad version does not spread to further engines.
     fn within_limits(&self, name: &EndpointId, order: &LoadOrder) -> bool {
-        if self.endpoints[name].busy || self.loading() >= self.limits.max_loads {
+        if self.endpoints[name].busy || self.loading_count() >= self.limits.max_loads {
             return false;
         }
         if !order.replaces_model() {
--- a/lovagedock/src/outcome.rs
+++ b/lovagedock/src/outcome.rs
@@ -82,7 +82,7 @@
     }
 
     /// Records that the engine's process ended while it had the request.
-    pub fn with_engine_ended(mut self) -> Self {
+    pub fn mark_engine_ended(mut self) -> Self {
         self.engine_ended = true;
         self
     }
--- a/lovagedock/src/outlier.rs
+++ b/lovagedock/src/outlier.rs
@@ -148,10 +148,10 @@
                 self.endpoints.remove(&id);
                 Vec::new()
             }
-            OutlierEvent::Succeeded(id) => self.succeeded(now, id),
-            OutlierEvent::Failed(id) => self.failed(now, id, false),
-            OutlierEvent::WentSilent(id) => self.failed(now, id, true),
-            OutlierEvent::ProbeSent(id) => self.probe_sent(now, id),
+            OutlierEvent::Succeeded(id) => self.on_success(now, id),
+            OutlierEvent::Failed(id) => self.on_failure(now, id, false),
+            OutlierEvent::WentSilent(id) => self.on_failure(now, id, true),
+            OutlierEvent::ProbeSent(id) => self.on_probe_sent(now, id),
             OutlierEvent::Tick => self.tick(now),
         }
     }
@@ -172,7 +172,7 @@
         share.max(1).min(total.saturating_sub(1))
     }
 
-    fn succeeded(&mut self, now: Timestamp, id: EndpointId) -> Vec<OutlierAction> {
+    fn on_success(&mut self, now: Timestamp, id: EndpointId) -> Vec<OutlierAction> {
         let reset_after = self.settings.reset_after;
         let Some(record) = self.endpoints.get_mut(&id) else {
             return Vec::new();
@@ -182,7 +182,7 @@
             OutlierState::Probing { .. } => {
                 record.state = OutlierState::Probation;
                 record.failed_at = now;
-                vec![action(id, false, OutlierCause::Readmitted)]
+                vec![ejection_action(id, false, OutlierCause::Readmitted)]
             }
             OutlierState::Admitted | OutlierState::Probation => {
                 if now.saturating_sub(record.failed_at) >= reset_after {
@@ -197,7 +197,7 @@
         }
     }
 
-    fn failed(&mut self, now: Timestamp, id: EndpointId, silent: bool) -> Vec<OutlierAction> {
+    fn on_failure(&mut self, now: Timestamp, id: EndpointId, silent: bool) -> Vec<OutlierAction> {
         let threshold = self.settings.consecutive_failures;
         let below_limit = self.ejected_count() < self.ejection_limit();
         let Some(record) = self.endpoints.get_mut(&id) else {
@@ -217,10 +217,10 @@
             OutlierState::Admitted => return Vec::new(),
         };
         record.eject(now, &self.settings);
-        vec![action(id, true, cause)]
+        vec![ejection_action(id, true, cause)]
     }
 
-    fn probe_sent(&mut self, now: Timestamp, id: EndpointId) -> Vec<OutlierAction> {
+    fn on_probe_sent(&mut self, now: Timestamp, id: EndpointId) -> Vec<OutlierAction> {
         let until = now + self.settings.probe_timeout;
         let Some(record) = self.endpoints.get_mut(&id) else {
             return Vec::new();
@@ -229,7 +229,7 @@
             return Vec::new();
         }
         record.state = OutlierState::Probing { until };
-        vec![action(id, true, OutlierCause::ProbeSent)]
+        vec![ejection_action(id, true, OutlierCause::ProbeSent)]
     }
 
     fn tick(&mut self, now: Timestamp) -> Vec<OutlierAction> {
@@ -238,11 +238,15 @@
             match record.state {
                 OutlierState::Ejected { until } if until <= now => {
                     record.state = OutlierState::AwaitingProbe;
-                    actions.push(action(id.clone(), false, OutlierCause::ProbeAllowed));
+                    actions.push(ejection_action(
+                        id.clone(),
+                        false,
+                        OutlierCause::ProbeAllowed,
+                    ));
                 }
                 OutlierState::Probing { until } if until <= now => {
                     record.eject(now, &self.settings);
-                    actions.push(action(id.clone(), true, OutlierCause::ProbeFailed));
+                    actions.push(ejection_action(id.clone(), true, OutlierCause::ProbeFailed));
                 }
                 _ => {}
             }
@@ -263,7 +267,7 @@
     }
 }
 
-fn action(endpoint: EndpointId, ejected: bool, cause: OutlierCause) -> OutlierAction {
+fn ejection_action(endpoint: EndpointId, ejected: bool, cause: OutlierCause) -> OutlierAction {
     OutlierAction {
         endpoint,
         ejected,
--- a/lovagedock/src/placement/baseline.rs
+++ b/lovagedock/src/placement/baseline.rs
@@ -84,7 +84,7 @@
         pool: &PoolView<'_>,
         rng: &mut dyn Rng,
     ) -> PlacementChoice {
-        let mut candidates = indices(pool, |view| eligible(request, view));
+        let mut candidates = matching_indices(pool, |view| eligible(request, view));
         if candidates.is_empty() {
             return refusal(PlacementReason::NoEndpoint);
         }
@@ -115,7 +115,8 @@
         pool: &PoolView<'_>,
         rng: &mut dyn Rng,
     ) -> PlacementChoice {
-        let candidates = indices(pool, |view| eligible(request, view) && fits(request, view));
+        let candidates =
+            matching_indices(pool, |view| eligible(request, view) && fits(request, view));
         if candidates.is_empty() {
             return self.place_span(now, request, pool, rng);
         }
@@ -136,7 +137,7 @@
     }
 }
 
-fn indices(pool: &PoolView<'_>, keep: impl Fn(&EndpointView) -> bool) -> Vec<usize> {
+fn matching_indices(pool: &PoolView<'_>, keep: impl Fn(&EndpointView) -> bool) -> Vec<usize> {
     let views = pool.endpoints.iter().enumerate();
     views
         .filter(|(_, view)| keep(view))
@@ -152,7 +153,7 @@
     }
 }
 
-fn build(order: BaselineOrder) -> Box<dyn PlacementPolicy> {
+fn build_policy(order: BaselineOrder) -> Box<dyn PlacementPolicy> {
     Box::new(BaselinePolicy::new(order))
 }
 
@@ -162,7 +163,7 @@
     PolicyPlugin {
         name: "random",
         summary: "any endpoint that takes work",
-        build: |_: &PlacementSpec| build(BaselineOrder::Random),
+        build: |_: &PlacementSpec| build_policy(BaselineOrder::Random),
     }
 }
 
@@ -170,7 +171,7 @@
     PolicyPlugin {
         name: "round-robin",
         summary: "each endpoint in turn",
-        build: |_: &PlacementSpec| build(BaselineOrder::RoundRobin),
+        build: |_: &PlacementSpec| build_policy(BaselineOrder::RoundRobin),
     }
 }
 
@@ -178,7 +179,7 @@
     PolicyPlugin {
         name: "least-outstanding",
         summary: "the endpoint with the fewest requests",
-        build: |_: &PlacementSpec| build(BaselineOrder::LeastOutstanding),
+        build: |_: &PlacementSpec| build_policy(BaselineOrder::LeastOutstanding),
     }
 }
 
@@ -186,6 +187,6 @@
     PolicyPlugin {
         name: "two-choices",
         summary: "of two random endpoints the one with fewer requests",
-        build: |_: &PlacementSpec| build(BaselineOrder::TwoChoices),
+        build: |_: &PlacementSpec| build_policy(BaselineOrder::TwoChoices),
     }
 }
--- a/lovagedock/src/placement/length_aware.rs
+++ b/lovagedock/src/placement/length_aware.rs
@@ -49,7 +49,7 @@
         }
     }
 
-    fn scan(
+    fn shortlist_endpoints(
         &self,
         now: Timestamp,
         request: &PlacementRequest<'_>,
@@ -71,7 +71,7 @@
         shortlist
     }
 
-    fn place_one(
+    fn place_on_one(
         &mut self,
         now: Timestamp,
         request: &PlacementRequest<'_>,
@@ -161,15 +161,15 @@
     ) -> PlacementChoice {
         self.layout.refresh(pool);
         let long = self.class(request) == LengthClass::Long;
-        let mut shortlist = self.scan(now, request, pool, long);
+        let mut shortlist = self.shortlist_endpoints(now, request, pool, long);
         if long && shortlist.is_empty() {
             // All endpoints of the long share are excluded or too small, so use any endpoint.
-            shortlist = self.scan(now, request, pool, false);
+            shortlist = self.shortlist_endpoints(now, request, pool, false);
         }
         if shortlist.is_empty() {
             return self.place_span(now, request, pool);
         }
-        self.place_one(now, request, pool, &shortlist, rng)
+        self.place_on_one(now, request, pool, &shortlist, rng)
     }
 }
 
--- a/lovagedock/src/request/answer.rs
+++ b/lovagedock/src/request/answer.rs
@@ -71,7 +71,7 @@
             ChunkPosition::Fits { skip: 0 }
         };
         match position {
-            ChunkPosition::Fits { skip } => self.deliver(number, offset, length, skip),
+            ChunkPosition::Fits { skip } => self.deliver_chunk(number, offset, length, skip),
             ChunkPosition::Repeated => {}
             ChunkPosition::Gap => self.repair_gap(now),
         }
@@ -82,12 +82,12 @@
             return;
         }
         if end.code != ResultCode::Complete {
-            self.attempt_failed(now, end);
+            self.on_attempt_failed(now, end);
             return;
         }
         self.mark_started();
         if !self.safeguards.check_end {
-            self.complete(end);
+            self.complete_answer(end);
             return;
         }
         let missing = !self.answer.head_seen || end.length > self.answer.delivered;
@@ -103,7 +103,7 @@
                 self.phase = RequestPhase::Checking { end };
                 self.actions.push(RequestAction::CheckDigest { expected });
             }
-            _ => self.attempt_failed(now, damaged()),
+            _ => self.on_attempt_failed(now, damaged_end()),
         }
     }
 
@@ -113,9 +113,9 @@
         };
         let end = end.clone();
         if matches {
-            self.complete(end);
+            self.complete_answer(end);
         } else {
-            self.attempt_failed(now, damaged());
+            self.on_attempt_failed(now, damaged_end());
         }
     }
 
@@ -134,7 +134,7 @@
         open && (number == self.attempts || !self.safeguards.drop_old_attempts)
     }
 
-    fn deliver(&mut self, attempt: AttemptNumber, offset: u64, length: u64, skip: u64) {
+    fn deliver_chunk(&mut self, attempt: AttemptNumber, offset: u64, length: u64, skip: u64) {
         self.deliver_head(attempt);
         self.answer.delivered += length - skip;
         self.actions.push(RequestAction::Deliver {
@@ -151,7 +151,7 @@
         }
     }
 
-    fn complete(&mut self, end: AnswerEnd) {
+    fn complete_answer(&mut self, end: AnswerEnd) {
         self.deliver_head(self.attempts);
         self.conclude(end);
     }
@@ -163,6 +163,6 @@
     }
 }
 
-fn damaged() -> AnswerEnd {
+fn damaged_end() -> AnswerEnd {
     AnswerEnd::new(ResultCode::AnswerDamaged).with_ran(RanState::Yes)
 }
--- a/lovagedock/src/request/attempt.rs
+++ b/lovagedock/src/request/attempt.rs
@@ -59,7 +59,11 @@
         RanState::No
     }
 
-    pub(super) fn is_on(&self, endpoint: &EndpointId, incarnation: Incarnation) -> bool {
+    pub(super) fn is_on_incarnation(
+        &self,
+        endpoint: &EndpointId,
+        incarnation: Incarnation,
+    ) -> bool {
         self.endpoint == *endpoint && self.incarnation == incarnation
     }
 }
--- a/lovagedock/src/request/finish.rs
+++ b/lovagedock/src/request/finish.rs
@@ -29,7 +29,7 @@
             RequestPhase::Submitting | RequestPhase::Revoking { .. }
         );
         if waiting && number == self.attempts {
-            self.attempt_failed(now, end);
+            self.on_attempt_failed(now, end);
         }
     }
 
@@ -38,7 +38,7 @@
             return;
         }
         match self.phase {
-            RequestPhase::Spanning => self.attempt_failed(now, end),
+            RequestPhase::Spanning => self.on_attempt_failed(now, end),
             RequestPhase::Submitting | RequestPhase::Attached | RequestPhase::Resuming { .. } => {
                 self.resolve_attempt(now);
             }
@@ -48,7 +48,7 @@
 
     /// Handles the end of the current attempt without an answer. Retries if that is safe and there
     /// is enough time left.
-    pub(super) fn attempt_failed(&mut self, now: Timestamp, end: AnswerEnd) {
+    pub(super) fn on_attempt_failed(&mut self, now: Timestamp, end: AnswerEnd) {
         // A frame or a verdict that shows a start takes precedence over a later "not run".
         let started = self.attempt.as_ref().is_some_and(|attempt| attempt.started);
         let prefilling = matches!(self.phase, RequestPhase::Spanning);
@@ -74,7 +74,7 @@
             return;
         }
         self.abandon_attempt_unless(end.ran == RanState::No || is_released_by_sidecar(&end));
-        self.exclude(&end);
+        self.exclude_failed_endpoint(&end);
         self.earlier_ran = merge_ran_states(self.earlier_ran, end.ran);
         if end.ran != RanState::No {
             self.earlier_failure = Some(end.clone());
@@ -116,7 +116,7 @@
         (endpoint_failed || end.code.is_retryable_elsewhere()) && repeatable && !span_gave_up
     }
 
-    fn exclude(&mut self, end: &AnswerEnd) {
+    fn exclude_failed_endpoint(&mut self, end: &AnswerEnd) {
         // A restarted sidecar may get the next attempt. If a span failed before its submit, the
         // placement excludes the failed engine itself, because it sees the lost session.
         let restarted = end.code == ResultCode::StaleIncarnation;
@@ -156,7 +156,7 @@
     }
 
     /// Handles the deadline: the caller gets the final result at once.
-    pub(super) fn expire(&mut self) {
+    pub(super) fn expire_request(&mut self) {
         let code = match self.ran_so_far() {
             RanState::No if self.stopping => ResultCode::GatewayStopping,
             RanState::No => ResultCode::ExpiredWaiting,
--- a/lovagedock/src/request/machine.rs
+++ b/lovagedock/src/request/machine.rs
@@ -84,7 +84,7 @@
             self.dispatch(now, event);
         }
         if !self.is_finished() && now >= self.deadline {
-            self.expire();
+            self.expire_request();
         }
         self.take_actions()
     }
--- a/lovagedock/src/request/recovery.rs
+++ b/lovagedock/src/request/recovery.rs
@@ -17,7 +17,7 @@
         let Some(attempt) = self
             .attempt
             .as_ref()
-            .filter(|attempt| attempt.is_on(endpoint, incarnation))
+            .filter(|attempt| attempt.is_on_incarnation(endpoint, incarnation))
         else {
             return;
         };
@@ -92,7 +92,7 @@
             return;
         }
         if self.attempt.as_ref().is_some_and(|attempt| attempt.ended) {
-            self.attempt_failed(
+            self.on_attempt_failed(
                 now,
                 AnswerEnd::new(ResultCode::AnswerLost).with_ran(RanState::Yes),
             );
@@ -135,7 +135,7 @@
         if self.consume_repair() {
             self.resume(now);
         } else {
-            self.attempt_failed(now, AnswerEnd::new(ResultCode::AnswerDamaged));
+            self.on_attempt_failed(now, AnswerEnd::new(ResultCode::AnswerDamaged));
         }
     }
 
@@ -185,7 +185,7 @@
         attempt.ended |= verdict == RevokeVerdict::Ended;
         attempt.incarnation_ended |= verdict == RevokeVerdict::OtherIncarnation;
         if self.caller_gone && verdict == RevokeVerdict::Revoked {
-            self.attempt_failed(
+            self.on_attempt_failed(
                 now,
                 AnswerEnd::new(ResultCode::CallerGone).with_ran(RanState::No),
             );
@@ -195,7 +195,7 @@
             return;
         }
         match verdict {
-            RevokeVerdict::Revoked => self.attempt_failed(now, revoked()),
+            RevokeVerdict::Revoked => self.on_attempt_failed(now, revoked_end()),
             RevokeVerdict::Running | RevokeVerdict::Ended => self.resume(now),
             RevokeVerdict::OtherIncarnation => self.fail_endpoint_lost(now),
         }
@@ -230,7 +230,7 @@
             .attempt
             .as_ref()
             .map_or(RanState::Unknown, Attempt::ran);
-        self.attempt_failed(now, AnswerEnd::new(ResultCode::EndpointLost).with_ran(ran));
+        self.on_attempt_failed(now, AnswerEnd::new(ResultCode::EndpointLost).with_ran(ran));
     }
 
     fn send_resume(&mut self, until: Timestamp) {
@@ -278,7 +278,7 @@
     }
 }
 
-fn revoked() -> AnswerEnd {
+fn revoked_end() -> AnswerEnd {
     AnswerEnd::new(ResultCode::EndpointUnreachable)
         .with_ran(RanState::No)
         .with_detail("connection went silent; the attempt was revoked before it started")
--- a/lovagedock/src/span/coordinator.rs
+++ b/lovagedock/src/span/coordinator.rs
@@ -32,7 +32,7 @@
     pub(super) members: Vec<SpanMember>,
     pub(super) segments: VecDeque<SpanSegment>,
     /// Whether any segment was sent to an engine.
-    pub(super) computed: bool,
+    pub(super) prefill_started: bool,
     pub(super) renew_at: Timestamp,
     pub(super) actions: Vec<SpanAction>,
     wake_at: Option<Timestamp>,
@@ -60,7 +60,7 @@
             round: 0,
             members: Vec::new(),
             segments: VecDeque::new(),
-            computed: false,
+            prefill_started: false,
             renew_at: now,
             actions: Vec::new(),
             wake_at: None,
@@ -220,7 +220,7 @@
     }
 
     pub(super) fn fail_endpoint_lost(&mut self) {
-        let ran = if self.computed {
+        let ran = if self.prefill_started {
             RanState::Yes
         } else {
             RanState::No
--- a/lovagedock/src/span/member.rs
+++ b/lovagedock/src/span/member.rs
@@ -43,7 +43,11 @@
         self.part.endpoint == *endpoint
     }
 
-    pub(super) fn is_on(&self, endpoint: &EndpointId, incarnation: Incarnation) -> bool {
+    pub(super) fn is_on_incarnation(
+        &self,
+        endpoint: &EndpointId,
+        incarnation: Incarnation,
+    ) -> bool {
         self.is_at(endpoint) && self.part.incarnation == incarnation
     }
 
--- a/lovagedock/src/span/prefill.rs
+++ b/lovagedock/src/span/prefill.rs
@@ -40,7 +40,7 @@
         };
         let lost = |member: &SpanMember| member.is_at(&segment.endpoint) && member.is_disconnected;
         if !self.members.iter().any(lost) {
-            self.computed = true;
+            self.prefill_started = true;
             self.actions.push(SpanAction::Segment(segment.clone()));
         }
     }
--- a/lovagedock/src/span/renewal.rs
+++ b/lovagedock/src/span/renewal.rs
@@ -35,7 +35,7 @@
         let Some(member) = self
             .members
             .iter_mut()
-            .find(|member| member.is_on(endpoint, incarnation))
+            .find(|member| member.is_on_incarnation(endpoint, incarnation))
         else {
             return;
         };
--- a/lovagedock/tests/direct_backoff.rs
+++ b/lovagedock/tests/direct_backoff.rs
@@ -45,10 +45,10 @@
         for (at, delay) in case.responses {
             backoffs.record(ms(*at), &endpoint, RetryAfter::Delay(ms(*delay)));
         }
-        let end = backoffs.end(ms(300), &endpoint);
+        let end = backoffs.backoff_end(ms(300), &endpoint);
         assert_eq!(end, Some(ms(case.end_ms)), "{}", case.name);
         assert_eq!(
-            backoffs.end(ms(case.end_ms), &endpoint),
+            backoffs.backoff_end(ms(case.end_ms), &endpoint),
             None,
             "{}",
             case.name
@@ -73,9 +73,9 @@
         backoffs.record(ms(200), &former, RetryAfter::Malformed),
         None
     );
-    assert_eq!(backoffs.end(ms(200), &former), None);
+    assert_eq!(backoffs.backoff_end(ms(200), &former), None);
     backoffs.record(ms(200), &former, RetryAfter::Delay(ms(1_000)));
-    assert_eq!(backoffs.end(ms(300), &next), None);
+    assert_eq!(backoffs.backoff_end(ms(300), &next), None);
 }
 
 /// Guards against a withheld request that uses up an attempt or does not resume its stream.
--- a/lovagedock/tests/direct_listing.rs
+++ b/lovagedock/tests/direct_listing.rs
@@ -144,7 +144,7 @@
         PeerState {
             version: self.listing.version(),
             endpoints: self.table.all().cloned().collect(),
-            missing: self.listing.missing().cloned().collect(),
+            missing: self.listing.missing_endpoints().cloned().collect(),
             deferred: self.table.deferred().cloned().collect(),
         }
     }
--- a/lovagedock/tests/direct_machine.rs
+++ b/lovagedock/tests/direct_machine.rs
@@ -175,10 +175,10 @@
 #[test]
 fn an_expired_request_reports_whether_it_may_have_run() {
     let mut waited = DirectMachine::new(RouteMode::NonIdempotent, 1, ms(1_000));
-    let expired = waited.expired_after(AttemptEnd::Unreachable);
+    let expired = waited.expired_attempt_step(AttemptEnd::Unreachable);
     assert_eq!(expired, DirectStep::Answer(ResultCode::ExpiredWaiting));
     let mut sent = DirectMachine::new(RouteMode::NonIdempotent, 1, ms(1_000));
-    let expired = sent.expired_after(AttemptEnd::Lost);
+    let expired = sent.expired_attempt_step(AttemptEnd::Lost);
     assert_eq!(expired, DirectStep::Answer(ResultCode::ExpiredUnknown));
 }
 
@@ -259,6 +259,6 @@
         if case.in_flight {
             machine.begin_sending();
         }
-        assert_eq!(machine.stopped(), case.expected, "{}", case.name);
+        assert_eq!(machine.stopped_code(), case.expected, "{}", case.name);
     }
 }
--- a/lovagedock/tests/direct_prompt_burst.rs
+++ b/lovagedock/tests/direct_prompt_burst.rs
@@ -229,7 +229,7 @@
         };
         let placer = DirectPlacer::new(Some(&PROFILE)).with_concurrent_placements(concurrent);
         let choice = placer.place(request, &candidates)?;
-        let work = placer.works(request, &choice, &candidates).remove(0);
+        let work = placer.placed_work(request, &choice, &candidates).remove(0);
         let engine = self
             .endpoints
             .iter()
--- a/lovagedock/tests/direct_support/mod.rs
+++ b/lovagedock/tests/direct_support/mod.rs
@@ -129,7 +129,7 @@
         let choice = placer.place(request, &candidates)?;
         let lane = candidates.iter().filter(|c| c.short_lane);
         let lane = lane.map(|c| c.endpoint.process.clone()).collect();
-        let works = placer.works(request, &choice, &candidates);
+        let works = placer.placed_work(request, &choice, &candidates);
         let members = works.iter().map(|work| work.endpoint.clone()).collect();
         let prefilled_at = self.now + choice.first_event;
         let decode_time = PROFILE.decode_time(request.answer, ms(60));
--- a/lovagedock/tests/direct_suspects.rs
+++ b/lovagedock/tests/direct_suspects.rs
@@ -177,7 +177,7 @@
         ledger.record_end(now, CRASHING, end(process, EndEvidence::Strong));
     }
     assert!(ledger.record_end(now, CRASHING, end(3, EndEvidence::Strong)));
-    assert_eq!(ledger.ends(UNRELATED), 0);
+    assert_eq!(ledger.end_count(UNRELATED), 0);
     // The gateway of the unrelated request reports the third end a moment later.
     assert!(!ledger.record_end(now, UNRELATED, end(3, EndEvidence::Strong)));
     assert!(!ledger.is_suspect(UNRELATED));
@@ -198,7 +198,7 @@
         assert!(ledger.len() <= 2048);
     }
     assert!(ledger.quarantined_for(seconds(2), CRASHING).is_some());
-    assert_eq!(ledger.ends(UNRELATED), 2);
+    assert_eq!(ledger.end_count(UNRELATED), 2);
     assert!(ledger.reports(seconds(2), true).len() <= 256);
     ledger.forget_old(seconds(4000));
     assert!(ledger.is_empty());
