--- a/lovagedock/src/adoption/bundle.rs
+++ b/lovagedock/src/adoption/bundle.rs
@@ -36,7 +36,7 @@
 pub enum BundleError {
     /// The bytes are not a bundle.
     Malformed,
-    /// Its base is a generation that the receiver does not have.
+    /// The base of the bundle is a generation that the receiver does not have.
     OtherBase,
     /// The result does not match the digest.
     DigestMismatch,
--- a/lovagedock/src/adoption/push.rs
+++ b/lovagedock/src/adoption/push.rs
@@ -9,7 +9,7 @@
 /// Progress of pushing to one receiver.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PushProgress {
-    /// Generation that it last reported.
+    /// Generation that the receiver last reported.
     pub(super) reported_generation: Option<Generation>,
     /// Number of pushes sent for the generation in force.
     sent: u32,
--- a/lovagedock/src/adoption/role.rs
+++ b/lovagedock/src/adoption/role.rs
@@ -8,13 +8,13 @@
 pub struct RelayMember {
     /// Unique name.
     pub process: ProcessId,
-    /// Host that it runs on.
+    /// Host that the process runs on.
     pub host: HostId,
     /// Failure domain of the host.
     pub domain: DomainId,
     /// Region of the failure domain.
     pub region: String,
-    /// Whether it pushes configurations to others.
+    /// Whether the process pushes configurations to others.
     pub kind: RelayKind,
 }
 
@@ -55,7 +55,7 @@
 /// The tasks of one process in the plan.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RelayRole {
-    /// Whether it watches the store.
+    /// Whether the process watches the store.
     pub watches: bool,
     /// Processes that it pushes each new generation to.
     pub children: Vec<ProcessId>,
--- a/lovagedock/src/adoption/types.rs
+++ b/lovagedock/src/adoption/types.rs
@@ -131,9 +131,9 @@
     },
     /// [`super::AdoptionState::text`] is now the configuration in force.
     Adopt {
-        /// Its generation.
+        /// Generation of the configuration.
         generation: Generation,
-        /// Its digest.
+        /// Digest of the manifest.
         digest: ManifestDigest,
         /// Source of the configuration.
         source: AdoptionSource,
--- a/lovagedock/src/claim/batch.rs
+++ b/lovagedock/src/claim/batch.rs
@@ -25,7 +25,7 @@
 /// The next value of a partition.
 pub(crate) struct BatchDraft {
     pub(crate) object: PartitionObject,
-    /// Whether it differs from the last value in anything but `clock_ms`.
+    /// Whether `object` differs from the last value in anything but `clock_ms`.
     pub(crate) changed: bool,
     bytes: usize,
 }
--- a/lovagedock/src/claim/entry.rs
+++ b/lovagedock/src/claim/entry.rs
@@ -29,11 +29,11 @@
 /// State of the request of a claimed key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum RunState {
-    /// It may have run.
+    /// The request may have run.
     Claimed,
-    /// It ran, and this is its answer.
+    /// The request ran, and this is its answer.
     Inline(Bytes),
-    /// It ran, and its answer is stored in separate objects.
+    /// The request ran, and its answer is stored in separate objects.
     Split(SplitAnswer),
 }
 
--- a/lovagedock/src/claim/types.rs
+++ b/lovagedock/src/claim/types.rs
@@ -82,12 +82,12 @@
 pub enum ClaimAction {
     /// Read an object and report [`ClaimEvent::StoreReadEnded`].
     Read {
-        /// Its name.
+        /// Name of the object.
         object: ObjectName,
     },
     /// Write an object and report [`ClaimEvent::StoreWriteEnded`].
     Write {
-        /// Its name.
+        /// Name of the object.
         object: ObjectName,
         /// Condition for the write.
         condition: WriteCondition,
@@ -98,7 +98,7 @@
     },
     /// Delete an object, if it exists, and report [`ClaimEvent::StoreWriteEnded`].
     Delete {
-        /// Its name.
+        /// Name of the object.
         object: ObjectName,
         /// Identifies this deletion in [`ClaimEvent::StoreWriteEnded`].
         nonce: WriteNonce,
--- a/lovagedock/src/direct/endpoints.rs
+++ b/lovagedock/src/direct/endpoints.rs
@@ -182,7 +182,7 @@
 
     /// Records that a process announced that it is leaving. Returns whether it was ready until now.
     ///
-    /// Its entry may show this much later, or never if the store is unreachable.
+    /// The entry of the process may show this much later, or never if the store is unreachable.
     pub fn record_leaving(&mut self, process: &EndpointProcess) -> bool {
         if let Some(former) = self.former.processes.get_mut(&process.id)
             && former.started == process.started
--- a/lovagedock/src/direct/ledger.rs
+++ b/lovagedock/src/direct/ledger.rs
@@ -177,9 +177,9 @@
 
     /// Records that an endpoint is no longer listed.
     ///
-    /// It may be listed again, for example if its entry lapsed during a store outage. If its record
-    /// were removed, everything that peers have ever placed there would then be counted as new. The
-    /// engine would appear to have minutes of pending prefills and would get no work.
+    /// The endpoint may be listed again, for example if its entry lapsed during a store outage. If
+    /// its record were removed, everything that peers have ever placed there would then be counted
+    /// as new. The engine would appear to have minutes of pending prefills and would get no work.
     pub fn record_unlisted(&mut self, now: Timestamp, endpoint: &EndpointProcess) {
         if let Some(record) = self.endpoints.get_mut(endpoint) {
             record.unlisted_at = Some(now);
--- a/lovagedock/src/direct/load.rs
+++ b/lovagedock/src/direct/load.rs
@@ -36,7 +36,7 @@
 pub struct PeerLoad {
     /// Requests that hold a slot.
     pub occupied: u32,
-    /// Those of the requests that have short prompts.
+    /// Requests with short prompts that hold a slot.
     pub short: u32,
     /// Tokens in memory.
     pub context: TokenCount,
--- a/lovagedock/src/direct/stopping.rs
+++ b/lovagedock/src/direct/stopping.rs
@@ -75,8 +75,8 @@
     /// Returns whether a request may be sent to an endpoint now. The request may have waited, or
     /// another endpoint may have refused or lost it.
     ///
-    /// It may be sent if its deadline is before the end of the stop, or if it is expected to finish
-    /// before that.
+    /// The request may be sent if its deadline is before the end of the stop, or if it is expected
+    /// to finish before that.
     pub fn may_send(&self, now: Timestamp, outlook: &RequestOutlook) -> bool {
         let needed = outlook.expected.max(MIN_SEND_TIME);
         let left = self.ends_at.saturating_sub(now);
--- a/lovagedock/src/fence.rs
+++ b/lovagedock/src/fence.rs
@@ -28,7 +28,7 @@
     Seen {
         /// The pool.
         pool: PoolId,
-        /// Its fencing number.
+        /// Fencing number of the pool.
         epoch: Epoch,
     },
     /// A lease holder gives an order.
--- a/lovagedock/src/lease/types.rs
+++ b/lovagedock/src/lease/types.rs
@@ -34,12 +34,12 @@
 pub enum LeaseAction {
     /// Read the lease's object and report [`LeaseEvent::StoreReadEnded`].
     Read {
-        /// Its name.
+        /// Name of the object.
         object: ObjectName,
     },
     /// Write the lease's object and report [`LeaseEvent::StoreWriteEnded`].
     Write {
-        /// Its name.
+        /// Name of the object.
         object: ObjectName,
         /// Condition for the write.
         condition: WriteCondition,
--- a/lovagedock/src/orders/endpoint.rs
+++ b/lovagedock/src/orders/endpoint.rs
@@ -29,10 +29,10 @@
 #[derive(Debug, Default)]
 pub(super) struct PoolEndpoint {
     pub(super) call: Option<SentCall>,
-    /// Artifacts in its last report. With `None`, the planner polls the endpoint.
+    /// Artifacts in the last report of the endpoint. With `None`, the planner polls the endpoint.
     pub(super) loaded: Option<ArtifactSet>,
     pub(super) busy: bool,
-    /// Whether it may be without a model, because the last load of one did not succeed.
+    /// Whether the endpoint may be without a model, because the last load of one did not succeed.
     pub(super) model_failed: bool,
     pub(super) poll_at: Timestamp,
     pub(super) retry_at: Timestamp,
