--- a/lovagedock-gateway/src/call_task.rs
+++ b/lovagedock-gateway/src/call_task.rs
@@ -1,4 +1,4 @@
-//! One call from its admission to the last word to its caller.
+//! Runs one call from admission to the final event for its caller.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,18 +8,20 @@
 
 use crate::{
     call::CallerCall,
-    claims::ClaimAnswer,
-    cuts::{CutWord, count_cut},
-    driver::{KeptAnswer, RequestDriver},
+    claims::ClaimOutcome,
+    cuts::{CutNotice, count_cut},
+    driver::{BufferedAnswer, RequestDriver},
     front::{CallerEvent, CallerSink, RequestProblem},
     recorded::RecordedAnswer,
     shared::GatewayShared,
 };
 
-/// Time to record a failure; a store that is down for longer leaves the claim to its deadline.
-const FAILURE_TIME: Duration = Duration::from_secs(5);
+/// Time limit for recording a failure. If the store is unavailable for longer, the claim stays
+/// until its deadline.
+const FAILURE_RECORD_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Runs a call: claims its key if it has one, drives it, records its answer.
+/// Runs a call: claims its idempotency key if it has one, drives the request and records its
+/// answer.
 pub(crate) struct CallTask {
     shared: GatewayShared,
     call: Arc<CallerCall>,
@@ -29,14 +31,14 @@
 }
 
 impl CallTask {
-    /// A task for a call that passed all checks.
+    /// Creates a task for a call that passed all checks.
     pub(crate) fn new(
         shared: GatewayShared,
         call: Arc<CallerCall>,
         caller: CallerSink,
         log: Logger,
     ) -> Self {
-        let deadline = shared.context.clock.now() + call.deadline;
+        let deadline = shared.context.clock.now() + call.time_limit;
         Self {
             shared,
             call,
@@ -46,31 +48,31 @@
         }
     }
 
-    /// Runs the call to the last word to its caller.
+    /// Runs the call until the final event was sent to its caller.
     pub(crate) async fn run(self) {
         let started = self.shared.context.clock.now();
         let mut end = match &self.call.idempotency_key {
             None => {
                 let (outcome, _) = self.drive(false).await;
-                CallEnd::told(last_word(&outcome))
+                CallEnd::without_failure_record(final_event(&outcome))
             }
-            Some(key) => self.run_keyed(key.clone()).await,
+            Some(key) => self.run_with_key(key.clone()).await,
         };
-        let code = end.last.code();
-        if let CallerEvent::Problem(problem) = &mut end.last
-            && self.shared.ends_with_drain(self.deadline)
+        let code = end.event.code();
+        if let CallerEvent::Problem(problem) = &mut end.event
+            && self.shared.is_cut_by_drain(self.deadline)
         {
-            self.note_cut(problem, started);
+            self.log_cut_by_drain(problem, started);
         }
-        self.shared.limits.finish(&self.call.organisation);
-        self.caller.send(end.last).await;
-        self.note_end(code, started);
-        if let Some(failure) = end.failure {
+        self.shared.limits.finish_request(&self.call.organisation);
+        self.caller.send(end.event).await;
+        self.record_outcome(code, started);
+        if let Some(failure) = end.failure_record {
             self.record_failure(failure).await;
         }
     }
 
-    async fn run_keyed(&self, key: String) -> CallEnd {
+    async fn run_with_key(&self, key: String) -> CallEnd {
         let key = ClaimKey {
             organisation: self.call.organisation.clone(),
             service: self.call.service.clone(),
@@ -78,20 +80,22 @@
         }
         .hash();
         match self.claim(key).await {
-            Some(ClaimAnswer::Granted) => self.run_granted(key).await,
-            Some(ClaimAnswer::Replay(answer)) => CallEnd::told(self.replay(&answer).await),
-            Some(ClaimAnswer::Refused(code)) => {
-                self.step(format!("key refused with code {}", code.number()));
-                CallEnd::told(CallerEvent::Problem(RequestProblem::new(code)))
+            Some(ClaimOutcome::Granted) => self.run_granted(key).await,
+            Some(ClaimOutcome::Replay(answer)) => {
+                CallEnd::without_failure_record(self.replay(&answer).await)
             }
-            None => CallEnd::told(CallerEvent::Problem(
+            Some(ClaimOutcome::Refused(code)) => {
+                self.record_step(format!("key refused with code {}", code.number()));
+                CallEnd::without_failure_record(CallerEvent::Problem(RequestProblem::new(code)))
+            }
+            None => CallEnd::without_failure_record(CallerEvent::Problem(
                 RequestProblem::new(ResultCode::CallerGone).with_ran(RanState::No),
             )),
         }
     }
 
-    /// Claims the key; `None` if the caller went away before it was granted.
-    async fn claim(&self, key: KeyHash) -> Option<ClaimAnswer> {
+    /// Claims the key; `None` if the caller disconnected before the claim was decided.
+    async fn claim(&self, key: KeyHash) -> Option<ClaimOutcome> {
         let call = &self.call;
         let claim = ClaimRequest {
             key,
@@ -102,79 +106,85 @@
         tokio::select! {
             answer = self.shared.claims.claim(claim) => Some(answer),
             () = self.caller.closed() => {
-                self.shared.claims.withdraw(key, call.id);
+                self.shared.claims.withdraw_claim(key, call.id);
                 None
             }
-            () = self.shared.drain_over() => {
-                self.shared.claims.withdraw(key, call.id);
-                Some(ClaimAnswer::Refused(ResultCode::GatewayStopping))
+            () = self.shared.wait_for_drain_end() => {
+                self.shared.claims.withdraw_claim(key, call.id);
+                Some(ClaimOutcome::Refused(ResultCode::GatewayStopping))
             }
         }
     }
 
     async fn run_granted(&self, key: KeyHash) -> CallEnd {
-        self.step("key claimed");
-        let (outcome, kept) = self.drive(true).await;
+        self.record_step("key claimed");
+        let (outcome, buffered) = self.drive(true).await;
         if outcome.ran == RanState::No {
-            self.shared.claims.abandon(key, self.call.id);
+            self.shared.claims.abandon_claim(key, self.call.id);
         }
-        if let (ResultCode::Complete, Some(kept)) = (outcome.code, kept) {
-            return CallEnd::told(self.record(key, kept).await);
+        if let (ResultCode::Complete, Some(buffered)) = (outcome.code, buffered) {
+            return CallEnd::without_failure_record(self.record_answer(key, buffered).await);
         }
         CallEnd {
-            last: last_word(&outcome),
-            failure: ClaimFailure::new(key, &outcome),
+            event: final_event(&outcome),
+            failure_record: FailureRecord::new(key, &outcome),
         }
     }
 
-    /// Records how a request failed, after its caller was told.
+    /// Records the failure of a request, after it was reported to the caller.
     ///
-    /// The claim of a request that may have run stays until its deadline. Until then a repeat with
-    /// the key would wait, though its answer is known: the same failure.
-    async fn record_failure(&self, failure: ClaimFailure) {
+    /// The claim of a request that may have run stays until its deadline. Without the record, a
+    /// retry with the same key would wait until then, although its result is known: the same
+    /// failure.
+    async fn record_failure(&self, failure: FailureRecord) {
         let answer = RecordedAnswer::failure(&failure.problem, self.call.id);
         let Ok(bytes) = answer.encode() else { return };
-        let deadline = self.shared.context.clock.now() + FAILURE_TIME;
+        let deadline = self.shared.context.clock.now() + FAILURE_RECORD_TIMEOUT;
         let claims = &self.shared.claims;
-        let recorded = claims.record(failure.key, self.call.id, bytes, deadline);
-        self.step(match recorded.await {
+        let recorded = claims.record_answer(failure.key, self.call.id, bytes, deadline);
+        self.record_step(match recorded.await {
             true => "failure recorded",
             false => "failure not recorded",
         });
     }
 
-    /// Records the answer before its clean end.
+    /// Records the answer before the response ends cleanly.
     ///
-    /// A caller that saw a clean end may ask again and count on the same bytes. If the answer is
-    /// not in the store, the end is a failure that says so.
-    async fn record(&self, key: KeyHash, kept: KeptAnswer) -> CallerEvent {
-        let answer = RecordedAnswer::new(&kept.head, kept.body);
+    /// A caller that received a clean end may retry with the same key and rely on receiving the
+    /// same bytes. If the answer could not be stored, the request ends with a failure that reports
+    /// it.
+    async fn record_answer(&self, key: KeyHash, buffered: BufferedAnswer) -> CallerEvent {
+        let answer = RecordedAnswer::new(&buffered.head, buffered.body);
         let recorded = match answer.encode() {
             Ok(bytes) => {
                 let claims = &self.shared.claims;
                 tokio::select! {
-                    recorded = claims.record(key, self.call.id, bytes, self.deadline) => recorded,
-                    () = self.shared.drain_over() => false,
+                    recorded = claims.record_answer(
+                        key, self.call.id, bytes, self.deadline,
+                    ) => recorded,
+                    () = self.shared.wait_for_drain_end() => false,
                 }
             }
             Err(_) => false,
         };
         if recorded {
-            self.step("answer recorded");
+            self.record_step("answer recorded");
             if !self.call.prompt.stream {
                 self.deliver(answer).await;
             }
             return CallerEvent::Complete;
         }
-        self.step("answer not recorded");
+        self.record_step("answer not recorded");
         CallerEvent::Problem(RequestProblem::new(ResultCode::AnswerLost).with_ran(RanState::Yes))
     }
 
     async fn replay(&self, recorded: &Bytes) -> CallerEvent {
-        self.step("key was used before; its recorded answer is delivered");
+        self.record_step("key already used; delivering its recorded answer");
         let Ok(answer) = RecordedAnswer::decode(recorded) else {
             let problem = RequestProblem::new(ResultCode::AnswerLost);
-            return CallerEvent::Problem(problem.with_detail("the recorded answer is damaged"));
+            return CallerEvent::Problem(
+                problem.with_detail("the recorded answer cannot be decoded"),
+            );
         };
         self.deliver(answer).await;
         CallerEvent::Complete
@@ -186,32 +196,32 @@
         self.caller.send(CallerEvent::Bytes(body)).await;
     }
 
-    async fn drive(&self, keep: bool) -> (RequestOutcome, Option<KeptAnswer>) {
+    async fn drive(&self, buffer_answer: bool) -> (RequestOutcome, Option<BufferedAnswer>) {
         let shared = self.shared.clone();
         let driver = RequestDriver::new(
             shared,
             Arc::clone(&self.call),
             self.caller.clone(),
-            self.shared.within_drain(self.deadline),
+            self.shared.limit_to_drain(self.deadline),
         );
-        let (outcome, kept) = driver.with_kept_answer(keep).run().await;
-        info!(self.log, "request driven";
+        let (outcome, buffered) = driver.with_answer_buffering(buffer_answer).run().await;
+        info!(self.log, "request execution ended";
             "request" => format_request_id(self.call.id),
             "code" => outcome.code.number(),
             "ran" => outcome.ran.as_str(),
             "attempts" => outcome.attempts,
             "detail" => &outcome.detail);
-        (outcome, kept)
+        (outcome, buffered)
     }
 
-    fn note_end(&self, code: ResultCode, started: Timestamp) {
+    fn record_outcome(&self, code: ResultCode, started: Timestamp) {
         let now = self.shared.context.clock.now();
         if code == ResultCode::Complete {
             self.shared.record_success(&self.call.service, now);
             self.shared.suspects.record_served(now, &self.call);
         }
         count_outcome(code);
-        self.step(format!("ended with code {}", code.number()));
+        self.record_step(format!("ended with code {}", code.number()));
         info!(self.log, "request ended";
             "request" => format_request_id(self.call.id),
             "organisation" => &*self.call.organisation,
@@ -221,12 +231,13 @@
             "ms" => (now - started).as_millis() as u64);
     }
 
-    /// Names a request that ends with the drain; its code may speak of a deadline.
-    fn note_cut(&self, problem: &mut RequestProblem, started: Timestamp) {
+    /// Logs and counts a request that the end of the drain cut. If the problem has no detail, the
+    /// drain is named there, since the result code may be that of an expired deadline.
+    fn log_cut_by_drain(&self, problem: &mut RequestProblem, started: Timestamp) {
         if problem.detail.is_empty() {
             problem.detail = ResultCode::GatewayStopping.title().to_owned();
         }
-        count_cut(CutWord::Told);
+        count_cut(CutNotice::Sent);
         let now = self.shared.context.clock.now();
         warn!(self.log, "request cut by the shutdown";
             "request" => format_request_id(self.call.id),
@@ -237,38 +248,38 @@
             "ms" => (now - started).as_millis() as u64);
     }
 
-    fn step(&self, step: impl Into<String>) {
+    fn record_step(&self, text: impl Into<String>) {
         let now = self.shared.context.clock.now();
-        self.shared.trails.step(self.call.id, now, step);
+        self.shared.trails.record_step(self.call.id, now, text);
     }
 }
 
-/// How a call ended.
+/// Result of a call.
 struct CallEnd {
-    last: CallerEvent,
-    failure: Option<ClaimFailure>,
+    event: CallerEvent,
+    failure_record: Option<FailureRecord>,
 }
 
 impl CallEnd {
-    fn told(last: CallerEvent) -> Self {
+    fn without_failure_record(event: CallerEvent) -> Self {
         Self {
-            last,
-            failure: None,
+            event,
+            failure_record: None,
         }
     }
 }
 
-/// The failure that each repeat of a key reads.
-struct ClaimFailure {
+/// A failure to be recorded for retries with the same key.
+struct FailureRecord {
     key: KeyHash,
     problem: RequestProblem,
 }
 
-impl ClaimFailure {
-    /// `None` if the request did not run, so that a repeat may.
+impl FailureRecord {
+    /// `None` if the request did not run: a retry may then run.
     fn new(key: KeyHash, outcome: &RequestOutcome) -> Option<Self> {
         let code = match outcome.code {
-            // The repeat's caller is there; what it lacks is the answer.
+            // The caller of a retry is still connected; what is missing is the answer.
             ResultCode::CallerGone | ResultCode::Complete => ResultCode::AnswerLost,
             code => code,
         };
@@ -279,13 +290,13 @@
     }
 }
 
-/// Counts how a request ended.
+/// Counts the result of a request.
 pub(crate) fn count_outcome(code: ResultCode) {
     metrics::counter!("lovagedock_requests_total", "code" => code.number().to_string())
         .increment(1);
 }
 
-fn last_word(outcome: &RequestOutcome) -> CallerEvent {
+fn final_event(outcome: &RequestOutcome) -> CallerEvent {
     if outcome.code == ResultCode::Complete {
         return CallerEvent::Complete;
     }
--- a/lovagedock-gateway/src/claims.rs
+++ b/lovagedock-gateway/src/claims.rs
@@ -1,7 +1,14 @@
-//! Carries out what claim partitions decide about keyed requests.
+//! Executes the decisions of claim partitions about requests with idempotency keys.
 //!
-//! Each partition is a task of its own, which owns its machine and carries its store calls out one
-//! after the other, so that a slow call of one partition holds up no other.
+//! Each partition is its own task, which owns its state machine and starts the store calls that the
+//! machine asks for, so that a slow call of one partition does not delay another.
+//!
+//! The state machine starts a read or write of the partition's object only after the previous one
+//! has ended, with a time-out counted as an end. After a write with an unknown outcome it reads the
+//! object before it writes again. Writes are conditional on the version that they replace, so two
+//! concurrent writes of the same gateway would conflict; instead, operations that arrive during a
+//! call share the next write. Reads, writes and deletions of the parts of large answers, which are
+//! objects of their own, may run at the same time.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -19,34 +26,34 @@
 
 use crate::store_calls;
 
-/// Partitions of all claims; the same at all gateways.
+/// Number of claim partitions; must be the same at all gateways.
 const CLAIM_PARTITIONS: u32 = 16;
-/// Least time between two writes of a partition by one gateway: what arrives meanwhile shares one
-/// write, and the store's rate is kept whatever the load.
+/// Minimum time between two writes of a partition by one gateway. Changes that arrive in between
+/// share one write, so that the write rate stays bounded at any load.
 const WRITE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What becomes of a keyed request.
+/// Result of a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum ClaimAnswer {
-    /// It may run, once.
+pub(crate) enum ClaimOutcome {
+    /// The request may run, once.
     Granted,
-    /// It ran before; this is the recorded answer.
+    /// A request with the key has run before; this is its recorded answer.
     Replay(Bytes),
-    /// It may not run.
+    /// The request may not run.
     Refused(ResultCode),
 }
 
-/// Where keyed requests are claimed and their answers recorded; cheap to clone.
+/// Claims idempotency keys and records the answers of their requests; cheap to clone.
 #[derive(Clone)]
-pub(crate) struct ClaimDesk {
+pub(crate) struct ClaimCoordinator {
     map: PartitionMap,
-    partitions: Arc<[mpsc::UnboundedSender<DeskCall>]>,
+    partitions: Arc<[mpsc::UnboundedSender<PartitionCommand>]>,
 }
 
-enum DeskCall {
+enum PartitionCommand {
     Claim {
         claim: ClaimRequest,
-        reply: oneshot::Sender<ClaimAnswer>,
+        reply: oneshot::Sender<ClaimOutcome>,
     },
     Record {
         key: KeyHash,
@@ -64,7 +71,7 @@
     },
 }
 
-impl ClaimDesk {
+impl ClaimCoordinator {
     /// Starts a task for each partition; they end when the last clone is dropped.
     pub(crate) fn start(
         owner: Incarnation,
@@ -82,8 +89,8 @@
                 machine: ClaimPartition::new(index, owner, limits.clone()),
                 store: Arc::clone(store),
                 clock,
-                claims: HashMap::new(),
-                records: HashMap::new(),
+                claim_replies: HashMap::new(),
+                record_replies: HashMap::new(),
                 wake: WakeTimer::new(),
             };
             tokio::spawn(task.run(receiver));
@@ -95,17 +102,17 @@
         }
     }
 
-    /// Claims a key; waits for the store, or for the answer of another request with the key, until
-    /// the claim's deadline.
-    pub(crate) async fn claim(&self, claim: ClaimRequest) -> ClaimAnswer {
-        let (reply, answer) = oneshot::channel();
-        self.send(claim.key, DeskCall::Claim { claim, reply });
-        let unavailable = ClaimAnswer::Refused(ResultCode::ClaimUnavailable);
-        answer.await.unwrap_or(unavailable)
+    /// Claims a key. Waits for the store, or for the answer of another request with the same key,
+    /// until the claim's deadline.
+    pub(crate) async fn claim(&self, claim: ClaimRequest) -> ClaimOutcome {
+        let (reply, outcome) = oneshot::channel();
+        self.send(claim.key, PartitionCommand::Claim { claim, reply });
+        let unavailable = ClaimOutcome::Refused(ResultCode::ClaimUnavailable);
+        outcome.await.unwrap_or(unavailable)
     }
 
-    /// Records the answer of a granted request; whether it is in the store.
-    pub(crate) async fn record(
+    /// Records the answer of a granted request; returns whether it was stored.
+    pub(crate) async fn record_answer(
         &self,
         key: KeyHash,
         request: RequestId,
@@ -113,31 +120,31 @@
         deadline: Timestamp,
     ) -> bool {
         let (reply, recorded) = oneshot::channel();
-        let call = DeskCall::Record {
+        let command = PartitionCommand::Record {
             key,
             request,
             answer,
             deadline,
             reply,
         };
-        self.send(key, call);
+        self.send(key, command);
         recorded.await.unwrap_or(false)
     }
 
-    /// Gives a claim back whose request certainly did not run.
-    pub(crate) fn abandon(&self, key: KeyHash, request: RequestId) {
-        self.send(key, DeskCall::Abandon { key, request });
+    /// Releases a claim whose request certainly did not run.
+    pub(crate) fn abandon_claim(&self, key: KeyHash, request: RequestId) {
+        self.send(key, PartitionCommand::Abandon { key, request });
     }
 
-    /// Forgets a claim that is not granted yet.
-    pub(crate) fn withdraw(&self, key: KeyHash, request: RequestId) {
-        self.send(key, DeskCall::Withdraw { request });
+    /// Withdraws a claim that was not granted yet.
+    pub(crate) fn withdraw_claim(&self, key: KeyHash, request: RequestId) {
+        self.send(key, PartitionCommand::Withdraw { request });
     }
 
-    fn send(&self, key: KeyHash, call: DeskCall) {
+    fn send(&self, key: KeyHash, command: PartitionCommand) {
         let partition = self.map.partition_of(&key) as usize;
-        // The task lives as long as its sender.
-        let _ended = self.partitions[partition].send(call);
+        // The task runs as long as its sender exists.
+        let _ended = self.partitions[partition].send(command);
     }
 }
 
@@ -145,56 +152,56 @@
     machine: ClaimPartition,
     store: Arc<dyn ObjectStore>,
     clock: ProcessClock,
-    claims: HashMap<RequestId, oneshot::Sender<ClaimAnswer>>,
-    records: HashMap<RequestId, oneshot::Sender<bool>>,
+    claim_replies: HashMap<RequestId, oneshot::Sender<ClaimOutcome>>,
+    record_replies: HashMap<RequestId, oneshot::Sender<bool>>,
     wake: WakeTimer,
 }
 
-enum StoreWork {
+enum StoreCall {
     Read(ObjectName),
     Write(ObjectName, WriteCondition, Bytes, WriteNonce),
     Delete(ObjectName, WriteNonce),
 }
 
 impl PartitionTask {
-    async fn run(mut self, mut calls: mpsc::UnboundedReceiver<DeskCall>) {
-        let (done, mut finished) = mpsc::unbounded_channel();
+    async fn run(mut self, mut commands: mpsc::UnboundedReceiver<PartitionCommand>) {
+        let (event_sender, mut store_events) = mpsc::unbounded_channel();
         loop {
-            let wake = self.wake.next(self.clock.now(), LONGEST_SLEEP);
+            let wake = self.wake.next(self.clock.now(), MAX_SLEEP);
             let wake = self.clock.instant_at(wake);
             let event = tokio::select! {
-                call = calls.recv() => match call {
-                    Some(call) => self.event(call),
+                command = commands.recv() => match command {
+                    Some(command) => self.claim_event(command),
                     None => return,
                 },
-                Some(event) = finished.recv() => event,
+                Some(event) = store_events.recv() => event,
                 () = sleep_until(wake.into()) => ClaimEvent::Tick,
             };
-            for work in self.decide(event) {
+            for call in self.handle_event(event) {
                 let store = Arc::clone(&self.store);
-                let done = done.clone();
+                let event_sender = event_sender.clone();
                 tokio::spawn(async move {
-                    // The partition has ended when nobody hears this.
-                    let _ended = done.send(carry_out(&*store, work).await);
+                    // The send fails only if the partition task has ended.
+                    let _ended = event_sender.send(execute(&*store, call).await);
                 });
             }
         }
     }
 
-    fn event(&mut self, call: DeskCall) -> ClaimEvent {
-        match call {
-            DeskCall::Claim { claim, reply } => {
-                self.claims.insert(claim.request, reply);
+    fn claim_event(&mut self, command: PartitionCommand) -> ClaimEvent {
+        match command {
+            PartitionCommand::Claim { claim, reply } => {
+                self.claim_replies.insert(claim.request, reply);
                 ClaimEvent::Claim(claim)
             }
-            DeskCall::Record {
+            PartitionCommand::Record {
                 key,
                 request,
                 answer,
                 deadline,
                 reply,
             } => {
-                self.records.insert(request, reply);
+                self.record_replies.insert(request, reply);
                 ClaimEvent::Record {
                     key,
                     request,
@@ -202,74 +209,76 @@
                     deadline,
                 }
             }
-            DeskCall::Abandon { key, request } => ClaimEvent::Abandon { key, request },
-            DeskCall::Withdraw { request } => {
-                self.claims.remove(&request);
+            PartitionCommand::Abandon { key, request } => ClaimEvent::Abandon { key, request },
+            PartitionCommand::Withdraw { request } => {
+                self.claim_replies.remove(&request);
                 ClaimEvent::Withdraw { request }
             }
         }
     }
 
-    fn decide(&mut self, event: ClaimEvent) -> Vec<StoreWork> {
-        let mut work = Vec::new();
+    fn handle_event(&mut self, event: ClaimEvent) -> Vec<StoreCall> {
+        let mut calls = Vec::new();
         let now = self.clock.now();
         self.wake.clear_if_due(now);
         for action in self.machine.handle(now, event) {
             match action {
-                ClaimAction::Read { object } => work.push(StoreWork::Read(object)),
+                ClaimAction::Read { object } => calls.push(StoreCall::Read(object)),
                 ClaimAction::Write {
                     object,
                     condition,
                     bytes,
                     nonce,
-                } => work.push(StoreWork::Write(object, condition, bytes, nonce)),
+                } => calls.push(StoreCall::Write(object, condition, bytes, nonce)),
                 ClaimAction::Delete { object, nonce } => {
-                    work.push(StoreWork::Delete(object, nonce));
+                    calls.push(StoreCall::Delete(object, nonce));
+                }
+                ClaimAction::Grant { request } => {
+                    self.reply_to_claim(request, ClaimOutcome::Granted)
                 }
-                ClaimAction::Grant { request } => self.answer(request, ClaimAnswer::Granted),
                 ClaimAction::Replay { request, answer } => {
-                    self.answer(request, ClaimAnswer::Replay(answer));
+                    self.reply_to_claim(request, ClaimOutcome::Replay(answer));
                 }
                 ClaimAction::InProgress { .. } => {}
                 ClaimAction::Refuse { request, code } => {
-                    self.answer(request, ClaimAnswer::Refused(code));
+                    self.reply_to_claim(request, ClaimOutcome::Refused(code));
                 }
-                ClaimAction::Recorded { request } => self.recorded(request, true),
-                ClaimAction::NotRecorded { request } => self.recorded(request, false),
+                ClaimAction::Recorded { request } => self.reply_to_record(request, true),
+                ClaimAction::NotRecorded { request } => self.reply_to_record(request, false),
                 ClaimAction::WakeAt(at) => self.wake.set(at),
             }
         }
-        work
+        calls
     }
 
-    fn answer(&mut self, request: RequestId, answer: ClaimAnswer) {
-        if let Some(reply) = self.claims.remove(&request) {
-            let _caller_gone = reply.send(answer);
+    fn reply_to_claim(&mut self, request: RequestId, outcome: ClaimOutcome) {
+        if let Some(reply) = self.claim_replies.remove(&request) {
+            let _caller_gone = reply.send(outcome);
         }
     }
 
-    fn recorded(&mut self, request: RequestId, recorded: bool) {
-        if let Some(reply) = self.records.remove(&request) {
+    fn reply_to_record(&mut self, request: RequestId, recorded: bool) {
+        if let Some(reply) = self.record_replies.remove(&request) {
             let _caller_gone = reply.send(recorded);
         }
     }
 }
 
-/// Longest sleep between looks at the wake time.
-const LONGEST_SLEEP: Duration = Duration::from_secs(3_600);
+/// Maximum sleep before the wake time is checked again.
+const MAX_SLEEP: Duration = Duration::from_secs(3_600);
 
-async fn carry_out(store: &dyn ObjectStore, work: StoreWork) -> ClaimEvent {
+async fn execute(store: &dyn ObjectStore, call: StoreCall) -> ClaimEvent {
     let purpose = CallPurpose::Claim;
-    match work {
-        StoreWork::Read(object) => {
+    match call {
+        StoreCall::Read(object) => {
             let outcome = store_calls::read(store, &object, purpose).await;
             ClaimEvent::StoreReadEnded { object, outcome }
         }
-        StoreWork::Write(object, condition, bytes, nonce) => {
+        StoreCall::Write(object, condition, bytes, nonce) => {
             let outcome = store_calls::write(store, &object, bytes, condition, purpose).await;
             ClaimEvent::StoreWriteEnded { nonce, outcome }
         }
-        StoreWork::Delete(object, nonce) => {
+        StoreCall::Delete(object, nonce) => {
             let outcome = store_calls::delete(store, &object, purpose).await;
             ClaimEvent::StoreWriteEnded { nonce, outcome }
         }
--- a/lovagedock-gateway/src/connect.rs
+++ b/lovagedock-gateway/src/connect.rs
@@ -1,4 +1,4 @@
-//! How links and peers open connections.
+//! Opens connections for links and peers.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -7,10 +7,10 @@
 use lovagedock_wire::{WireError, WireStream};
 use tokio::time::timeout;
 
-/// Opens connections to other processes of the system.
+/// Opens connections to sidecars and other gateways.
 #[async_trait(?Send)]
-pub(crate) trait PeerConnector {
-    /// Opens one, within a time.
+pub(crate) trait Connector {
+    /// Opens a connection within a time limit.
     async fn connect(
         &self,
         address: SocketAddr,
@@ -18,20 +18,20 @@
     ) -> Result<Box<dyn WireStream>, WireError>;
 }
 
-/// Makes connectors, one for each worker.
+/// Creates connectors. They are not `Send`, so each thread creates its own.
 #[derive(Clone)]
 pub(crate) struct ConnectorFactory {
     transport: Transport,
 }
 
 impl ConnectorFactory {
-    /// Connectors over this transport.
+    /// Creates a factory of connectors over this transport.
     pub(crate) fn new(transport: Transport) -> Self {
         Self { transport }
     }
 
-    /// One connector.
-    pub(crate) fn connector(&self) -> Rc<dyn PeerConnector> {
+    /// Creates a connector.
+    pub(crate) fn connector(&self) -> Rc<dyn Connector> {
         Rc::new(TransportConnector {
             transport: self.transport.clone(),
         })
@@ -43,7 +43,7 @@
 }
 
 #[async_trait(?Send)]
-impl PeerConnector for TransportConnector {
+impl Connector for TransportConnector {
     async fn connect(
         &self,
         address: SocketAddr,
--- a/lovagedock-gateway/src/cuts.rs
+++ b/lovagedock-gateway/src/cuts.rs
@@ -1,19 +1,19 @@
-//! Counts the requests that a shutdown cuts.
+//! Counts the requests that a shutdown interrupts ("cuts").
 
-/// Whether the caller of a request that a shutdown cut was told what became of it.
+/// Whether the result of a request that a shutdown cut was reported to its caller.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum CutWord {
-    /// It was told by a problem document.
-    Told,
-    /// Its connection broke.
-    Untold,
+pub(crate) enum CutNotice {
+    /// A problem document was sent.
+    Sent,
+    /// The connection broke without a result.
+    NotSent,
 }
 
 /// Counts a request that a shutdown cut.
-pub(crate) fn count_cut(word: CutWord) {
-    let told = match word {
-        CutWord::Told => "yes",
-        CutWord::Untold => "no",
+pub(crate) fn count_cut(notice: CutNotice) {
+    let sent = match notice {
+        CutNotice::Sent => "yes",
+        CutNotice::NotSent => "no",
     };
-    metrics::counter!("lovagedock_requests_cut_total", "told" => told).increment(1);
+    metrics::counter!("lovagedock_requests_cut_total", "told" => sent).increment(1);
 }
--- a/lovagedock-gateway/src/direct/caller_server.rs
+++ b/lovagedock-gateway/src/direct/caller_server.rs
@@ -35,7 +35,7 @@
     response::{ResponseSender, problem_response},
     state::GatewayState,
 };
-use crate::front::{AnswerBody, RequestProblem};
+use crate::front::{RequestProblem, ResponseBody};
 
 /// Delay after a failed accept. Such errors recur immediately until file descriptors are closed.
 pub(crate) const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
@@ -159,7 +159,7 @@
                 // were closed earlier, the request would get no response.
                 std::future::pending::<()>().await;
             }
-            let plan = self.state.stop_requested().await;
+            let plan = self.state.wait_for_stop_request().await;
             sleep_until(self.instant(plan.notice_ends_at())).await;
         };
         let ended = tokio::select! {
@@ -182,7 +182,7 @@
         plan.is_some_and(|plan| now >= plan.notice_ends_at())
     }
 
-    async fn respond(&self, request: Request<Incoming>) -> Response<AnswerBody> {
+    async fn respond(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let mut response = self.handle_request(request).await;
         if self.state.is_stopping() {
             let close = HeaderValue::from_static("close");
@@ -191,7 +191,7 @@
         response
     }
 
-    async fn handle_request(&self, request: Request<Incoming>) -> Response<AnswerBody> {
+    async fn handle_request(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let arrived = self.state.clock.now();
         let head = self
             .dialect
@@ -205,7 +205,7 @@
         let (parts, body) = request.into_parts();
         let collected = tokio::select! {
             collected = Limited::new(body, limit).collect() => collected,
-            () = self.state.stop_ended() => {
+            () = self.state.wait_for_stop_end() => {
                 metrics::counter!("lovagedock_requests_cut_by_stop_total", "stage" => "body")
                     .increment(1);
                 return self.reject(&id, ResultCode::GatewayStopping);
@@ -220,7 +220,7 @@
         };
         // A body may take seconds to arrive, and the configuration may have changed meanwhile.
         let config = self.state.config().unwrap_or(config);
-        let call = match check(&config, &head, &parts, body, arrived) {
+        let call = match check_request(&config, &head, &parts, body, arrived) {
             Ok(call) => call,
             Err(code) => return self.reject(&id, code),
         };
@@ -271,7 +271,7 @@
         is_admitted
     }
 
-    fn reject(&self, request: &str, code: ResultCode) -> Response<AnswerBody> {
+    fn reject(&self, request: &str, code: ResultCode) -> Response<ResponseBody> {
         crate::call_task::count_outcome(code);
         if let Some(left_out) = self.state.log_limiter.admit(self.state.clock.now()) {
             info!(self.log, "rejected";
@@ -285,7 +285,7 @@
 }
 
 /// Checks a request against the current configuration.
-fn check(
+fn check_request(
     config: &Arc<TrafficConfig>,
     head: &CallerHead,
     parts: &hyper::http::request::Parts,
@@ -322,7 +322,7 @@
 
 /// A response body that aborts its request when it is dropped.
 struct GuardedBody {
-    body: AnswerBody,
+    body: ResponseBody,
     _guard: AbortOnDrop,
 }
 
@@ -347,7 +347,7 @@
 }
 
 /// Ties the guard to the lifetime of the body.
-fn with_guard(body: AnswerBody, guard: AbortOnDrop) -> AnswerBody {
+fn with_guard(body: ResponseBody, guard: AbortOnDrop) -> ResponseBody {
     let body = GuardedBody {
         body,
         _guard: guard,
--- a/lovagedock-gateway/src/direct/state/placement.rs
+++ b/lovagedock-gateway/src/direct/state/placement.rs
@@ -20,7 +20,7 @@
     /// Endpoints that prefill parts of the prompt.
     pub(crate) helpers: Vec<PlacedHelper>,
     /// Predicted time to the first event.
-    pub(crate) first_event: Duration,
+    pub(crate) first_event_delay: Duration,
     /// Expected loss of the placement.
     pub(crate) loss: f64,
     /// Requests that were on the endpoint before, from all gateways.
@@ -38,7 +38,7 @@
 pub(crate) struct PlacedHelper {
     /// The endpoint.
     pub(crate) endpoint: DirectEndpoint,
-    /// Tokens that it stores and that have to be reserved.
+    /// Tokens that the helper stores and that have to be reserved.
     pub(crate) reserved_tokens: TokenCount,
 }
 
@@ -172,7 +172,7 @@
         for endpoint in fleet.endpoints.ready(service) {
             let occupied = fleet.ledger.load(now, &endpoint.process).occupied;
             summary.ready += 1;
-            if fleet.backoffs.end(now, &endpoint.process).is_some() {
+            if fleet.backoffs.backoff_end(now, &endpoint.process).is_some() {
                 summary.in_backoff += 1;
                 continue;
             }
@@ -230,7 +230,7 @@
         if !acceptable {
             return PlacementResult::Full;
         }
-        let works = placer.works(request, &choice, &candidates);
+        let works = placer.placed_work(request, &choice, &candidates);
         let placed = PlacementDetails::new(&choice, &candidates);
         drop(candidates);
         let is_admitted =
@@ -246,7 +246,7 @@
         PlacementResult::Placed(Box::new(PlacedRequest {
             lead: placed.lead,
             helpers: placed.helpers,
-            first_event: choice.first_event,
+            first_event_delay: choice.first_event,
             loss: choice.lost_value,
             occupied: placed.occupied,
             backlog: placed.backlog,
@@ -265,7 +265,7 @@
         if fleet.endpoints.is_leaving(process) {
             return Some(WithholdReason::Leaving);
         }
-        if fleet.backoffs.end(now, process).is_some() {
+        if fleet.backoffs.backoff_end(now, process).is_some() {
             return Some(WithholdReason::Backoff);
         }
         if placed.is_admitted {
--- a/lovagedock-gateway/src/direct/state/suspects.rs
+++ b/lovagedock-gateway/src/direct/state/suspects.rs
@@ -45,8 +45,8 @@
     }
 
     /// Waits until some request is put into quarantine.
-    pub(crate) fn quarantined(&self) -> Notified<'_> {
-        self.quarantined.notified()
+    pub(crate) fn request_quarantined(&self) -> Notified<'_> {
+        self.request_quarantined.notified()
     }
 
     /// Records that a process ended while it had a request.
@@ -133,7 +133,7 @@
         let now = self.clock.now();
         let fleet = self.fleet.lock();
         let remaining = fleet.suspects.quarantined_for(now, fingerprint);
-        let ends = fleet.suspects.ends(fingerprint);
+        let ends = fleet.suspects.end_count(fingerprint);
         let count = fleet.suspects.quarantines(now).count();
         drop(fleet);
         metrics::counter!("lovagedock_quarantines_total", "source" => source.as_str()).increment(1);
@@ -141,6 +141,6 @@
         info!(self.log, "request in quarantine";
             "fingerprint" => format_fingerprint(fingerprint), "source" => source.as_str(),
             "ended_processes" => ends, "for_s" => remaining.map(|remaining| remaining.as_secs()));
-        self.quarantined.notify_waiters();
+        self.request_quarantined.notify_waiters();
     }
 }
--- a/lovagedock-gateway/src/driver/place.rs
+++ b/lovagedock-gateway/src/driver/place.rs
@@ -1,4 +1,4 @@
-//! Placing a request and counting what was sent where.
+//! Places a request and records the work that was sent to each endpoint.
 
 use std::time::Duration;
 
@@ -9,16 +9,16 @@
 use rand::Rng;
 
 use super::RequestDriver;
-use crate::suspects::fingerprint;
+use crate::suspects::request_fingerprint;
 
 impl RequestDriver {
     pub(super) fn place(&mut self, excluded: &[EndpointId]) -> PlacementOutcome {
-        if let Some(left) = self.quarantined_for() {
-            self.step("refused: engines end under it");
-            return refused(ResultCode::Quarantined, left);
+        if let Some(remaining) = self.quarantined_for() {
+            self.record_step("refused: engines end under it");
+            return refused_placement(ResultCode::Quarantined, remaining);
         }
         let choice = self.choose(excluded);
-        self.placed(choice)
+        self.placement_outcome(choice)
     }
 
     pub(crate) fn choose(&self, excluded: &[EndpointId]) -> Option<PlacementChoice> {
@@ -38,16 +38,16 @@
         fleet.place(now, &self.call.pool, &request, &mut rand::rng())
     }
 
-    fn placed(&mut self, choice: Option<PlacementChoice>) -> PlacementOutcome {
+    fn placement_outcome(&mut self, choice: Option<PlacementChoice>) -> PlacementOutcome {
         match choice {
-            None => refused(ResultCode::NotConfigured, Duration::ZERO),
+            None => refused_placement(ResultCode::NotConfigured, Duration::ZERO),
             Some(PlacementChoice::Refuse {
                 code,
                 retry_after,
                 reason,
             }) => {
-                self.step(format!("refused with code {}: {reason}", code.number()));
-                refused(code, retry_after)
+                self.record_step(format!("refused with code {}: {reason}", code.number()));
+                refused_placement(code, retry_after)
             }
             Some(PlacementChoice::One {
                 endpoint,
@@ -55,17 +55,17 @@
                 predicted_prefill,
                 reason,
             }) => {
-                self.step(format!(
+                self.record_step(format!(
                     "placed on {endpoint}: {reason}, first token predicted in {predicted_first_token:?}"
                 ));
                 let tokens = self.call.prompt.tokens;
-                self.count_sent(&endpoint, tokens, predicted_prefill);
+                self.record_sent(&endpoint, tokens, predicted_prefill);
                 match self.incarnation(&endpoint) {
                     Some(incarnation) => PlacementOutcome::One {
                         endpoint,
                         incarnation,
                     },
-                    None => refused(ResultCode::EndpointUnreachable, Duration::ZERO),
+                    None => refused_placement(ResultCode::EndpointUnreachable, Duration::ZERO),
                 }
             }
             Some(PlacementChoice::Span {
@@ -73,15 +73,15 @@
             }) => {
                 let parts = self.span_parts(members);
                 if parts.is_empty() {
-                    return refused(ResultCode::EndpointUnreachable, Duration::ZERO);
+                    return refused_placement(ResultCode::EndpointUnreachable, Duration::ZERO);
                 }
-                self.step(format!("placed on {} engines: {reason}", parts.len()));
+                self.record_step(format!("placed on {} engines: {reason}", parts.len()));
                 PlacementOutcome::Span(parts)
             }
         }
     }
 
-    /// Engines of a span with the lives of their sidecars; empty if one is out of reach.
+    /// The engines of a span with the incarnations of their sidecars; empty if one has no session.
     pub(crate) fn span_parts(&mut self, members: Vec<SpanMember>) -> Vec<SpanPart> {
         let mut parts = Vec::with_capacity(members.len());
         for member in members {
@@ -96,12 +96,12 @@
         }
         for part in &parts {
             let prefill = CostParameters::ASSUMED.prefill(part.tokens, 0);
-            self.count_sent(&part.endpoint, part.tokens, prefill);
+            self.record_sent(&part.endpoint, part.tokens, prefill);
         }
         parts
     }
 
-    pub(crate) fn count_sent(
+    pub(crate) fn record_sent(
         &mut self,
         endpoint: &EndpointId,
         tokens: TokenCount,
@@ -126,7 +126,7 @@
         self.shared
             .context
             .fleet
-            .work_sent(self.now(), endpoint, work);
+            .record_work_sent(self.now(), endpoint, work);
         self.sent_to.push(endpoint.clone());
     }
 
@@ -134,9 +134,9 @@
         self.shared.context.fleet.get(endpoint)?.incarnation
     }
 
-    /// How much longer the request is not to be sent to engines.
+    /// Remaining quarantine of the request; `None` if it is not quarantined.
     fn quarantined_for(&self) -> Option<Duration> {
-        let fingerprint = fingerprint(&self.call);
+        let fingerprint = request_fingerprint(&self.call);
         self.shared
             .suspects
             .quarantined_for(self.now(), fingerprint)
@@ -144,10 +144,10 @@
 
     pub(super) fn ask_retry(&self) -> RequestEvent {
         let is_quarantined = self.quarantined_for().is_some();
-        let granted = !is_quarantined && self.shared.take_retry(&self.call.service, self.now());
-        self.step(match granted {
+        let granted = !is_quarantined && self.shared.consume_retry(&self.call.service, self.now());
+        self.record_step(match granted {
             true => "retry granted",
-            false => "retry budget is spent",
+            false => "retry denied: budget exhausted or request quarantined",
         });
         RequestEvent::RetryAnswered {
             granted,
@@ -156,6 +156,6 @@
     }
 }
 
-fn refused(code: ResultCode, retry_after: Duration) -> PlacementOutcome {
+fn refused_placement(code: ResultCode, retry_after: Duration) -> PlacementOutcome {
     PlacementOutcome::Refused { code, retry_after }
 }
--- a/lovagedock-gateway/src/front/router.rs
+++ b/lovagedock-gateway/src/front/router.rs
@@ -1,4 +1,4 @@
-//! Decides by method and path who answers a caller.
+//! Routes callers' requests by method and path.
 
 use std::{
     sync::Arc,
@@ -13,16 +13,16 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
 use super::{
-    body::{AnswerBody, whole_body},
+    body::{ResponseBody, full_body},
     in_flight::{InFlightRequest, InFlightTable, in_flight_body},
-    intake::CallIntake,
     problem::{RequestProblem, set_request_id},
     reply::{CallerSink, response},
+    validator::CallValidator,
 };
 use crate::{
     call::CallerCall,
     call_task::{CallTask, count_outcome},
-    cuts::{CutWord, count_cut},
+    cuts::{CutNotice, count_cut},
     settings::CallerLimits,
     shared::GatewayShared,
     trail::RequestTrail,
@@ -30,7 +30,7 @@
 
 const MODELS_PATH: &str = "/v1/models";
 
-/// Answers callers' requests.
+/// Responds to callers' requests.
 pub(super) struct CallRouter {
     shared: GatewayShared,
     limits: CallerLimits,
@@ -40,7 +40,7 @@
 }
 
 impl CallRouter {
-    /// A router without requests in flight.
+    /// Creates a router without requests in flight.
     pub(super) fn new(shared: GatewayShared, limits: CallerLimits, log: Logger) -> Self {
         Self {
             streams: Arc::new(Semaphore::new(limits.streams)),
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Requests in flight.
+    /// The table of requests in flight.
     pub(super) fn in_flight(&self) -> &InFlightTable {
         &self.in_flight
     }
@@ -61,16 +61,17 @@
         self.shared.context.clock.now()
     }
 
-    /// Time that requests in flight still get.
-    pub(super) fn drain_left(&self) -> Duration {
-        self.shared.drain_left()
+    /// Remaining time of the drain for requests in flight.
+    pub(super) fn remaining_drain_time(&self) -> Duration {
+        self.shared.remaining_drain_time()
     }
 
-    /// Answers one request.
-    pub(super) async fn answer(&self, request: Request<Incoming>) -> Response<AnswerBody> {
+    /// Responds to one request.
+    pub(super) async fn respond(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let id: RequestId = rand::random();
-        // Counted before the check: a request whose body is still coming when the gateway stops
-        // would be in flight unseen, and the process would end under it.
+        // The request is counted before it is checked. Otherwise a request whose body is still
+        // being received when the gateway stops would not be in the table, and the process would
+        // exit without waiting for it.
         let in_flight = self.in_flight.begin(id, self.now());
         let response = match self.route(id, request, &in_flight).await {
             Ok(response) => response,
@@ -91,64 +92,71 @@
         id: RequestId,
         request: Request<Incoming>,
         in_flight: &Arc<InFlightRequest>,
-    ) -> Result<Response<AnswerBody>, RequestProblem> {
+    ) -> Result<Response<ResponseBody>, RequestProblem> {
         let config = self.shared.context.config.load_full();
         if config.generation == 0 {
             return Err(RequestProblem::new(ResultCode::NotConfigured)
                 .with_retry_after(Duration::from_secs(1)));
         }
-        let intake = CallIntake {
+        let validator = CallValidator {
             id,
             config: &config,
             limits: &self.limits,
-            since_epoch: since_epoch(),
+            time_since_epoch: time_since_epoch(),
         };
         if request.method() == Method::GET && is_models_path(request.uri().path()) {
-            return models(&intake, &request);
+            return models_response(&validator, &request);
         }
         if self.in_flight.is_closed() {
-            return Err(stopping());
+            return Err(stopping_problem());
         }
-        let permit = self.take_stream()?;
+        let permit = self.acquire_stream()?;
         let call = tokio::select! {
-            call = intake.call(request) => call?,
-            () = self.shared.drain_over() => {
-                self.note_body_cut(id);
-                return Err(stopping());
+            call = validator.validate(request) => call?,
+            () = self.shared.wait_for_drain_end() => {
+                self.log_body_cut(id);
+                return Err(stopping_problem());
             }
         };
         self.check_limits(&call)?;
         Ok(self.drive(Arc::new(call), permit, in_flight).await)
     }
 
-    fn note_body_cut(&self, id: RequestId) {
-        count_cut(CutWord::Told);
+    fn log_body_cut(&self, id: RequestId) {
+        count_cut(CutNotice::Sent);
         warn!(self.log, "request cut by the shutdown";
             "request" => format_request_id(id),
             "code" => ResultCode::GatewayStopping.number(),
             "ran" => RanState::No.as_str(),
-            "detail" => "its body has not come");
+            "detail" => "the request body was not received completely");
     }
 
     fn check_limits(&self, call: &CallerCall) -> Result<(), RequestProblem> {
         let now = self.now();
-        let tokens = call.prompt.all_tokens();
-        match self.shared.limits.admit(now, &call.organisation, tokens) {
+        let tokens = call.prompt.total_tokens();
+        match self
+            .shared
+            .limits
+            .admit_request(now, &call.organisation, tokens)
+        {
             LimitDecision::Admitted => Ok(()),
             LimitDecision::Refused { limit, retry_after } => {
-                let what = match limit {
+                let limit_name = match limit {
                     LimitKind::Requests => "requests a second",
                     LimitKind::Tokens => "tokens a minute",
                     LimitKind::Concurrency => "requests in flight",
                 };
                 Err(RequestProblem::new(ResultCode::OverLimit)
                     .with_retry_after(retry_after)
-                    .with_detail(format!("the limit of {} for {what}", call.organisation)))
+                    .with_detail(format!(
+                        "the limit of {} for {limit_name}",
+                        call.organisation
+                    )))
             }
         }
     }
 
-    fn take_stream(&self) -> Result<OwnedSemaphorePermit, RequestProblem> {
+    fn acquire_stream(&self) -> Result<OwnedSemaphorePermit, RequestProblem> {
         let permit = Arc::clone(&self.streams).try_acquire_owned();
         permit.map_err(|_| {
             RequestProblem::new(ResultCode::TooManyStreams).with_retry_after(Duration::from_secs(1))
@@ -160,7 +168,7 @@
         call: Arc<CallerCall>,
         permit: OwnedSemaphorePermit,
         in_flight: &Arc<InFlightRequest>,
-    ) -> Response<AnswerBody> {
+    ) -> Response<ResponseBody> {
         self.shared.trails.begin(call.id, new_trail(&call));
         let (caller, events) = CallerSink::channel();
         let shared = self.shared.clone();
@@ -174,7 +182,7 @@
     }
 }
 
-fn stopping() -> RequestProblem {
+fn stopping_problem() -> RequestProblem {
     RequestProblem::new(ResultCode::GatewayStopping).with_retry_after(Duration::from_secs(1))
 }
 
@@ -188,7 +196,7 @@
     }
 }
 
-fn since_epoch() -> Duration {
+fn time_since_epoch() -> Duration {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
@@ -213,16 +221,16 @@
     rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
 }
 
-/// The models that the organisation may use, or one of them.
-fn models(
-    intake: &CallIntake<'_>,
+/// The list of models that the organisation may use, or the entry of one of them.
+fn models_response(
+    validator: &CallValidator<'_>,
     request: &Request<Incoming>,
-) -> Result<Response<AnswerBody>, RequestProblem> {
-    let organisation = intake.check_caller(request.headers())?;
+) -> Result<Response<ResponseBody>, RequestProblem> {
+    let organisation = validator.check_caller(request.headers())?;
     let allowed = |service: &ServiceId| {
         organisation.services.is_empty() || organisation.services.contains(service)
     };
-    let entries: Vec<ModelEntry<'_>> = intake
+    let entries: Vec<ModelEntry<'_>> = validator
         .config
         .fleet
         .services
@@ -233,8 +241,8 @@
             ServiceKind::Plain { .. } => None,
         })
         .collect();
-    let wanted = request.uri().path().strip_prefix("/v1/models/");
-    let document = match wanted {
+    let requested_model = request.uri().path().strip_prefix("/v1/models/");
+    let document = match requested_model {
         None => serde_json::to_vec(&ModelList {
             object: "list",
             data: entries,
@@ -245,10 +253,10 @@
             serde_json::to_vec(&entry)
         }
     };
-    let mut response = Response::new(whole_body(Bytes::from(document.unwrap_or_default())));
+    let mut response = Response::new(full_body(Bytes::from(document.unwrap_or_default())));
     let json = header::HeaderValue::from_static("application/json");
     response.headers_mut().insert(header::CONTENT_TYPE, json);
-    set_request_id(&mut response, intake.id);
+    set_request_id(&mut response, validator.id);
     Ok(response)
 }
 
--- a/lovagedock-gateway/src/gateway.rs
+++ b/lovagedock-gateway/src/gateway.rs
@@ -10,19 +10,19 @@
 
 use crate::{
     active::ActiveConfig,
-    admin::GatewaySurface,
+    admin::GatewayAdmin,
     adopt::ConfigAdopter,
-    claims::ClaimDesk,
+    claims::ClaimCoordinator,
     connect::ConnectorFactory,
     context::GatewayContext,
     fleet::FleetTable,
     front::FrontServer,
-    limits::LimitDesk,
-    orders::{DeskParts, OrderDesk},
+    limits::OrganisationLimiter,
+    orders::{DispatcherParts, OrderDispatcher},
     settings::GatewaySettings,
     shared::GatewayShared,
-    sources::{ConfigSources, PlatformPorts, SourceParts},
-    suspects::SuspectDesk,
+    sources::{ConfigSources, PlatformClients, SourceParts},
+    suspects::SuspectTracker,
     workers::WorkerPool,
 };
 
@@ -38,21 +38,21 @@
 
 impl std::error::Error for GatewayError {}
 
-/// A gateway that serves.
+/// A running gateway.
 pub struct Gateway {
-    callers: SocketAddr,
+    callers_address: SocketAddr,
     context: GatewayContext,
     admin: AdminServer,
     front: JoinHandle<()>,
     sources: ConfigSources,
-    // Ends the links when the gateway goes.
+    // Dropping the adopter ends the links.
     _adopter: Arc<ConfigAdopter>,
-    // Ends the orders when the gateway goes.
-    _orders: OrderDesk,
+    // Dropping the dispatcher ends the order thread.
+    _orders: OrderDispatcher,
 }
 
 impl Gateway {
-    /// Listens, connects to the platform and serves in the background.
+    /// Binds the listeners, connects to the platform and serves in the background.
     pub async fn start(
         settings: GatewaySettings,
         daemon: DaemonContext,
@@ -69,10 +69,10 @@
             adoption: Arc::default(),
             fleet: FleetTable::default(),
         };
-        let limits = LimitDesk::new(settings.name.clone(), daemon.clock.now());
+        let limits = OrganisationLimiter::new(settings.name.clone(), daemon.clock.now());
         let links = open_transport(&settings.links.transport, &daemon)?;
         let connectors = ConnectorFactory::new(links);
-        let times = settings.links.times();
+        let times = settings.links.link_times();
         let workers = WorkerPool::new(settings.links.workers, &context, &connectors, times, &log)
             .change_context(GatewayError)?;
         let adopter = Arc::new(ConfigAdopter::new(
@@ -87,8 +87,8 @@
             BudgetLimits::default(),
             context.incarnation,
         ));
-        let claims = ClaimDesk::start(context.incarnation, &store, daemon.clock);
-        let orders = OrderDesk::start(DeskParts {
+        let claims = ClaimCoordinator::start(context.incarnation, &store, daemon.clock);
+        let orders = OrderDispatcher::start(DispatcherParts {
             context: context.clone(),
             store: Arc::clone(&store),
             connectors: connectors.clone(),
@@ -99,7 +99,7 @@
             log: log.clone(),
         })
         .change_context(GatewayError)?;
-        let suspects = SuspectDesk::new(log.clone());
+        let suspects = SuspectTracker::new(log.clone());
         let shared = GatewayShared::new(context.clone(), claims, limits.clone(), suspects.clone())
             .with_shutdown(daemon.shutdown.clone(), settings.limits.drain_time());
         let front = FrontServer::bind(
@@ -112,17 +112,22 @@
         )
         .await
         .change_context(GatewayError)?;
-        let callers = front.address().change_context(GatewayError)?;
-        let surface = Arc::new(GatewaySurface::new(
+        let callers_address = front.address().change_context(GatewayError)?;
+        let admin_handler = Arc::new(GatewayAdmin::new(
             shared,
-            orders.board(),
+            orders.status_table(),
             daemon.shutdown.clone(),
         ));
-        let admin = AdminServer::start("lovagedock-gateway", &settings.admin, surface, &daemon)
-            .await
-            .change_context(GatewayError)?;
+        let admin = AdminServer::start(
+            "lovagedock-gateway",
+            &settings.admin,
+            admin_handler,
+            &daemon,
+        )
+        .await
+        .change_context(GatewayError)?;
         let parts = SourceParts {
-            platform: PlatformPorts {
+            platform: PlatformClients {
                 store,
                 hosts: platform,
             },
@@ -136,7 +141,7 @@
             .await
             .change_context(GatewayError)?;
         Ok(Self {
-            callers,
+            callers_address,
             context,
             admin,
             front: tokio::spawn(front.run()),
@@ -148,7 +153,7 @@
 
     /// Address that callers connect to.
     pub fn callers_address(&self) -> SocketAddr {
-        self.callers
+        self.callers_address
     }
 
     /// Address that other gateways connect to.
@@ -168,7 +173,7 @@
         self.context.generation() > 0 && connected
     }
 
-    /// Waits until the shutdown was asked for and all requests have ended.
+    /// Waits until shutdown was requested and all requests have ended or the drain time is over.
     pub async fn wait(self) -> Result<(), Report<GatewayError>> {
         self.front.await.change_context(GatewayError)
     }
--- a/lovagedock-gateway/src/limits.rs
+++ b/lovagedock-gateway/src/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of organisations at this gateway.
+//! Usage limits of organisations at this gateway.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 };
 use parking_lot::Mutex;
 
-/// A report for a peer.
+/// A usage report to send to a peer.
 pub(crate) struct PeerReport {
     /// The peer.
     pub(crate) peer: GatewayId,
@@ -18,22 +18,22 @@
 
 /// The usage limiter of a gateway; cheap to clone.
 ///
-/// Lock order: a leaf.
+/// Lock order: this lock is a leaf.
 #[derive(Clone)]
-pub(crate) struct LimitDesk {
+pub(crate) struct OrganisationLimiter {
     own: GatewayId,
-    state: Arc<Mutex<DeskState>>,
+    state: Arc<Mutex<LimiterState>>,
 }
 
-struct DeskState {
+struct LimiterState {
     peers: Vec<GatewayId>,
     limiter: UsageLimiter,
 }
 
-impl LimitDesk {
-    /// A desk without limits, before the first configuration.
+impl OrganisationLimiter {
+    /// Creates a limiter without limits, before the first configuration.
     pub(crate) fn new(own: GatewayId, now: Timestamp) -> Self {
-        let state = DeskState {
+        let state = LimiterState {
             peers: Vec::new(),
             limiter: UsageLimiter::new(now, Vec::new(), LimitTiming::default()),
         };
@@ -43,9 +43,9 @@
         }
     }
 
-    /// Takes over the gateways and the limits of a configuration.
+    /// Applies the gateways and limits of a configuration.
     ///
-    /// Other gateways mean other shares: the limiter begins anew, with equal shares.
+    /// A change of the gateways changes their shares, so the limiter restarts with equal shares.
     pub(crate) fn configure(&self, now: Timestamp, fleet: &FleetConfig) {
         let gateways = fleet.gateways.iter().map(|gateway| gateway.id.clone());
         let peers: Vec<GatewayId> = gateways.filter(|id| *id != self.own).collect();
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Decides about a request and counts it if it is admitted.
-    pub(crate) fn admit(
+    /// Decides whether a request is admitted, and counts it if it is.
+    pub(crate) fn admit_request(
         &self,
         now: Timestamp,
         organisation: &OrganisationId,
@@ -70,29 +70,34 @@
         self.state.lock().limiter.admit(now, organisation, tokens)
     }
 
-    /// Counts an admitted request that has ended.
-    pub(crate) fn finish(&self, organisation: &OrganisationId) {
+    /// Records that an admitted request has ended.
+    pub(crate) fn finish_request(&self, organisation: &OrganisationId) {
         self.state.lock().limiter.finish(organisation, 0);
     }
 
-    /// Time for an exchange: what to tell each peer.
-    pub(crate) fn reports(&self, now: Timestamp) -> Vec<PeerReport> {
+    /// The usage reports that are due to be sent to peers.
+    pub(crate) fn due_usage_reports(&self, now: Timestamp) -> Vec<PeerReport> {
         let actions = self.state.lock().limiter.handle(now, LimitEvent::Tick);
-        let reports = actions.into_iter().filter_map(|action| match action {
+        let due_usage_reports = actions.into_iter().filter_map(|action| match action {
             LimitAction::Report { peer, report } => Some(PeerReport { peer, report }),
             LimitAction::Acknowledge { .. } => None,
         });
-        reports.collect()
+        due_usage_reports.collect()
     }
 
-    /// Notes that a peer answered, and in which life.
-    pub(crate) fn connected(&self, now: Timestamp, peer: GatewayId, incarnation: Incarnation) {
+    /// Records a connection to a peer and the peer's incarnation.
+    pub(crate) fn record_connection(
+        &self,
+        now: Timestamp,
+        peer: GatewayId,
+        incarnation: Incarnation,
+    ) {
         let event = LimitEvent::PeerConnected { peer, incarnation };
         self.state.lock().limiter.handle(now, event);
     }
 
-    /// Takes a peer's report; the confirmation for it, if it is of use.
-    pub(crate) fn received(
+    /// Handles a peer's report; returns the acknowledgement, if one is to be sent.
+    pub(crate) fn handle_report(
         &self,
         now: Timestamp,
         peer: GatewayId,
@@ -106,14 +111,14 @@
         })
     }
 
-    /// Takes a peer's confirmation.
-    pub(crate) fn confirmed(&self, now: Timestamp, peer: GatewayId, ack: UsageAck) {
+    /// Handles a peer's acknowledgement.
+    pub(crate) fn handle_ack(&self, now: Timestamp, peer: GatewayId, ack: UsageAck) {
         let event = LimitEvent::AckReceived { peer, ack };
         self.state.lock().limiter.handle(now, event);
     }
 }
 
-/// Time between two exchanges.
-pub(crate) fn exchange_interval() -> std::time::Duration {
+/// Time between two exchanges of usage reports.
+pub(crate) fn usage_exchange_interval() -> std::time::Duration {
     LimitTiming::default().interval
 }
--- a/lovagedock-gateway/src/sources.rs
+++ b/lovagedock-gateway/src/sources.rs
@@ -1,4 +1,4 @@
-//! Where configurations and the list of leaving hosts come from.
+//! Sources of configurations and of the list of leaving hosts.
 
 use std::{io, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -13,48 +13,49 @@
 };
 
 use crate::{
-    adopt::ConfigAdopter, connect::ConnectorFactory, context::GatewayContext, limits::LimitDesk,
-    peers::PeerWorker, relay::StoreReader, settings::GatewaySettings, suspects::SuspectDesk,
+    adopt::ConfigAdopter, connect::ConnectorFactory, context::GatewayContext,
+    limits::OrganisationLimiter, peers::PeerWorker, relay::StoreReader, settings::GatewaySettings,
+    suspects::SuspectTracker,
 };
 
 /// Time between ticks of the outlier detectors.
 const OUTLIER_INTERVAL: Duration = Duration::from_millis(500);
-/// Time between readings of the platform's host list.
+/// Time between reads of the platform's host list.
 const HOSTS_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The platform as a gateway uses it.
-pub(crate) struct PlatformPorts {
-    /// The object store, within the process's budget.
+/// Clients for the platform's interfaces.
+pub(crate) struct PlatformClients {
+    /// The object store, limited by the process's budget.
     pub(crate) store: Arc<dyn ObjectStore>,
     /// The list of hosts.
     pub(crate) hosts: Arc<dyn HostDirectory>,
 }
 
-/// What the sources feed, and through what.
+/// Dependencies of the sources.
 pub(crate) struct SourceParts {
     /// The platform.
-    pub(crate) platform: PlatformPorts,
+    pub(crate) platform: PlatformClients,
     /// Configuration and fleet.
     pub(crate) context: GatewayContext,
-    /// Where configurations come into force.
+    /// Puts configurations in force.
     pub(crate) adopter: Arc<ConfigAdopter>,
-    /// How to connect to peers.
+    /// Opens connections to peers.
     pub(crate) connectors: ConnectorFactory,
-    /// Limits of organisations.
-    pub(crate) limits: LimitDesk,
-    /// Requests that end engines.
-    pub(crate) suspects: SuspectDesk,
+    /// Usage limits of organisations.
+    pub(crate) limits: OrganisationLimiter,
+    /// Requests that may have caused engines to exit.
+    pub(crate) suspects: SuspectTracker,
 }
 
-/// Tasks that feed a gateway; they end when this is dropped.
+/// Tasks that receive configurations and host lists; they end when this is dropped.
 pub(crate) struct ConfigSources {
-    peers: SocketAddr,
+    peers_address: SocketAddr,
     tasks: Vec<JoinHandle<()>>,
     _stop: watch::Sender<()>,
 }
 
 impl ConfigSources {
-    /// Listens for peers and begins to watch the platform.
+    /// Listens for peers and starts to watch the platform.
     pub(crate) async fn start(
         settings: &GatewaySettings,
         parts: SourceParts,
@@ -67,10 +68,10 @@
         let listener = std::net::TcpListener::bind(settings.peers.address)
             .map_err(Report::new)
             .attach_with(|| format!("peers' address {}", settings.peers.address))?;
-        let peers = listener.local_addr()?;
+        let peers_address = listener.local_addr()?;
         let (stop, stopped) = watch::channel(());
-        let (orders, ordered) = mpsc::unbounded_channel();
-        let (ends, ended) = mpsc::unbounded_channel();
+        let (store_requests, store_request_receiver) = mpsc::unbounded_channel();
+        let (adoption_events, adoption_event_receiver) = mpsc::unbounded_channel();
         let worker = PeerWorker {
             context: parts.context.clone(),
             adopter: parts.adopter,
@@ -79,11 +80,11 @@
             limits: parts.limits,
             suspects: parts.suspects,
             seeds: settings.seed_peers.clone(),
-            orders,
+            store_requests,
             log: log.clone(),
         };
-        worker.start(listener, ended, stopped)?;
-        let outliers = parts.context.clone();
+        worker.start(listener, adoption_event_receiver, stopped)?;
+        let outlier_context = parts.context.clone();
         let config = ConfigStore::new(parts.platform.store);
         let reader = StoreReader::new(config, log.clone());
         let hosts = HostWatcher {
@@ -92,11 +93,11 @@
             log: log.clone(),
         };
         Ok(Self {
-            peers,
+            peers_address,
             tasks: vec![
-                tokio::spawn(reader.run(ordered, ends)),
+                tokio::spawn(reader.run(store_request_receiver, adoption_events)),
                 tokio::spawn(hosts.run()),
-                tokio::spawn(run_outlier_ticks(outliers, log.clone())),
+                tokio::spawn(run_outlier_ticks(outlier_context, log.clone())),
             ],
             _stop: stop,
         })
@@ -104,7 +105,7 @@
 
     /// Address that peers connect to.
     pub(crate) fn peers_address(&self) -> SocketAddr {
-        self.peers
+        self.peers_address
     }
 }
 
@@ -123,7 +124,7 @@
 }
 
 impl HostWatcher {
-    /// Reads the list of hosts again and again; never ends.
+    /// Polls the list of hosts; never returns.
     async fn run(self) {
         loop {
             match self.directory.hosts().await {
@@ -133,19 +134,19 @@
                     let leaving = leaving.map(|entry| entry.host).collect();
                     self.context.fleet.set_leaving_hosts(leaving);
                 }
-                Err(error) => warn!(self.log, "no list of hosts"; "error" => %error),
+                Err(error) => warn!(self.log, "cannot read the list of hosts"; "error" => %error),
             }
             sleep(HOSTS_INTERVAL).await;
         }
     }
 }
 
-/// Tells the outlier detectors that time passes; never ends.
+/// Sends ticks to the outlier detectors; never returns.
 async fn run_outlier_ticks(context: GatewayContext, log: Logger) {
     loop {
         sleep(OUTLIER_INTERVAL).await;
-        for action in context.fleet.watch_tick(context.clock.now()) {
-            info!(log, "ejection changed";
+        for action in context.fleet.tick_outliers(context.clock.now()) {
+            info!(log, "endpoint ejection changed";
                 "endpoint" => &*action.endpoint,
                 "ejected" => action.ejected,
                 "cause" => format!("{:?}", action.cause));
--- a/lovagedock-platform/src/config/apply.rs
+++ b/lovagedock-platform/src/config/apply.rs
@@ -1,4 +1,5 @@
-//! Applying a configuration: chunks first, then one conditional update of the root.
+//! Applies a configuration: writes the chunks first, then updates the root with one conditional
+//! write.
 
 use std::{fmt, time::Duration};
 
@@ -9,67 +10,69 @@
 
 use super::{
     ROOT_KEY,
-    chunk_name::{chunk_key, name_bytes},
+    chunk_name::{chunk_key, name_of_bytes},
     chunks::{ConfigChunk, split_chunks},
     load::{ConfigStore, LoadError, PARALLEL_CALLS, VersionedRoot},
-    root::{AcceptedRecord, ApplyNonce, ConfigRoot, Settlement, settle},
+    root::{AcceptedRecord, ApplyNonce, ApplyStatus, ConfigRoot, apply_status},
 };
 use crate::store::{CallPurpose, MAX_VALUE_BYTES, PutCondition, StoreError};
 
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
-const LONGEST_PAUSE: Duration = Duration::from_secs(1);
-const DEFAULT_PATIENCE: Duration = Duration::from_secs(10);
+const FIRST_RETRY_DELAY: Duration = Duration::from_millis(50);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What an operator asks for.
+/// An operator's request to apply a configuration.
 #[derive(Clone, Debug)]
 pub struct ApplyRequest {
     /// Canonical JSON of the configuration.
     pub config: Bytes,
-    /// Generation that it replaces; 0 for the first.
+    /// Generation that the configuration replaces; 0 for the first.
     pub expected: Generation,
-    /// Who applies it.
+    /// Name of the operator.
     pub author: String,
-    /// Random text that no other apply has.
+    /// Random text that is unique to this apply.
     pub nonce: ApplyNonce,
-    /// The time as text for people.
+    /// Time of submission as text for display.
     pub submitted_at: String,
-    /// How long the store may be tried before the outcome is given.
-    pub patience: Duration,
-    /// Whether chunks of the present configuration are trusted to be in the store as they were.
+    /// Time limit for retries before the outcome is returned.
+    pub timeout: Duration,
+    /// Whether chunks of the current configuration are assumed to be intact in the store.
     pub reuse_chunks: bool,
 }
 
-/// What became of an apply; never a guess.
+/// Outcome of an apply. Every outcome except `Unknown` is certain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ApplyOutcome {
-    /// It is the configuration now, or was until another replaced it.
+    /// The configuration was accepted. It is in force, or was until another replaced it.
     Accepted {
-        /// Its generation.
+        /// Generation of the accepted configuration.
         generation: Generation,
     },
-    /// Another apply was accepted in its place.
+    /// Another apply was accepted instead.
     Conflict {
-        /// Generation of the other.
+        /// Generation of the other configuration.
         winner: Generation,
-        /// Who applied the other.
+        /// Operator who applied the other configuration.
         author: String,
     },
-    /// This call did not change the configuration and never will. It says nothing of an earlier
-    /// call with the same nonce that ended as [`ApplyOutcome::Unknown`].
+    /// This call did not change the configuration and never will. This does not cover an earlier
+    /// call with the same nonce that returned [`ApplyOutcome::Unknown`].
     NotAccepted {
-        /// Why.
+        /// Reason.
         reason: NotAcceptedReason,
     },
-    /// It may have been accepted; applying it again with the same nonce finds out.
+    /// The configuration may have been accepted; applying it again with the same nonce determines
+    /// the outcome.
     Unknown,
 }
 
-/// Why a configuration was not accepted.
+/// Reason why a configuration was not accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NotAcceptedReason {
-    /// The store was out of reach, or its rate used up, for as long as the apply might take.
+    /// The store was unreachable or its rate limit exceeded until the time limit of the apply.
     Unavailable(StoreError),
-    /// The expected generation is not the store's and the store does not know who replaced it.
+    /// The expected generation is not the store's, and the store no longer records which apply
+    /// replaced it.
     WrongGeneration,
     /// The configuration is too large for its root to fit into one value.
     TooLarge,
@@ -81,7 +84,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Unavailable(error) => error.fmt(f),
-            Self::WrongGeneration => f.write_str("the expected generation is not the store's"),
+            Self::WrongGeneration => {
+                f.write_str("the expected generation is not the current one in the store")
+            }
             Self::TooLarge => f.write_str("the configuration is too large"),
             Self::CorruptRoot => f.write_str("the configuration's root cannot be read"),
         }
@@ -89,7 +94,7 @@
 }
 
 impl ApplyRequest {
-    /// A request with the usual patience.
+    /// Creates a request with the default time limit.
     pub fn new(config: Bytes, expected: Generation, author: &str, nonce: ApplyNonce) -> Self {
         Self {
             config,
@@ -97,24 +102,24 @@
             author: author.to_owned(),
             nonce,
             submitted_at: String::new(),
-            patience: DEFAULT_PATIENCE,
+            timeout: DEFAULT_TIMEOUT,
             reuse_chunks: true,
         }
     }
 
-    /// Names the time for people.
+    /// Sets the time of submission for display.
     pub fn with_submitted_at(mut self, text: &str) -> Self {
         self.submitted_at = text.to_owned();
         self
     }
 
-    /// Bounds the time for which the store is tried.
-    pub fn with_patience(mut self, patience: Duration) -> Self {
-        self.patience = patience;
+    /// Sets the time limit for retries.
+    pub fn with_timeout(mut self, timeout: Duration) -> Self {
+        self.timeout = timeout;
         self
     }
 
-    /// Writes every chunk again, which repairs one that was damaged in the store.
+    /// Writes all chunks again, which repairs chunks that were damaged in the store.
     pub fn with_all_chunks(mut self) -> Self {
         self.reuse_chunks = false;
         self
@@ -129,7 +134,7 @@
             },
             accepted_at: self.submitted_at.clone(),
             length: self.config.len() as u64,
-            digest: name_bytes(&self.config),
+            digest: name_of_bytes(&self.config),
             chunks: chunks.iter().map(|chunk| chunk.hash.clone()).collect(),
             history: Vec::new(),
             retired: Vec::new(),
@@ -137,29 +142,30 @@
         root.with_base(base)
     }
 
-    /// The outcome if `root` decides it; `None` while the generation is open.
+    /// Returns the outcome if `root` determines it; `None` while the generation after the expected
+    /// one does not exist.
     fn outcome(&self, root: Option<&ConfigRoot>, may_have_written: bool) -> Option<ApplyOutcome> {
-        match settle(root, &self.nonce, self.expected) {
-            Settlement::Accepted(generation) => Some(ApplyOutcome::Accepted { generation }),
-            Settlement::Lost(winner) => Some(ApplyOutcome::Conflict {
+        match apply_status(root, &self.nonce, self.expected) {
+            ApplyStatus::Accepted(generation) => Some(ApplyOutcome::Accepted { generation }),
+            ApplyStatus::Superseded(winner) => Some(ApplyOutcome::Conflict {
                 winner: winner.generation,
                 author: winner.author,
             }),
-            Settlement::Open => None,
-            Settlement::Forgotten if may_have_written => Some(ApplyOutcome::Unknown),
-            Settlement::Forgotten => Some(refused(NotAcceptedReason::WrongGeneration)),
+            ApplyStatus::Open => None,
+            ApplyStatus::NotRecorded if may_have_written => Some(ApplyOutcome::Unknown),
+            ApplyStatus::NotRecorded => Some(not_accepted(NotAcceptedReason::WrongGeneration)),
         }
     }
 }
 
 impl ConfigStore {
-    /// Applies a configuration whole. The same request may be applied again at any time: it is
+    /// Applies a complete configuration. The same request may be applied again at any time: it is
     /// accepted at most once.
     pub async fn apply(&self, request: &ApplyRequest) -> ApplyOutcome {
-        let mut patience = RetryPatience::new(request.patience);
-        let base = match self.read_base(&mut patience).await {
+        let mut retry_timer = RetryTimer::new(request.timeout);
+        let base = match self.read_base(&mut retry_timer).await {
             Ok(base) => base,
-            Err(error) => return not_loaded(error),
+            Err(error) => return load_failure(error),
         };
         let base_root = base.as_ref().map(|versioned| &versioned.root);
         if let Some(outcome) = request.outcome(base_root, false) {
@@ -169,28 +175,28 @@
         let root = request.next_root(&chunks, base_root);
         let value = match serde_json::to_vec(&root) {
             Ok(value) if value.len() <= MAX_VALUE_BYTES => Bytes::from(value),
-            _ => return refused(NotAcceptedReason::TooLarge),
+            _ => return not_accepted(NotAcceptedReason::TooLarge),
         };
         let reusable = base_root.filter(|_| request.reuse_chunks);
-        if let Err(error) = self.write_chunks(&chunks, reusable, &patience).await {
-            return refused(NotAcceptedReason::Unavailable(error));
+        if let Err(error) = self.write_chunks(&chunks, reusable, &retry_timer).await {
+            return not_accepted(NotAcceptedReason::Unavailable(error));
         }
         let condition = match &base {
             Some(versioned) => PutCondition::Version(versioned.version),
             None => PutCondition::Absent,
         };
-        self.write_root(request, value, condition, &mut patience)
+        self.write_root(request, value, condition, &mut retry_timer)
             .await
     }
 
     async fn read_base(
         &self,
-        patience: &mut RetryPatience,
+        retry_timer: &mut RetryTimer,
     ) -> Result<Option<VersionedRoot>, LoadError> {
         loop {
             match self.read_root().await {
-                Err(LoadError::Store(error)) if is_passing(&error) => {
-                    if !patience.pause().await {
+                Err(LoadError::Store(error)) if is_transient(&error) => {
+                    if !retry_timer.wait().await {
                         return Err(LoadError::Store(error));
                     }
                 }
@@ -199,20 +205,20 @@
         }
     }
 
-    /// Writes the chunks that `reusable` does not name. Chunks that an older configuration left
-    /// behind are written again: the newer version keeps them from being collected.
+    /// Writes the chunks that `reusable` does not name. Chunks left over from an older
+    /// configuration are written again: their newer version protects them from collection.
     async fn write_chunks(
         &self,
         chunks: &[ConfigChunk],
         reusable: Option<&ConfigRoot>,
-        patience: &RetryPatience,
+        retry_timer: &RetryTimer,
     ) -> Result<(), StoreError> {
-        let is_there =
+        let is_reusable =
             |chunk: &&ConfigChunk| reusable.is_some_and(|root| root.chunks.contains(&chunk.hash));
         let writes: Vec<_> = chunks
             .iter()
-            .filter(|chunk| !is_there(chunk))
-            .map(|chunk| self.write_chunk(chunk, patience.clone()))
+            .filter(|chunk| !is_reusable(chunk))
+            .map(|chunk| self.write_chunk(chunk, retry_timer.clone()))
             .collect();
         stream::iter(writes)
             .buffer_unordered(PARALLEL_CALLS)
@@ -220,12 +226,12 @@
             .await
     }
 
-    /// A chunk's key is its hash, so writing it twice changes nothing and a write whose outcome
-    /// is unknown is simply repeated.
+    /// Writes one chunk. Its key is its hash, so writing it twice changes nothing, and a write with
+    /// an unknown outcome is repeated.
     async fn write_chunk(
         &self,
         chunk: &ConfigChunk,
-        mut patience: RetryPatience,
+        mut retry_timer: RetryTimer,
     ) -> Result<(), StoreError> {
         let key = chunk_key(&chunk.hash);
         loop {
@@ -235,8 +241,8 @@
                 .put(&key, bytes, PutCondition::Any, CallPurpose::Config);
             match put.await {
                 Ok(_) => return Ok(()),
-                Err(error) if is_passing(&error) => {
-                    if !patience.pause().await {
+                Err(error) if is_transient(&error) => {
+                    if !retry_timer.wait().await {
                         return Err(error);
                     }
                 }
@@ -245,18 +251,18 @@
         }
     }
 
-    /// Puts the root until it is known what became of it.
+    /// Writes the root, with retries, until the outcome is known.
     ///
-    /// When the answer is lost the root is read back and looked through for the nonce. If the old
-    /// root is still there, the write may yet take effect, so "not accepted" would be a guess;
-    /// the same conditional write is sent again instead. Both carry the same condition, hence at
-    /// most one of them takes effect, and once any write moved the version neither can any more.
+    /// If the response is lost, the root is read back and searched for the nonce. If the old root
+    /// is still there, the write may yet take effect, so "not accepted" would not be certain; the
+    /// same conditional write is sent again instead. Both writes carry the same condition, so at
+    /// most one of them takes effect, and once any write has changed the version, neither can.
     async fn write_root(
         &self,
         request: &ApplyRequest,
         value: Bytes,
         condition: PutCondition,
-        patience: &mut RetryPatience,
+        retry_timer: &mut RetryTimer,
     ) -> ApplyOutcome {
         let mut may_have_written = false;
         loop {
@@ -274,25 +280,26 @@
             may_have_written |= error.may_have_written();
             let is_conflict = matches!(error, StoreError::Conflict { .. });
             if is_conflict || error.may_have_written() {
-                let settled = self.read_back(request, may_have_written, is_conflict).await;
-                if let Some(outcome) = settled {
+                let determined = self.read_back(request, may_have_written, is_conflict).await;
+                if let Some(outcome) = determined {
                     return outcome;
                 }
             }
-            if is_lasting(&error) && !may_have_written {
-                return refused(NotAcceptedReason::Unavailable(error));
+            if is_permanent(&error) && !may_have_written {
+                return not_accepted(NotAcceptedReason::Unavailable(error));
             }
-            if !patience.pause().await {
+            if !retry_timer.wait().await {
                 return match may_have_written {
                     true => ApplyOutcome::Unknown,
-                    false if is_conflict => refused(NotAcceptedReason::WrongGeneration),
-                    false => refused(NotAcceptedReason::Unavailable(error)),
+                    false if is_conflict => not_accepted(NotAcceptedReason::WrongGeneration),
+                    false => not_accepted(NotAcceptedReason::Unavailable(error)),
                 };
             }
         }
     }
 
-    /// Looks the outcome up in the store; `None` when it could not be read or is still open.
+    /// Determines the outcome from the root in the store; `None` if the root could not be read or
+    /// the outcome is still open.
     async fn read_back(
         &self,
         request: &ApplyRequest,
@@ -304,61 +311,62 @@
         if let Some(outcome) = request.outcome(root, may_have_written) {
             return Some(outcome);
         }
-        // Somebody put the expected generation back in place under another version. The
-        // condition can never hold again, so waiting would not help.
+        // Another writer restored the expected generation under another version. The condition can
+        // never hold again, so waiting would not help.
         is_conflict.then(|| match may_have_written {
             true => ApplyOutcome::Unknown,
-            false => refused(NotAcceptedReason::WrongGeneration),
+            false => not_accepted(NotAcceptedReason::WrongGeneration),
         })
     }
 }
 
-/// Pauses that grow, until a deadline.
+/// Retry delays that double up to a maximum, until a deadline.
 #[derive(Clone)]
-struct RetryPatience {
+struct RetryTimer {
     deadline: Instant,
-    next_pause: Duration,
+    next_delay: Duration,
 }
 
-impl RetryPatience {
-    fn new(patience: Duration) -> Self {
+impl RetryTimer {
+    fn new(timeout: Duration) -> Self {
         Self {
-            deadline: Instant::now() + patience,
-            next_pause: FIRST_PAUSE,
+            deadline: Instant::now() + timeout,
+            next_delay: FIRST_RETRY_DELAY,
         }
     }
 
-    /// Pauses before a retry; false when the deadline leaves no time for one.
-    async fn pause(&mut self) -> bool {
-        // Operators are few, and the budget spreads the calls of the many: no jitter here.
-        let pause = self.next_pause;
-        if Instant::now() + pause >= self.deadline {
+    /// Waits before a retry; returns false if the deadline leaves no time for one.
+    async fn wait(&mut self) -> bool {
+        // No jitter is needed here: there are few operators, and the store budget spreads the calls
+        // of the many other processes.
+        let delay = self.next_delay;
+        if Instant::now() + delay >= self.deadline {
             return false;
         }
-        sleep(pause).await;
-        self.next_pause = (pause * 2).min(LONGEST_PAUSE);
+        sleep(delay).await;
+        self.next_delay = (delay * 2).min(MAX_RETRY_DELAY);
         true
     }
 }
 
-fn is_passing(error: &StoreError) -> bool {
+fn is_transient(error: &StoreError) -> bool {
     matches!(
         error,
         StoreError::Unavailable | StoreError::RateLimited | StoreError::OutcomeUnknown
     )
 }
 
-fn is_lasting(error: &StoreError) -> bool {
+fn is_permanent(error: &StoreError) -> bool {
     matches!(error, StoreError::TooLarge | StoreError::Malformed)
 }
 
-fn refused(reason: NotAcceptedReason) -> ApplyOutcome {
+fn not_accepted(reason: NotAcceptedReason) -> ApplyOutcome {
     ApplyOutcome::NotAccepted { reason }
 }
 
-fn not_loaded(error: LoadError) -> ApplyOutcome {
+fn load_failure(error: LoadError) -> ApplyOutcome {
     match error {
-        LoadError::Store(error) => refused(NotAcceptedReason::Unavailable(error)),
-        _ => refused(NotAcceptedReason::CorruptRoot),
+        LoadError::Store(error) => not_accepted(NotAcceptedReason::Unavailable(error)),
+        _ => not_accepted(NotAcceptedReason::CorruptRoot),
     }
 }
--- a/lovagedock-platform/tests/config_property.rs
+++ b/lovagedock-platform/tests/config_property.rs
@@ -1,4 +1,4 @@
-//! Random schedules of applies, faults and collections against the configuration store.
+//! Random schedules of applies, faults and chunk collections against the configuration store.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -22,14 +22,14 @@
     fault: MemoryFault,
 }
 
-/// Two operators apply at the same time under some faults; afterwards writes that hung may arrive
-/// and chunks may be collected.
+/// Two operators apply at the same time under some faults. Afterwards delayed writes may take
+/// effect and chunks may be collected.
 #[derive(Clone, Debug)]
 struct PlannedRound {
     faults: Vec<PlannedFault>,
-    /// How far behind the newest generation each operator is.
+    /// Number of generations that each operator is behind the newest.
     behind: [u64; 2],
-    release: bool,
+    apply_delayed: bool,
     collect: bool,
 }
 
@@ -38,9 +38,9 @@
     let key = prop_oneof![4 => Just(ROOT_KEY), 1 => Just(CHUNK_PREFIX)];
     let fault = prop_oneof![
         Just(MemoryFault::Down),
-        Just(MemoryFault::LoseAnswer),
-        Just(MemoryFault::LoseCall),
-        Just(MemoryFault::LateEffect),
+        Just(MemoryFault::LoseResponse),
+        Just(MemoryFault::LoseRequest),
+        Just(MemoryFault::DelayWrite),
         Just(MemoryFault::RateLimited),
     ];
     (kind, key, 0..4u32, 1..12u32, fault).prop_map(|(kind, key, skip, times, fault)| PlannedFault {
@@ -61,10 +61,10 @@
         any::<bool>(),
         any::<bool>(),
     )
-        .prop_map(|(faults, behind, release, collect)| PlannedRound {
+        .prop_map(|(faults, behind, apply_delayed, collect)| PlannedRound {
             faults,
             behind,
-            release,
+            apply_delayed,
             collect,
         })
 }
@@ -83,10 +83,10 @@
 struct Schedule {
     memory: Arc<MemoryStore>,
     config: ConfigStore,
-    /// Nonce of each generation, as the store showed it while nothing failed.
-    seen: HashMap<u64, String>,
+    /// Nonce of each generation, as read from the store while no fault was active.
+    accepted_nonces: HashMap<u64, String>,
     newest: u64,
-    told: Vec<(String, ApplyOutcome)>,
+    reported: Vec<(String, ApplyOutcome)>,
 }
 
 impl Schedule {
@@ -95,27 +95,32 @@
         Self {
             config: ConfigStore::new(memory.clone()),
             memory,
-            seen: HashMap::new(),
+            accepted_nonces: HashMap::new(),
             newest: 0,
-            told: Vec::new(),
+            reported: Vec::new(),
         }
     }
 
-    async fn play(&mut self, at: usize, round: &PlannedRound) {
-        for plan in &round.faults {
-            self.memory
-                .script_fault(plan.kind, plan.key, plan.skip, plan.times, plan.fault);
+    async fn run_round(&mut self, at: usize, round: &PlannedRound) {
+        for planned in &round.faults {
+            self.memory.script_fault(
+                planned.kind,
+                planned.key,
+                planned.skip,
+                planned.times,
+                planned.fault,
+            );
         }
         let request = |operator: usize| {
             let nonce = format!("{at}-{operator}");
             let expected = self.newest.saturating_sub(round.behind[operator]);
             ApplyRequest::new(config(&nonce), expected, "operator", nonce)
-                .with_patience(Duration::from_secs(2))
+                .with_timeout(Duration::from_secs(2))
         };
         let (one, two) = (request(0), request(1));
         let (first, second) = tokio::join!(self.config.apply(&one), self.config.apply(&two));
-        self.told.push((one.nonce, first));
-        self.told.push((two.nonce, second));
+        self.reported.push((one.nonce, first));
+        self.reported.push((two.nonce, second));
         self.memory.clear_faults();
         if round.collect {
             self.config
@@ -123,50 +128,56 @@
                 .await
                 .expect("collect");
         }
-        if round.release {
-            self.memory.release_late();
+        if round.apply_delayed {
+            self.memory.apply_delayed();
         }
-        self.look().await;
+        self.verify_state().await;
     }
 
-    /// The store has a whole configuration, no generation went back, and none changed hands.
-    async fn look(&mut self) {
+    /// Checks that the store has a complete configuration, that the generation did not decrease,
+    /// and that no generation changed its nonce.
+    async fn verify_state(&mut self) {
         let loaded = self.config.load_latest(&mut ChunkCache::new()).await;
-        let Some(loaded) = loaded.expect("whole") else {
+        let Some(loaded) = loaded.expect("complete configuration") else {
             assert_eq!(self.newest, 0);
             return;
         };
         let root = loaded.root;
-        assert!(root.generation() >= self.newest, "a generation went back");
+        assert!(root.generation() >= self.newest, "the generation decreased");
         self.newest = root.generation();
         assert_eq!(
             loaded.bytes,
             config(&root.accepted.nonce),
-            "another's configuration"
+            "the configuration is not that of the accepted nonce"
         );
         for record in root.history.iter().chain([&root.accepted]) {
             let known = self
-                .seen
+                .accepted_nonces
                 .entry(record.generation)
                 .or_insert(record.nonce.clone());
-            assert_eq!(*known, record.nonce, "a generation changed hands");
+            assert_eq!(*known, record.nonce, "a generation changed its nonce");
         }
     }
 
-    async fn check(&mut self) {
-        self.memory.release_late();
-        self.look().await;
-        for (nonce, outcome) in &self.told {
-            let mut made = self.seen.iter().filter(|(_, by)| *by == nonce);
-            let generation = made.next().map(|(generation, _)| *generation);
-            assert_eq!(made.next(), None, "{nonce} was accepted twice");
+    async fn check_outcomes(&mut self) {
+        self.memory.apply_delayed();
+        self.verify_state().await;
+        for (nonce, outcome) in &self.reported {
+            let mut generations = self
+                .accepted_nonces
+                .iter()
+                .filter(|(_, accepted)| *accepted == nonce);
+            let generation = generations.next().map(|(generation, _)| *generation);
+            assert_eq!(generations.next(), None, "{nonce} was accepted twice");
             match outcome {
-                ApplyOutcome::Accepted { generation: told } => {
-                    assert_eq!(generation, Some(*told), "{nonce}");
+                ApplyOutcome::Accepted {
+                    generation: reported,
+                } => {
+                    assert_eq!(generation, Some(*reported), "{nonce}");
                 }
                 ApplyOutcome::Conflict { winner, .. } => {
                     assert_eq!(generation, None, "{nonce}");
-                    assert!(self.seen.contains_key(winner), "{nonce}");
+                    assert!(self.accepted_nonces.contains_key(winner), "{nonce}");
                 }
                 ApplyOutcome::NotAccepted { .. } => assert_eq!(generation, None, "{nonce}"),
                 ApplyOutcome::Unknown => {}
@@ -191,17 +202,17 @@
         ..ProptestConfig::default()
     })]
 
-    /// Operators race under lost answers, late writes, outages and refusals. Whatever they are
-    /// told stays true: accepted means in the history once, refused means never in it, and the
-    /// newest configuration can always be read whole.
+    /// Operators apply concurrently under lost responses, delayed writes, outages and rejections.
+    /// Every reported outcome stays true: an accepted apply is in the history exactly once, one
+    /// that was not accepted never is, and the newest configuration can always be read completely.
     #[test]
-    fn no_outcome_is_a_guess(rounds in vec(planned_round(), 1..12)) {
+    fn reported_outcomes_match_the_store(rounds in vec(planned_round(), 1..12)) {
         paused_runtime().block_on(async {
             let mut schedule = Schedule::new();
             for (at, round) in rounds.iter().enumerate() {
-                schedule.play(at, round).await;
+                schedule.run_round(at, round).await;
             }
-            schedule.check().await;
+            schedule.check_outcomes().await;
         });
     }
 }
--- a/lovagedock-standin/src/load/schedule.rs
+++ b/lovagedock-standin/src/load/schedule.rs
@@ -29,7 +29,7 @@
     pub at: Timestamp,
     /// Index of the organisation in the mix.
     pub organisation: usize,
-    /// Idempotency key; a repeat has the key of the first delivery.
+    /// Idempotency key; a redelivery has the key of the first delivery.
     pub key: Option<String>,
     /// Deadline of the call.
     pub deadline: Duration,
@@ -46,7 +46,7 @@
     Plain {
         /// Index in [`MixSpec::plain`].
         plain: usize,
-        /// Number in the path and the body; a repeat has the number of the first delivery.
+        /// Number in the path and the body; a redelivery has the number of the first delivery.
         subject: u64,
     },
 }
@@ -201,7 +201,7 @@
                 deadline: Duration::from_millis(keyed.deadline_ms),
                 body,
             };
-            self.push_with_repeat(call, keyed.repeat_percent, keyed.repeat_after_ms);
+            self.push_with_redelivery(call, keyed.repeat_percent, keyed.repeat_after_ms);
         }
     }
 
@@ -222,25 +222,30 @@
                     subject,
                 },
             };
-            self.push_with_repeat(call, plain.repeat_percent, plain.repeat_after_ms);
+            self.push_with_redelivery(call, plain.repeat_percent, plain.repeat_after_ms);
         }
     }
 
-    /// Adds a call and, by chance, a repeat of it. A repeat represents a caller that lost the
-    /// response or did not wait for it.
-    fn push_with_repeat(&mut self, call: PlannedCall, repeat_percent: u8, after_ms: (u64, u64)) {
+    /// Adds a call and, with the given probability, a redelivery of it. A redelivery simulates a
+    /// caller that lost the response or did not wait for it.
+    fn push_with_redelivery(
+        &mut self,
+        call: PlannedCall,
+        repeat_percent: u8,
+        after_ms: (u64, u64),
+    ) {
         if sample_percent(&mut self.random, repeat_percent) {
             let after = self
                 .random
                 .random_range(after_ms.0..=after_ms.1.max(after_ms.0));
-            let mut repeat = call.clone();
-            repeat.at = call.at + Duration::from_millis(after);
-            self.calls.push(repeat);
+            let mut redelivery = call.clone();
+            redelivery.at = call.at + Duration::from_millis(after);
+            self.calls.push(redelivery);
         }
         self.calls.push(call);
     }
 
-    /// Samples Poisson arrivals over the run; at least one if the rate is not zero.
+    /// Samples Poisson arrivals over the run. There is at least one if the rate is not zero.
     fn arrivals(&mut self, per_second: f64) -> Vec<Timestamp> {
         let Ok(gaps) = Exp::new(per_second) else {
             return Vec::new();
--- a/lovagedock-wire/src/endpoint_client.rs
+++ b/lovagedock-wire/src/endpoint_client.rs
@@ -1,4 +1,4 @@
-//! A gateway's end of a session to a sidecar.
+//! Gateway side of a session with a sidecar.
 
 use std::{future::Future, rc::Rc, time::Duration};
 
@@ -17,16 +17,16 @@
     stream::{SessionSystem, WireStream, client_system},
 };
 
-/// Takes an answer as it arrives; called in order.
+/// Receives an answer as it arrives; its methods are called in order.
 pub trait AnswerReceiver: 'static {
-    /// Status and headers.
+    /// Receives status and headers.
     fn head(&self, head: AnswerHead) -> impl Future<Output = ()> + 'static;
-    /// Bytes at an offset of the answer.
+    /// Receives bytes at an offset of the answer.
     ///
-    /// The sidecar sends more only after the future ends, so that a slow caller holds its own
-    /// answer back and nothing else.
+    /// The sidecar sends more only after the future completes, so a slow caller delays only its own
+    /// answer.
     fn chunk(&self, offset: u64, bytes: Bytes) -> impl Future<Output = ()> + 'static;
-    /// How the request ended.
+    /// Receives the result of the request.
     fn done(&self, end: AnswerEnd) -> impl Future<Output = ()> + 'static;
 }
 
@@ -35,25 +35,25 @@
 /// Dropping it closes the connection.
 pub struct EndpointClient {
     session: endpoint_session::Client,
-    driver: JoinHandle<()>,
+    rpc_task: JoinHandle<()>,
 }
 
 impl EndpointClient {
     /// Starts a session on a connection; must be called on a `LocalSet`.
     pub fn new(stream: Box<dyn WireStream>) -> Self {
         let (system, session): (SessionSystem, endpoint_session::Client) = client_system(stream);
-        let driver = tokio::task::spawn_local(async move {
+        let rpc_task = tokio::task::spawn_local(async move {
             let _ended: Result<(), capnp::Error> = system.await;
         });
-        Self { session, driver }
+        Self { session, rpc_task }
     }
 
-    /// Closes the connection: calls under way end with an error, and no more frames come.
+    /// Closes the connection: pending calls end with an error and no more frames arrive.
     pub fn close(&self) {
-        self.driver.abort();
+        self.rpc_task.abort();
     }
 
-    /// Introduces this process and learns who the other end is.
+    /// Introduces this process and returns the identity of the other side.
     pub async fn hello(
         &self,
         identity: &PeerIdentity,
@@ -61,13 +61,14 @@
     ) -> Result<PeerIdentity, WireError> {
         let mut request = self.session.hello_request();
         codec::write_hello(identity, request.get().init_hello());
-        let response = within(limit, request.send().promise).await?;
+        let response = with_timeout(limit, request.send().promise).await?;
         codec::read_welcome(response.get()?.get_welcome()?)
     }
 
-    /// Hands over a request; the answer goes to `receiver`.
+    /// Submits a request; the answer goes to `receiver`.
     ///
-    /// An error leaves open whether the sidecar has the request: only a revoke tells.
+    /// After an error it is not known whether the sidecar has the request; only a revoke can
+    /// determine it.
     pub async fn submit<R: AnswerReceiver>(
         &self,
         work: &WorkMessage,
@@ -77,7 +78,7 @@
         let mut request = self.session.submit_request();
         codec::write_work(work, request.get().init_order());
         request.get().set_sink(new_sink(receiver));
-        let response = within(limit, request.send().promise).await?;
+        let response = with_timeout(limit, request.send().promise).await?;
         let reply = response.get()?;
         if reply.get_accepted() {
             return Ok(SubmitReply::Accepted);
@@ -85,7 +86,8 @@
         Ok(SubmitReply::Refused(codec::read_end(reply.get_refusal()?)?))
     }
 
-    /// Asks for the rest of an answer from an offset; false if the sidecar does not have it.
+    /// Requests the rest of an answer from an offset; returns false if the sidecar does not have
+    /// it.
     pub async fn resume<R: AnswerReceiver>(
         &self,
         key: AttemptKey,
@@ -97,11 +99,11 @@
         codec::write_key(key, request.get().init_key());
         request.get().set_offset(offset);
         request.get().set_sink(new_sink(receiver));
-        let response = within(limit, request.send().promise).await?;
+        let response = with_timeout(limit, request.send().promise).await?;
         Ok(response.get()?.get_found())
     }
 
-    /// Asks that a request never runs, and learns whether it has.
+    /// Revokes a request, so that it never runs, and returns whether it has run already.
     pub async fn revoke(
         &self,
         key: AttemptKey,
@@ -109,23 +111,26 @@
     ) -> Result<RevokeVerdict, WireError> {
         let mut request = self.session.revoke_request();
         codec::write_key(key, request.get().init_key());
-        let response = within(limit, request.send().promise).await?;
+        let response = with_timeout(limit, request.send().promise).await?;
         let verdict = response.get()?.get_verdict();
         match verdict {
             Ok(verdict) => Ok(codec::read_verdict(verdict)),
-            Err(unknown) => Err(WireError::Malformed(format!("verdict {}", unknown.0))),
+            Err(unknown) => Err(WireError::Malformed(format!(
+                "unknown verdict {}",
+                unknown.0
+            ))),
         }
     }
 
-    /// Ends a request that nobody waits for.
+    /// Cancels a request whose answer is no longer needed.
     pub async fn cancel(&self, key: AttemptKey, limit: Duration) -> Result<(), WireError> {
         let mut request = self.session.cancel_request();
         codec::write_key(key, request.get().init_key());
-        within(limit, request.send().promise).await?;
+        with_timeout(limit, request.send().promise).await?;
         Ok(())
     }
 
-    /// Proves that both ends live and fetches the endpoint's load.
+    /// Checks that the sidecar responds and returns the endpoint's load.
     pub async fn heartbeat(
         &self,
         sequence: u64,
@@ -135,11 +140,11 @@
         let mut request = self.session.heartbeat_request();
         request.get().set_sequence(sequence);
         request.get().set_generation(generation);
-        let response = within(limit, request.send().promise).await?;
+        let response = with_timeout(limit, request.send().promise).await?;
         codec::read_load(response.get()?.get_report()?)
     }
 
-    /// Hands over a configuration; returns the generation in force at the sidecar.
+    /// Sends a configuration; returns the generation in force at the sidecar.
     pub async fn configure(
         &self,
         message: &ConfigMessage,
@@ -148,23 +153,25 @@
         let mut request = self.session.configure_request();
         request.get().set_generation(message.generation);
         request.get().set_config(&message.config);
-        let response = within(limit, request.send().promise).await?;
+        let response = with_timeout(limit, request.send().promise).await?;
         Ok(response.get()?.get_generation())
     }
 
-    /// Holds memory for one part of a span.
+    /// Reserves memory for one part of a span.
     pub async fn reserve(
         &self,
         key: AttemptKey,
         tokens: TokenCount,
-        hold: Duration,
+        retention: Duration,
         limit: Duration,
     ) -> Result<ReserveReply, WireError> {
         let mut request = self.session.reserve_request();
         codec::write_key(key, request.get().init_key());
         request.get().set_tokens(tokens);
-        request.get().set_hold_ms(codec::millis(hold));
-        let response = within(limit, request.send().promise).await?;
+        request
+            .get()
+            .set_hold_ms(codec::duration_to_millis(retention));
+        let response = with_timeout(limit, request.send().promise).await?;
         let reply = response.get()?;
         Ok(ReserveReply {
             granted: reply.get_granted(),
@@ -172,11 +179,11 @@
         })
     }
 
-    /// Gives a reservation back, with whatever was prefilled into it.
+    /// Releases a reservation and discards whatever was prefilled into it.
     pub async fn release(&self, key: AttemptKey, limit: Duration) -> Result<(), WireError> {
         let mut request = self.session.release_request();
         codec::write_key(key, request.get().init_key());
-        within(limit, request.send().promise).await?;
+        with_timeout(limit, request.send().promise).await?;
         Ok(())
     }
 
@@ -191,7 +198,7 @@
         codec::write_work(work, request.get().init_order());
         request.get().set_start(range.start);
         request.get().set_tokens(range.tokens);
-        let response = within(limit, request.send().promise).await?;
+        let response = with_timeout(limit, request.send().promise).await?;
         let reply = response.get()?;
         Ok(SegmentReply {
             end: codec::read_end(reply.get_end()?)?,
@@ -199,18 +206,18 @@
         })
     }
 
-    /// Starts or ends the endpoint's leaving; returns the requests still in flight.
+    /// Starts or ends draining of the endpoint; returns the number of requests still in flight.
     pub async fn drain(&self, leaving: bool, limit: Duration) -> Result<u32, WireError> {
         let mut request = self.session.drain_request();
         request.get().set_leaving(leaving);
-        let response = within(limit, request.send().promise).await?;
+        let response = with_timeout(limit, request.send().promise).await?;
         Ok(response.get()?.get_in_flight())
     }
 
-    /// Gives an order to the engine, or looks at what it has loaded; waits until the engine is
-    /// done with it.
+    /// Sends an order to the engine, or queries what it has loaded; waits until the engine has
+    /// completed it.
     ///
-    /// An error leaves open whether the order takes effect.
+    /// After an error it is not known whether the order takes effect.
     pub async fn order(
         &self,
         message: &OrderMessage,
@@ -218,22 +225,22 @@
     ) -> Result<OrderReply, WireError> {
         let mut request = self.session.order_request();
         order_codec::write_order(message, request.get().init_order());
-        let response = within(limit, request.send().promise).await?;
+        let response = with_timeout(limit, request.send().promise).await?;
         order_codec::read_reply(response.get()?.get_reply()?)
     }
 }
 
 impl Drop for EndpointClient {
     fn drop(&mut self) {
-        self.driver.abort();
+        self.rpc_task.abort();
     }
 }
 
-/// Bounds a call by time.
+/// Runs a call with a timeout.
 ///
-/// A connection that something between the ends has forgotten swallows calls without an error;
-/// the symptom is a call that never returns. The limit turns it into a [`WireError::TimedOut`].
-pub(crate) async fn within<T>(
+/// If a device between the two sides silently drops the connection, calls are lost without an error
+/// and may never return. After `limit` such a call fails with [`WireError::TimedOut`].
+pub(crate) async fn with_timeout<T>(
     limit: Duration,
     call: impl Future<Output = Result<T, capnp::Error>>,
 ) -> Result<T, WireError> {
@@ -258,7 +265,7 @@
         params: answer_sink::HeadParams,
         _results: answer_sink::HeadResults,
     ) -> Result<(), capnp::Error> {
-        let head = codec::read_head(params.get()?.get_head()?).map_err(failed)?;
+        let head = codec::read_head(params.get()?.get_head()?).map_err(to_capnp_error)?;
         self.receiver.head(head).await;
         Ok(())
     }
@@ -277,12 +284,12 @@
         params: answer_sink::DoneParams,
         _results: answer_sink::DoneResults,
     ) -> Result<(), capnp::Error> {
-        let end = codec::read_end(params.get()?.get_end()?).map_err(failed)?;
+        let end = codec::read_end(params.get()?.get_end()?).map_err(to_capnp_error)?;
         self.receiver.done(end).await;
         Ok(())
     }
 }
 
-pub(crate) fn failed(error: WireError) -> capnp::Error {
+pub(crate) fn to_capnp_error(error: WireError) -> capnp::Error {
     capnp::Error::failed(error.to_string())
 }
--- a/lovagedock/src/config/check_fleet.rs
+++ b/lovagedock/src/config/check_fleet.rs
@@ -1,4 +1,4 @@
-//! Checks of what the fleet is made of: failure domains, gateways, models, pools.
+//! Checks of the parts of the fleet: failure domains, gateways, models and pools.
 
 use std::collections::HashMap;
 
@@ -7,7 +7,7 @@
     types::{EndpointSpec, FleetConfig, ModelSpec, PoolKind, PoolSpec},
 };
 
-const MOST_BYTES_PER_TOKEN: f64 = 64.0;
+const MAX_BYTES_PER_TOKEN: f64 = 64.0;
 
 pub(crate) fn check_domains(config: &FleetConfig, checker: &mut ConfigChecker<'_>) {
     let mut names = UniqueNames::new("failure domain");
@@ -48,7 +48,7 @@
         "at least 1 token",
     );
     checker.require(
-        model.bytes_per_token > 0.0 && model.bytes_per_token <= MOST_BYTES_PER_TOKEN,
+        model.bytes_per_token > 0.0 && model.bytes_per_token <= MAX_BYTES_PER_TOKEN,
         &format!("{path}.bytes_per_token"),
         model.bytes_per_token,
         "more than 0 and at most 64 bytes",
@@ -84,7 +84,8 @@
     }
 }
 
-/// What must be unlike, or alike, over the endpoints of all pools.
+/// Names and addresses that must be unique over the endpoints of all pools, and the failure domain
+/// of each host, which must be the same everywhere.
 struct EndpointChecks<'a> {
     names: UniqueNames,
     sidecars: UniqueNames,
@@ -134,7 +135,8 @@
         }
     }
 
-    /// A host in two failure domains would count as two when the loss of one takes both.
+    /// Requires one failure domain per host. A host listed in two failure domains would be counted
+    /// as two hosts, although the loss of that host affects both.
     fn check_host(
         &mut self,
         endpoint: &'a EndpointSpec,
@@ -145,10 +147,10 @@
         let first = *entry.or_insert(&endpoint.failure_domain);
         if first != &*endpoint.failure_domain {
             let found = format!("host `{}` in `{}`", endpoint.host, endpoint.failure_domain);
-            checker.refuse(
+            checker.reject(
                 path,
                 found,
-                format!("`{first}`, as where the host is first named"),
+                format!("`{first}`, as in the first entry of this host"),
             );
         }
     }
--- a/lovagedock/src/config/diff.rs
+++ b/lovagedock/src/config/diff.rs
@@ -1,4 +1,4 @@
-//! What an operator's file would change.
+//! Differences between two configurations, such as the accepted one and an operator's file.
 
 use std::fmt;
 
@@ -7,42 +7,43 @@
 
 use super::types::FleetConfig;
 
-const LONGEST_SHOWN: usize = 80;
+const MAX_VALUE_CHARS: usize = 80;
 
 /// One difference between two configurations.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ConfigChange {
-    /// What happened to the value.
+    /// How the value changed.
     pub kind: ChangeKind,
-    /// Path of the value; elements of a list go by their id, such as `pools[a].endpoints[e-1]`.
+    /// Path of the value. Elements of a list are identified by their id, such as
+    /// `pools[a].endpoints[e-1]`.
     pub path: String,
-    /// The old value, unless it is new.
+    /// The old value; `None` if the value was added.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub before: Option<Value>,
-    /// The new value, unless it is gone.
+    /// The new value; `None` if the value was removed.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub after: Option<Value>,
 }
 
-/// What happened to a value.
+/// How a value changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ChangeKind {
-    /// It is new.
+    /// The value was added.
     Added,
-    /// It is gone.
+    /// The value was removed.
     Removed,
-    /// It is another value.
+    /// The value was replaced by another.
     Changed,
-    /// The elements of a list are the same in another order.
+    /// The list has the same elements in another order.
     Reordered,
 }
 
 impl fmt::Display for ConfigChange {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let path = &self.path;
-        let before = self.before.as_ref().map(show).unwrap_or_default();
-        let after = self.after.as_ref().map(show).unwrap_or_default();
+        let before = self.before.as_ref().map(abbreviate).unwrap_or_default();
+        let after = self.after.as_ref().map(abbreviate).unwrap_or_default();
         match self.kind {
             ChangeKind::Added => write!(f, "+ {path}: {after}"),
             ChangeKind::Removed => write!(f, "- {path}: {before}"),
@@ -52,7 +53,7 @@
     }
 }
 
-/// Lists what differs; empty when the two are the same.
+/// Lists the differences; empty when the two configurations are equal.
 pub fn diff_config(old: &FleetConfig, new: &FleetConfig) -> Vec<ConfigChange> {
     let old = serde_json::to_value(old).unwrap_or_default();
     let new = serde_json::to_value(new).unwrap_or_default();
@@ -66,7 +67,7 @@
         _ if old == new => {}
         (Value::Object(old), Value::Object(new)) => diff_objects(path, old, new, changes),
         (Value::Array(old), Value::Array(new)) => diff_arrays(path, old, new, changes),
-        _ => push(ChangeKind::Changed, path, Some(old), Some(new), changes),
+        _ => push_change(ChangeKind::Changed, path, Some(old), Some(new), changes),
     }
 }
 
@@ -83,18 +84,18 @@
     for (name, value) in old {
         match new.get(name) {
             Some(other) => diff_values(&join(name), value, other, changes),
-            None => push(ChangeKind::Removed, &join(name), Some(value), None, changes),
+            None => push_change(ChangeKind::Removed, &join(name), Some(value), None, changes),
         }
     }
     for (name, value) in new {
         if !old.contains_key(name) {
-            push(ChangeKind::Added, &join(name), None, Some(value), changes);
+            push_change(ChangeKind::Added, &join(name), None, Some(value), changes);
         }
     }
 }
 
-/// Elements with an id are compared with the element of the same id. Others are whole values that
-/// are in the list or not.
+/// Compares elements that have an id with the element of the same id. Other elements are compared
+/// as whole values that are either in the list or not.
 fn diff_arrays(path: &str, old: &[Value], new: &[Value], changes: &mut Vec<ConfigChange>) {
     let mut unmatched: Vec<(String, &Value)> = new.iter().map(|it| (label(it), it)).collect();
     let mut kept = Vec::new();
@@ -106,19 +107,19 @@
                 diff_values(&path, value, unmatched.remove(index).1, changes);
                 kept.push(label);
             }
-            None => push(ChangeKind::Removed, &path, Some(value), None, changes),
+            None => push_change(ChangeKind::Removed, &path, Some(value), None, changes),
         }
     }
     for (label, value) in &unmatched {
         let path = format!("{path}[{label}]");
-        push(ChangeKind::Added, &path, None, Some(value), changes);
+        push_change(ChangeKind::Added, &path, None, Some(value), changes);
     }
     let mut order = new.iter().map(label).filter(|label| kept.contains(label));
     if !kept
         .iter()
         .all(|label| order.next().as_ref() == Some(label))
     {
-        push(ChangeKind::Reordered, path, None, None, changes);
+        push_change(ChangeKind::Reordered, path, None, None, changes);
     }
 }
 
@@ -132,7 +133,7 @@
     }
 }
 
-fn push(
+fn push_change(
     kind: ChangeKind,
     path: &str,
     before: Option<&Value>,
@@ -147,13 +148,13 @@
     });
 }
 
-fn show(value: &Value) -> String {
+fn abbreviate(value: &Value) -> String {
     let text = value.to_string();
-    if text.chars().count() <= LONGEST_SHOWN {
+    if text.chars().count() <= MAX_VALUE_CHARS {
         return text;
     }
     text.chars()
-        .take(LONGEST_SHOWN)
+        .take(MAX_VALUE_CHARS)
         .chain("...".chars())
         .collect()
 }
